--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,623 @@
+//! Golden tests: what crosses a boundary of the program is compared, byte by byte, with files in `tests/golden`.
+//!
+//! The files were made with the program as it was before its code was reworked for readers. A change of one of them is a change of
+//! a protocol or of a stored format. `UPDATE_GOLDEN=1` writes them anew.
+
+use std::path::PathBuf;
+use std::process::{Command, Output, Stdio};
+
+const PROFILE: &str = include_str!("golden/settings.json");
+
+/// Compares a text with a golden file.
+fn assert_golden(name: &str, actual: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("UPDATE_GOLDEN").is_some() {
+        std::fs::write(&path, actual).unwrap();
+    }
+    let expected = std::fs::read_to_string(&path).unwrap();
+    for (number, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, expected, "{name}, line {}", number + 1);
+    }
+    assert_eq!(actual, expected, "{name}");
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// A folder that is removed with the test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("quartzhall-golden-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).unwrap();
+        Folder(path)
+    }
+
+    fn file(&self, name: &str, text: &str) -> PathBuf {
+        let path = self.0.join(name);
+        std::fs::write(&path, text).unwrap();
+        path
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn config(listen: &str, discovery: &str, known: &str) -> String {
+    format!(
+        r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{PROFILE}}}"#
+    )
+}
+
+/// A long exchange on the simulator's wire: each reply has to be the recorded one.
+#[test]
+fn simulator_exchange_is_unchanged() {
+    use std::io::Write;
+    let recorded = include_str!("golden/simhost-exchange.txt");
+    let lines_after = |mark: &str| -> String {
+        recorded.lines().filter_map(|line| line.strip_prefix(mark)).flat_map(|line| [line, "\n"]).collect()
+    };
+    let mut child = Command::new(env!("CARGO_BIN_EXE_quartzhall-simhost"))
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
+    let mut stdin = child.stdin.take().unwrap();
+    let input = lines_after("> ");
+    let writer = std::thread::spawn(move || stdin.write_all(input.as_bytes()).unwrap());
+    let output = child.wait_with_output().unwrap();
+    writer.join().unwrap();
+    assert!(output.status.success());
+    let replies = String::from_utf8(output.stdout).unwrap();
+    for (number, (actual, expected)) in replies.lines().zip(lines_after("< ").lines()).enumerate() {
+        assert_eq!(actual, expected, "reply line {}", number + 1);
+    }
+    assert_eq!(replies, lines_after("< "));
+}
+
+fn check(config: &str, sessions: Option<&str>) -> Output {
+    let folder = Folder::new(&format!("check-{:?}", std::thread::current().id()));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_quartzhall"));
+    command.current_dir(&folder.0).args(["check", "--config", "config.json"]);
+    folder.file("config.json", config);
+    if let Some(sessions) = sessions {
+        folder.file("websocket.json", sessions);
+        command.args(["--websocket", "websocket.json"]);
+    }
+    command.output().unwrap()
+}
+
+#[test]
+fn check_and_configuration_errors_are_unchanged() {
+    let good = config("127.0.0.1:8080", "127.0.0.1:9000", "null");
+    let deployed = include_str!("../deploy/websocket.json");
+    let replaced = |from: &str, to: &str| {
+        assert!(good.contains(from), "{from}");
+        good.replace(from, to)
+    };
+    let cases: Vec<(&str, String, Option<&str>)> = vec![
+        ("good", good.clone(), None),
+        ("good with the deployed session file", good.clone(), Some(deployed)),
+        ("good with sessions", good.clone(), Some(r#"{"listen":"127.0.0.1:1","agent_check":"127.0.0.1:2"}"#)),
+        ("cut", good[..good.len() / 2].to_owned(), None),
+        ("empty", String::new(), None),
+        ("repeat", replaced("single_shot", "sometimes"), None),
+        (
+            "group",
+            replaced("\"repeat\":\"free\",\"group\":\"all\"", "\"repeat\":\"guarded\",\"group\":\"some\""),
+            None,
+        ),
+        ("role", replaced("\"read\",\"write\"", "\"read\",\"sing\""), None),
+        ("reporting", replaced("\"via\":\"answers\"", "\"via\":\"pigeon\""), None),
+        ("no classes", replaced("\"classes\"", "\"klasses\""), None),
+        ("no aim", replaced("\"aim\":1500.0,", ""), None),
+        ("negative aim", replaced("\"aim\":1500.0", "\"aim\":-1.0"), None),
+        ("aim of 0", replaced("\"aim\":1500.0", "\"aim\":0"), None),
+        ("no most_tries", replaced("\"most_tries\":5,", ""), None),
+        ("most_tries of a half", replaced("\"most_tries\":5", "\"most_tries\":0.5"), None),
+        ("a class twice", replaced("return-request", "status-query"), None),
+        ("discovery", replaced("\"discovery\":\"127.0.0.1:9000\"", "\"discovery\":\"nowhere\""), None),
+        ("session file", good.clone(), Some("{\"listen\":7}")),
+        ("session bounds", good.clone(), Some("{\"most_requests\":0}")),
+    ];
+    let mut text = String::new();
+    for (name, config, sessions) in cases {
+        let output = check(&config, sessions);
+        let line = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+        text +=
+            &format!("{name}: {:?}\n{}{}", output.status.code(), line(&output.stdout), line(&output.stderr));
+    }
+    let missing = Command::new(env!("CARGO_BIN_EXE_quartzhall"))
+        .args(["check", "--config", "no-such-file.json"])
+        .output()
+        .unwrap();
+    text += &format!("no file: {:?}\n{}", missing.status.code(), String::from_utf8_lossy(&missing.stderr));
+    assert_golden("check.txt", &text);
+}
+
+mod formats {
+    use super::{assert_golden, hex};
+    use quartzhall::api::Load;
+    use quartzhall::gossip::Gossip;
+
+    #[test]
+    fn datagram_is_unchanged() {
+        let mut gossip = Gossip::new(3, 0.0028);
+        (0..20).for_each(|_| gossip.request());
+        let now = 1_700_000_000_000_000;
+        gossip.failure(0x1122_3344_5566_7788);
+        for (server, in_flight) in [(1, 30.0), (2, 254.6), (3, 999.0)] {
+            let load = Load { in_flight: Some(in_flight), memory: Some(0.25), ..Load::default() };
+            gossip.report(now, server, 0xabcd_ef00 + u64::from(server), &load);
+        }
+        assert_golden("datagram.txt", &(hex(&gossip.message(now).unwrap()) + "\n"));
+    }
+
+    #[test]
+    fn recording_is_unchanged() {
+        use quartzhall_recording::{Answer, Digest, Record, Role, Status, Table, Writer};
+        let mut records = vec![
+            Record::Start { at: 1_700_000_000_000_000, dispatcher: "n1".into(), dispatchers: 3 },
+            Record::Name { table: Table::Class, number: 1, name: "status-query".into() },
+            Record::Name { table: Table::Tenant, number: 2, name: "acme".into() },
+            Record::Name { table: Table::Node, number: 7, name: "r1".into() },
+            Record::Arrival {
+                at: 5,
+                request: 9,
+                class: 1,
+                tenant: Some(2),
+                session: Some(Digest(77)),
+                opening: None,
+                prompt: 5120,
+                prefix: 12,
+                most: 800,
+                expires_in: 7_500_000,
+            },
+            Record::Sent { at: 6, request: 9, attempt: 0, node: 7 },
+            Record::First { at: 7, request: 9, attempt: 0 },
+            Record::Dropped { records: 4 },
+        ];
+        for role in [Role::Reader, Role::Writer, Role::Both] {
+            records.push(Record::Node { at: 2, node: 7, role, cell: 1, ready: true, started: 3 });
+        }
+        for status in [
+            Status::Ok,
+            Status::Read,
+            Status::Error,
+            Status::Full,
+            Status::Timeout,
+            Status::ConnectFailed,
+            Status::Reset,
+            Status::Stale,
+            Status::Cancelled,
+            Status::Moot,
+            Status::Rejected,
+        ] {
+            records.push(Record::Ended { at: 8, request: 9, attempt: 0, status, kept: 4096, written: 200 });
+        }
+        for answer in [Answer::Served, Answer::Broken, Answer::Refused, Answer::Failed, Answer::Left] {
+            records.push(Record::Final { at: 9, request: 9, answer });
+        }
+        let mut bytes = Vec::new();
+        let mut writer = Writer::new(&mut bytes).unwrap();
+        records.iter().for_each(|record| writer.write(record).unwrap());
+        let lines: Vec<String> = bytes.chunks(32).map(hex).collect();
+        assert_golden("recording.txt", &(lines.join("\n") + "\n"));
+    }
+}
+
+/// The frame with which a stream goes to a successor, as the successor's side reads it.
+#[tokio::test]
+async fn moved_stream_frame_is_unchanged() {
+    use quartzhall::framing::Chunks;
+    use quartzhall::moving::{self, Exit, Half};
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    use tokio::net::{TcpListener, TcpStream, UnixListener};
+    let folder = Folder::new("moved");
+    let path = folder.0.join("successor.sock");
+    let successor = UnixListener::bind(&path).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let upstream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let mut chunks = Chunks::default();
+    chunks.feed(b"1f\r\ndata: half of a ch", |_| {}).unwrap();
+    let (streams, receiver) = tokio::sync::mpsc::channel(1);
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    tokio::spawn(moving::carry(move || Some(path.clone()), receiver, log));
+    let (moved, was_moved) = tokio::sync::oneshot::channel();
+    let exit = Exit::default();
+    exit.offer(Half {
+        node: upstream.into_std().unwrap().into(),
+        chunks,
+        part: bytes::Bytes::from_static(b"data: half"),
+        moved,
+    });
+    exit.flushed(&client);
+    let mover = Some(streams);
+    let (moves, frame) = tokio::join!(exit.moves(&mover), async {
+        let (mut stream, _) = successor.accept().await.unwrap();
+        // Descriptors end a read, whatever follows them: the head is read by itself.
+        let mut frame = vec![0; 18];
+        stream.read_exact(&mut frame).await.unwrap();
+        let mut partial_event = [0; 10];
+        stream.read_exact(&mut partial_event).await.unwrap();
+        frame.extend(partial_event);
+        stream.write_all(b"Y").await.unwrap();
+        frame
+    });
+    assert!(moves && was_moved.await.unwrap());
+    assert_golden("moved-stream.txt", &(hex(&frame) + "\n"));
+}
+
+mod exchange {
+    //! Raw bytes between clients, the program, replicas and discovery.
+
+    use super::{assert_golden, config, Folder};
+    use std::collections::BTreeSet;
+    use std::process::{Child, Command, Stdio};
+    use std::sync::{Arc, Mutex};
+    use std::time::Duration;
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    use tokio::net::{TcpListener, TcpStream};
+
+    struct Running(Child);
+
+    impl Drop for Running {
+        fn drop(&mut self) {
+            let _ = self.0.kill();
+            let _ = self.0.wait();
+        }
+    }
+
+    type Seen = Arc<Mutex<BTreeSet<String>>>;
+
+    /// Replaces what differs from run to run.
+    fn normalized(text: &str) -> String {
+        let mut lines = Vec::new();
+        for line in text.split("\r\n") {
+            let lower = line.to_ascii_lowercase();
+            let varies =
+                ["host: ", "date: ", "x-expires-in-ms: ", "sec-websocket-key: ", "sec-websocket-accept: "];
+            match varies.iter().find(|name| lower.starts_with(**name)) {
+                Some(name) => lines.push(format!("{}*", &line[..name.len()])),
+                None => lines.push(line.to_owned()),
+            }
+        }
+        lines.join("\n")
+    }
+
+    async fn read_request(stream: &mut TcpStream) -> Option<String> {
+        let mut bytes = Vec::new();
+        loop {
+            if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
+                let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
+                let length = head.split("\r\n").find_map(|line| line.strip_prefix("content-length: "));
+                if bytes.len() >= end + 4 + length.map_or(0, |length| length.parse().unwrap()) {
+                    return Some(String::from_utf8_lossy(&bytes).into_owned());
+                }
+            }
+            if stream.read_buf(&mut bytes).await.ok()? == 0 {
+                return None;
+            }
+        }
+    }
+
+    fn answer(is_prefill: bool, request: &str) -> &'static str {
+        const FULL: &str = "HTTP/1.1 503 Service Unavailable\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n";
+        const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n";
+        const BAD: &str = "HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
+        const READ: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":7}";
+        const STREAM: &str =
+            "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
+            e\r\ndata: {\"n\":1}\n\r\n1\r\n\n\r\n2a\r\n: Endpoint-Load-Metrics: TEXT inflight=3\n\n\r\n\
+            e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
+        if request.starts_with("DELETE") {
+            return "HTTP/1.1 204 No Content\r\n\r\n";
+        }
+        let is_named = |name: &str| request.to_ascii_lowercase().contains(&format!("x-trace-id: {name}"));
+        match is_prefill {
+            true if is_named("full") => FULL,
+            true if is_named("bad") => BAD,
+            true => READ,
+            false if is_named("error") => ERROR,
+            false => STREAM,
+        }
+    }
+
+    /// A replica that records the bytes that it gets.
+    async fn replica(name: &'static str, seen: Seen) -> String {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap().to_string();
+        tokio::spawn(async move {
+            loop {
+                let (mut stream, _) = listener.accept().await.unwrap();
+                let seen = seen.clone();
+                tokio::spawn(async move {
+                    while let Some(request) = read_request(&mut stream).await {
+                        let answer = answer(name == "prefill", &request);
+                        let _ = stream.write_all(answer.as_bytes()).await;
+                        // Any replica may be asked to release: which one depends on time.
+                        let at = if request.starts_with("DELETE") { "any" } else { name };
+                        seen.lock().unwrap().insert(format!("=== {at}\n{}\n", normalized(&request)));
+                    }
+                });
+            }
+        });
+        address
+    }
+
+    /// An agent that records what it is asked and never answers.
+    async fn discovery(seen: Seen) -> String {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap().to_string();
+        tokio::spawn(async move {
+            let mut open = Vec::new();
+            loop {
+                let (mut stream, _) = listener.accept().await.unwrap();
+                if let Some(request) = read_request(&mut stream).await {
+                    seen.lock().unwrap().insert(format!("=== discovery\n{}\n", normalized(&request)));
+                }
+                open.push(stream);
+            }
+        });
+        address
+    }
+
+    async fn free_address() -> String {
+        TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string()
+    }
+
+    async fn connect(address: &str) -> TcpStream {
+        let connects = async {
+            loop {
+                match TcpStream::connect(address).await {
+                    Ok(stream) => return stream,
+                    Err(_) => tokio::task::yield_now().await,
+                }
+            }
+        };
+        tokio::time::timeout(Duration::from_secs(20), connects).await.expect("a connection")
+    }
+
+    async fn exchange(address: &str, request: &str) -> String {
+        let mut stream = connect(address).await;
+        stream.write_all(request.as_bytes()).await.unwrap();
+        let mut answer = Vec::new();
+        let read = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut answer)).await;
+        let _ = read.expect("an end");
+        String::from_utf8_lossy(&answer).into_owned()
+    }
+
+    struct Program {
+        _running: Running,
+        _folder: Folder,
+        address: String,
+        sessions: String,
+        management: String,
+        seen: Seen,
+    }
+
+    async fn start(name: &str) -> Program {
+        let seen = Seen::default();
+        let (prefill, decode) =
+            (replica("prefill", seen.clone()).await, replica("decode", seen.clone()).await);
+        let known = format!(
+            r#"{{"revision":41,"complete":true,"members":[
+                {{"id":"p","host_port":"{prefill}","locality":"east","flavor":"prefill","cell":1,"phase":"Ready"}},
+                {{"id":"d","host_port":"{decode}","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}}]}}"#
+        );
+        let discovery = discovery(seen.clone()).await;
+        let (address, sessions, management) =
+            (free_address().await, free_address().await, free_address().await);
+        let folder = Folder::new(name);
+        let file = folder.file("config.json", &config(&address, &discovery, &known));
+        let second = folder.file("websocket.json", &format!(r#"{{"listen":"{sessions}"}}"#));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_quartzhall"));
+        command.args(["serve", "--config"]).arg(file).arg("--websocket").arg(second);
+        command.env("GW_MANAGEMENT", &management).stderr(Stdio::null());
+        let running = Running(command.spawn().unwrap());
+        let ready = "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+        let becomes_ready = async { while !exchange(&address, ready).await.starts_with("HTTP/1.1 200") {} };
+        tokio::time::timeout(Duration::from_secs(20), becomes_ready).await.expect("ready");
+        Program { _running: running, _folder: folder, address, sessions, management, seen }
+    }
+
+    fn post(name: &str, class: &str, rest: &str, body: &str) -> String {
+        format!(
+            "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Trace-Id: {name}\r\nX-Qos: {class}\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 4000\r\nX-Props: prefix=5c,prompt_len=500,prefix_len=100,max_out=100\r\n{rest}\r\n\r\n{body}"
+        )
+    }
+
+    #[tokio::test]
+    async fn http_exchange_is_unchanged() {
+        let program = start("http").await;
+        let length = "Content-Length: 2";
+        let cases = [
+            ("served", post("served", "status-query", length, "{}")),
+            ("served once", post("once", "return-request", length, "{}")),
+            (
+                "in chunks",
+                post("chunks", "status-query", "Transfer-Encoding: chunked", "2\r\n{}\r\n0\r\n\r\n"),
+            ),
+            ("ready", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned()),
+            ("unknown path", "GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned()),
+            (
+                "wrong method",
+                "GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned(),
+            ),
+            ("unknown class", post("a", "no-such-class", length, "{}")),
+            ("no plain name", post("a b", "status-query", length, "{}")),
+            ("no props", post("a", "status-query", length, "{}").replace("X-Props", "X-Other")),
+            (
+                "props without a length",
+                post("a", "status-query", length, "{}").replace("prompt_len", "other"),
+            ),
+            ("too large", post("a", "status-query", "Content-Length: 300000", "")),
+            (
+                "length and chunks",
+                post("a", "status-query", "Content-Length: 2\r\nTransfer-Encoding: chunked", "0\r\n\r\n"),
+            ),
+            ("not HTTP", "what?\r\n\r\n".to_owned()),
+            ("bad at the replica", post("bad", "status-query", length, "{}")),
+            ("full", post("full", "status-query", length, "{}")),
+            ("error", post("error", "return-request", length, "{}")),
+            ("error, again", post("error", "return-request", length, "{}")),
+        ];
+        let mut text = String::new();
+        for (name, request) in cases {
+            let answer = exchange(&program.address, &request).await;
+            text += &format!("=== {name}\n{}\n", normalized(&answer));
+        }
+        assert_golden("http-answers.txt", &text);
+        // A read state is released after the failure: the last thing that the replicas see.
+        let released = async {
+            while !program.seen.lock().unwrap().iter().any(|seen| seen.contains("DELETE /kv/leases/error")) {
+                tokio::task::yield_now().await;
+            }
+        };
+        tokio::time::timeout(Duration::from_secs(20), released).await.expect("released");
+        let seen: String = program.seen.lock().unwrap().iter().cloned().collect();
+        assert_golden("upstream-requests.txt", &seen);
+    }
+
+    #[tokio::test]
+    async fn management_answers_are_unchanged() {
+        let program = start("management").await;
+        let mut text = String::new();
+        for line in [
+            "ready",
+            "disable-server d",
+            "disable-server d",
+            "ready",
+            "enable-server d",
+            "ready",
+            "disable-server nobody",
+            "disable-server",
+            "ready now",
+            "quit",
+            "",
+        ] {
+            text += &format!("> {line}\n< {}", exchange(&program.management, &format!("{line}\n")).await);
+        }
+        let long = format!("{}\n", "x".repeat(600));
+        text += &format!("> 600 bytes\n< {}", exchange(&program.management, &long).await);
+        assert_golden("management.txt", &text);
+    }
+
+    #[tokio::test]
+    async fn session_messages_are_unchanged() {
+        use futures_util::{SinkExt, StreamExt};
+        use tokio_tungstenite::tungstenite::Message;
+        let program = start("sessions").await;
+        let url = format!("ws://{}/v1/sessions", program.sessions);
+        let (mut session, response) = tokio_tungstenite::connect_async(url).await.unwrap();
+        let mut text = format!("status {}\n", response.status());
+        let ask = |id: &str, class: &str| {
+            format!(
+                r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":4000,"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
+            )
+        };
+        let messages = [
+            ask("served", "status-query"),
+            ask("served", "status-query"),
+            ask("bad", "status-query"),
+            ask("full", "status-query"),
+            ask("error", "return-request"),
+            ask("error", "return-request"),
+            ask("a", "no-such-class"),
+            ask("a", "status-query").replace("prompt_len", "other"),
+            r#"{"type":"what"}"#.to_owned(),
+            "no JSON".to_owned(),
+        ];
+        for message in messages {
+            text += &format!("> {message}\n");
+            session.send(Message::Text(message.into())).await.unwrap();
+            loop {
+                let next = tokio::time::timeout(Duration::from_secs(20), session.next()).await;
+                match next.expect("a message") {
+                    Some(Ok(Message::Text(said))) => {
+                        text += &format!("< {said}\n");
+                        if !said.contains(r#""type":"event""#) {
+                            break;
+                        }
+                    }
+                    Some(Ok(Message::Close(frame))) => {
+                        text += &format!("closed: {frame:?}\n");
+                        break;
+                    }
+                    Some(Ok(_)) => {}
+                    other => panic!("{other:?}"),
+                }
+            }
+        }
+        assert_golden("sessions.txt", &text);
+    }
+
+    /// Digits of times and process ids vary.
+    fn without_numbers(text: &str) -> String {
+        let mut all = String::new();
+        for word in text.split_inclusive(|character: char| !character.is_ascii_digit()) {
+            let digits = word.chars().take_while(char::is_ascii_digit).count();
+            if digits >= 4 {
+                all.push('#');
+                all.push_str(&word[digits..]);
+            } else {
+                all.push_str(word);
+            }
+        }
+        all
+    }
+
+    /// The files that two versions share: their names, and what they hold.
+    #[tokio::test]
+    async fn upgrade_files_are_unchanged() {
+        let folder = Folder::new("upgrade");
+        let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let management = free_address().await;
+        let known = r#"{"revision":41,"complete":true,"members":[
+            {"id":"p","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","cell":1,"phase":"Ready"},
+            {"id":"d","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","cell":1,"phase":"Ready"},
+            {"id":"d2","host_port":"127.0.0.1:3","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}]}"#;
+        let address = socket.local_addr().unwrap().to_string();
+        let file = folder.file("config.json", &config(&address, &free_address().await, known));
+        let shared = folder.0.join("shared");
+        std::fs::create_dir(&shared).unwrap();
+        // A version before this one has banned a replica.
+        let bans = shared.join("quartzhall-08b37b07b558d4c0.bans");
+        std::fs::write(&bans, r#"{"version":1,"marks":[{"id":"d2","at":1700000000000000,"banned":true}]}"#)
+            .unwrap();
+        let mut command = Command::new("sh");
+        command.args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""]);
+        command.arg(env!("CARGO_BIN_EXE_quartzhall")).arg("--config").arg(file);
+        command.env("GW_SOCKET_FD", "5").env("TMPDIR", &shared).env("GW_MANAGEMENT", &management);
+        command.stdin(Stdio::from(std::os::fd::OwnedFd::from(socket))).stderr(Stdio::null());
+        let _running = Running(command.spawn().unwrap());
+        assert_eq!(exchange(&management, "disable-server d\n").await, "ACK\n");
+        assert!(exchange(&management, "ready\n").await.starts_with("NAK"), "both decode replicas are banned");
+        let files = || {
+            let mut all = Vec::new();
+            for entry in std::fs::read_dir(&shared).unwrap() {
+                let path = entry.unwrap().path();
+                let name = path.file_name().unwrap().to_str().unwrap().to_owned();
+                let holds = std::fs::read_to_string(&path).unwrap_or_else(|_| "a socket".into());
+                all.push(format!("{}: {}\n", without_numbers(&name), without_numbers(holds.trim_end())));
+            }
+            all.sort();
+            all.concat()
+        };
+        let written = async {
+            while std::fs::read_to_string(&bans).is_ok_and(|text| !text.contains("\"d\""))
+                || !files().contains(" 15")
+            {
+                tokio::task::yield_now().await;
+            }
+        };
+        tokio::time::timeout(Duration::from_secs(20), written).await.expect("the files");
+        assert_golden("upgrade-files.txt", &files());
+    }
+}
