--- a/crates/model/src/calibrate.rs
+++ b/crates/model/src/calibrate.rs
@@ -72,11 +72,18 @@
     for record in records {
         match record {
             Record::Node { node, role, .. } => drop(roles.insert(node, role)),
-            Record::Arrival { request, prompt, .. } => {
+            Record::Arrival {
+                request, prompt, ..
+            } => {
                 requests += 1;
                 prompts.insert(request, f64::from(prompt));
             }
-            Record::Sent { at, request, attempt, node } => {
+            Record::Sent {
+                at,
+                request,
+                attempt,
+                node,
+            } => {
                 if open.len() >= MOST_OPEN {
                     unended += open.len();
                     open.clear();
@@ -85,33 +92,74 @@
                 let there = out.entry(node).or_default();
                 let alone = *there == 0;
                 *there += 1;
-                open.insert((request, attempt), Open { sent: at, node, alone, first: None });
+                open.insert(
+                    (request, attempt),
+                    Open {
+                        sent: at,
+                        node,
+                        alone,
+                        first: None,
+                    },
+                );
             }
-            Record::First { at, request, attempt } => {
+            Record::First {
+                at,
+                request,
+                attempt,
+            } => {
                 if let Some(open) = open.get_mut(&(request, attempt)) {
                     open.first = Some(at);
                 }
             }
-            Record::Ended { at, request, attempt, status, kept, written } => {
-                let Some(ended) = open.remove(&(request, attempt)) else { continue };
-                out.entry(ended.node).and_modify(|there| *there = there.saturating_sub(1));
-                let Some(role) = roles.get(&ended.node) else { continue };
+            Record::Ended {
+                at,
+                request,
+                attempt,
+                status,
+                kept,
+                written,
+            } => {
+                let Some(ended) = open.remove(&(request, attempt)) else {
+                    continue;
+                };
+                out.entry(ended.node)
+                    .and_modify(|there| *there = there.saturating_sub(1));
+                let Some(role) = roles.get(&ended.node) else {
+                    continue;
+                };
                 let seen = &mut seen[*role as usize];
                 seen.attempts += 1;
-                seen.failed += usize::from(!matches!(status, Status::Ok | Status::Read | Status::Cancelled));
-                let left = prompts.get(&request).map(|prompt| (prompt - f64::from(kept)).max(0.0));
+                seen.failed += usize::from(!matches!(
+                    status,
+                    Status::Ok | Status::Read | Status::Cancelled
+                ));
+                let left = prompts
+                    .get(&request)
+                    .map(|prompt| (prompt - f64::from(kept)).max(0.0));
                 match (status, left, ended.first) {
                     (Status::Read, Some(left), _) if ended.alone => {
-                        let sample = Sample { at: ended.sent, x: left, y: seconds(ended.sent, at) };
+                        let sample = Sample {
+                            at: ended.sent,
+                            x: left,
+                            y: seconds(ended.sent, at),
+                        };
                         seen.rates.push(sample);
                         seen.waits.push(sample);
                     }
                     (Status::Ok, _, Some(first)) => {
                         if written > 0 {
                             let y = seconds(first, at) / f64::from(written);
-                            seen.rates.push(Sample { at: ended.sent, x: 0.0, y });
+                            seen.rates.push(Sample {
+                                at: ended.sent,
+                                x: 0.0,
+                                y,
+                            });
                         }
-                        seen.waits.push(Sample { at: ended.sent, x: 0.0, y: seconds(ended.sent, first) });
+                        seen.waits.push(Sample {
+                            at: ended.sent,
+                            x: 0.0,
+                            y: seconds(ended.sent, first),
+                        });
                     }
                     _ => {}
                 }
@@ -124,8 +172,11 @@
     let of = |role: Role| {
         let seen = &seen[role as usize];
         // Readers' time grows with what is left to read; a writer's rate is told answer by answer.
-        let (rate, wait) =
-            if role == Role::Reader { (Part::Slope, Part::Start) } else { (Part::Mean, Part::Mean) };
+        let (rate, wait) = if role == Role::Reader {
+            (Part::Slope, Part::Start)
+        } else {
+            (Part::Mean, Part::Mean)
+        };
         Nodes {
             role,
             nodes: roles.values().filter(|it| **it == role).count(),
@@ -137,5 +188,10 @@
     };
     let all = [Role::Reader, Role::Writer, Role::Both].map(of);
     let roles = all.into_iter().filter(|nodes| nodes.nodes > 0).collect();
-    Calibration { roles, requests, dropped, unended: unended + open.len() }
+    Calibration {
+        roles,
+        requests,
+        dropped,
+        unended: unended + open.len(),
+    }
 }
--- a/crates/model/src/compare.rs
+++ b/crates/model/src/compare.rs
@@ -57,7 +57,11 @@
         (60, 2.000),
         (120, 1.980),
     ];
-    TABLE.iter().rev().find(|(row, _)| *row <= freedom).map_or(f64::INFINITY, |(_, t)| *t)
+    TABLE
+        .iter()
+        .rev()
+        .find(|(row, _)| *row <= freedom)
+        .map_or(f64::INFINITY, |(_, t)| *t)
 }
 
 /// The mean of these differences and its 95% interval.
@@ -67,7 +71,10 @@
         return None;
     }
     let mean = differences.iter().sum::<f64>() / count as f64;
-    let square = differences.iter().map(|it| (it - mean) * (it - mean)).sum::<f64>();
+    let square = differences
+        .iter()
+        .map(|it| (it - mean) * (it - mean))
+        .sum::<f64>();
     let half = student(count - 1) * (square / (count - 1) as f64 / count as f64).sqrt();
     Some((mean, mean - half, mean + half))
 }
@@ -82,7 +89,10 @@
             return None;
         }
         let own = differences.iter().sum::<f64>() / count as f64;
-        let square = differences.iter().map(|it| (it - own) * (it - own)).sum::<f64>();
+        let square = differences
+            .iter()
+            .map(|it| (it - own) * (it - own))
+            .sum::<f64>();
         mean += own / scenarios;
         variance += square / (count - 1) as f64 / count as f64 / (scenarios * scenarios);
         freedom += count - 1;
@@ -94,32 +104,52 @@
 /// Compares two sets; an error where they are not of the same runs.
 pub fn compare(first: &Results, second: &Results) -> Result<Vec<Difference>, String> {
     if let Some((scenario, seed)) = first.keys().find(|run| !second.contains_key(*run)) {
-        return Err(format!("the second set lacks scenario {scenario:?} with seed {seed}"));
+        return Err(format!(
+            "the second set lacks scenario {scenario:?} with seed {seed}"
+        ));
     }
     if let Some((scenario, seed)) = second.keys().find(|run| !first.contains_key(*run)) {
-        return Err(format!("the first set lacks scenario {scenario:?} with seed {seed}"));
+        return Err(format!(
+            "the first set lacks scenario {scenario:?} with seed {seed}"
+        ));
     }
     let mut all: BTreeMap<&str, BTreeMap<&str, Vec<f64>>> = BTreeMap::new();
     for ((scenario, seed), measures) in first {
         let others = &second[&(scenario.clone(), *seed)];
         if measures.len() != others.len() {
-            return Err(format!("scenario {scenario:?} with seed {seed} was not measured alike"));
+            return Err(format!(
+                "scenario {scenario:?} with seed {seed} was not measured alike"
+            ));
         }
         for (measure, value) in measures {
-            let other = others.get(measure).filter(|it| it.is_finite() && value.is_finite());
-            let other = other
-                .ok_or_else(|| format!("{measure:?} of {scenario:?}, seed {seed}, is no number in both"))?;
-            all.entry(measure).or_default().entry(scenario).or_default().push(other - value);
+            let other = others
+                .get(measure)
+                .filter(|it| it.is_finite() && value.is_finite());
+            let other = other.ok_or_else(|| {
+                format!("{measure:?} of {scenario:?}, seed {seed}, is no number in both")
+            })?;
+            all.entry(measure)
+                .or_default()
+                .entry(scenario)
+                .or_default()
+                .push(other - value);
         }
     }
     let mut told = Vec::new();
     for (measure, scenarios) in all {
         let lists: Vec<Vec<f64>> = scenarios.values().cloned().collect();
         let mut tell = |scenario: Option<&str>, pairs, found: Option<(f64, f64, f64)>| {
-            let (mean, low, high) =
-                found.ok_or_else(|| format!("{measure:?}: fewer than {PAIRS} pairs in a scenario"))?;
+            let (mean, low, high) = found
+                .ok_or_else(|| format!("{measure:?}: fewer than {PAIRS} pairs in a scenario"))?;
             let (measure, scenario) = (measure.to_owned(), scenario.map(str::to_owned));
-            told.push(Difference { measure, scenario, pairs, mean, low, high });
+            told.push(Difference {
+                measure,
+                scenario,
+                pairs,
+                mean,
+                low,
+                high,
+            });
             Ok::<(), String>(())
         };
         tell(None, lists.iter().map(Vec::len).sum(), overall(&lists))?;
--- a/crates/model/src/estimate.rs
+++ b/crates/model/src/estimate.rs
@@ -68,35 +68,56 @@
     if count == 0.0 {
         return None;
     }
-    let sum = |of: fn(&Sample) -> f64| samples.clone().map(|sample| of(&sample)).sum::<f64>() / count;
+    let sum =
+        |of: fn(&Sample) -> f64| samples.clone().map(|sample| of(&sample)).sum::<f64>() / count;
     let (x, y) = (sum(|it| it.x), sum(|it| it.y));
     if part == Part::Mean {
         return Some(y);
     }
-    let across = samples.clone().map(|it| (it.x - x) * (it.x - x)).sum::<f64>();
+    let across = samples
+        .clone()
+        .map(|it| (it.x - x) * (it.x - x))
+        .sum::<f64>();
     let along = samples.map(|it| (it.x - x) * (it.y - y)).sum::<f64>();
     if across <= 1e-9 * (1.0 + x * x) * count {
         return None;
     }
     let slope = along / across;
-    Some(if part == Part::Slope { slope } else { y - slope * x })
+    Some(if part == Part::Slope {
+        slope
+    } else {
+        y - slope * x
+    })
 }
 
 /// A figure of the samples, with the interval that blocks drawn anew give. The seed settles the draws.
 pub fn figure(samples: &[Sample], part: Part, seed: u64) -> Figure {
     let mut sorted = samples.to_vec();
     sorted.sort_by_key(|sample| sample.at);
-    let blocks: Vec<&[Sample]> = sorted.chunk_by(|a, b| a.at / BLOCK_US == b.at / BLOCK_US).collect();
-    let unknown = Figure::Unknown { samples: sorted.len(), blocks: blocks.len() };
+    let blocks: Vec<&[Sample]> = sorted
+        .chunk_by(|a, b| a.at / BLOCK_US == b.at / BLOCK_US)
+        .collect();
+    let unknown = Figure::Unknown {
+        samples: sorted.len(),
+        blocks: blocks.len(),
+    };
     if sorted.len() < SAMPLES || blocks.len() < BLOCKS {
         return unknown;
     }
-    let Some(value) = line(sorted.iter().copied(), part) else { return unknown };
+    let Some(value) = line(sorted.iter().copied(), part) else {
+        return unknown;
+    };
     let mut random = Pcg64::seed_from_u64(seed);
     let mut drawn: Vec<f64> = (0..DRAWS)
         .filter_map(|_| {
-            let picks: Vec<usize> = blocks.iter().map(|_| random.gen_range(0..blocks.len())).collect();
-            line(picks.iter().flat_map(|at| blocks[*at].iter().copied()), part)
+            let picks: Vec<usize> = blocks
+                .iter()
+                .map(|_| random.gen_range(0..blocks.len()))
+                .collect();
+            line(
+                picks.iter().flat_map(|at| blocks[*at].iter().copied()),
+                part,
+            )
         })
         .collect();
     if drawn.len() < DRAWS / 2 {
@@ -104,15 +125,28 @@
     }
     drawn.sort_by(f64::total_cmp);
     let at = |share: f64| drawn[((drawn.len() - 1) as f64 * share).round() as usize];
-    Figure::Known { value, low: at(TAIL), high: at(1.0 - TAIL), samples: sorted.len() }
+    Figure::Known {
+        value,
+        low: at(TAIL),
+        high: at(1.0 - TAIL),
+        samples: sorted.len(),
+    }
 }
 
 /// The figure's inverse, for a rate in place of a time for one; unknown where that may be endless.
 pub fn inverse(figure: Figure) -> Figure {
     match figure {
-        Figure::Known { value, low, high, samples } if low > 0.0 && value > 0.0 => {
-            Figure::Known { value: 1.0 / value, low: 1.0 / high, high: 1.0 / low, samples }
-        }
+        Figure::Known {
+            value,
+            low,
+            high,
+            samples,
+        } if low > 0.0 && value > 0.0 => Figure::Known {
+            value: 1.0 / value,
+            low: 1.0 / high,
+            high: 1.0 / low,
+            samples,
+        },
         Figure::Known { samples, .. } => Figure::Unknown { samples, blocks: 0 },
         unknown => unknown,
     }
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -32,7 +32,12 @@
 
 fn shown(figure: Figure, unit: &str) -> String {
     match figure {
-        Figure::Known { value, low, high, samples } => {
+        Figure::Known {
+            value,
+            low,
+            high,
+            samples,
+        } => {
             format!("{value:.4} {unit} ({low:.4} to {high:.4}, {samples} samples)")
         }
         Figure::Unknown { samples, blocks } => {
@@ -63,11 +68,17 @@
         println!("  cut off at byte {}: read up to there", reader.offset());
     }
     if told.dropped > 0 || told.unended > 0 {
-        println!("  {} records dropped, {} attempts without an end", told.dropped, told.unended);
+        println!(
+            "  {} records dropped, {} attempts without an end",
+            told.dropped, told.unended
+        );
     }
     for nodes in told.roles {
         let (role, count, attempts) = (nodes.role, nodes.nodes, nodes.attempts);
-        println!("  {role:?}: {count} nodes, {attempts} attempts, {:.2}% failed", nodes.failed * 100.0);
+        println!(
+            "  {role:?}: {count} nodes, {attempts} attempts, {:.2}% failed",
+            nodes.failed * 100.0
+        );
         println!("    rate: {}", shown(nodes.tokens_per_s, "tokens a second"));
         println!("    wait: {}", shown(nodes.wait_s, "s"));
     }
--- a/crates/recording/src/file.rs
+++ b/crates/recording/src/file.rs
@@ -30,7 +30,9 @@
     /// Adds a record, as one piece.
     pub fn write(&mut self, record: &Record) -> io::Result<()> {
         let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
-        let length = u16::try_from(body.len()).ok().filter(|length| usize::from(*length) <= LONGEST);
+        let length = u16::try_from(body.len())
+            .ok()
+            .filter(|length| usize::from(*length) <= LONGEST);
         let length = length.ok_or_else(|| io::Error::other("a record that is too long"))?;
         let mut framed = Vec::with_capacity(FRAME + body.len());
         framed.extend_from_slice(&length.to_le_bytes());
@@ -95,7 +97,10 @@
 impl<R: Read> Reader<R> {
     /// Begins to read; what is no recording, or a newer one, is refused.
     pub fn new(mut from: R) -> Result<Reader<R>, Damage> {
-        let damage = |reason: &str| Damage { offset: 0, reason: reason.into() };
+        let damage = |reason: &str| Damage {
+            offset: 0,
+            reason: reason.into(),
+        };
         let mut header = [0; MARK.len() + 2];
         let read = fill(&mut from, &mut header).map_err(|error| damage(&error.to_string()))?;
         if read < header.len() || !header.starts_with(&MARK) {
@@ -104,9 +109,17 @@
         let version = u16::from_le_bytes([header[MARK.len()], header[MARK.len() + 1]]);
         if version == 0 || version > VERSION {
             let reason = format!("version {version}, and up to {VERSION} are known");
-            return Err(Damage { offset: MARK.len() as u64, reason });
+            return Err(Damage {
+                offset: MARK.len() as u64,
+                reason,
+            });
         }
-        Ok(Reader { from, offset: header.len() as u64, cut: false, over: false })
+        Ok(Reader {
+            from,
+            offset: header.len() as u64,
+            cut: false,
+            over: false,
+        })
     }
 
     /// Whether the file ended within a record: its writer was cut off.
@@ -120,7 +133,10 @@
     }
 
     fn damage(&self, reason: impl fmt::Display) -> Damage {
-        Damage { offset: self.offset, reason: reason.to_string() }
+        Damage {
+            offset: self.offset,
+            reason: reason.to_string(),
+        }
     }
 
     fn record(&mut self) -> Result<Option<Record>, Damage> {
@@ -145,7 +161,8 @@
         if frame[2..] != sum(length, &body).to_le_bytes() {
             return Err(self.damage("a record whose sum is wrong"));
         }
-        let (record, rest) = postcard::take_from_bytes(&body).map_err(|error| self.damage(error))?;
+        let (record, rest) =
+            postcard::take_from_bytes(&body).map_err(|error| self.damage(error))?;
         if !rest.is_empty() {
             return Err(self.damage("a record with more than it says"));
         }
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -24,7 +24,10 @@
 impl Key {
     /// A key from what only this process knows.
     pub fn from_secret(secret: &[u8]) -> Key {
-        Key(blake3::derive_key("quartzhall recording: keyed digests, version 1", secret))
+        Key(blake3::derive_key(
+            "quartzhall recording: keyed digests, version 1",
+            secret,
+        ))
     }
 
     /// The digest of a name. `sort` keeps a session and an opening of one name apart.
--- a/crates/recording/src/recorder.rs
+++ b/crates/recording/src/recorder.rs
@@ -27,8 +27,14 @@
         let dropped = Arc::new(AtomicU64::new(0));
         let missing = dropped.clone();
         let work = move || write(&mut writer, &records, &missing);
-        let thread = std::thread::Builder::new().name("recorder".into()).spawn(work)?;
-        Ok(Recorder { queue: Some(queue), dropped, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("recorder".into())
+            .spawn(work)?;
+        Ok(Recorder {
+            queue: Some(queue),
+            dropped,
+            thread: Some(thread),
+        })
     }
 
     /// Takes a record in, or counts it as dropped. Never waits.
@@ -48,7 +54,9 @@
         self.queue = None;
         match self.thread.take().map(JoinHandle::join) {
             None => Ok(()),
-            Some(ended) => ended.unwrap_or_else(|_| Err(io::Error::other("the recorder's thread died"))),
+            Some(ended) => {
+                ended.unwrap_or_else(|_| Err(io::Error::other("the recorder's thread died")))
+            }
         }
     }
 }
@@ -60,7 +68,9 @@
 }
 
 fn write<W: Write>(
-    writer: &mut Writer<W>, records: &Receiver<Record>, dropped: &AtomicU64,
+    writer: &mut Writer<W>,
+    records: &Receiver<Record>,
+    dropped: &AtomicU64,
 ) -> io::Result<()> {
     let mut flushed = true;
     loop {
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -22,15 +22,43 @@
         expires_in: 7_500_000,
     };
     let mut all = vec![
-        Record::Start { at: 1, dispatcher: "n1".into(), dispatchers: 3 },
-        Record::Name { table: Table::Class, number: 1, name: "status-query".into() },
+        Record::Start {
+            at: 1,
+            dispatcher: "n1".into(),
+            dispatchers: 3,
+        },
+        Record::Name {
+            table: Table::Class,
+            number: 1,
+            name: "status-query".into(),
+        },
     ];
     for request in 0..50 {
         all.push(arrival(request));
-        all.push(Record::Sent { at: 2, request, attempt: 0, node: 7 });
-        all.push(Record::First { at: 3, request, attempt: 0 });
-        all.push(Record::Ended { at: 4, request, attempt: 0, status: Status::Ok, kept: 4096, written: 200 });
-        all.push(Record::Final { at: 5, request, answer: Answer::Served });
+        all.push(Record::Sent {
+            at: 2,
+            request,
+            attempt: 0,
+            node: 7,
+        });
+        all.push(Record::First {
+            at: 3,
+            request,
+            attempt: 0,
+        });
+        all.push(Record::Ended {
+            at: 4,
+            request,
+            attempt: 0,
+            status: Status::Ok,
+            kept: 4096,
+            written: 200,
+        });
+        all.push(Record::Final {
+            at: 5,
+            request,
+            answer: Answer::Served,
+        });
     }
     all
 }
@@ -38,7 +66,9 @@
 fn written(records: &[Record]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes).unwrap();
-    records.iter().for_each(|record| writer.write(record).unwrap());
+    records
+        .iter()
+        .for_each(|record| writer.write(record).unwrap());
     bytes
 }
 
@@ -48,20 +78,33 @@
     let mut reader = Reader::new(bytes.as_slice()).unwrap();
     let read: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
     assert_eq!(read, records());
-    assert_eq!((reader.was_cut(), reader.offset()), (false, bytes.len() as u64));
+    assert_eq!(
+        (reader.was_cut(), reader.offset()),
+        (false, bytes.len() as u64)
+    );
     // 250 records about 50 requests: what a day of a million requests would take.
-    assert!(bytes.len() / 50 < 150, "{} bytes a request", bytes.len() / 50);
+    assert!(
+        bytes.len() / 50 < 150,
+        "{} bytes a request",
+        bytes.len() / 50
+    );
 }
 
 #[test]
 fn a_file_that_was_cut_off_is_read_up_to_its_last_whole_record() {
     let (all, bytes) = (records(), written(&records()));
-    let ends: Vec<usize> = (0..=all.len()).map(|count| written(&all[..count]).len()).collect();
+    let ends: Vec<usize> = (0..=all.len())
+        .map(|count| written(&all[..count]).len())
+        .collect();
     for cut in ends[0]..bytes.len() {
         let mut reader = Reader::new(&bytes[..cut]).unwrap();
         let read: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
         let whole = ends.iter().filter(|end| **end <= cut).count() - 1;
-        assert_eq!((read.len(), reader.was_cut()), (whole, !ends.contains(&cut)), "cut at {cut}");
+        assert_eq!(
+            (read.len(), reader.was_cut()),
+            (whole, !ends.contains(&cut)),
+            "cut at {cut}"
+        );
         assert_eq!(reader.offset() as usize, ends[whole]);
     }
     for cut in 0..ends[0] {
@@ -88,7 +131,10 @@
             match damage {
                 Some(damage) => assert!(damage.offset as usize <= at, "{damage}, at {at}"),
                 // A length that points behind the end looks like a cut.
-                None => assert!(reader.was_cut() && reader.offset() as usize <= at, "at {at}"),
+                None => assert!(
+                    reader.was_cut() && reader.offset() as usize <= at,
+                    "at {at}"
+                ),
             }
         }
     }
@@ -99,7 +145,10 @@
     let mut bytes = written(&records());
     bytes[MARK.len()..MARK.len() + 2].copy_from_slice(&(VERSION + 1).to_le_bytes());
     let refused = Reader::new(bytes.as_slice()).err().unwrap().to_string();
-    assert!(refused.contains("at byte 8") && refused.contains("version 2"), "{refused}");
+    assert!(
+        refused.contains("at byte 8") && refused.contains("version 2"),
+        "{refused}"
+    );
 }
 
 #[test]
@@ -110,7 +159,10 @@
         let last = reader.by_ref().last();
         bytes.is_empty() || reader.was_cut() || last.is_some_and(|it| it.is_err())
     };
-    QuickCheck::new().rng(Gen::from_size_and_seed(300, 5)).tests(500).quickcheck(garbage as fn(_) -> _);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(300, 5))
+        .tests(500)
+        .quickcheck(garbage as fn(_) -> _);
 }
 
 #[test]
@@ -155,8 +207,21 @@
 fn a_full_queue_drops_and_counts() {
     let ((go_on, go), (waits, waiting)) = (channel(), channel());
     let bytes: Arc<Mutex<Vec<u8>>> = Arc::default();
-    let recorder = Recorder::start(Slow { go, waits, bytes: bytes.clone(), begun: false }, 10).unwrap();
-    let long = |request| Record::Name { table: Table::Node, number: request, name: "n".repeat(3000) };
+    let recorder = Recorder::start(
+        Slow {
+            go,
+            waits,
+            bytes: bytes.clone(),
+            begun: false,
+        },
+        10,
+    )
+    .unwrap();
+    let long = |request| Record::Name {
+        table: Table::Node,
+        number: request,
+        name: "n".repeat(3000),
+    };
     // More than the buffer holds: the thread comes to a write and stands there.
     let mut number = 0;
     while waiting.try_recv().is_err() {
@@ -168,13 +233,19 @@
     drop(go_on);
     recorder.end().unwrap();
     let bytes = bytes.lock().unwrap().clone();
-    let read: Vec<Record> = Reader::new(bytes.as_slice()).unwrap().map(Result::unwrap).collect();
+    let read: Vec<Record> = Reader::new(bytes.as_slice())
+        .unwrap()
+        .map(Result::unwrap)
+        .collect();
     let dropped = |record: &Record| match record {
         Record::Dropped { records } => *records,
         _ => 0,
     };
     let missing: u64 = read.iter().map(dropped).sum();
-    let kept = read.iter().filter(|record| matches!(record, Record::Name { .. })).count() as u64;
+    let kept = read
+        .iter()
+        .filter(|record| matches!(record, Record::Name { .. }))
+        .count() as u64;
     assert_eq!(missing + kept, u64::from(number) + 100);
     assert!(missing >= 90, "{missing}");
 }
--- a/crates/scale/benches/decision.rs
+++ b/crates/scale/benches/decision.rs
@@ -21,7 +21,9 @@
             within: Duration::from_secs(60),
         };
         let id = BenchmarkId::from_parameter(replicas);
-        group.bench_with_input(id, &measurement, |bencher, it| bencher.iter(|| black_box(measure(it))));
+        group.bench_with_input(id, &measurement, |bencher, it| {
+            bencher.iter(|| black_box(measure(it)))
+        });
     }
     group.finish();
 }
--- a/crates/scale/src/choice.rs
+++ b/crates/scale/src/choice.rs
@@ -16,7 +16,10 @@
 pub fn compare(replicas: usize, cold: f64, seed: u64, seconds: f64) -> ChoiceWorth {
     let routers = ((replicas as f64 * PER_REPLICA / TARGET_RATE).round() as usize).max(1);
     let options = Options {
-        shape: Shape { cold, ..Shape::of(replicas) },
+        shape: Shape {
+            cold,
+            ..Shape::of(replicas)
+        },
         routers,
         dispatchers: routers as u32,
         rate: TARGET_RATE,
--- a/crates/scale/src/config.rs
+++ b/crates/scale/src/config.rs
@@ -30,14 +30,29 @@
 
 /// The configuration file of the dispatcher with this number.
 pub fn text(
-    scenario: &Scenario, number: usize, seed: u64, addresses: &Addresses, peers: &[String],
+    scenario: &Scenario,
+    number: usize,
+    seed: u64,
+    addresses: &Addresses,
+    peers: &[String],
 ) -> String {
-    let zones: Vec<String> = (0..scenario.fleet.zones).map(|zone| format!("\"zone-{zone}\"")).collect();
+    let zones: Vec<String> = (0..scenario.fleet.zones)
+        .map(|zone| format!("\"zone-{zone}\""))
+        .collect();
     let peers: Vec<String> = peers.iter().map(|it| format!("\"{it}\"")).collect();
-    let Addresses { listen, discovery, peer_listen, peers_all } = addresses;
+    let Addresses {
+        listen,
+        discovery,
+        peer_listen,
+        peers_all,
+    } = addresses;
     let (told, sockets) = (scenario.dispatchers.told, scenario.dispatchers.sockets);
     let (fall, warm) = (FALL.as_millis(), WARM_WITHIN.as_millis());
-    let (zones, peers, zone) = (zones.join(","), peers.join(","), number as u32 % scenario.fleet.zones);
+    let (zones, peers, zone) = (
+        zones.join(","),
+        peers.join(","),
+        number as u32 % scenario.fleet.zones,
+    );
     format!(
         r#"{{"name":"d{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
  "limits":{{"cores":1.0,"memory_mb":256,"sockets":{sockets}}},
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -44,8 +44,12 @@
         "name = \"steps\"\nseconds = 1\n[fleet]\nreplicas = 100\nzones = 15\nrack = [4, 8]\nreaders = 0.25\n[dispatchers]\nreal = 1\ntold = {dispatchers}\nsockets = 1024\n[load]\nper_dispatcher = 1.0\nprompt = [1, 2]\nanswer = [1, 2]\n"
     ))?;
     let nowhere = || "127.0.0.1:1".to_owned();
-    let addresses =
-        Addresses { listen: nowhere(), discovery: nowhere(), peer_listen: nowhere(), peers_all: nowhere() };
+    let addresses = Addresses {
+        listen: nowhere(),
+        discovery: nowhere(),
+        peer_listen: nowhere(),
+        peers_all: nowhere(),
+    };
     let config = Config::parse(&config::text(&scenario, 0, 1, &addresses, &[]))?;
     Site::new(&config.settings)
 }
@@ -57,7 +61,12 @@
 fn member(entry: &Entry) -> Member {
     let [_, _, high, low] = (entry.cell + 1).to_be_bytes();
     let address = format!("127.1.{high}.{low}:{}", 10_000 + entry.server);
-    Member { name: name(entry).into(), address: address.into(), entry: entry.clone(), partial: false }
+    Member {
+        name: name(entry).into(),
+        address: address.into(),
+        entry: entry.clone(),
+        partial: false,
+    }
 }
 
 impl Bench {
@@ -72,11 +81,18 @@
     fn record(&mut self, step: &str, began: Instant) {
         let took = began.elapsed().as_nanos() as f64 / 1e3 * UNITS_PER_MICROSECOND;
         let Ok(empty) = Histogram::new(3) else { return };
-        let _ = self.costs.entry(step.to_owned()).or_insert(empty).record(took as u64);
+        let _ = self
+            .costs
+            .entry(step.to_owned())
+            .or_insert(empty)
+            .record(took as u64);
     }
 
     fn members(&self, complete: bool, which: &[usize]) -> Event {
-        Event::Members { complete, members: which.iter().map(|at| member(&self.entries[*at])).collect() }
+        Event::Members {
+            complete,
+            members: which.iter().map(|at| member(&self.entries[*at])).collect(),
+        }
     }
 
     /// A core that has heard of no replica yet.
@@ -85,7 +101,13 @@
         let entries = fleet::draw(&Shape::of(replicas), now, &mut Pcg32::seed_from_u64(seed));
         let site = Arc::new(site(dispatchers)?);
         let core = Core::new(site, 4_096, seed, now, Logger::root(Discard, o!()));
-        Ok(Bench { core, now, costs: Costs::new(), entries, answers: Vec::new() })
+        Ok(Bench {
+            core,
+            now,
+            costs: Costs::new(),
+            entries,
+            answers: Vec::new(),
+        })
     }
 
     /// It hears of all replicas.
@@ -118,16 +140,28 @@
 
     /// Messages that each tell of one replica's load.
     fn messages(&mut self, dispatchers: u32, rng: &mut Pcg32) {
-        self.core.set_gossip(Gossip::new(dispatchers as usize, config::PEER_PRICE));
+        self.core
+            .set_gossip(Gossip::new(dispatchers as usize, config::PEER_PRICE));
         let mut other = Gossip::new(dispatchers as usize, config::PEER_PRICE);
         for turn in 0..TURNS {
             self.now += 20 * MS;
             (0..EARNED_BY).for_each(|_| other.request());
             let at = rng.gen_range(0..self.entries.len());
-            let load = Load { in_flight: Some(50.0 + turn as f64), ..Load::default() };
+            let load = Load {
+                in_flight: Some(50.0 + turn as f64),
+                ..Load::default()
+            };
             other.report(self.now, at as u32, hash(&name(&self.entries[at])), &load);
-            let Some(message) = other.message(self.now) else { continue };
-            self.time("core: message heard", Event::Peer { from: 1, message: Bytes::from(message) });
+            let Some(message) = other.message(self.now) else {
+                continue;
+            };
+            self.time(
+                "core: message heard",
+                Event::Peer {
+                    from: 1,
+                    message: Bytes::from(message),
+                },
+            );
         }
     }
 
@@ -141,8 +175,11 @@
             max_tokens: 300.0,
             ..Ask::default()
         };
-        let work =
-            Work { name: format!("r{id}").into(), target: "/v1/chat/completions".into(), body: Bytes::new() };
+        let work = Work {
+            name: format!("r{id}").into(),
+            target: "/v1/chat/completions".into(),
+            body: Bytes::new(),
+        };
         let (answer, answered) = oneshot::channel();
         self.answers.push(answered);
         let commands = self.time("core: request", Event::Request { ask, work, answer });
@@ -154,8 +191,19 @@
     fn ask_servers(&mut self, mut commands: Vec<Command>) -> Vec<Command> {
         let probed: Vec<_> = commands.iter().filter_map(probed).collect();
         for server in probed {
-            let load = Some(Load { in_flight: Some(1.0), memory: Some(0.1), ..Load::default() });
-            commands.extend(self.time("core: probe's answer", Event::Probed { server, ok: true, load }));
+            let load = Some(Load {
+                in_flight: Some(1.0),
+                memory: Some(0.1),
+                ..Load::default()
+            });
+            commands.extend(self.time(
+                "core: probe's answer",
+                Event::Probed {
+                    server,
+                    ok: true,
+                    load,
+                },
+            ));
         }
         let began = Instant::now();
         self.now += 10 * MS; // by then answers are due
@@ -172,10 +220,19 @@
             if !self.request(id) {
                 continue;
             }
-            let ended =
-                Event::Ended { id, attempt: 0, reason: EndReason::Read, note: 0.0, written: 0.0, load: None };
+            let ended = Event::Ended {
+                id,
+                attempt: 0,
+                reason: EndReason::Read,
+                note: 0.0,
+                written: 0.0,
+                load: None,
+            };
             self.time("core: read's end", ended);
-            self.time("core: client left, lease let go", Event::Gone { id, fate: None });
+            self.time(
+                "core: client left, lease let go",
+                Event::Gone { id, fate: None },
+            );
             self.core.hear(self.now, Event::Released { id, done: true });
         }
     }
@@ -201,22 +258,35 @@
             let (status, note, written, load) = (Status::Read, 0.0, 0.0, None);
             self.core.hear(
                 self.now,
-                Event::Ended { id, attempt: 0, reason: EndReason::of(status), note, written, load },
+                Event::Ended {
+                    id,
+                    attempt: 0,
+                    reason: EndReason::of(status),
+                    note,
+                    written,
+                    load,
+                },
             );
             let commands = self.core.commands();
             if !is_sent(&self.ask_servers(commands), id, 1) {
                 continue;
             }
             let stream = mpsc::channel(1).1;
-            self.core.hear(self.now, Event::First { id, attempt: 1, stream });
+            self.core.hear(
+                self.now,
+                Event::First {
+                    id,
+                    attempt: 1,
+                    stream,
+                },
+            );
             self.core.commands();
         }
     }
 }
 
 fn is_sent(commands: &[Command], of: RequestId, number: u32) -> bool {
-    let sends =
-        |it: &Command| matches!(it, Command::Send { id, attempt, .. } if (*id, *attempt) == (of, number));
+    let sends = |it: &Command| matches!(it, Command::Send { id, attempt, .. } if (*id, *attempt) == (of, number));
     commands.iter().any(sends)
 }
 
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -27,7 +27,13 @@
 impl Shape {
     /// The shape of the target fleet at another number of replicas.
     pub fn of(replicas: usize) -> Shape {
-        Shape { replicas, zones: 15, rack: (4, 8), readers: 0.25, cold: 0.0 }
+        Shape {
+            replicas,
+            zones: 15,
+            rack: (4, 8),
+            readers: 0.25,
+            cold: 0.0,
+        }
     }
 }
 
@@ -36,17 +42,27 @@
     let mut entries = Vec::with_capacity(shape.replicas);
     let mut cell = 0;
     while entries.len() < shape.replicas {
-        let size = rng.gen_range(shape.rack.0..=shape.rack.1).min(shape.replicas - entries.len());
+        let size = rng
+            .gen_range(shape.rack.0..=shape.rack.1)
+            .min(shape.replicas - entries.len());
         let readers = ((size as f64 * shape.readers).round() as usize).max(1);
         for place in 0..size {
-            let role = if place < readers { Role::Reader } else { Role::Writer };
+            let role = if place < readers {
+                Role::Reader
+            } else {
+                Role::Writer
+            };
             let server = entries.len() as ServerId;
             let cold = rng.gen_bool(shape.cold);
             entries.push(Entry {
                 server,
                 key: quartzhall::settings::hash(&format!("replica-{server}")),
                 role,
-                memory: if role == Role::Reader { READER_MEMORY } else { WRITER_MEMORY },
+                memory: if role == Role::Reader {
+                    READER_MEMORY
+                } else {
+                    WRITER_MEMORY
+                },
                 zone: cell % shape.zones.max(1),
                 cell,
                 state: State::Ready,
--- a/crates/scale/src/hollow/discovery.rs
+++ b/crates/scale/src/hollow/discovery.rs
@@ -33,7 +33,11 @@
 
 impl Member {
     fn line(&self) -> String {
-        let flavor = if self.entry.role == Role::Reader { "prefill" } else { "decode" };
+        let flavor = if self.entry.role == Role::Reader {
+            "prefill"
+        } else {
+            "decode"
+        };
         let phase = match self.entry.state {
             State::Ready => "Ready",
             State::Draining => "Terminating",
@@ -66,18 +70,32 @@
         let whole = from.is_none_or(|from| from < self.whole_at || from > self.revision);
         let mut numbers: Vec<usize> = match from.filter(|_| !whole) {
             None => (0..self.members.len()).collect(),
-            Some(from) => {
-                self.changes.iter().filter(|(at, _)| *at > from).map(|(_, number)| *number).collect()
-            }
+            Some(from) => self
+                .changes
+                .iter()
+                .filter(|(at, _)| *at > from)
+                .map(|(_, number)| *number)
+                .collect(),
         };
         numbers.sort_unstable();
         numbers.dedup();
-        let mut text = format!(r#"{{"revision":{},"complete":{whole},"members":["#, self.revision);
+        let mut text = format!(
+            r#"{{"revision":{},"complete":{whole},"members":["#,
+            self.revision
+        );
         for (at, number) in numbers.iter().enumerate() {
-            let _ = write!(text, "{}{}", if at == 0 { "" } else { "," }, self.members[*number].line());
+            let _ = write!(
+                text,
+                "{}{}",
+                if at == 0 { "" } else { "," },
+                self.members[*number].line()
+            );
         }
         text.push_str("]}");
-        let told = numbers.iter().map(|number| (*number, self.members[*number].entry.state)).collect();
+        let told = numbers
+            .iter()
+            .map(|number| (*number, self.members[*number].entry.state))
+            .collect();
         List { text, whole, told }
     }
 }
@@ -116,8 +134,17 @@
     /// A discovery that has this list.
     pub fn new(members: Vec<Member>) -> Discovery {
         let written = HashMap::new();
-        let table = Table { revision: FIRST_REVISION, members, written, changes: Vec::new(), whole_at: 0 };
-        Discovery { table: Arc::new(Mutex::new(table)), newest: watch::channel(FIRST_REVISION).0 }
+        let table = Table {
+            revision: FIRST_REVISION,
+            members,
+            written,
+            changes: Vec::new(),
+            whole_at: 0,
+        };
+        Discovery {
+            table: Arc::new(Mutex::new(table)),
+            newest: watch::channel(FIRST_REVISION).0,
+        }
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
@@ -156,7 +183,9 @@
     pub fn members(&self, holds: impl Fn(&Member) -> bool) -> Vec<usize> {
         let table = self.table();
         let all = table.members.iter().enumerate();
-        all.filter(|(_, member)| holds(member)).map(|(number, _)| number).collect()
+        all.filter(|(_, member)| holds(member))
+            .map(|(number, _)| number)
+            .collect()
     }
 
     /// The list from a version on. Many dispatchers ask for the same one: it is written once.
@@ -196,16 +225,27 @@
         }
     }
 
-    async fn answer(&self, stream: &mut TcpStream, head: &str, written: &Written) -> std::io::Result<()> {
+    async fn answer(
+        &self,
+        stream: &mut TcpStream,
+        head: &str,
+        written: &Written,
+    ) -> std::io::Result<()> {
         let target = head.split(' ').nth(1).unwrap_or_default();
         let number = |name: &str| {
-            let value = target.split(['?', '&']).find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+            let value = target
+                .split(['?', '&'])
+                .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
             value.and_then(|value| value.parse::<u64>().ok())
         };
         let from = number("from");
         if let Some(from) = from {
             let hold = Duration::from_millis(number("hold_ms").unwrap_or(0)).min(LONGEST_HOLD);
-            let _ = timeout(hold, self.newest.subscribe().wait_for(|newest| *newest > from)).await;
+            let _ = timeout(
+                hold,
+                self.newest.subscribe().wait_for(|newest| *newest > from),
+            )
+            .await;
         }
         let list = self.list(from);
         let text = &list.text;
@@ -218,9 +258,13 @@
             written.told().remove(number);
         }
         stream.write_all(answer.as_bytes()).await?;
-        written.bytes.fetch_add(answer.len() as u64, Ordering::Relaxed);
+        written
+            .bytes
+            .fetch_add(answer.len() as u64, Ordering::Relaxed);
         written.lists.fetch_add(1, Ordering::Relaxed);
-        written.whole.fetch_add(u64::from(list.whole), Ordering::Relaxed);
+        written
+            .whole
+            .fetch_add(u64::from(list.whole), Ordering::Relaxed);
         let now = Instant::now();
         let mut known = written.told();
         for (number, _) in list.told.iter().filter(|(_, state)| *state != State::Ready) {
--- a/crates/scale/src/hollow/peers.rs
+++ b/crates/scale/src/hollow/peers.rs
@@ -41,7 +41,9 @@
 }
 
 fn now() -> Time {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |it| it.as_micros() as Time)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |it| it.as_micros() as Time)
 }
 
 /// Tells the real dispatchers what one of its size would, for as long as the task runs. What it may spend on that is the
@@ -54,11 +56,16 @@
         for _ in 0..(peers.rate * TURN.as_secs_f64()) as usize {
             gossip.request();
             let number = rng.gen_range(0..peers.keys.len());
-            let load = Load { in_flight: Some(rng.gen_range(0.0..MOST_IN_FLIGHT)), ..Load::default() };
+            let load = Load {
+                in_flight: Some(rng.gen_range(0.0..MOST_IN_FLIGHT)),
+                ..Load::default()
+            };
             gossip.report(now(), number as u32, peers.keys[number], &load);
         }
         if let Some(message) = gossip.message(now()) {
-            peers.bytes.fetch_add(message.len() as u64, Ordering::Relaxed);
+            peers
+                .bytes
+                .fetch_add(message.len() as u64, Ordering::Relaxed);
             peers.messages.fetch_add(1, Ordering::Relaxed);
             for real in peers.real.iter() {
                 let _ = socket.send_to(&message, real).await;
@@ -77,7 +84,11 @@
     loop {
         let call = watch.call();
         let began = Instant::now();
-        match timeout(call.patience, revision(&address, &call.target)).await.ok().flatten() {
+        match timeout(call.patience, revision(&address, &call.target))
+            .await
+            .ok()
+            .flatten()
+        {
             Some(revision) => {
                 backoff.succeeded();
                 watch.answered(revision);
@@ -90,16 +101,22 @@
 /// The revision of the list that a call is answered with.
 async fn revision(address: &str, target: &str) -> Option<u64> {
     let mut stream = TcpStream::connect(address).await.ok()?;
-    stream.write_all(format!("GET {target} HTTP/1.1\r\nHost: scale\r\n\r\n").as_bytes()).await.ok()?;
+    stream
+        .write_all(format!("GET {target} HTTP/1.1\r\nHost: scale\r\n\r\n").as_bytes())
+        .await
+        .ok()?;
     let mut answer = Vec::new();
     let mut some = [0; 16 * 1024];
     loop {
         let read = stream.read(&mut some).await.ok().filter(|read| *read > 0)?;
         answer.extend_from_slice(&some[..read]);
         let text = String::from_utf8_lossy(&answer);
-        let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
-        let length =
-            head.lines().find_map(|line| line.strip_prefix("Content-Length: ")?.parse::<usize>().ok())?;
+        let Some((head, body)) = text.split_once("\r\n\r\n") else {
+            continue;
+        };
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("Content-Length: ")?.parse::<usize>().ok())?;
         if body.len() >= length {
             let number = body.strip_prefix("{\"revision\":")?;
             return number.split(',').next()?.parse().ok();
--- a/crates/scale/src/hollow/replica.rs
+++ b/crates/scale/src/hollow/replica.rs
@@ -90,7 +90,10 @@
     /// What is known of broken rules at the end, states that are still held too long among them.
     pub fn rules(&self) -> RuleCounts {
         let now = Instant::now();
-        let held = lock(&self.states).values().filter(|since| now - **since > STATE_TIME).count() as u64;
+        let held = lock(&self.states)
+            .values()
+            .filter(|since| now - **since > STATE_TIME)
+            .count() as u64;
         RuleCounts {
             sends_after_drain: self.rules.after_drain.load(Ordering::Relaxed),
             cold_falls: self.rules.cold_falls.load(Ordering::Relaxed),
@@ -99,7 +102,9 @@
     }
 
     fn take_state(&self, name: &str) -> bool {
-        let Some(since) = lock(&self.states).remove(name) else { return false };
+        let Some(since) = lock(&self.states).remove(name) else {
+            return false;
+        };
         if since.elapsed() > STATE_TIME {
             self.rules.late_states.fetch_add(1, Ordering::Relaxed);
         }
@@ -138,7 +143,11 @@
 impl Replica {
     /// A replica that serves; `started`: it is cold since then.
     pub fn new(
-        number: usize, role: Role, ledger: Arc<Ledger>, drain_told: DrainTold, cold: ColdRule,
+        number: usize,
+        role: Role,
+        ledger: Arc<Ledger>,
+        drain_told: DrainTold,
+        cold: ColdRule,
         started: Option<Instant>,
     ) -> Arc<Replica> {
         Arc::new(Replica {
@@ -184,13 +193,16 @@
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/v1/chat/completions") => self.work(request).await,
             (&Method::DELETE, path) if path.starts_with("/kv/leases/") => {
-                self.ledger.take_state(path.trim_start_matches("/kv/leases/"));
+                self.ledger
+                    .take_state(path.trim_start_matches("/kv/leases/"));
                 plain(StatusCode::NO_CONTENT, "")
             }
             (&Method::GET, "/status/load" | "/health") => {
                 let load = self.load();
                 self.ledger.probes.fetch_add(1, Ordering::Relaxed);
-                self.ledger.probe_bytes.fetch_add(load.len() as u64 + PROBE_OVERHEAD, Ordering::Relaxed);
+                self.ledger
+                    .probe_bytes
+                    .fetch_add(load.len() as u64 + PROBE_OVERHEAD, Ordering::Relaxed);
                 plain(StatusCode::OK, &load)
             }
             _ => plain(StatusCode::NOT_FOUND, ""),
@@ -202,12 +214,19 @@
         let running = self.running.load(Ordering::Relaxed);
         let waits = lock(&self.busy_until).saturating_duration_since(Instant::now());
         let to_read = waits.as_secs_f64() * READ_RATE / 1000.0;
-        format!("TEXT inflight={running}, x0={:.3}, x1={to_read:.2}", (running as f64 / 200.0).min(1.0))
+        format!(
+            "TEXT inflight={running}, x0={:.3}, x1={to_read:.2}",
+            (running as f64 / 200.0).min(1.0)
+        )
     }
 
     async fn work(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let name =
-            request.headers().get(TRACE).and_then(|it| it.to_str().ok()).unwrap_or_default().to_owned();
+        let name = request
+            .headers()
+            .get(TRACE)
+            .and_then(|it| it.to_str().ok())
+            .unwrap_or_default()
+            .to_owned();
         if let Some(sent) = lock(&self.ledger.waiting).remove(&name) {
             let _ = lock(&self.ledger.reached).record(sent.elapsed().as_micros() as u64);
         }
@@ -216,7 +235,9 @@
             return plain(StatusCode::BAD_REQUEST, "");
         };
         let body = body.to_bytes();
-        self.ledger.request_bytes.fetch_add(body.len() as u64, Ordering::Relaxed);
+        self.ledger
+            .request_bytes
+            .fetch_add(body.len() as u64, Ordering::Relaxed);
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(self.clone());
         match self.role {
@@ -224,7 +245,8 @@
             _ if self.ledger.take_state(&name) => self.write(&body, running).await,
             _ => {
                 let mut gone = plain(StatusCode::GONE, "");
-                gone.headers_mut().insert("x-never-ran", hyper::header::HeaderValue::from_static("1"));
+                gone.headers_mut()
+                    .insert("x-never-ran", hyper::header::HeaderValue::from_static("1"));
                 gone
             }
         }
@@ -235,10 +257,14 @@
         if let Some(told) = (self.drain_told)(name, self.number) {
             let _ = lock(&self.ledger.after_drain).record(told.elapsed().as_micros() as u64);
             if told.elapsed() > DRAIN_GRACE {
-                self.ledger.rules.after_drain.fetch_add(1, Ordering::Relaxed);
+                self.ledger
+                    .rules
+                    .after_drain
+                    .fetch_add(1, Ordering::Relaxed);
             }
         }
-        let is_cold = lock(&self.started).is_some_and(|since| since.elapsed() < self.cold.warm_within);
+        let is_cold =
+            lock(&self.started).is_some_and(|since| since.elapsed() < self.cold.warm_within);
         if is_cold {
             let now = Instant::now();
             let mut sent = lock(&self.sent);
@@ -265,7 +291,10 @@
         sleep_until(ends).await;
         lock(&self.ledger.states).insert(name, Instant::now());
         drop(running);
-        let mut answer = plain(StatusCode::ACCEPTED, &format!(r#"{{"cached_tokens":{found}}}"#));
+        let mut answer = plain(
+            StatusCode::ACCEPTED,
+            &format!(r#"{{"cached_tokens":{found}}}"#),
+        );
         if let Ok(load) = hyper::header::HeaderValue::from_str(&self.load()) {
             answer.headers_mut().insert("endpoint-load-metrics", load);
         }
@@ -286,14 +315,28 @@
                 if number > 0 && number < events {
                     sleep(EVENT_EACH).await;
                 }
-                let data = if number < events { event(number) } else { replica.last_events(tokens) };
-                replica.ledger.request_bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
-                Some((Ok::<_, Infallible>(Frame::data(data)), (number + 1, running)))
+                let data = if number < events {
+                    event(number)
+                } else {
+                    replica.last_events(tokens)
+                };
+                replica
+                    .ledger
+                    .request_bytes
+                    .fetch_add(data.len() as u64, Ordering::Relaxed);
+                Some((
+                    Ok::<_, Infallible>(Frame::data(data)),
+                    (number + 1, running),
+                ))
             }
         });
-        let mut response = Response::new(BodyExt::boxed(StreamBody::new(Box::pin(stream) as EventStream)));
+        let mut response = Response::new(BodyExt::boxed(StreamBody::new(
+            Box::pin(stream) as EventStream
+        )));
         let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-        response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+        response
+            .headers_mut()
+            .insert(hyper::header::CONTENT_TYPE, kind);
         response
     }
 
@@ -306,8 +349,9 @@
     }
 }
 
-type EventStream =
-    std::pin::Pin<Box<dyn futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync>>;
+type EventStream = std::pin::Pin<
+    Box<dyn futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync>,
+>;
 
 /// Heads of a probe and of its answer, about.
 const PROBE_OVERHEAD: u64 = 180;
@@ -323,11 +367,17 @@
 fn asked_tokens(body: &[u8]) -> u32 {
     let text = String::from_utf8_lossy(body);
     let rest = text.split("\"max_tokens\":").nth(1).unwrap_or_default();
-    rest.chars().take_while(char::is_ascii_digit).collect::<String>().parse().unwrap_or(1)
+    rest.chars()
+        .take_while(char::is_ascii_digit)
+        .collect::<String>()
+        .parse()
+        .unwrap_or(1)
 }
 
 fn plain(status: StatusCode, text: &str) -> Response<Body> {
-    let mut response = Response::new(BodyExt::boxed(Full::new(Bytes::copy_from_slice(text.as_bytes()))));
+    let mut response = Response::new(BodyExt::boxed(Full::new(Bytes::copy_from_slice(
+        text.as_bytes(),
+    ))));
     *response.status_mut() = status;
     response
 }
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -59,12 +59,25 @@
 
 /// Sends requests to a dispatcher until this moment, and waits for their answers.
 pub async fn run(
-    address: String, number: usize, load: Load, seed: u64, until: Instant, ledger: Arc<Ledger>,
+    address: String,
+    number: usize,
+    load: Load,
+    seed: u64,
+    until: Instant,
+    ledger: Arc<Ledger>,
 ) -> Result<Outcomes, String> {
-    let target = Arc::new(Target { address, number, idle: Mutex::default(), ledger });
+    let target = Arc::new(Target {
+        address,
+        number,
+        idle: Mutex::default(),
+        ledger,
+    });
     let mut rng = Pcg32::seed_from_u64(seed);
-    let mut outcomes =
-        Outcomes { answers: Answers::default(), first_token: histogram()?, sent_late: histogram()? };
+    let mut outcomes = Outcomes {
+        answers: Answers::default(),
+        first_token: histogram()?,
+        sent_late: histogram()?,
+    };
     let mut requests = JoinSet::new();
     let mut due = Instant::now();
     let mut count = 0_u64;
@@ -122,7 +135,8 @@
     let (object, text) = (rng.gen_range(0..CONVERSATIONS), rng.gen_range(0..TEXTS));
     let shared = prompt / 2;
     let filler = "x".repeat((f64::from(prompt) / TOKENS_PER_BYTE) as usize);
-    let body = format!(r#"{{"model":"chat","stream":true,"max_tokens":{tokens},"messages":"{filler}"}}"#);
+    let body =
+        format!(r#"{{"model":"chat","stream":true,"max_tokens":{tokens},"messages":"{filler}"}}"#);
     let (expires, length) = (PATIENCE.as_millis(), body.len());
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: scale\r\nX-Trace-Id: {name}\r\nX-Qos: chat\r\nX-Customer: acme\r\nX-Object: {:x}\r\nX-Expires-In-Ms: {expires}\r\nX-Props: prefix={text:x},prompt_len={prompt},prefix_len={shared},max_out={tokens}\r\nContent-Length: {length}\r\n\r\n",
@@ -140,10 +154,16 @@
             Some(stream) => Ok(stream),
             None => TcpStream::connect(&target.address).await,
         };
-        let Ok(mut stream) = stream else { return Answer::Lost };
+        let Ok(mut stream) = stream else {
+            return Answer::Lost;
+        };
         let _ = stream.set_nodelay(true);
         let waiting = |add: bool| {
-            let mut waiting = target.ledger.waiting.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut waiting = target
+                .ledger
+                .waiting
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             match add {
                 true => drop(waiting.insert(name.clone(), due)),
                 false => drop(waiting.remove(&name)),
@@ -170,21 +190,33 @@
 struct Unanswered;
 
 /// One request and its answer; and whether the connection may be used again.
-async fn exchange(stream: &mut TcpStream, text: &str, due: Instant) -> Result<(Answer, bool), Unanswered> {
-    stream.write_all(text.as_bytes()).await.map_err(|_| Unanswered)?;
+async fn exchange(
+    stream: &mut TcpStream,
+    text: &str,
+    due: Instant,
+) -> Result<(Answer, bool), Unanswered> {
+    stream
+        .write_all(text.as_bytes())
+        .await
+        .map_err(|_| Unanswered)?;
     let mut answer: Vec<u8> = Vec::new();
     let mut some = vec![0; 16 * 1024];
     let mut first = None;
     loop {
-        let patience =
-            if first.is_some() { Instant::now() + LOST_AFTER } else { due + PATIENCE + LOST_AFTER };
+        let patience = if first.is_some() {
+            Instant::now() + LOST_AFTER
+        } else {
+            due + PATIENCE + LOST_AFTER
+        };
         let read = match timeout_at(patience, stream.read(&mut some)).await {
             Ok(Ok(read)) if read > 0 => read,
             Ok(_) if answer.is_empty() => return Err(Unanswered),
             _ => return Ok((Answer::Lost, false)),
         };
         answer.extend_from_slice(&some[..read]);
-        let Some(head_end) = position(&answer, b"\r\n\r\n") else { continue };
+        let Some(head_end) = position(&answer, b"\r\n\r\n") else {
+            continue;
+        };
         let head = String::from_utf8_lossy(&answer[..head_end]).to_ascii_lowercase();
         let keeps = !head.contains("connection: close");
         let status = head.split(' ').nth(1).unwrap_or_default().to_owned();
@@ -197,11 +229,19 @@
             }
             continue;
         }
-        let length =
-            head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse::<usize>().ok());
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length: ")?.parse::<usize>().ok());
         if answer.len() >= head_end + 4 + length.unwrap_or(0) {
             let refused = status == "503" || status == "429";
-            return Ok((if refused { Answer::Refused } else { Answer::Failed }, keeps));
+            return Ok((
+                if refused {
+                    Answer::Refused
+                } else {
+                    Answer::Failed
+                },
+                keeps,
+            ));
         }
     }
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -167,7 +167,10 @@
 
 fn logger() -> (Logger, slog_async::AsyncGuard) {
     let plain = slog_term::PlainDecorator::new(std::io::stderr());
-    let format = slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res();
+    let format = slog_term::FullFormat::new(plain)
+        .use_utc_timestamp()
+        .build()
+        .ignore_res();
     let (drain, guard) = slog_async::Async::new(format).build_with_guard();
     (Logger::root(drain.ignore_res(), o!()), guard)
 }
@@ -175,13 +178,25 @@
 /// What a command prints, on one line; empty where it can't be run.
 fn printed(command: &str, arguments: &[&str]) -> String {
     let output = Command::new(command).args(arguments).output();
-    output.map(|it| String::from_utf8_lossy(&it.stdout).trim().to_owned()).unwrap_or_default()
+    output
+        .map(|it| String::from_utf8_lossy(&it.stdout).trim().to_owned())
+        .unwrap_or_default()
 }
 
 /// The commit of the tree that this is run in.
 fn commit() -> String {
     let commit = printed("git", &["rev-parse", "--short", "HEAD"]);
-    let changed = printed("git", &["status", "--porcelain", "--", "src", "crates/scale/src", "Cargo.lock"]);
+    let changed = printed(
+        "git",
+        &[
+            "status",
+            "--porcelain",
+            "--",
+            "src",
+            "crates/scale/src",
+            "Cargo.lock",
+        ],
+    );
     if changed.is_empty() {
         commit
     } else {
@@ -200,9 +215,20 @@
 
 fn keep<T: Serialize>(path: &Path, results: T) -> Result<(), String> {
     let arguments: Vec<String> = std::env::args().skip(1).map(without_machine).collect();
-    let at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |it| it.as_secs());
+    let at = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |it| it.as_secs());
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    results::write(path, &Run { command: arguments.join(" "), commit: commit(), at, cores, results })
+    results::write(
+        path,
+        &Run {
+            command: arguments.join(" "),
+            commit: commit(),
+            at,
+            cores,
+            results,
+        },
+    )
 }
 
 fn measure_steps(task: &Steps, log: &Logger) -> Result<(), String> {
@@ -263,11 +289,21 @@
     if !task.check {
         return std::fs::write(&task.page, filled).map_err(|error| error.to_string());
     }
-    let differs = page.lines().zip(filled.lines()).position(|(is, wanted)| is != wanted);
+    let differs = page
+        .lines()
+        .zip(filled.lines())
+        .position(|(is, wanted)| is != wanted);
     match differs {
         _ if page == filled => Ok(()),
-        Some(line) => Err(format!("{}:{}: not what the results say", task.page.display(), line + 1)),
-        None => Err(format!("{}: a table is longer or shorter than the results", task.page.display())),
+        Some(line) => Err(format!(
+            "{}:{}: not what the results say",
+            task.page.display(),
+            line + 1
+        )),
+        None => Err(format!(
+            "{}: a table is longer or shorter than the results",
+            task.page.display()
+        )),
     }
 }
 
@@ -291,23 +327,29 @@
 /// The dispatcher's program: the one that is named, or the one beside this one.
 fn program(named: &Option<PathBuf>) -> Result<PathBuf, Failure> {
     let own = std::env::current_exe().map_err(|error| Failure::Input(error.to_string()))?;
-    let program = named.clone().unwrap_or_else(|| own.with_file_name("quartzhall"));
+    let program = named
+        .clone()
+        .unwrap_or_else(|| own.with_file_name("quartzhall"));
     if program.is_file() {
         return Ok(program);
     }
-    Err(Failure::Input(format!("{}: there is no such program; build it first", program.display())))
+    Err(Failure::Input(format!(
+        "{}: there is no such program; build it first",
+        program.display()
+    )))
 }
 
 /// Plays scenarios with each seed, keeps what came of them, and tells whether all that must hold did.
 fn play(scenarios: Vec<Scenario>, how: &How, log: &Logger) -> Result<(), Failure> {
     let program = program(&how.program)?;
-    let folder = how
-        .folder
-        .clone()
-        .unwrap_or_else(|| std::env::temp_dir().join(format!("quartzhall-scale-{}", std::process::id())));
+    let folder = how.folder.clone().unwrap_or_else(|| {
+        std::env::temp_dir().join(format!("quartzhall-scale-{}", std::process::id()))
+    });
     let wrong = |error: std::io::Error| Failure::Input(format!("{}: {error}", folder.display()));
     std::fs::create_dir_all(&folder).map_err(wrong)?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| Failure::Input(error.to_string()))?;
     let (mut results, mut broken) = (Vec::new(), Vec::new());
     for scenario in scenarios {
@@ -325,7 +367,11 @@
                 }
             });
             let result = ended.map_err(Failure::Run)?;
-            broken.extend(run::broken(&scenario, &result).into_iter().map(|it| format!("seed {seed}: {it}")));
+            broken.extend(
+                run::broken(&scenario, &result)
+                    .into_iter()
+                    .map(|it| format!("seed {seed}: {it}")),
+            );
             info!(log, "played"; "scenario" => &result.scenario, "replicas" => result.replicas, "seed" => seed,
                 "served" => result.answers.served, "sent" => result.answers.sent,
                 "core" => result.usage.iter().map(|it| it.core).sum::<f64>() / result.usage.len().max(1) as f64);
@@ -334,7 +380,10 @@
     }
     match &how.out {
         Some(path) => keep(path, results).map_err(Failure::Input)?,
-        None => println!("{}", serde_json::to_string_pretty(&results).unwrap_or_default()),
+        None => println!(
+            "{}",
+            serde_json::to_string_pretty(&results).unwrap_or_default()
+        ),
     }
     match broken.is_empty() {
         true => Ok(()),
--- a/crates/scale/src/memory.rs
+++ b/crates/scale/src/memory.rs
@@ -18,11 +18,18 @@
     let mut before = resident_bytes();
     let mut note = |kind: &str, count: u64| {
         let now = resident_bytes();
-        results.push(MemoryUse { kind: kind.into(), count, bytes_each: (now - before) / count as f64 });
+        results.push(MemoryUse {
+            kind: kind.into(),
+            count,
+            bytes_each: (now - before) / count as f64,
+        });
         before = now;
     };
     bench.first_list();
-    note("replica, in the core's table, the module and its index", replicas as u64);
+    note(
+        "replica, in the core's table, the module and its index",
+        replicas as u64,
+    );
     bench.open_streams(1_000_000, STREAMS);
     note("open stream, in the core's table and the module", STREAMS);
     Ok(results)
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -32,10 +32,15 @@
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|it| it.parse::<f64>().ok());
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let resident = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let resident: f64 = resident.split_whitespace().next()?.parse().ok()?;
     // The 14th and 15th fields of the file are the times in user and kernel mode.
-    Some(Sample { core_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND, resident_mb: resident / 1024.0 })
+    Some(Sample {
+        core_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND,
+        resident_mb: resident / 1024.0,
+    })
 }
 
 /// A real dispatcher, killed when it is let go.
@@ -52,12 +57,17 @@
 impl Dispatcher {
     /// Starts the program with a configuration, which is written to a file in this folder.
     pub fn start(
-        program: &Path, folder: &Path, name: &str, address: String, config: &str,
+        program: &Path,
+        folder: &Path,
+        name: &str,
+        address: String,
+        config: &str,
     ) -> Result<Dispatcher, String> {
         let path = folder.join(format!("{name}.json"));
         let wrong = |error: &dyn std::fmt::Display| format!("{name}: {error}");
         std::fs::write(&path, config).map_err(|error| wrong(&error))?;
-        let log = std::fs::File::create(folder.join(format!("{name}.log"))).map_err(|error| wrong(&error))?;
+        let log = std::fs::File::create(folder.join(format!("{name}.log")))
+            .map_err(|error| wrong(&error))?;
         let child = Command::new(program)
             .args(["serve", "--config"])
             .arg(&path)
@@ -67,8 +77,16 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|error| format!("{}: {error}", program.display()))?;
-        let id = child.id().ok_or_else(|| format!("{name} has ended at once"))?;
-        Ok(Dispatcher { child, address, id, config: path, began: Instant::now() })
+        let id = child
+            .id()
+            .ok_or_else(|| format!("{name} has ended at once"))?;
+        Ok(Dispatcher {
+            child,
+            address,
+            id,
+            config: path,
+            began: Instant::now(),
+        })
     }
 
     /// Waits until it is ready; how long that took.
@@ -86,9 +104,12 @@
     }
 
     async fn is_ready(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect(&self.address).await else { return false };
-        let asked =
-            stream.write_all(b"GET /ready HTTP/1.1\r\nHost: scale\r\nConnection: close\r\n\r\n").await;
+        let Ok(mut stream) = TcpStream::connect(&self.address).await else {
+            return false;
+        };
+        let asked = stream
+            .write_all(b"GET /ready HTTP/1.1\r\nHost: scale\r\nConnection: close\r\n\r\n")
+            .await;
         let mut answer = String::new();
         asked.is_ok()
             && stream.read_to_string(&mut answer).await.is_ok()
@@ -98,7 +119,10 @@
     /// Tells it to end, as the platform does; an error where it does not end well.
     pub async fn end(mut self) -> Result<(), String> {
         let id = self.id;
-        let told = Command::new("sh").args(["-c", &format!("kill -TERM {id}")]).status().await;
+        let told = Command::new("sh")
+            .args(["-c", &format!("kill -TERM {id}")])
+            .status()
+            .await;
         told.map_err(|error| error.to_string())?;
         let name = self.config.display().to_string();
         match timeout(ENDS_WITHIN, self.child.wait()).await {
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -66,7 +66,8 @@
 
 /// Reads a file of results; the error is one line.
 pub fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, String> {
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
@@ -168,7 +169,12 @@
     /// Of a histogram in microseconds.
     pub fn of(histogram: &hdrhistogram::Histogram<u64>) -> Times {
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-        Times { count: histogram.len(), median_ms: at(0.5), p99_ms: at(0.99), longest_ms: at(1.0) }
+        Times {
+            count: histogram.len(),
+            median_ms: at(0.5),
+            p99_ms: at(0.99),
+            longest_ms: at(1.0),
+        }
     }
 }
 
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -59,17 +59,25 @@
         + sides.hollow as u64 * DESCRIPTORS_HOLLOW
         + sides.real as u64 * (sides.sockets + DESCRIPTORS_SPARE);
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
-    let files = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
-    let most = files.and_then(|it| it.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(u64::MAX);
+    let files = limits
+        .lines()
+        .find_map(|line| line.strip_prefix("Max open files"));
+    let most = files
+        .and_then(|it| it.split_whitespace().next()?.parse::<u64>().ok())
+        .unwrap_or(u64::MAX);
     if descriptors > most {
-        return Some(format!("descriptors: {descriptors} are needed, {most} may be open"));
+        return Some(format!(
+            "descriptors: {descriptors} are needed, {most} may be open"
+        ));
     }
     let memory = scenario.fleet.replicas as u64 * REPLICA_KB
         + sides.hollow as u64 * HOLLOW_KB
         + sides.real as u64 * REAL_KB;
     let told = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let total = told.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-    let total = total.and_then(|it| it.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(u64::MAX);
+    let total = total
+        .and_then(|it| it.split_whitespace().next()?.parse::<u64>().ok())
+        .unwrap_or(u64::MAX);
     let may = total / MEMORY_PART;
     (memory > may).then(|| format!("memory: {memory} KB are needed, {may} KB may be used"))
 }
@@ -84,7 +92,9 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |it| it.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |it| it.as_millis() as u64)
 }
 
 fn failed(error: std::io::Error) -> String {
@@ -97,43 +107,77 @@
         let ledger = Arc::new(Ledger::new()?);
         let mut rng = Pcg32::seed_from_u64(seed);
         let entries = fleet::draw(&scenario.fleet.shape(), 1, &mut rng);
-        let written: Vec<Arc<Written>> = (0..scenario.dispatchers.real).map(|_| Arc::default()).collect();
+        let written: Vec<Arc<Written>> = (0..scenario.dispatchers.real)
+            .map(|_| Arc::default())
+            .collect();
         let written = Arc::new(written);
         let lists = written.clone();
         let drain_told: DrainTold =
             Arc::new(move |name, replica| lists.get(load::dispatcher_of(name)?)?.told_of(replica));
-        let most = config::CAPACITY * config::FALL.as_secs_f64() * config::COLD_FROM * config::FALL_MULTIPLE;
-        let cold = ColdRule { span: config::FALL, most, warm_within: config::WARM_WITHIN };
+        let most = config::CAPACITY
+            * config::FALL.as_secs_f64()
+            * config::COLD_FROM
+            * config::FALL_MULTIPLE;
+        let cold = ColdRule {
+            span: config::FALL,
+            most,
+            warm_within: config::WARM_WITHIN,
+        };
         let (mut tasks, mut members, mut replicas) = (JoinSet::new(), Vec::new(), Vec::new());
         for (number, entry) in entries.into_iter().enumerate() {
-            let listener = TcpListener::bind((rack_address(&entry), 0)).await.map_err(failed)?;
+            let listener = TcpListener::bind((rack_address(&entry), 0))
+                .await
+                .map_err(failed)?;
             let address = listener.local_addr().map_err(failed)?.to_string();
             let started = entry.started.map(|_| Instant::now());
             let up_since_ms = entry.started.map_or(0, |_| unix_ms());
-            let replica = Replica::new(number, entry.role, ledger.clone(), drain_told.clone(), cold, started);
+            let replica = Replica::new(
+                number,
+                entry.role,
+                ledger.clone(),
+                drain_told.clone(),
+                cold,
+                started,
+            );
             tasks.spawn(replica.clone().serve(listener));
             replicas.push(replica);
-            members.push(Member { entry, address, up_since_ms });
+            members.push(Member {
+                entry,
+                address,
+                up_since_ms,
+            });
         }
         let discovery = Discovery::new(members);
-        Ok(Rig { ledger, discovery, replicas: Arc::new(replicas), written, tasks })
+        Ok(Rig {
+            ledger,
+            discovery,
+            replicas: Arc::new(replicas),
+            written,
+            tasks,
+        })
     }
 
     /// An agent of discovery for one dispatcher.
     async fn agent(&mut self, written: Arc<Written>) -> Result<String, String> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?.to_string();
-        self.tasks.spawn(self.discovery.clone().serve(listener, written));
+        self.tasks
+            .spawn(self.discovery.clone().serve(listener, written));
         Ok(address)
     }
 
     /// Starts the hollow dispatchers; what they were sent to each real one is counted in what is returned.
     async fn hollow(
-        &mut self, scenario: &Scenario, seed: u64, sockets: Vec<UdpSocket>, real: &[String],
+        &mut self,
+        scenario: &Scenario,
+        seed: u64,
+        sockets: Vec<UdpSocket>,
+        real: &[String],
     ) -> Result<Peers, String> {
         let agent = self.agent(Arc::default()).await?;
         let count = self.replicas.len();
-        let keys = (0..count).map(|number| quartzhall::settings::hash(&format!("replica-{number}")));
+        let keys =
+            (0..count).map(|number| quartzhall::settings::hash(&format!("replica-{number}")));
         let peers = Peers {
             told: scenario.dispatchers.told,
             price: config::PEER_PRICE,
@@ -146,7 +190,8 @@
         for (number, socket) in sockets.into_iter().enumerate() {
             let own = seed.wrapping_add(1_000 + number as u64);
             self.tasks.spawn(peers::tell(peers.clone(), socket, own));
-            self.tasks.spawn(peers::follow(agent.clone(), peers.told, own));
+            self.tasks
+                .spawn(peers::follow(agent.clone(), peers.told, own));
         }
         Ok(peers)
     }
@@ -156,20 +201,24 @@
         match event.kind {
             EventKind::DrainRack => self.drain(|member| member.entry.cell == event.number),
             EventKind::DrainZone => self.drain(in_zone),
-            EventKind::ReturnZone => {
-                restart(&self.discovery, &self.replicas, &self.discovery.members(in_zone))
-            }
+            EventKind::ReturnZone => restart(
+                &self.discovery,
+                &self.replicas,
+                &self.discovery.members(in_zone),
+            ),
             EventKind::WholeList => self.discovery.send_whole(),
             EventKind::Roll => {
                 let (discovery, replicas) = (self.discovery.clone(), self.replicas.clone());
-                self.tasks.spawn(roll(discovery, replicas, event.number as usize, seed));
+                self.tasks
+                    .spawn(roll(discovery, replicas, event.number as usize, seed));
             }
         }
     }
 
     fn drain(&self, which: impl Fn(&Member) -> bool) {
         let members = self.discovery.members(which);
-        self.discovery.change(&members, |member| member.entry.state = State::Draining);
+        self.discovery
+            .change(&members, |member| member.entry.state = State::Draining);
     }
 }
 
@@ -180,7 +229,9 @@
 
 /// Replicas are back, and cold.
 fn restart(discovery: &Discovery, replicas: &[Arc<Replica>], numbers: &[usize]) {
-    numbers.iter().for_each(|number| replicas[*number].restart());
+    numbers
+        .iter()
+        .for_each(|number| replicas[*number].restart());
     let now = unix_ms();
     discovery.change(numbers, |member| {
         member.entry.state = State::Ready;
@@ -189,14 +240,21 @@
 }
 
 /// So many replicas a second drain, and are back cold after a second.
-async fn roll(discovery: Discovery, replicas: Arc<Vec<Arc<Replica>>>, each_second: usize, seed: u64) {
+async fn roll(
+    discovery: Discovery,
+    replicas: Arc<Vec<Arc<Replica>>>,
+    each_second: usize,
+    seed: u64,
+) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut turns = interval(ROLL_DRAIN);
     let mut draining: Vec<usize> = Vec::new();
     loop {
         turns.tick().await;
         restart(&discovery, &replicas, &draining);
-        draining = (0..each_second).map(|_| rng.gen_range(0..replicas.len())).collect();
+        draining = (0..each_second)
+            .map(|_| rng.gen_range(0..replicas.len()))
+            .collect();
         discovery.change(&draining, |member| member.entry.state = State::Draining);
     }
 }
@@ -204,8 +262,9 @@
 /// An address that is free now, on a loopback address of the dispatcher's own.
 async fn free_address(number: usize) -> Result<String, String> {
     let [_, _, high, low] = (number as u32 + 1).to_be_bytes();
-    let listener =
-        TcpListener::bind((std::net::Ipv4Addr::new(127, 2, high, low), 0)).await.map_err(failed)?;
+    let listener = TcpListener::bind((std::net::Ipv4Addr::new(127, 2, high, low), 0))
+        .await
+        .map_err(failed)?;
     Ok(listener.local_addr().map_err(failed)?.to_string())
 }
 
@@ -217,9 +276,17 @@
 
 /// Starts one real dispatcher after the other, each when the one before is ready.
 async fn start_real(
-    plan: &Plan, rig: &mut Rig, peer_listen: &[String], peers: &[String], all: &str, log: &Logger,
+    plan: &Plan,
+    rig: &mut Rig,
+    peer_listen: &[String],
+    peers: &[String],
+    all: &str,
+    log: &Logger,
 ) -> Result<Real, String> {
-    let mut real = Real { dispatchers: Vec::new(), ready: Vec::new() };
+    let mut real = Real {
+        dispatchers: Vec::new(),
+        ready: Vec::new(),
+    };
     for (number, peer_listen) in peer_listen.iter().enumerate() {
         let addresses = Addresses {
             listen: free_address(number).await?,
@@ -230,7 +297,13 @@
         let seed = plan.seed.wrapping_add(number as u64);
         let config = config::text(&plan.scenario, number, seed, &addresses, peers);
         let name = format!("d{number}");
-        let dispatcher = Dispatcher::start(&plan.program, &plan.folder, &name, addresses.listen, &config)?;
+        let dispatcher = Dispatcher::start(
+            &plan.program,
+            &plan.folder,
+            &name,
+            addresses.listen,
+            &config,
+        )?;
         let took = dispatcher.ready().await?;
         let sample = process::sample(dispatcher.id).ok_or_else(|| format!("{name} has ended"))?;
         info!(log, "ready"; "dispatcher" => name, "seconds" => took.as_secs_f64(), "resident_mb" => sample.resident_mb);
@@ -247,24 +320,41 @@
     sent_late: Histogram<u64>,
 }
 
-async fn put_under_load(plan: &Plan, rig: &mut Rig, real: &Real, log: &Logger) -> Result<Loaded, String> {
+async fn put_under_load(
+    plan: &Plan,
+    rig: &mut Rig,
+    real: &Real,
+    log: &Logger,
+) -> Result<Loaded, String> {
     let began = Instant::now();
     let until = began + Duration::from_secs(plan.scenario.seconds);
     let mut loads = JoinSet::new();
     for (number, dispatcher) in real.dispatchers.iter().enumerate() {
         let seed = plan.seed.wrapping_mul(31).wrapping_add(number as u64);
         let load = plan.scenario.load.clone();
-        loads.spawn(load::run(dispatcher.address.clone(), number, load, seed, until, rig.ledger.clone()));
+        loads.spawn(load::run(
+            dispatcher.address.clone(),
+            number,
+            load,
+            seed,
+            until,
+            rig.ledger.clone(),
+        ));
     }
     let mut events = plan.scenario.events.clone();
     events.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut events = events.into_iter().peekable();
     let mut progress = interval(PROGRESS);
     let histogram = || Histogram::new(3).map_err(|error| error.to_string());
-    let mut loaded =
-        Loaded { answers: Answers::default(), first_token: histogram()?, sent_late: histogram()? };
+    let mut loaded = Loaded {
+        answers: Answers::default(),
+        first_token: histogram()?,
+        sent_late: histogram()?,
+    };
     loop {
-        let next = events.peek().map(|event| began + Duration::from_secs_f64(event.at.max(0.0)));
+        let next = events
+            .peek()
+            .map(|event| began + Duration::from_secs_f64(event.at.max(0.0)));
         tokio::select! {
             () = sleep_until(next.unwrap_or(until)), if next.is_some() => {
                 if let Some(event) = events.next() {
@@ -308,20 +398,32 @@
     let all = UdpSocket::bind("127.0.0.1:0").await.map_err(failed)?;
     let all_at = all.local_addr().map_err(failed)?.to_string();
     let real = start_real(plan, &mut rig, &peer_listen, &peers, &all_at, log).await?;
-    let hollow = rig.hollow(&plan.scenario, plan.seed, sockets, &peer_listen).await?;
+    let hollow = rig
+        .hollow(&plan.scenario, plan.seed, sockets, &peer_listen)
+        .await?;
 
     let sample = |id| process::sample(id).unwrap_or_default();
     let counts = |rig: &Rig, hollow: &Peers| -> Vec<u64> {
-        let bytes = rig.written.iter().map(|it| it.bytes.load(Ordering::Relaxed));
-        bytes.chain([hollow.bytes.load(Ordering::Relaxed)]).collect()
+        let bytes = rig
+            .written
+            .iter()
+            .map(|it| it.bytes.load(Ordering::Relaxed));
+        bytes
+            .chain([hollow.bytes.load(Ordering::Relaxed)])
+            .collect()
     };
     let ids: Vec<u32> = real.dispatchers.iter().map(|it| it.id).collect();
-    let (before, own_before) =
-        (ids.iter().map(|id| sample(*id)).collect::<Vec<_>>(), sample(std::process::id()));
+    let (before, own_before) = (
+        ids.iter().map(|id| sample(*id)).collect::<Vec<_>>(),
+        sample(std::process::id()),
+    );
     let (counted, began) = (counts(&rig, &hollow), Instant::now());
     let count = |it: &AtomicU64| it.load(Ordering::Relaxed);
-    let (probes, connections, probe_bytes) =
-        (count(&rig.ledger.probes), count(&rig.ledger.connections), count(&rig.ledger.probe_bytes));
+    let (probes, connections, probe_bytes) = (
+        count(&rig.ledger.probes),
+        count(&rig.ledger.connections),
+        count(&rig.ledger.probe_bytes),
+    );
     let loaded = put_under_load(plan, &mut rig, &real, log).await?;
     let took = began.elapsed().as_secs_f64();
     let own = sample(std::process::id());
@@ -346,8 +448,9 @@
     for dispatcher in real.dispatchers {
         dispatcher.end().await?;
     }
-    let times =
-        |it: &std::sync::Mutex<Histogram<u64>>| Times::of(&it.lock().unwrap_or_else(PoisonError::into_inner));
+    let times = |it: &std::sync::Mutex<Histogram<u64>>| {
+        Times::of(&it.lock().unwrap_or_else(PoisonError::into_inner))
+    };
     let sent = loaded.answers.sent.max(1) as f64;
     let sent_late = Times::of(&loaded.sent_late);
     let result = ScaleRun {
@@ -376,16 +479,34 @@
 
 /// What of the scenario does not hold in this result: counts and rules only.
 pub fn broken(scenario: &Scenario, result: &ScaleRun) -> Vec<String> {
-    let Answers { sent, served, lost, .. } = result.answers;
+    let Answers {
+        sent, served, lost, ..
+    } = result.answers;
     let rules = &result.rules;
     let served_part = served as f64 / sent.max(1) as f64;
     let checks = [
         (sent == 0, "no request was sent".to_owned()),
         (lost > 0, format!("{lost} of {sent} requests were lost")),
-        (rules.sends_after_drain > 0, format!("{} sends against a told drain", rules.sends_after_drain)),
-        (rules.cold_falls > 0, format!("{} cold replicas fell", rules.cold_falls)),
-        (rules.states_held_too_long > 0, format!("{} states held too long", rules.states_held_too_long)),
-        (served_part < scenario.must.served, format!("{served} of {sent} requests were served")),
+        (
+            rules.sends_after_drain > 0,
+            format!("{} sends against a told drain", rules.sends_after_drain),
+        ),
+        (
+            rules.cold_falls > 0,
+            format!("{} cold replicas fell", rules.cold_falls),
+        ),
+        (
+            rules.states_held_too_long > 0,
+            format!("{} states held too long", rules.states_held_too_long),
+        ),
+        (
+            served_part < scenario.must.served,
+            format!("{served} of {sent} requests were served"),
+        ),
     ];
-    checks.into_iter().filter(|(is_broken, _)| *is_broken).map(|(_, what)| what).collect()
+    checks
+        .into_iter()
+        .filter(|(is_broken, _)| *is_broken)
+        .map(|(_, what)| what)
+        .collect()
 }
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -123,7 +123,8 @@
 impl Scenario {
     /// Reads a file; the error is one line with the file, the place and the reason.
     pub fn read(path: &Path) -> Result<Scenario, String> {
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| format!("{}: {error}", path.display()))?;
         Scenario::parse(&text).map_err(|reason| format!("{}:{reason}", path.display()))
     }
 
@@ -136,7 +137,9 @@
             format!("{line}:{column}: {}", error.message().replace('\n', " "))
         };
         let scenario: Scenario = toml::from_str(text).map_err(wrong)?;
-        scenario.check().map_err(|reason| format!("1:1: {reason}"))?;
+        scenario
+            .check()
+            .map_err(|reason| format!("1:1: {reason}"))?;
         Ok(scenario)
     }
 
@@ -146,7 +149,10 @@
             ("fleet.cold", self.fleet.cold),
             ("must.served", self.must.served),
         ];
-        if let Some((name, value)) = parts.into_iter().find(|(_, value)| !(0.0..=1.0).contains(value)) {
+        if let Some((name, value)) = parts
+            .into_iter()
+            .find(|(_, value)| !(0.0..=1.0).contains(value))
+        {
             return Err(format!("{name} is a part from 0 to 1, not {value}"));
         }
         let wrong = [
@@ -157,8 +163,14 @@
                 self.fleet.rack.0 == 0 || self.fleet.rack.0 > self.fleet.rack.1,
                 "fleet.rack is the fewest and the most",
             ),
-            (self.dispatchers.real == 0, "dispatchers.real must be over 0"),
-            (self.load.per_dispatcher <= 0.0, "load.per_dispatcher must be over 0"),
+            (
+                self.dispatchers.real == 0,
+                "dispatchers.real must be over 0",
+            ),
+            (
+                self.load.per_dispatcher <= 0.0,
+                "load.per_dispatcher must be over 0",
+            ),
             (
                 self.load.prompt.0 == 0 || self.load.prompt.0 > self.load.prompt.1,
                 "load.prompt is the fewest and the most",
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -27,7 +27,10 @@
 
 /// Plays one router of the module at the target's rate, and gives what its steps cost.
 pub fn measure(measurement: &Measurement) -> StepCosts {
-    let shape = Shape { cold: measurement.cold, ..Shape::of(measurement.replicas) };
+    let shape = Shape {
+        cold: measurement.cold,
+        ..Shape::of(measurement.replicas)
+    };
     let options = Options {
         shape,
         routers: 1,
@@ -50,6 +53,10 @@
         seed: measurement.seed,
         arrivals: report.arrivals,
         finished: report.arrivals >= measurement.arrivals,
-        steps: report.steps.iter().map(|(step, it)| (step.name().to_owned(), Cost::of(it))).collect(),
+        steps: report
+            .steps
+            .iter()
+            .map(|(step, it)| (step.name().to_owned(), Cost::of(it)))
+            .collect(),
     }
 }
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -24,8 +24,12 @@
             filled.push_str(line);
             filled.push('\n');
         }
-        if let Some(name) = line.strip_prefix(OPENS).and_then(|rest| rest.strip_suffix(OPENED)) {
-            let table = table(name, results).map_err(|error| format!("line {}: {error}", number + 1))?;
+        if let Some(name) = line
+            .strip_prefix(OPENS)
+            .and_then(|rest| rest.strip_suffix(OPENED))
+        {
+            let table =
+                table(name, results).map_err(|error| format!("line {}: {error}", number + 1))?;
             filled.push_str(&table);
             skips = true;
         }
@@ -37,8 +41,9 @@
 }
 
 fn table(name: &str, folder: &Path) -> Result<String, String> {
-    let (kind, file) =
-        name.split_once(' ').ok_or_else(|| format!("no file of results is named: {name:?}"))?;
+    let (kind, file) = name
+        .split_once(' ')
+        .ok_or_else(|| format!("no file of results is named: {name:?}"))?;
     let path = folder.join(format!("{file}.json"));
     match kind {
         "steps" => Ok(steps(&results::read::<Run<Vec<StepCosts>>>(&path)?)),
@@ -62,8 +67,16 @@
 /// The middle of several values, with the least and the most where they differ.
 fn spread(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
-    let text = |value: f64| if value < 100.0 { format!("{value:.1}") } else { format!("{value:.0}") };
-    let (Some(least), Some(most)) = (values.first(), values.last()) else { return "not run".into() };
+    let text = |value: f64| {
+        if value < 100.0 {
+            format!("{value:.1}")
+        } else {
+            format!("{value:.0}")
+        }
+    };
+    let (Some(least), Some(most)) = (values.first(), values.last()) else {
+        return "not run".into();
+    };
     let middle = text(values[values.len() / 2]);
     if values.len() == 1 {
         return middle;
@@ -76,7 +89,9 @@
     let sizes: BTreeSet<usize> = run.results.iter().map(|it| it.replicas).collect();
     let names: BTreeSet<&String> = run.results.iter().flat_map(|it| it.steps.keys()).collect();
     let mut text = String::from("| step, microseconds |");
-    sizes.iter().for_each(|size| text.push_str(&format!(" {size} median | p99 |")));
+    sizes
+        .iter()
+        .for_each(|size| text.push_str(&format!(" {size} median | p99 |")));
     text.push_str(" exponent |\n| --- |");
     sizes.iter().for_each(|_| text.push_str(" --- | --- |"));
     text.push_str(" --- |\n");
@@ -92,14 +107,22 @@
             text.push_str(&format!(" {} | {} |", spread(medians), spread(p99)));
         }
         match Slope::fit(&points) {
-            Some(slope) => text.push_str(&format!(" {:.2} ± {:.2} |\n", slope.exponent, slope.error)),
+            Some(slope) => {
+                text.push_str(&format!(" {:.2} ± {:.2} |\n", slope.exponent, slope.error))
+            }
             None => text.push_str(" |\n"),
         }
     }
-    let cut: BTreeMap<usize, usize> =
-        run.results.iter().filter(|it| !it.finished).map(|it| (it.replicas, it.arrivals)).collect();
+    let cut: BTreeMap<usize, usize> = run
+        .results
+        .iter()
+        .filter(|it| !it.finished)
+        .map(|it| (it.replicas, it.arrivals))
+        .collect();
     for (size, arrivals) in cut {
-        text.push_str(&format!("\nAt {size} replicas the time was up after {arrivals} requests.\n"));
+        text.push_str(&format!(
+            "\nAt {size} replicas the time was up after {arrivals} requests.\n"
+        ));
     }
     text.push_str(&source(run));
     text
@@ -110,12 +133,17 @@
     let mut text = String::from(
         "| replicas | cold | plays | worth with candidates | with all looked at | given up | with all looked at | the same draw for draw |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    let kinds: BTreeSet<(usize, u64)> =
-        run.results.iter().map(|it| (it.replicas, (it.cold * 100.0) as u64)).collect();
+    let kinds: BTreeSet<(usize, u64)> = run
+        .results
+        .iter()
+        .map(|it| (it.replicas, (it.cold * 100.0) as u64))
+        .collect();
     for (replicas, cold) in kinds {
-        let of_kind = |it: &&ChoiceWorth| it.replicas == replicas && (it.cold * 100.0) as u64 == cold;
+        let of_kind =
+            |it: &&ChoiceWorth| it.replicas == replicas && (it.cold * 100.0) as u64 == cold;
         let plays: Vec<&ChoiceWorth> = run.results.iter().filter(of_kind).collect();
-        let part = |of: fn(&ChoiceWorth) -> f64| interval(plays.iter().map(|it| of(it)).collect(), 4);
+        let part =
+            |of: fn(&ChoiceWorth) -> f64| interval(plays.iter().map(|it| of(it)).collect(), 4);
         let same = plays.iter().filter(|it| it.same).count();
         text.push_str(&format!(
             "| {replicas} | {cold}% | {} | {} | {} | {} | {} | {same} |\n",
@@ -149,7 +177,8 @@
     for it in &run.results {
         let count = it.usage.len().max(1) as f64;
         let mean = |of: Measure| it.usage.iter().map(of).sum::<f64>() / count;
-        let rules = it.rules.sends_after_drain + it.rules.cold_falls + it.rules.states_held_too_long;
+        let rules =
+            it.rules.sends_after_drain + it.rules.cold_falls + it.rules.states_held_too_long;
         text.push_str(&format!(
             "| {} | {} | {} of {} | {} | {} | {rules} | {:.3} | {:.1} | {:.2} | {:.1} | {:.1} | {:.1} | {:.1} | {} |\n",
             it.replicas,
@@ -174,26 +203,50 @@
 /// The target's budget for control, and what a dispatcher used at the largest size that was run.
 fn budget(run: &Run<Vec<ScaleRun>>) -> String {
     let largest = run.results.iter().map(|it| it.replicas).max().unwrap_or(0);
-    let plays: Vec<&ScaleRun> = run.results.iter().filter(|it| it.replicas == largest).collect();
+    let plays: Vec<&ScaleRun> = run
+        .results
+        .iter()
+        .filter(|it| it.replicas == largest)
+        .collect();
     let mean = |of: Measure| {
         let values: Vec<f64> = plays.iter().flat_map(|it| &it.usage).map(of).collect();
         values.iter().sum::<f64>() / values.len().max(1) as f64
     };
     let verdict = |used: f64, most: f64| if used <= most { "within" } else { "over" };
     let rows = [
-        ("resident memory, all of it, MB", mean(|it| it.resident_mb), 256.0),
-        ("lists, KB a second", mean(|it| it.list_bytes_per_s) / 1000.0, 26.0),
-        ("heard from other dispatchers, KB a second", mean(|it| it.heard_bytes_per_s) / 1000.0, 26.0),
+        (
+            "resident memory, all of it, MB",
+            mean(|it| it.resident_mb),
+            256.0,
+        ),
+        (
+            "lists, KB a second",
+            mean(|it| it.list_bytes_per_s) / 1000.0,
+            26.0,
+        ),
+        (
+            "heard from other dispatchers, KB a second",
+            mean(|it| it.heard_bytes_per_s) / 1000.0,
+            26.0,
+        ),
         (
             "lists and talk heard together, KB a second",
             mean(|it| it.list_bytes_per_s + it.heard_bytes_per_s) / 1000.0,
             26.0,
         ),
-        ("processor, requests and streams included, parts of a core", mean(|it| it.core), 0.013),
+        (
+            "processor, requests and streams included, parts of a core",
+            mean(|it| it.core),
+            0.013,
+        ),
     ];
-    let mut text = format!("| at {largest} replicas | used | budget | |\n| --- | --- | --- | --- |\n");
+    let mut text =
+        format!("| at {largest} replicas | used | budget | |\n| --- | --- | --- | --- |\n");
     for (name, used, most) in rows {
-        text.push_str(&format!("| {name} | {used:.3} | {most} | {} |\n", verdict(used, most)));
+        text.push_str(&format!(
+            "| {name} | {used:.3} | {most} | {} |\n",
+            verdict(used, most)
+        ));
     }
     text + &source(run)
 }
@@ -203,7 +256,10 @@
     let mut text =
         String::from("| kind | count | bytes of resident memory for each |\n| --- | --- | --- |\n");
     for it in &run.results {
-        text.push_str(&format!("| {} | {} | {:.0} |\n", it.kind, it.count, it.bytes_each));
+        text.push_str(&format!(
+            "| {} | {} | {:.0} |\n",
+            it.kind, it.count, it.bytes_each
+        ));
     }
     text + &source(run)
 }
@@ -214,19 +270,25 @@
 /// What the smaller sizes say of the largest one, and what was measured there.
 fn carried(run: &Run<Vec<ScaleRun>>) -> String {
     let largest = run.results.iter().map(|it| it.replicas).max().unwrap_or(0);
-    let rows: [(&str, Measure); 2] =
-        [("processor, parts of a core", |it| it.core), ("resident memory, MB", |it| it.resident_mb)];
+    let rows: [(&str, Measure); 2] = [
+        ("processor, parts of a core", |it| it.core),
+        ("resident memory, MB", |it| it.resident_mb),
+    ];
     let mut text = format!(
         "| | exponent over smaller sizes | predicted at {largest} replicas | measured |\n| --- | --- | --- | --- |\n"
     );
     for (name, of) in rows {
         let points = |holds: fn(usize, usize) -> bool| -> Vec<(f64, f64)> {
             let plays = run.results.iter().filter(|it| holds(it.replicas, largest));
-            plays.flat_map(|it| it.usage.iter().map(|usage| (it.replicas as f64, of(usage)))).collect()
+            plays
+                .flat_map(|it| it.usage.iter().map(|usage| (it.replicas as f64, of(usage))))
+                .collect()
         };
         let measured = points(|size, largest| size == largest);
         let mean = measured.iter().map(|it| it.1).sum::<f64>() / measured.len().max(1) as f64;
-        let Some(slope) = Slope::fit(&points(|size, largest| size < largest)) else { continue };
+        let Some(slope) = Slope::fit(&points(|size, largest| size < largest)) else {
+            continue;
+        };
         text.push_str(&format!(
             "| {name} | {:.2} ± {:.2} | {:.3} | {mean:.3} |\n",
             slope.exponent,
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -208,7 +208,10 @@
     Settings {
         balancers: dispatchers,
         zone: 0,
-        classes: vec![class(3.0, 510 * MS, Effect::Safe), class(1.0, 2 * SECOND, Effect::Safe)],
+        classes: vec![
+            class(3.0, 510 * MS, Effect::Safe),
+            class(1.0, 2 * SECOND, Effect::Safe),
+        ],
         tenants: vec![],
         over_share_worth: 0.2,
         reports: Reports::WithAnswers,
@@ -240,7 +243,10 @@
         let settings = settings(options.dispatchers);
         let zones = options.shape.zones.max(1);
         let router = |number: usize| {
-            let own = Settings { zone: number as u32 % zones, ..settings.clone() };
+            let own = Settings {
+                zone: number as u32 % zones,
+                ..settings.clone()
+            };
             let mut router = Router::new(own, options.seed.wrapping_add(number as u64), now);
             prepare(&mut router);
             router
@@ -278,7 +284,14 @@
         for at in 0..world.options.routers {
             world.tell(at, Step::Wake, Event::Wake);
             let entries = entries.clone();
-            world.tell(at, Step::FirstList, Event::Members { complete: true, entries });
+            world.tell(
+                at,
+                Step::FirstList,
+                Event::Members {
+                    complete: true,
+                    entries,
+                },
+            );
             let gap = world.gap();
             world.push(gap, Happening::Arrival(at));
             world.push(WHOLE_LIST_EACH, Happening::WholeList(at));
@@ -292,8 +305,11 @@
     /// Plays to the end that the options name.
     pub fn run(mut self) -> Report {
         let began = Instant::now();
-        while self.report.arrivals < self.options.arrivals && began.elapsed() < self.options.within {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
+        while self.report.arrivals < self.options.arrivals && began.elapsed() < self.options.within
+        {
+            let Some(Reverse((at, _, what))) = self.queue.pop() else {
+                break;
+            };
             self.now = at;
             self.happen(what);
         }
@@ -303,7 +319,8 @@
 
     fn push(&mut self, after: Time, what: Happening) {
         self.queued += 1;
-        self.queue.push(Reverse((self.now + after, self.queued, what)));
+        self.queue
+            .push(Reverse((self.now + after, self.queued, what)));
     }
 
     /// Time to the next arrival at a router.
@@ -323,7 +340,8 @@
             let _ = histogram.record(took as u64); // it grows as it needs to
         }
         for action in actions {
-            let note = |digest: u64, byte: u8| (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+            let note =
+                |digest: u64, byte: u8| (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
             let text = format!("{at} {} {}", self.now, decision(&action));
             self.report.digest = text.bytes().fold(self.report.digest, note);
             self.act(at, action);
@@ -343,7 +361,15 @@
             Happening::End(id, attempt) => self.end(id, attempt, Status::Ok, Step::AttemptEnd, 0.0),
             Happening::Probed(at, server) => {
                 let load = Some(self.load(server));
-                self.tell(at, Step::ProbeAnswer, Event::Probed { server, ok: true, load });
+                self.tell(
+                    at,
+                    Step::ProbeAnswer,
+                    Event::Probed {
+                        server,
+                        ok: true,
+                        load,
+                    },
+                );
             }
             Happening::Report(at) => {
                 let server = self.rng.gen_range(0..self.machines.len()) as ServerId;
@@ -353,7 +379,14 @@
             }
             Happening::WholeList(at) => {
                 let entries = self.machines.iter().map(|it| it.entry.clone()).collect();
-                self.tell(at, Step::WholeList, Event::Members { complete: true, entries });
+                self.tell(
+                    at,
+                    Step::WholeList,
+                    Event::Members {
+                        complete: true,
+                        entries,
+                    },
+                );
                 self.push(WHOLE_LIST_EACH, Happening::WholeList(at));
             }
             Happening::Change(_) => {
@@ -362,7 +395,10 @@
             }
             Happening::NewSettings(at) => {
                 let zone = at as u32 % self.options.shape.zones.max(1);
-                let settings = Settings { zone, ..self.settings.clone() };
+                let settings = Settings {
+                    zone,
+                    ..self.settings.clone()
+                };
                 self.tell(at, Step::NewSettings, Event::Settings(settings));
                 self.push(SETTINGS_EACH, Happening::NewSettings(at));
             }
@@ -373,7 +409,10 @@
     fn change(&mut self) {
         let server = self.rng.gen_range(0..self.machines.len()) as ServerId;
         let mut changed = Vec::new();
-        for (server, state) in [(self.draining, State::Ready), (Some(server), State::Draining)] {
+        for (server, state) in [
+            (self.draining, State::Ready),
+            (Some(server), State::Draining),
+        ] {
             let Some(server) = server else { continue };
             self.machines[server as usize].entry.state = state;
             changed.push(self.machines[server as usize].entry.clone());
@@ -381,7 +420,14 @@
         self.draining = Some(server);
         for at in 0..self.routers.len() {
             let entries = changed.clone();
-            self.tell(at, Step::Change, Event::Members { complete: false, entries });
+            self.tell(
+                at,
+                Step::Change,
+                Event::Members {
+                    complete: false,
+                    entries,
+                },
+            );
         }
     }
 
@@ -396,7 +442,11 @@
             // Few texts are common: the square of an even draw.
             let even: f64 = self.rng.gen();
             let text = (even * even * SHARED_TEXTS as f64) as u64;
-            Conversation { session: self.rng.gen(), text: 1 + text, tokens: SHARED_TOKENS }
+            Conversation {
+                session: self.rng.gen(),
+                text: 1 + text,
+                tokens: SHARED_TOKENS,
+            }
         };
         let prompt = spoken.tokens + f64::from(self.rng.gen_range(50..600_u32));
         let max_tokens = f64::from(self.rng.gen_range(100..1000_u32));
@@ -412,7 +462,10 @@
             max_tokens,
             ..Ask::default()
         };
-        let next = Conversation { tokens: prompt + max_tokens * 0.33, ..spoken };
+        let next = Conversation {
+            tokens: prompt + max_tokens * 0.33,
+            ..spoken
+        };
         if self.conversations[at].len() < CONVERSATIONS {
             self.conversations[at].push(next);
         }
@@ -420,8 +473,15 @@
         let aim = class.aim + (class.aim_per_1000_tokens as f64 * prompt / 1000.0) as Time;
         let (aim_at, worth) = (self.now + aim, class.worth);
         self.worth_came += worth;
-        let job =
-            Job { router: at, ask: ask.clone(), aim_at, worth, tries: Vec::new(), begun: false, over: false };
+        let job = Job {
+            router: at,
+            ask: ask.clone(),
+            aim_at,
+            worth,
+            tries: Vec::new(),
+            begun: false,
+            over: false,
+        };
         self.jobs.insert(id, job);
         self.tell(at, Step::Arrival, Event::Request(ask));
     }
@@ -448,13 +508,22 @@
     }
 
     fn send(&mut self, id: RequestId, server: ServerId) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         let attempt = job.tries.len() as u32;
         let ask = job.ask.clone();
         let reader = job.tries.iter().map(|it| it.server).next_back();
-        job.tries.push(Try { server, over: false, held: 0.0 });
+        job.tries.push(Try {
+            server,
+            over: false,
+            held: 0.0,
+        });
         let machine = &self.machines[server as usize];
-        let age = machine.entry.started.map_or(Time::MAX, |started| self.now - started);
+        let age = machine
+            .entry
+            .started
+            .map_or(Time::MAX, |started| self.now - started);
         let age = (age as f64 / self.settings.warm_within as f64).min(1.0);
         let capacity = 1.0 - (1.0 - self.settings.cold_from) * (1.0 - age);
         if machine.entry.role == Role::Reader {
@@ -472,19 +541,35 @@
         };
         let rate = self.options.read_rate;
         let machine = &mut self.machines[server as usize];
-        let found = |text: Option<u64>| text.and_then(|text| machine.kept.get(&text)).copied().unwrap_or(0.0);
-        let kept = found(ask.session).max(found(ask.prefix).min(ask.prefix_tokens)).min(ask.prompt);
+        let found = |text: Option<u64>| {
+            text.and_then(|text| machine.kept.get(&text))
+                .copied()
+                .unwrap_or(0.0)
+        };
+        let kept = found(ask.session)
+            .max(found(ask.prefix).min(ask.prefix_tokens))
+            .min(ask.prompt);
         let took = ((ask.prompt - kept) / rate / capacity * 1e6) as Time;
         machine.busy_until = machine.busy_until.max(self.now + others) + took;
         let ends_in = machine.busy_until - self.now + MS;
         machine.running += 1.0;
-        machine.kept.extend(ask.prefix.map(|text| (text, ask.prefix_tokens)));
-        machine.kept.extend(ask.session.map(|text| (text, ask.prompt)));
+        machine
+            .kept
+            .extend(ask.prefix.map(|text| (text, ask.prefix_tokens)));
+        machine
+            .kept
+            .extend(ask.session.map(|text| (text, ask.prompt)));
         self.push(ends_in, Happening::Read(id, attempt, kept as u64));
     }
 
     fn write(
-        &mut self, id: RequestId, attempt: u32, server: ServerId, ask: &Ask, capacity: f64, from: Option<u32>,
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        ask: &Ask,
+        capacity: f64,
+        from: Option<u32>,
     ) {
         let held = ask.prompt + ask.max_tokens * 0.33;
         let machine = &mut self.machines[server as usize];
@@ -494,7 +579,11 @@
         machine.held += held;
         machine.running += 1.0;
         let far = from.is_some_and(|cell| cell != machine.entry.cell);
-        let moved = if far { (MOVE_PER_1000 as f64 * ask.prompt / 1000.0) as Time } else { 0 };
+        let moved = if far {
+            (MOVE_PER_1000 as f64 * ask.prompt / 1000.0) as Time
+        } else {
+            0
+        };
         if let Some(job) = self.jobs.get_mut(&id) {
             job.tries[attempt as usize].held = held;
         }
@@ -507,7 +596,9 @@
     }
 
     fn first(&mut self, id: RequestId, attempt: u32) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.over || job.begun || job.tries[attempt as usize].over {
             return;
         }
@@ -516,9 +607,16 @@
             self.worth_served += job.worth;
             self.report.in_time += 1;
         }
-        let (at, server, tokens) =
-            (job.router, job.tries[attempt as usize].server, job.ask.max_tokens * 0.33);
-        let others = if self.options.others { OTHERS_RUNNING } else { 0.0 };
+        let (at, server, tokens) = (
+            job.router,
+            job.tries[attempt as usize].server,
+            job.ask.max_tokens * 0.33,
+        );
+        let others = if self.options.others {
+            OTHERS_RUNNING
+        } else {
+            0.0
+        };
         let running = self.machines[server as usize].running + others;
         let pace = TOKEN_TIME * (1.0 + running / DOUBLED_AT);
         self.push((pace * tokens) as Time, Happening::End(id, attempt));
@@ -527,8 +625,12 @@
 
     /// An attempt is over, and its router hears of it.
     fn end(&mut self, id: RequestId, attempt: u32, status: Status, step: Step, note: f64) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(tried) = job.tries.get_mut(attempt as usize).filter(|it| !it.over) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let Some(tried) = job.tries.get_mut(attempt as usize).filter(|it| !it.over) else {
+            return;
+        };
         tried.over = true;
         let (server, held, at) = (tried.server, tried.held, job.router);
         let closed = status == Status::Ok || job.over;
@@ -542,7 +644,19 @@
             self.jobs.remove(&id);
         }
         let load = Some(self.load(server));
-        self.tell(at, step, Event::Outcome { id, attempt, server, status, closed, note, load });
+        self.tell(
+            at,
+            step,
+            Event::Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                closed,
+                note,
+                load,
+            },
+        );
     }
 
     /// What a server reports.
@@ -553,10 +667,20 @@
             true => self.rng.gen_range(0.0..2.0),
             false => 0.0,
         };
-        let running = machine.running + if writes { others * OTHERS_RUNNING } else { others * 2.0 };
-        let waits =
-            machine.busy_until.saturating_sub(self.now) as f64 / 1e6 * self.options.read_rate / 1000.0;
-        let memory = if writes { running * 1_500.0 / machine.entry.memory } else { 0.4 };
+        let running = machine.running
+            + if writes {
+                others * OTHERS_RUNNING
+            } else {
+                others * 2.0
+            };
+        let waits = machine.busy_until.saturating_sub(self.now) as f64 / 1e6
+            * self.options.read_rate
+            / 1000.0;
+        let memory = if writes {
+            running * 1_500.0 / machine.entry.memory
+        } else {
+            0.4
+        };
         Load {
             in_flight: Some(running),
             queue: None,
@@ -569,7 +693,11 @@
 /// What a router decides, as the digests have it: without the reason that it gives for the log.
 fn decision(action: &Action) -> String {
     match action {
-        Action::Refuse { id, retry_after, why: _ } => {
+        Action::Refuse {
+            id,
+            retry_after,
+            why: _,
+        } => {
             format!("Refuse {{ id: {id}, retry_after: {retry_after} }}")
         }
         Action::Fail { id, why: _ } => format!("Fail {{ id: {id} }}"),
--- a/crates/scale/tests/decisions.rs
+++ b/crates/scale/tests/decisions.rs
@@ -20,8 +20,17 @@
 }
 
 fn shapes() -> Vec<Shape> {
-    let shape = |replicas, zones, cold| Shape { zones, cold, ..Shape::of(replicas) };
-    vec![shape(12, 1, 0.0), shape(40, 3, 0.3), shape(100, 15, 0.0), shape(100, 2, 0.5)]
+    let shape = |replicas, zones, cold| Shape {
+        zones,
+        cold,
+        ..Shape::of(replicas)
+    };
+    vec![
+        shape(12, 1, 0.0),
+        shape(40, 3, 0.3),
+        shape(100, 15, 0.0),
+        shape(100, 2, 0.5),
+    ]
 }
 
 /// All that the module did in these plays when it judged every server for every choice: draw for draw the same.
@@ -34,6 +43,9 @@
 
 #[test]
 fn decisions_in_small_fleets_are_those_of_full_choice() {
-    let digests: Vec<u64> = shapes().into_iter().map(|shape| play(shape, 7, 600).digest).collect();
+    let digests: Vec<u64> = shapes()
+        .into_iter()
+        .map(|shape| play(shape, 7, 600).digest)
+        .collect();
     assert_eq!(digests, DIGESTS);
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -41,22 +41,35 @@
         let id = format!("{process:04x}{number:012x}");
         let single = rng.gen_bool(SINGLE);
         let wait = Duration::from_millis(rng.gen_range(900..=LONGEST_DEADLINE.as_millis() as u64));
-        let leaves_after = rng.gen_bool(LEAVES).then(|| Duration::from_millis(rng.gen_range(20..900)));
-        let (class, expires) = (if single { SINGLE_CLASS } else { SAFE_CLASS }, wait.as_millis());
+        let leaves_after = rng
+            .gen_bool(LEAVES)
+            .then(|| Duration::from_millis(rng.gen_range(20..900)));
+        let (class, expires) = (
+            if single { SINGLE_CLASS } else { SAFE_CLASS },
+            wait.as_millis(),
+        );
         let (session, prompt) = (rng.gen_range(0..200), rng.gen_range(100..2_000));
         let body = "x".repeat(prompt);
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\nX-Customer: acme\r\nX-Object: {session:x}\r\nX-Expires-In-Ms: {expires}\r\nX-Props: prompt_len={prompt},max_out=50\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        Asked { id, single, wait, leaves_after, text }
+        Asked {
+            id,
+            single,
+            wait,
+            leaves_after,
+            text,
+        }
     }
 }
 
 /// Sends a request on a connection of its own and watches what comes.
 pub async fn ask(target: Arc<Target>, asked: Asked) {
     let began = Instant::now();
-    let Ok(mut stream) = TcpStream::connect(&target.address).await else { return };
+    let Ok(mut stream) = TcpStream::connect(&target.address).await else {
+        return;
+    };
     let _ = stream.set_nodelay(true);
     if stream.write_all(asked.text.as_bytes()).await.is_err() {
         return;
@@ -89,7 +102,9 @@
     loop {
         let read = stream.read(&mut some).await.ok().filter(|read| *read > 0)?;
         bytes.extend_from_slice(&some[..read]);
-        let Some(end) = bytes.windows(4).position(|it| it == b"\r\n\r\n") else { continue };
+        let Some(end) = bytes.windows(4).position(|it| it == b"\r\n\r\n") else {
+            continue;
+        };
         let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
         let status = head.split(' ').nth(1)?.parse().ok()?;
         return Some((status, bytes.split_off(end + 4)));
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -44,12 +44,27 @@
 /// Prints a breach with the request's time line, and the lines of the logs that name it.
 fn print(seed: u64, breach: &Breach, folder: &std::path::Path) {
     println!("seed {seed}: BROKEN {:?}, {}", breach.invariant, breach.id);
-    breach.timeline.iter().for_each(|line| println!("    {line}"));
-    let logs = folder.read_dir().into_iter().flatten().flatten().map(|entry| entry.path());
+    breach
+        .timeline
+        .iter()
+        .for_each(|line| println!("    {line}"));
+    let logs = folder
+        .read_dir()
+        .into_iter()
+        .flatten()
+        .flatten()
+        .map(|entry| entry.path());
     for path in logs.filter(|path| path.extension().is_some_and(|it| it == "log")) {
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
-        let lines = text.lines().filter(|line| line.contains(&breach.id)).take(20);
+        let name = path
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        let lines = text
+            .lines()
+            .filter(|line| line.contains(&breach.id))
+            .take(20);
         lines.for_each(|line| println!("    log of {name}: {line}"));
     }
 }
@@ -66,14 +81,24 @@
             span: Duration::from_secs(arguments.seconds),
         };
         let (program, rate) = (arguments.program.clone(), arguments.rate);
-        let played = play(Plan { seed, shape, rate, program, folder: folder.clone() }).await?;
+        let played = play(Plan {
+            seed,
+            shape,
+            rate,
+            program,
+            folder: folder.clone(),
+        })
+        .await?;
         let (served, refused, failed) = played.counts;
         println!(
             "seed {seed}: {} faults, {served} served, {refused} refused, {failed} failed, {} breaches",
             played.faults,
             played.breaches.len()
         );
-        played.breaches.iter().for_each(|breach| print(seed, breach, &folder));
+        played
+            .breaches
+            .iter()
+            .for_each(|breach| print(seed, breach, &folder));
         broken += played.breaches.len();
     }
     println!("soak: {} seeds, {broken} breaches", arguments.seeds);
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -117,10 +117,15 @@
 impl Ledger {
     fn breach(&mut self, began: Instant, invariant: Invariant, id: &str) {
         let timeline = self.traces.get(id).map(|trace| {
-            let line = |(at, what): &(Instant, String)| format!("{:.3} {what}", (*at - began).as_secs_f64());
+            let line = |(at, what): &(Instant, String)| {
+                format!("{:.3} {what}", (*at - began).as_secs_f64())
+            };
             trace.timeline.iter().map(line).collect()
         });
-        let known = self.breaches.iter().any(|it| it.invariant == invariant && it.id == id);
+        let known = self
+            .breaches
+            .iter()
+            .any(|it| it.invariant == invariant && it.id == id);
         if !known {
             self.breaches.push(Breach {
                 invariant,
@@ -134,7 +139,10 @@
 impl Oracle {
     /// Knows nothing yet.
     pub fn new() -> Oracle {
-        Oracle { began: Instant::now(), ledger: Mutex::default() }
+        Oracle {
+            began: Instant::now(),
+            ledger: Mutex::default(),
+        }
     }
 
     fn ledger(&self) -> MutexGuard<'_, Ledger> {
@@ -154,7 +162,9 @@
         self.with(id, |trace| {
             (trace.process, trace.single, trace.wait) = (process, single, wait);
             trace.sent = Some(Instant::now());
-            trace.note(format!("sent to p{process}, single shot: {single}, would wait {wait:?}"));
+            trace.note(format!(
+                "sent to p{process}, single shot: {single}, would wait {wait:?}"
+            ));
             None
         });
     }
@@ -213,18 +223,27 @@
     /// An attempt's last byte was taken by a running server. `prompt`: it had not waited in the rig; `told`: the time that it
     /// tells; `draining`: how long ago its process was told that the server drains.
     pub fn arrived(
-        &self, id: &str, server: usize, writes: bool, prompt: bool, told: Option<u64>,
+        &self,
+        id: &str,
+        server: usize,
+        writes: bool,
+        prompt: bool,
+        told: Option<u64>,
         draining: Option<Duration>,
     ) {
         self.with(id, |trace| {
             let now = Instant::now();
-            trace.note(format!("s{server} took an attempt, writes: {writes}, told {told:?} ms"));
+            trace.note(format!(
+                "s{server} took an attempt, writes: {writes}, told {told:?} ms"
+            ));
             let repeats = writes && trace.single && trace.unproven > 0;
             trace.out += 1;
             trace.writes_out += usize::from(writes);
             trace.unproven += usize::from(writes);
             trace.settle();
-            let left = trace.sent.map(|sent| (sent + trace.wait).saturating_duration_since(now));
+            let left = trace
+                .sent
+                .map(|sent| (sent + trace.wait).saturating_duration_since(now));
             let over = |told: u64| {
                 left.is_some_and(|left| Duration::from_millis(told) > left + TOLD_SLACK + RIG_SLACK)
             };
@@ -296,7 +315,12 @@
 
     /// A server has died, and what it held with it.
     pub fn server_died(&self, server: usize) {
-        for trace in self.ledger().traces.values_mut().filter(|it| it.held && it.state_at == server) {
+        for trace in self
+            .ledger()
+            .traces
+            .values_mut()
+            .filter(|it| it.held && it.state_at == server)
+        {
             trace.note(format!("s{server} died with the state"));
             trace.held = false;
             trace.settle();
@@ -317,7 +341,11 @@
     pub fn process_down(&self, process: usize) {
         let mut ledger = self.ledger();
         ledger.down.insert(process, Instant::now());
-        for trace in ledger.traces.values_mut().filter(|it| it.process == process) {
+        for trace in ledger
+            .traces
+            .values_mut()
+            .filter(|it| it.process == process)
+        {
             trace.note("its process was killed".into());
             (trace.held, trace.answered) = (false, true);
             trace.settle();
@@ -326,13 +354,20 @@
 
     /// Whether a process was killed since this moment.
     pub fn was_down_since(&self, process: usize, since: Instant) -> bool {
-        self.ledger().down.get(&process).is_some_and(|at| *at >= since)
+        self.ledger()
+            .down
+            .get(&process)
+            .is_some_and(|at| *at >= since)
     }
 
     /// A process was stopped and goes on: it owed nothing meanwhile.
     pub fn process_stood_still(&self, process: usize, span: Duration) {
         let mut ledger = self.ledger();
-        for trace in ledger.traces.values_mut().filter(|it| it.process == process) {
+        for trace in ledger
+            .traces
+            .values_mut()
+            .filter(|it| it.process == process)
+        {
             trace.note(format!("its process stood still for {span:?}"));
             trace.idle_since = trace.idle_since.map(|_| Instant::now());
             trace.wait += span;
@@ -343,8 +378,11 @@
 
     /// A process did what it must not.
     pub fn process_failed(&self, process: usize, what: String) {
-        let breach =
-            Breach { invariant: Invariant::Process, id: format!("p{process}"), timeline: vec![what] };
+        let breach = Breach {
+            invariant: Invariant::Process,
+            id: format!("p{process}"),
+            timeline: vec![what],
+        };
         self.ledger().breaches.push(breach);
     }
 
@@ -356,7 +394,9 @@
             if stopped.contains(&trace.process) {
                 continue;
             }
-            let held_for = trace.idle_since.map_or(Duration::ZERO, |since| now.duration_since(since));
+            let held_for = trace
+                .idle_since
+                .map_or(Duration::ZERO, |since| now.duration_since(since));
             if held_for > RELEASE_WITHIN + RELEASE_SLACK + RIG_SLACK {
                 broken.push((Invariant::HeldState, id.clone()));
             }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -51,7 +51,8 @@
 /// New connections are made for so long after SIGTERM.
 const COMES_AFTER_END: Duration = Duration::from_millis(300);
 /// SIGKILL comes this long after SIGTERM, by the longest deadline.
-const KILLED_AFTER: Duration = Duration::from_millis(config::LONGEST_DEADLINE.as_millis() as u64 + 1_500);
+const KILLED_AFTER: Duration =
+    Duration::from_millis(config::LONGEST_DEADLINE.as_millis() as u64 + 1_500);
 
 fn failed(error: impl std::fmt::Display) -> String {
     error.to_string()
@@ -77,7 +78,10 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let id = self.running().as_ref().and_then(|it| Pid::from_raw(it.id as i32));
+        let id = self
+            .running()
+            .as_ref()
+            .and_then(|it| Pid::from_raw(it.id as i32));
         if let Some(id) = id {
             let _ = kill_process(id, signal); // it may have ended by itself, which is seen elsewhere
         }
@@ -133,7 +137,11 @@
     sleep(SETTLES).await;
     looks.abort();
     play.check_processes();
-    let played = Played { breaches: play.oracle.breaches(), counts: play.oracle.counts(), faults: count };
+    let played = Played {
+        breaches: play.oracle.breaches(),
+        counts: play.oracle.counts(),
+        faults: count,
+    };
     tasks.abort_all();
     Ok(played)
 }
@@ -144,12 +152,25 @@
         let shape = plan.shape;
         let written: Vec<Arc<Written>> = (0..shape.processes).map(|_| Arc::default()).collect();
         let told = written.clone();
-        let drain_told: DrainTold =
-            Arc::new(move |process: usize, server| Some(told.get(process)?.told_of(server)?.elapsed()));
-        let role = |number| if number < shape.readers { Role::Reader } else { Role::Writer };
+        let drain_told: DrainTold = Arc::new(move |process: usize, server| {
+            Some(told.get(process)?.told_of(server)?.elapsed())
+        });
+        let role = |number| {
+            if number < shape.readers {
+                Role::Reader
+            } else {
+                Role::Writer
+            }
+        };
         let make = |number| {
             let seed = plan.seed.wrapping_mul(31).wrapping_add(number as u64);
-            Server::new(number, role(number), seed, oracle.clone(), drain_told.clone())
+            Server::new(
+                number,
+                role(number),
+                seed,
+                oracle.clone(),
+                drain_told.clone(),
+            )
         };
         let servers: Vec<Arc<Server>> = (0..shape.servers).map(make).collect();
         let mut processes = Vec::new();
@@ -166,7 +187,11 @@
                     cell: at as u32 % 3,
                     ..Entry::default()
                 };
-                members.push(Member { entry, address: address.to_string(), up_since_ms: 0 });
+                members.push(Member {
+                    entry,
+                    address: address.to_string(),
+                    up_since_ms: 0,
+                });
             }
             let agent = own_address(plan.seed, number, AGENT_PORT);
             let process = Process {
@@ -183,20 +208,39 @@
             };
             processes.push(Arc::new(process));
         }
-        let play = Play { plan, oracle, servers, processes };
-        play.processes.iter().try_for_each(|process| play.start_agent(process))?;
+        let play = Play {
+            plan,
+            oracle,
+            servers,
+            processes,
+        };
+        play.processes
+            .iter()
+            .try_for_each(|process| play.start_agent(process))?;
         Ok(play)
     }
 
     fn start_agent(&self, process: &Process) -> Result<(), String> {
         let listener = wire::listen(process.agent).map_err(failed)?;
-        let task = tokio::spawn(process.discovery.clone().serve(listener, process.written.clone()));
-        *process.agent_task.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
+        let task = tokio::spawn(
+            process
+                .discovery
+                .clone()
+                .serve(listener, process.written.clone()),
+        );
+        *process
+            .agent_task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
         Ok(())
     }
 
     fn stop_agent(&self, process: &Process) {
-        let task = process.agent_task.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let task = process
+            .agent_task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take();
         if let Some(task) = task {
             task.abort();
         }
@@ -207,10 +251,21 @@
         let start = process.starts.fetch_add(1, Ordering::Relaxed);
         let seed = self.plan.seed ^ (process.number as u64) << 32 ^ start;
         let agent = process.agent.to_string();
-        let text = config::text(process.number, self.plan.shape.processes, seed, &process.listen, &agent);
+        let text = config::text(
+            process.number,
+            self.plan.shape.processes,
+            seed,
+            &process.listen,
+            &agent,
+        );
         let name = format!("p{}-{start}", process.number);
-        let started =
-            Dispatcher::start(&self.plan.program, &self.plan.folder, &name, process.listen.clone(), &text)?;
+        let started = Dispatcher::start(
+            &self.plan.program,
+            &self.plan.folder,
+            &name,
+            process.listen.clone(),
+            &text,
+        )?;
         started.ready().await?;
         *process.running() = Some(started);
         process.accepts.store(true, Ordering::Relaxed);
@@ -220,8 +275,11 @@
     /// Requests at random times, each on a connection of its own.
     async fn load(self: Arc<Self>, process: Arc<Process>, seed: u64) {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let target =
-            Target { process: process.number, address: process.listen.clone(), oracle: self.oracle.clone() };
+        let target = Target {
+            process: process.number,
+            address: process.listen.clone(),
+            oracle: self.oracle.clone(),
+        };
         let target = Arc::new(target);
         let until = Instant::now() + self.plan.shape.span;
         let mut asked = JoinSet::new();
@@ -245,7 +303,12 @@
         loop {
             looks.tick().await;
             let stands = |it: &&Arc<Process>| it.stopped.load(Ordering::Relaxed);
-            let stopped: Vec<usize> = self.processes.iter().filter(stands).map(|it| it.number).collect();
+            let stopped: Vec<usize> = self
+                .processes
+                .iter()
+                .filter(stands)
+                .map(|it| it.number)
+                .collect();
             self.oracle.look(&stopped);
         }
     }
@@ -256,32 +319,47 @@
             let id = process.running().as_ref().map(|it| it.id);
             let runs = id.is_some_and(|id| quartzhall_scale::process::sample(id).is_some());
             if !runs {
-                self.oracle.process_failed(process.number, "it does not run at the end".into());
+                self.oracle
+                    .process_failed(process.number, "it does not run at the end".into());
             }
         }
     }
 
     fn tell(&self, server: usize, state: State) {
         for process in &self.processes {
-            process.discovery.change(&[server], |member| member.entry.state = state);
+            process
+                .discovery
+                .change(&[server], |member| member.entry.state = state);
         }
     }
 
     async fn inflict(self: Arc<Self>, planned: Planned) {
         let lasts = planned.lasts;
         match planned.fault {
-            Fault::StopServer(server) => self.for_a_time(&self.servers[server].conduct.stopped, lasts).await,
+            Fault::StopServer(server) => {
+                self.for_a_time(&self.servers[server].conduct.stopped, lasts)
+                    .await
+            }
             Fault::LoseAnswers(server) => {
-                self.for_a_time(&self.servers[server].conduct.loses_answers, lasts).await;
+                self.for_a_time(&self.servers[server].conduct.loses_answers, lasts)
+                    .await;
+            }
+            Fault::ErrorAnswers(server) => {
+                self.for_a_time(&self.servers[server].conduct.fails, lasts)
+                    .await
+            }
+            Fault::TurnAway(server) => {
+                self.for_a_time(&self.servers[server].conduct.full, lasts)
+                    .await
             }
-            Fault::ErrorAnswers(server) => self.for_a_time(&self.servers[server].conduct.fails, lasts).await,
-            Fault::TurnAway(server) => self.for_a_time(&self.servers[server].conduct.full, lasts).await,
             Fault::BreakStreams(server) => {
-                self.for_a_time(&self.servers[server].conduct.breaks_streams, lasts).await;
+                self.for_a_time(&self.servers[server].conduct.breaks_streams, lasts)
+                    .await;
             }
             Fault::KillServer(server) => {
                 self.oracle.server_died(server);
-                self.for_a_time(&self.servers[server].conduct.dead, lasts).await;
+                self.for_a_time(&self.servers[server].conduct.dead, lasts)
+                    .await;
             }
             Fault::DrainServer(server) => {
                 self.tell(server, State::Draining);
@@ -312,7 +390,8 @@
 
     async fn stand_still(&self, number: usize, lasts: Duration) {
         let process = &self.processes[number];
-        if !process.accepts.load(Ordering::Relaxed) || process.stopped.swap(true, Ordering::Relaxed) {
+        if !process.accepts.load(Ordering::Relaxed) || process.stopped.swap(true, Ordering::Relaxed)
+        {
             return;
         }
         let began = Instant::now();
@@ -326,13 +405,15 @@
     /// Takes a process out of the rig's hands: only one fault at a time ends it.
     fn take(&self, number: usize) -> Option<Arc<Process>> {
         let process = self.processes[number].clone();
-        let takes =
-            process.accepts.swap(false, Ordering::Relaxed) && !process.stopped.load(Ordering::Relaxed);
+        let takes = process.accepts.swap(false, Ordering::Relaxed)
+            && !process.stopped.load(Ordering::Relaxed);
         takes.then_some(process)
     }
 
     async fn kill(&self, number: usize, lasts: Duration) {
-        let Some(process) = self.take(number) else { return };
+        let Some(process) = self.take(number) else {
+            return;
+        };
         self.oracle.process_down(number);
         drop(process.running().take()); // it is killed when it is let go
         sleep(lasts).await;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -82,12 +82,17 @@
 /// Draws the faults of a play, in the order in which they begin. At least two servers of each role go untouched by what takes
 /// a server out of service, so that there is always somebody who could answer.
 pub fn draw(shape: &Shape, rng: &mut Pcg32) -> Vec<Planned> {
-    let mut victims: Vec<usize> = (2..shape.readers).chain(shape.readers + 2..shape.servers).collect();
+    let mut victims: Vec<usize> = (2..shape.readers)
+        .chain(shape.readers + 2..shape.servers)
+        .collect();
     victims.shuffle(rng);
     let mut plan = Vec::new();
     let mut at = FIRST;
     while at < shape.span {
-        let (process, server) = (rng.gen_range(0..shape.processes), rng.gen_range(0..shape.servers));
+        let (process, server) = (
+            rng.gen_range(0..shape.processes),
+            rng.gen_range(0..shape.servers),
+        );
         let victim = victims.choose(rng).copied().unwrap_or(0);
         let (fault, lasts) = match rng.gen_range(0..100) {
             0..=15 => (Fault::StopServer(victim), ms(rng, 300, 4_000)),
@@ -97,7 +102,10 @@
             36..=40 => (Fault::TurnAway(victim), ms(rng, 200, 1_000)),
             41..=46 => (Fault::BreakStreams(victim), ms(rng, 200, 1_000)),
             47..=54 => (Fault::DrainServer(victim), ms(rng, 1_000, 4_000)),
-            55..=66 => (Fault::SilenceConnections { process, server }, Duration::ZERO),
+            55..=66 => (
+                Fault::SilenceConnections { process, server },
+                Duration::ZERO,
+            ),
             67..=74 => (Fault::ResetConnections { process, server }, Duration::ZERO),
             75..=81 => (Fault::StopProcess(process), ms(rng, 50, 700)),
             82..=86 => (Fault::KillProcess(process), ms(rng, 100, 500)),
@@ -111,7 +119,11 @@
     // Most writers fall silent together once, as when a rack loses its power.
     let together = ms(rng, 2_000, (shape.span.as_millis() as u64).max(2_001));
     for server in shape.readers + 2..shape.servers {
-        plan.push(Planned { at: together, lasts: ms(rng, 1_500, 4_000), fault: Fault::StopServer(server) });
+        plan.push(Planned {
+            at: together,
+            lasts: ms(rng, 1_500, 4_000),
+            fault: Fault::StopServer(server),
+        });
     }
     plan.sort_by_key(|planned| planned.at);
     plan
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -83,7 +83,11 @@
 impl Server {
     /// A server that behaves.
     pub fn new(
-        number: usize, role: Role, seed: u64, oracle: Arc<Oracle>, drain_told: DrainTold,
+        number: usize,
+        role: Role,
+        seed: u64,
+        oracle: Arc<Oracle>,
+        drain_told: DrainTold,
     ) -> Arc<Server> {
         Arc::new(Server {
             number,
@@ -179,7 +183,10 @@
                 waited = self.passes(&line) => waited,
                 () = self.is_cut(&line) => return wire::reset(stream),
             };
-            match self.answer(process, &mut stream, &mut buffer, &line, &message, !waited).await {
+            match self
+                .answer(process, &mut stream, &mut buffer, &line, &message, !waited)
+                .await
+            {
                 Ok(()) => {}
                 Err(Ends::Closed) => return,
                 Err(Ends::Reset) => return wire::reset(stream),
@@ -192,38 +199,58 @@
     }
 
     async fn answer(
-        &self, process: usize, stream: &mut TcpStream, buffer: &mut Vec<u8>, line: &Line, message: &Message,
+        &self,
+        process: usize,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+        line: &Line,
+        message: &Message,
         prompt: bool,
     ) -> Result<(), Ends> {
         if message.word(0) == "DELETE" {
             let id = message.word(1).trim_start_matches("/kv/leases/").to_owned();
             self.oracle.released(&id, self.number);
-            return self.say(stream, buffer, line, "HTTP/1.1 204 No Content\r\n\r\n").await;
+            return self
+                .say(stream, buffer, line, "HTTP/1.1 204 No Content\r\n\r\n")
+                .await;
         }
         let id = message.header("x-trace-id").unwrap_or_default().to_owned();
-        let told = message.header("x-expires-in-ms").and_then(|it| it.parse().ok());
+        let told = message
+            .header("x-expires-in-ms")
+            .and_then(|it| it.parse().ok());
         let writes = self.role == Role::Writer;
         let draining = (self.drain_told)(process, self.number);
-        self.oracle.arrived(&id, self.number, writes, prompt, told, draining);
+        self.oracle
+            .arrived(&id, self.number, writes, prompt, told, draining);
         let (outcome, ends) = self.work(stream, buffer, line, &id).await;
         self.oracle.attempt_over(&id, self.number, writes, outcome);
         ends
     }
 
     async fn work(
-        &self, stream: &mut TcpStream, buffer: &mut Vec<u8>, line: &Line, id: &str,
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+        line: &Line,
+        id: &str,
     ) -> (Outcome, Result<(), Ends>) {
         let never = "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
         let writes = self.role == Role::Writer;
         if is(&self.conduct.full) {
             self.oracle.turned_away(id, self.number, writes);
             let text = format!("HTTP/1.1 503 Service Unavailable\r\n{never}");
-            return (Outcome::NeverRan, self.say(stream, buffer, line, &text).await);
+            return (
+                Outcome::NeverRan,
+                self.say(stream, buffer, line, &text).await,
+            );
         }
         if writes && !self.oracle.is_held(id) {
             self.oracle.turned_away(id, self.number, writes);
             let text = format!("HTTP/1.1 410 Gone\r\n{never}");
-            return (Outcome::NeverRan, self.say(stream, buffer, line, &text).await);
+            return (
+                Outcome::NeverRan,
+                self.say(stream, buffer, line, &text).await,
+            );
         }
         if is(&self.conduct.fails) {
             let text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
@@ -257,14 +284,25 @@
     }
 
     async fn stream(
-        &self, stream: &mut TcpStream, buffer: &mut Vec<u8>, line: &Line, id: &str,
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+        line: &Line,
+        id: &str,
     ) -> Result<(), Ends> {
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         self.say(stream, buffer, line, head).await?;
         for number in 0..EVENTS {
             let event = format!("data: {{\"id\":\"{id}\",\"n\":{number}}}\n\n");
-            self.say(stream, buffer, line, &format!("{:x}\r\n{event}\r\n", event.len())).await?;
-            self.unless_cut(stream, buffer, line, sleep(EVENT_EACH)).await?;
+            self.say(
+                stream,
+                buffer,
+                line,
+                &format!("{:x}\r\n{event}\r\n", event.len()),
+            )
+            .await?;
+            self.unless_cut(stream, buffer, line, sleep(EVENT_EACH))
+                .await?;
             if is(&self.conduct.breaks_streams) {
                 return Err(Ends::Reset);
             }
@@ -274,7 +312,11 @@
 
     /// Does something unless the connection is closed or cut before.
     async fn unless_cut<T>(
-        &self, stream: &mut TcpStream, buffer: &mut Vec<u8>, line: &Line, work: impl Future<Output = T>,
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+        line: &Line,
+        work: impl Future<Output = T>,
     ) -> Result<T, Ends> {
         let goes_on = async {
             let done = work.await;
@@ -289,9 +331,16 @@
     }
 
     async fn say(
-        &self, stream: &mut TcpStream, buffer: &mut Vec<u8>, line: &Line, text: &str,
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+        line: &Line,
+        text: &str,
     ) -> Result<(), Ends> {
         self.unless_cut(stream, buffer, line, async {}).await?;
-        stream.write_all(text.as_bytes()).await.map_err(|_| Ends::Closed)
+        stream
+            .write_all(text.as_bytes())
+            .await
+            .map_err(|_| Ends::Closed)
     }
 }
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -25,7 +25,10 @@
 
     /// A word of the first line.
     pub fn word(&self, at: usize) -> &str {
-        self.lines.first().and_then(|line| line.split(' ').nth(at)).unwrap_or_default()
+        self.lines
+            .first()
+            .and_then(|line| line.split(' ').nth(at))
+            .unwrap_or_default()
     }
 }
 
@@ -45,8 +48,14 @@
 fn take(buffer: &mut Vec<u8>) -> Option<Message> {
     let end = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
-    let mut message = Message { lines: head.lines().map(str::to_owned).collect(), body: Vec::new() };
-    let length = message.header("content-length").and_then(|it| it.parse().ok()).unwrap_or(0);
+    let mut message = Message {
+        lines: head.lines().map(str::to_owned).collect(),
+        body: Vec::new(),
+    };
+    let length = message
+        .header("content-length")
+        .and_then(|it| it.parse().ok())
+        .unwrap_or(0);
     if buffer.len() < end + 4 + length {
         return None;
     }
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -9,7 +9,11 @@
 const WAIT: Duration = Duration::from_secs(3);
 
 fn broken(oracle: &Oracle) -> Vec<Invariant> {
-    oracle.breaches().iter().map(|breach| breach.invariant).collect()
+    oracle
+        .breaches()
+        .iter()
+        .map(|breach| breach.invariant)
+        .collect()
 }
 
 /// A single-shot request that a writer has taken; `proven`: that one says that it never ran.
@@ -20,7 +24,16 @@
     if proven {
         oracle.turned_away("a", 7, true);
     }
-    oracle.attempt_over("a", 7, true, if proven { Outcome::NeverRan } else { Outcome::Other });
+    oracle.attempt_over(
+        "a",
+        7,
+        true,
+        if proven {
+            Outcome::NeverRan
+        } else {
+            Outcome::Other
+        },
+    );
     oracle
 }
 
@@ -43,7 +56,14 @@
 fn drains_told_times_and_broken_streams_are_judged_by_their_own_rules() {
     let oracle = Oracle::new();
     oracle.sent("a", 0, false, WAIT);
-    oracle.arrived("a", 1, false, true, Some(3_100), Some(Duration::from_millis(200)));
+    oracle.arrived(
+        "a",
+        1,
+        false,
+        true,
+        Some(3_100),
+        Some(Duration::from_millis(200)),
+    );
     assert_eq!(broken(&oracle), [], "all of it within the slack");
     oracle.arrived("a", 1, false, true, None, Some(Duration::from_millis(900)));
     oracle.arrived("a", 1, false, true, Some(4_000), None);
@@ -55,7 +75,14 @@
     // What had waited in the rig is nobody's fault.
     let oracle = Oracle::new();
     oracle.sent("a", 0, false, WAIT);
-    oracle.arrived("a", 1, false, false, Some(9_000), Some(Duration::from_secs(9)));
+    oracle.arrived(
+        "a",
+        1,
+        false,
+        false,
+        Some(9_000),
+        Some(Duration::from_secs(9)),
+    );
     assert_eq!(broken(&oracle), []);
 }
 
@@ -77,7 +104,12 @@
 
 #[test]
 fn a_seed_draws_the_same_faults_again() {
-    let shape = Shape { processes: 10, readers: 5, servers: 12, span: Duration::from_secs(12) };
+    let shape = Shape {
+        processes: 10,
+        readers: 5,
+        servers: 12,
+        span: Duration::from_secs(12),
+    };
     let drawn = |seed| format!("{:?}", draw(&shape, &mut Pcg32::seed_from_u64(seed)));
     assert_eq!(drawn(7), drawn(7));
     assert_ne!(drawn(7), drawn(8));
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -24,7 +24,13 @@
     let profile: Profile = miniserde::json::from_str(PROFILE)?;
     let site = Arc::new(Site::new(&profile)?);
     let mut now: Time = 1_700_000_000_000_000;
-    let mut core = Core::new(site.clone(), usize::MAX, 7, now, Logger::root(Discard, o!()));
+    let mut core = Core::new(
+        site.clone(),
+        usize::MAX,
+        7,
+        now,
+        Logger::root(Discard, o!()),
+    );
     let recorder = match file {
         Some(file) => {
             core.take_notes(Notes::new(Key::from_secret(b"cost"), now, "n1", &site));
@@ -33,30 +39,80 @@
         None => None,
     };
     let member = |number: usize| {
-        let role = if number < 5 { Role::Reader } else { Role::Writer };
-        let entry = Entry { key: number as u64, role, state: State::Ready, memory: 2e5, ..Entry::default() };
-        let (name, address) = (format!("n{number}").into(), format!("127.0.0.1:{}", 7000 + number).into());
-        Member { name, address, entry, partial: false }
+        let role = if number < 5 {
+            Role::Reader
+        } else {
+            Role::Writer
+        };
+        let entry = Entry {
+            key: number as u64,
+            role,
+            state: State::Ready,
+            memory: 2e5,
+            ..Entry::default()
+        };
+        let (name, address) = (
+            format!("n{number}").into(),
+            format!("127.0.0.1:{}", 7000 + number).into(),
+        );
+        Member {
+            name,
+            address,
+            entry,
+            partial: false,
+        }
     };
-    core.hear(now, Event::Members { complete: true, members: (0..10).map(member).collect() });
+    core.hear(
+        now,
+        Event::Members {
+            complete: true,
+            members: (0..10).map(member).collect(),
+        },
+    );
     let began = Instant::now();
     for id in 1..=requests {
         now += 2_000;
         core.wake(now);
         let session = Some(id / 4);
-        let ask = Ask { id, session, expires_in: 7_500_000, prompt: 4e3, max_tokens: 5e2, ..Ask::default() };
-        let work = Work { name: format!("r{id}").into(), target: "/".into(), body: "{}".into() };
+        let ask = Ask {
+            id,
+            session,
+            expires_in: 7_500_000,
+            prompt: 4e3,
+            max_tokens: 5e2,
+            ..Ask::default()
+        };
+        let work = Work {
+            name: format!("r{id}").into(),
+            target: "/".into(),
+            body: "{}".into(),
+        };
         let (answer, _answered) = oneshot::channel();
         core.hear(now, Event::Request { ask, work, answer });
-        let ended =
-            |attempt, reason| Event::Ended { id, attempt, reason, note: 2e3, written: 1e2, load: None };
+        let ended = |attempt, reason| Event::Ended {
+            id,
+            attempt,
+            reason,
+            note: 2e3,
+            written: 1e2,
+            load: None,
+        };
         core.hear(now + 500, ended(0, EndReason::Read));
         let (_pieces, stream) = mpsc::channel(1);
-        core.hear(now + 900, Event::First { id, attempt: 1, stream });
+        core.hear(
+            now + 900,
+            Event::First {
+                id,
+                attempt: 1,
+                stream,
+            },
+        );
         core.hear(now + 1500, ended(1, EndReason::Served));
         core.commands();
         if let Some(recorder) = &recorder {
-            core.notes().into_iter().for_each(|note| recorder.note(note));
+            core.notes()
+                .into_iter()
+                .for_each(|note| recorder.note(note));
         }
     }
     let took = began.elapsed().as_secs_f64() * 1e6 / requests as f64;
@@ -68,14 +124,20 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments: Vec<String> = std::env::args().collect();
-    let file = arguments.get(1).ok_or("recording_cost FILE [ROUNDS] [REQUESTS]")?;
+    let file = arguments
+        .get(1)
+        .ok_or("recording_cost FILE [ROUNDS] [REQUESTS]")?;
     let number = |at: usize, or: u64| arguments.get(at).map_or(Ok(or), |text| text.parse::<u64>());
     let (rounds, requests) = (number(2, 11)?, number(3, 20_000)?);
     let (mut without, mut with) = (Vec::new(), Vec::new());
     for _ in 0..rounds {
         without.push(play(requests, None)?);
         with.push(play(requests, Some(file))?);
-        println!("{:.2} without, {:.2} with", without[without.len() - 1], with[with.len() - 1]);
+        println!(
+            "{:.2} without, {:.2} with",
+            without[without.len() - 1],
+            with[with.len() - 1]
+        );
     }
     without.sort_by(f64::total_cmp);
     with.sort_by(f64::total_cmp);
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -28,7 +28,11 @@
 impl Backoff {
     /// One of so many callers.
     pub fn new(callers: u32, seed: u64) -> Self {
-        Backoff { callers, failures: 0, rng: Pcg32::seed_from_u64(seed) }
+        Backoff {
+            callers,
+            failures: 0,
+            rng: Pcg32::seed_from_u64(seed),
+        }
     }
 
     fn turn(&self) -> Duration {
@@ -39,7 +43,10 @@
     pub fn first(&mut self) -> Duration {
         match self.callers {
             0..=1 => Duration::ZERO,
-            _ => self.turn().min(FIRST_MOST).mul_f64(self.rng.gen_range(0.0..1.0)),
+            _ => self
+                .turn()
+                .min(FIRST_MOST)
+                .mul_f64(self.rng.gen_range(0.0..1.0)),
         }
     }
 
@@ -50,10 +57,14 @@
 
     /// The same, and no longer than this.
     pub fn pause_within(&mut self, longest: Duration) -> Duration {
-        let (least, most) = (ALONE.0.max(self.turn()), ALONE.1.max(self.turn() * 2).min(MEAN_MOST));
+        let (least, most) = (
+            ALONE.0.max(self.turn()),
+            ALONE.1.max(self.turn() * 2).min(MEAN_MOST),
+        );
         let mean = least.saturating_mul(1 << self.failures.min(16)).min(most);
         self.failures = self.failures.saturating_add(1);
-        mean.min(longest.div_f64(DRAWN.1)).mul_f64(self.rng.gen_range(DRAWN.0..DRAWN.1))
+        mean.min(longest.div_f64(DRAWN.1))
+            .mul_f64(self.rng.gen_range(DRAWN.0..DRAWN.1))
     }
 
     /// A call has succeeded: the next failure is a first one.
--- a/src/bans.rs
+++ b/src/bans.rs
@@ -51,13 +51,21 @@
             self.left.push_back(id);
         }
         if self.left.len() > MOST_LEFT {
-            self.left.pop_front().map(|oldest| self.left_set.remove(&oldest));
+            self.left
+                .pop_front()
+                .map(|oldest| self.left_set.remove(&oldest));
         }
     }
 
     /// Takes an id out of use, or back. `listed`: the list has it now. Tells whether anything changes: calls may
     /// come more than once.
-    pub fn call(&mut self, now: Time, id: &Arc<str>, banned: bool, listed: bool) -> Result<bool, Refusal> {
+    pub fn call(
+        &mut self,
+        now: Time,
+        id: &Arc<str>,
+        banned: bool,
+        listed: bool,
+    ) -> Result<bool, Refusal> {
         self.forget_ended(now);
         let known = listed || self.left_set.contains(id) || self.marks.contains_key(id);
         if !known {
@@ -104,8 +112,10 @@
     }
 
     fn forget_ended(&mut self, now: Time) {
-        self.ended_at.retain(|_, at| at.saturating_add(ENDED_KEPT) >= now);
-        self.marks.retain(|id, mark| mark.banned || self.ended_at.contains_key(id));
+        self.ended_at
+            .retain(|_, at| at.saturating_add(ENDED_KEPT) >= now);
+        self.marks
+            .retain(|id, mark| mark.banned || self.ended_at.contains_key(id));
     }
 
     /// Whether an id is out of use.
--- a/src/bin/quartzhall-simhost.rs
+++ b/src/bin/quartzhall-simhost.rs
@@ -144,7 +144,11 @@
         let kind = given(input.kind, "kind")?;
         Ok(Event::Request(Ask {
             id: given(input.rid, "rid")?,
-            class: self.site.classes.known(&kind).ok_or_else(|| format!("unknown kind {kind:?}"))? as usize,
+            class: self
+                .site
+                .classes
+                .known(&kind)
+                .ok_or_else(|| format!("unknown kind {kind:?}"))? as usize,
             tenant,
             session: key(&input.session, "session")?,
             prefix: key(&input.system_prompt, "system_prompt")?,
@@ -160,22 +164,36 @@
         let who = json::to_string(who);
         let worker = |server| json::to_string(self.servers.name(server));
         let rest = match *action {
-            Action::Send { id, server, timeout } => {
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => {
                 let (limit, worker) = (millis(timeout), worker(server));
                 format!(r#""relay","who":{who},"rid":{id},"limit":{limit:?},"worker":{worker}"#)
             }
             Action::Cancel { id, attempt } => {
                 format!(r#""drop_attempt","who":{who},"rid":{id},"trial":{attempt}"#)
             }
-            Action::Refuse { id, retry_after, .. } => {
-                format!(r#""push_back","who":{who},"rid":{id},"retry_in":{:?}"#, millis(retry_after))
+            Action::Refuse {
+                id, retry_after, ..
+            } => {
+                format!(
+                    r#""push_back","who":{who},"rid":{id},"retry_in":{:?}"#,
+                    millis(retry_after)
+                )
             }
             Action::Fail { id, .. } => format!(r#""lose","who":{who},"rid":{id}"#),
             Action::Release { id } => format!(r#""unhold","who":{who},"rid":{id}"#),
             Action::Wake { at } => {
-                format!(r#""wake_at","who":{who},"key_back":"wake","time":{:?}"#, millis(at))
+                format!(
+                    r#""wake_at","who":{who},"key_back":"wake","time":{:?}"#,
+                    millis(at)
+                )
+            }
+            Action::Probe { server } => {
+                format!(r#""ask_load","who":{who},"worker":{}"#, worker(server))
             }
-            Action::Probe { server } => format!(r#""ask_load","who":{who},"worker":{}"#, worker(server)),
             Action::Watch => format!(r#""stream_changes","who":{who},"enable":true"#),
         };
         replies.push_str(&format!("{{\"type\":{rest}}}\n"));
@@ -204,18 +222,23 @@
                 return Ok(());
             }
             "commit" => {
-                self.replies.push_str(&format!("{{\"type\":\"ok\",\"n\":{}}}\n", self.batch));
-                let sent = out.write_all(self.replies.as_bytes()).and_then(|()| out.flush());
+                self.replies
+                    .push_str(&format!("{{\"type\":\"ok\",\"n\":{}}}\n", self.batch));
+                let sent = out
+                    .write_all(self.replies.as_bytes())
+                    .and_then(|()| out.flush());
                 self.replies.clear();
                 return sent.map_err(|error| format!("cannot write the reply: {error}"));
             }
             "catalog" => {
-                self.sheets.insert(given(input.sheet, "sheet")?, given(input.lines, "lines")?);
+                self.sheets
+                    .insert(given(input.sheet, "sheet")?, given(input.lines, "lines")?);
                 return Ok(());
             }
             "born" => {
                 let profile = given(input.profile_data, "profile_data")?;
-                let instance = Instance::new(given(input.init_seed, "init_seed")?, &profile, self.now)?;
+                let instance =
+                    Instance::new(given(input.init_seed, "init_seed")?, &profile, self.now)?;
                 let who = who()?;
                 self.instances.insert(who.clone(), instance);
                 return self.tell(&who, |_| Ok(Event::Wake));
@@ -233,16 +256,24 @@
                     other => return Err(format!("unknown form {other} of a view")),
                 };
                 let sheet = given(input.sheet, "sheet")?;
-                let lines = self.sheets.get(&sheet).ok_or_else(|| format!("unknown sheet {sheet}"))?.clone();
+                let lines = self
+                    .sheets
+                    .get(&sheet)
+                    .ok_or_else(|| format!("unknown sheet {sheet}"))?
+                    .clone();
                 return self.tell(&who()?, |instance| {
                     let entries = lines.iter().map(|line| instance.entry(line));
-                    Ok(Event::Members { complete, entries: entries.collect::<Result<_, String>>()? })
+                    Ok(Event::Members {
+                        complete,
+                        entries: entries.collect::<Result<_, String>>()?,
+                    })
                 });
             }
             "request" => return self.tell(&who()?, |instance| instance.request(input)),
-            "ack_first" => {
-                Event::First { id: given(input.rid, "rid")?, attempt: given(input.trial, "trial")? }
-            }
+            "ack_first" => Event::First {
+                id: given(input.rid, "rid")?,
+                attempt: given(input.trial, "trial")?,
+            },
             "answer" => {
                 return self.tell(&who()?, |instance| {
                     Ok(Event::Outcome {
@@ -256,13 +287,19 @@
                     })
                 })
             }
-            "cancelled_by_client" => Event::Gone { id: given(input.rid, "rid")? },
+            "cancelled_by_client" => Event::Gone {
+                id: given(input.rid, "rid")?,
+            },
             "tick_due" => Event::Wake,
             "probe_result" => {
                 return self.tell(&who()?, |instance| {
                     let ok = status(&given(input.status, "status")?)? == Status::Ok;
                     let server = instance.servers.number(&given(input.worker, "worker")?);
-                    Ok(Event::Probed { server, ok, load: load(input.metrics) })
+                    Ok(Event::Probed {
+                        server,
+                        ok,
+                        load: load(input.metrics),
+                    })
                 })
             }
             word => return Err(format!("unknown type {word:?}")),
@@ -271,15 +308,22 @@
     }
 
     fn known(&mut self, who: &str) -> Result<&mut Instance, String> {
-        self.instances.get_mut(who).ok_or_else(|| format!("unknown instance {who:?}"))
+        self.instances
+            .get_mut(who)
+            .ok_or_else(|| format!("unknown instance {who:?}"))
     }
 
     fn tell(
-        &mut self, who: &str, event: impl FnOnce(&mut Instance) -> Result<Event, String>,
+        &mut self,
+        who: &str,
+        event: impl FnOnce(&mut Instance) -> Result<Event, String>,
     ) -> Result<(), String> {
         let now = self.now;
         let mut actions = Vec::new();
-        let instance = self.instances.get_mut(who).ok_or_else(|| format!("unknown instance {who:?}"))?;
+        let instance = self
+            .instances
+            .get_mut(who)
+            .ok_or_else(|| format!("unknown instance {who:?}"))?;
         let event = event(instance)?;
         instance.router.handle(now, event, &mut actions);
         for action in &actions {
@@ -295,7 +339,8 @@
     for (at, line) in std::io::stdin().lock().lines().enumerate() {
         let line = line.map_err(|error| format!("line {}: {error}", at + 1))?;
         if !line.trim().is_empty() {
-            host.line(&line, &mut out).map_err(|error| format!("line {}: {error}", at + 1))?;
+            host.line(&line, &mut out)
+                .map_err(|error| format!("line {}: {error}", at + 1))?;
         }
     }
     Ok(())
--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -71,7 +71,12 @@
 
 impl Listing {
     fn is_of(&self, side: Side) -> bool {
-        self.role != if side == Side::Read { Role::Writer } else { Role::Reader }
+        self.role
+            != if side == Side::Read {
+                Role::Writer
+            } else {
+                Role::Reader
+            }
     }
 }
 
@@ -110,7 +115,9 @@
             return self.run(0, count).collect();
         }
         let draw = |number: u64| (mix(seed, number) % self.len() as u64) as usize;
-        (1..=count as u64).map(|number| self.0[draw(number)].1).collect()
+        (1..=count as u64)
+            .map(|number| self.0[draw(number)].1)
+            .collect()
     }
 }
 
@@ -126,7 +133,10 @@
 impl Group {
     fn set(&mut self, server: ServerId, listing: &Listing, listed: bool) {
         self.all.set(listing.key, server, listed);
-        for (rings, at) in [(&mut self.zones, listing.zone), (&mut self.cells, listing.cell)] {
+        for (rings, at) in [
+            (&mut self.zones, listing.zone),
+            (&mut self.cells, listing.cell),
+        ] {
             let ring = rings.entry(at).or_default();
             ring.set(listing.key, server, listed);
             if ring.len() == 0 {
@@ -192,10 +202,28 @@
 
     /// A server is as this line of the list says; it is warm so long after its start.
     pub fn list(&mut self, now: Time, entry: &Entry, warm_within: Time) {
-        let Entry { server, role, zone, cell, key, started, .. } = *entry;
+        let Entry {
+            server,
+            role,
+            zone,
+            cell,
+            key,
+            started,
+            ..
+        } = *entry;
         let warm_at = started.map_or(0, |it| it.saturating_add(warm_within.max(1)));
-        let listing = Listing { role, zone, cell, key, warm_at };
-        self.set(now, server, (entry.state == State::Ready).then_some(listing));
+        let listing = Listing {
+            role,
+            zone,
+            cell,
+            key,
+            warm_at,
+        };
+        self.set(
+            now,
+            server,
+            (entry.state == State::Ready).then_some(listing),
+        );
     }
 
     /// A server takes work and is as listed, or takes none.
@@ -236,7 +264,9 @@
     /// Time has passed: servers have become warm.
     pub fn pass(&mut self, now: Time) {
         self.now = now;
-        while let Some((warm_at, server)) = self.warming.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((warm_at, server)) =
+            self.warming.first().copied().filter(|(at, _)| *at <= now)
+        {
             self.warming.remove(&(warm_at, server));
             if let Some(listing) = self.listings.get(&server).cloned() {
                 self.set_cold(server, &listing, false);
@@ -248,7 +278,14 @@
     pub fn bearing(&self, side: Side) -> (f64, bool) {
         let group = self.group(side);
         let warm = group.all.len() - group.cold.len();
-        (if warm > 0 { warm } else { group.all.len().max(1) } as f64, warm > 0)
+        (
+            if warm > 0 {
+                warm
+            } else {
+                group.all.len().max(1)
+            } as f64,
+            warm > 0,
+        )
     }
 
     /// Whether a look of this kind has all servers.
@@ -262,13 +299,23 @@
     /// `warm` the part of a server's capacity that it has: a cold reader is home to what it can take. A zone with too few
     /// readers has further homes in the others.
     pub fn homes(
-        &self, look: &Look, prefix: Option<u64>, session: Option<u64>, share: f64,
+        &self,
+        look: &Look,
+        prefix: Option<u64>,
+        session: Option<u64>,
+        share: f64,
         warm: impl Fn(ServerId) -> f64,
     ) -> (Vec<ServerId>, Option<ServerId>) {
         let rank = |text, server: &ServerId| {
-            let Some(listing) = self.listings.get(server) else { return 0 };
+            let Some(listing) = self.listings.get(server) else {
+                return 0;
+            };
             let even = (mix(text, listing.key) >> 12) as f64 + 0.5;
-            let warm = if listing.warm_at <= self.now { 1.0 } else { warm(*server) };
+            let warm = if listing.warm_at <= self.now {
+                1.0
+            } else {
+                warm(*server)
+            };
             let rank = warm.powf(COLD_HOME) / (((1u64 << 52) as f64).ln() - even.ln());
             rank.to_bits() // as a number it is in the same order, for it is never negative
         };
@@ -288,7 +335,8 @@
             far.truncate((HOMES_LEAST as usize).saturating_sub(homes.len()));
         }
         let own = if homes.is_empty() { &far } else { &homes };
-        let home = session.and_then(|session| own.iter().max_by_key(|it| rank(session, it)).copied());
+        let home =
+            session.and_then(|session| own.iter().max_by_key(|it| rank(session, it)).copied());
         homes.extend(far);
         (homes, home)
     }
@@ -296,19 +344,28 @@
     /// Readers of the own zone among which homes are ranked, where `wanted` of them are to be homes. All dispatchers have
     /// the same ones, but for a text with very many homes: each conversation has its own part of those.
     fn home_pool(
-        &self, look: &Look, text: Option<u64>, session: Option<u64>, wanted: usize,
+        &self,
+        look: &Look,
+        text: Option<u64>,
+        session: Option<u64>,
+        wanted: usize,
     ) -> Vec<ServerId> {
         if self.listings.len() <= self.whole {
             return self.all(Side::Read, |it| it.zone == look.zone);
         }
-        let (Some(ring), Some(text)) = (self.read.zones.get(&look.zone), text) else { return Vec::new() };
+        let (Some(ring), Some(text)) = (self.read.zones.get(&look.zone), text) else {
+            return Vec::new();
+        };
         if wanted <= HOMES_MOST {
             return ring.window(point(text), HOME_WINDOW).collect();
         }
         let homes: Vec<ServerId> = ring.window(point(text), wanted).collect();
         let draw = |number| mix(session.unwrap_or(look.seed), number) % homes.len().max(1) as u64;
         let drawn: BTreeSet<u64> = (0..HOMES_MOST as u64).map(draw).collect();
-        drawn.into_iter().filter_map(|at| homes.get(at as usize).copied()).collect()
+        drawn
+            .into_iter()
+            .filter_map(|at| homes.get(at as usize).copied())
+            .collect()
     }
 
     /// The same among readers of other zones.
@@ -317,8 +374,16 @@
             return self.all(Side::Read, |it| it.zone != look.zone);
         }
         let Some(text) = text else { return Vec::new() };
-        let is_far = |server: &ServerId| self.listings.get(server).is_some_and(|it| it.zone != look.zone);
-        self.read.all.window(point(text), HOME_WINDOW).filter(is_far).collect()
+        let is_far = |server: &ServerId| {
+            self.listings
+                .get(server)
+                .is_some_and(|it| it.zone != look.zone)
+        };
+        self.read
+            .all
+            .window(point(text), HOME_WINDOW)
+            .filter(is_far)
+            .collect()
     }
 
     /// What a lot of a request at a cold server is to be multiplied by, so that each cold server is sent as much as if
@@ -329,8 +394,12 @@
         if self.listings.len() <= self.whole || count <= COLD {
             return 1.0;
         }
-        let Some(listing) = self.listings.get(&server) else { return f64::MAX };
-        let Ok(at) = group.cold.0.binary_search(&(point(listing.key), server)) else { return f64::MAX };
+        let Some(listing) = self.listings.get(&server) else {
+            return f64::MAX;
+        };
+        let Ok(at) = group.cold.0.binary_search(&(point(listing.key), server)) else {
+            return f64::MAX;
+        };
         let behind = (at + count - cold_start(group, look.seed)) % count;
         if behind < COLD {
             COLD as f64 / count as f64
@@ -362,7 +431,10 @@
     /// Servers that are drawn: from the own zone, from all, and cold ones at which a lot may be drawn.
     fn drawn(&self, side: Side, look: &Look, near: usize, anywhere: usize) -> BTreeSet<ServerId> {
         let group = self.group(side);
-        let near = group.zones.get(&look.zone).map(|ring| ring.sample(look.seed, look.of(near)));
+        let near = group
+            .zones
+            .get(&look.zone)
+            .map(|ring| ring.sample(look.seed, look.of(near)));
         let mut found: BTreeSet<ServerId> = near.into_iter().flatten().collect();
         found.extend(group.all.sample(mix(look.seed, 0), look.of(anywhere)));
         found.extend(group.cold.run(cold_start(group, look.seed), COLD));
@@ -371,7 +443,10 @@
 
     /// All servers of a side of which this holds, in order.
     fn all(&self, side: Side, holds: impl Fn(&Listing) -> bool) -> Vec<ServerId> {
-        let all = self.listings.iter().filter(|(_, it)| it.is_of(side) && holds(it));
+        let all = self
+            .listings
+            .iter()
+            .filter(|(_, it)| it.is_of(side) && holds(it));
         all.map(|(server, _)| *server).collect()
     }
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -27,7 +27,11 @@
 /// A member's line in the core's terms; an error where it makes no sense. Who is announced as leaving leaves, whatever
 /// else its line says: where the rest can't be read, that stays as it was told before.
 pub fn member(site: &mut Site, line: &MemberLine) -> Result<Member, String> {
-    let id = line.id.as_deref().filter(|id| !id.is_empty()).ok_or("no id")?;
+    let id = line
+        .id
+        .as_deref()
+        .filter(|id| !id.is_empty())
+        .ok_or("no id")?;
     let state = match line.phase.as_deref() {
         Some("Ready") => State::Ready,
         Some("Terminating") => State::Draining,
@@ -37,7 +41,9 @@
     let zone = site.zone(line.locality.as_deref());
     let mut whole = || {
         let address = line.host_port.as_deref().unwrap_or_default();
-        address.parse::<std::net::SocketAddr>().map_err(|_| format!("no address: {address:?}"))?;
+        address
+            .parse::<std::net::SocketAddr>()
+            .map_err(|_| format!("no address: {address:?}"))?;
         Ok((address, site.entry(0, id, line.flavor.as_deref())?))
     };
     let (address, entry, partial) = match whole() {
@@ -45,9 +51,23 @@
         Err(_) if state != State::Ready => ("", Entry::default(), true),
         Err(error) => return Err(error),
     };
-    let started = line.up_since_ms.filter(|at| *at > 0.0).map(|ms| (ms * 1000.0) as u64);
-    let entry = Entry { zone, cell: line.cell.unwrap_or(u32::MAX), state, started, ..entry };
-    Ok(Member { name: id.into(), address: address.into(), entry, partial })
+    let started = line
+        .up_since_ms
+        .filter(|at| *at > 0.0)
+        .map(|ms| (ms * 1000.0) as u64);
+    let entry = Entry {
+        zone,
+        cell: line.cell.unwrap_or(u32::MAX),
+        state,
+        started,
+        ..entry
+    };
+    Ok(Member {
+        name: id.into(),
+        address: address.into(),
+        entry,
+        partial,
+    })
 }
 
 /// A list in the core's terms. A line that makes no sense is logged and left out.
@@ -57,10 +77,15 @@
         let line = MemberLine::from(line);
         match member(site, &line) {
             Ok(member) => members.push(member),
-            Err(error) => warn!(log, "a member makes no sense"; "member" => line.id, "error" => error),
+            Err(error) => {
+                warn!(log, "a member makes no sense"; "member" => line.id, "error" => error)
+            }
         }
     }
-    Event::Members { complete: list.complete, members }
+    Event::Members {
+        complete: list.complete,
+        members,
+    }
 }
 
 /// Reads a list as discovery writes it.
@@ -75,7 +100,9 @@
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(Duration::from_millis(500)));
-    Client::builder(TokioExecutor::new()).pool_timer(TokioTimer::new()).build(connector)
+    Client::builder(TokioExecutor::new())
+        .pool_timer(TokioTimer::new())
+        .build(connector)
 }
 
 /// Why there is no list.
@@ -89,7 +116,9 @@
 async fn call(agent: &Agent, address: &str, target: &str) -> Result<MemberList, Failure> {
     let silent = |error: &dyn std::fmt::Display| Failure::Silent(error.to_string());
     let request = Request::get(format!("http://{address}{target}")).body(Empty::new());
-    let response = agent.request(request.map_err(|error| silent(&error))?).await;
+    let response = agent
+        .request(request.map_err(|error| silent(&error))?)
+        .await;
     let response = response.map_err(|error| silent(&error))?;
     let status = response.status();
     let body = Limited::new(response.into_body(), LONGEST).collect().await;
@@ -103,7 +132,12 @@
 /// Watches discovery for as long as the dispatcher runs, at the address that it was last told of.
 /// `seed` is this dispatcher's own; `known` the revision of the list that it has, if it has one.
 pub async fn run(
-    mut address: Receiver<String>, mut site: Site, seed: u64, mut known: Option<u64>, door: Door, log: Logger,
+    mut address: Receiver<String>,
+    mut site: Site,
+    seed: u64,
+    mut known: Option<u64>,
+    door: Door,
+    log: Logger,
 ) {
     let mut backoff = Backoff::new(site.settings.balancers, seed);
     // Where lists must be asked for, that costs discovery work, and all that were ended together start together.
@@ -125,7 +159,12 @@
 
 /// Watches one address, from the revision that is known on, or from a full list. Its connections end with it.
 async fn follow(
-    address: &str, site: &mut Site, known: Option<u64>, backoff: &mut Backoff, door: &Door, log: &Logger,
+    address: &str,
+    site: &mut Site,
+    known: Option<u64>,
+    backoff: &mut Backoff,
+    door: &Door,
+    log: &Logger,
 ) {
     let agent = agent();
     let mut watch = Watch::from(known, !site.settings.must_watch);
@@ -151,9 +190,10 @@
             Err(failure) => {
                 let heard_before = watch.is_heard();
                 let (error, pause) = match failure {
-                    Failure::Answered(error) => {
-                        (error, backoff.pause_within(watch.longest_pause(began.elapsed())))
-                    }
+                    Failure::Answered(error) => (
+                        error,
+                        backoff.pause_within(watch.longest_pause(began.elapsed())),
+                    ),
                     Failure::Silent(error) => (error, watch.unanswered()),
                 };
                 let again_in_ms = pause.as_millis() as u64;
--- a/src/dispatch/clock.rs
+++ b/src/dispatch/clock.rs
@@ -15,7 +15,10 @@
     /// A clock that starts now.
     pub fn start() -> Self {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        Clock { unix: unix.map_or(0, |unix| unix.as_micros() as Time), start: Instant::now() }
+        Clock {
+            unix: unix.map_or(0, |unix| unix.as_micros() as Time),
+            start: Instant::now(),
+        }
     }
 
     /// The time.
