--- a/src/dispatch/core.rs
+++ b/src/dispatch/core.rs
@@ -117,7 +117,11 @@
 
     /// A message from another dispatcher. Servers that are not listed here, and keys that two have, tell nothing.
     fn peer(&mut self, now: Time, from: usize, message: &[u8]) {
-        let Some(read) = self.gossip.as_mut().map(|gossip| gossip.hear(now, from, message)) else {
+        let Some(read) = self
+            .gossip
+            .as_mut()
+            .map(|gossip| gossip.hear(now, from, message))
+        else {
             return;
         };
         let observations = read.unwrap_or_else(|why| {
@@ -125,9 +129,13 @@
             Vec::new()
         });
         for observation in observations {
-            let Some(server) = self.nodes.by_hash(observation.key) else { continue };
+            let Some(server) = self.nodes.by_hash(observation.key) else {
+                continue;
+            };
             let load = observation.load;
-            self.gossip.iter_mut().for_each(|gossip| gossip.heard(now, server, &observation));
+            self.gossip
+                .iter_mut()
+                .for_each(|gossip| gossip.heard(now, server, &observation));
             self.step(now, api::Event::Heard { server, load });
         }
     }
@@ -135,8 +143,11 @@
     /// What an attempt or a probe has shown of a server, for the others.
     fn tell(&mut self, now: Time, server: ServerId, failed: bool, load: Option<&Load>) {
         let node = self.nodes.get(server).map(|node| node.listed.key);
-        let (Some(hash), Some(gossip)) = (node, &mut self.gossip) else { return };
-        load.into_iter().for_each(|load| gossip.report(now, server, hash, load));
+        let (Some(hash), Some(gossip)) = (node, &mut self.gossip) else {
+            return;
+        };
+        load.into_iter()
+            .for_each(|load| gossip.report(now, server, hash, load));
         if failed {
             gossip.failure(hash);
         }
@@ -163,8 +174,19 @@
         match event {
             Event::Request { ask, work, answer } => self.request(now, ask, work, answer),
             Event::Gone { id, fate } => self.gone(now, id, fate),
-            Event::First { id, attempt, stream } => self.first(now, id, attempt, stream),
-            Event::Ended { id, attempt, reason, note, written, load } => {
+            Event::First {
+                id,
+                attempt,
+                stream,
+            } => self.first(now, id, attempt, stream),
+            Event::Ended {
+                id,
+                attempt,
+                reason,
+                note,
+                written,
+                load,
+            } => {
                 self.note(|notes| notes.ended(now, id, attempt, reason.status(), note, written));
                 self.ended(now, id, attempt, reason, note, load)
             }
@@ -188,7 +210,11 @@
             Event::Peer { from, message } => self.peer(now, from, &message),
             Event::Members { complete, members } => self.members(now, complete, members),
             Event::ListFailed => self.step(now, api::Event::ListFailed),
-            Event::Ban { name, banned, answer } => {
+            Event::Ban {
+                name,
+                banned,
+                answer,
+            } => {
                 let called = self.nodes.ban(now, name, banned, &self.log);
                 let _ = answer.send(called.map(|news| self.banned(now, news)));
             }
@@ -221,7 +247,8 @@
         }
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
-            self.report.summarize_at(now, self.requests.len(), &self.log);
+            self.report
+                .summarize_at(now, self.requests.len(), &self.log);
             for id in self.requests.ids_to_look_after() {
                 self.sweep(now, id);
             }
@@ -274,10 +301,16 @@
             *at = if class.open { now } else { *at };
         }
         // What a front read by the old names may still be on its way.
-        let used = |at: usize| open.contains(&at) || now < self.retired[at].saturating_add(CLASS_QUIET);
+        let used =
+            |at: usize| open.contains(&at) || now < self.retired[at].saturating_add(CLASS_QUIET);
         let site = site.after(&self.site, used)?;
         self.retired.resize(site.settings.classes.len(), now);
-        let names = site.settings.classes.iter().filter(|class| class.open).count();
+        let names = site
+            .settings
+            .classes
+            .iter()
+            .filter(|class| class.open)
+            .count();
         info!(self.log, "new settings"; "classes" => names, "most_tries" => site.settings.max_attempts);
         (self.site, self.site_changed) = (Arc::new(site), true);
         let site = self.site.clone();
@@ -305,17 +338,30 @@
         let id = ask.id;
         // An id that is in flight is never a second request: nodes know requests by it alone.
         if self.requests.is_in_flight(&work.name) {
-            return self.turn_away(now, &work.name, CloseReason::InFlight, answer, Answer::Duplicate);
+            return self.turn_away(
+                now,
+                &work.name,
+                CloseReason::InFlight,
+                answer,
+                Answer::Duplicate,
+            );
         }
         // A client that comes again with an id of which something may have run is never told that it may try again.
         let class = self.site.settings.classes.get(ask.class);
         let is_safe = class.is_some_and(|class| class.effect == Effect::Safe);
         if !is_safe && self.requests.may_have_run(&work.name) {
-            return self.turn_away(now, &work.name, CloseReason::MayHaveRun, answer, Answer::Duplicate);
+            return self.turn_away(
+                now,
+                &work.name,
+                CloseReason::MayHaveRun,
+                answer,
+                Answer::Duplicate,
+            );
         }
         // More than may be held never reaches the module. Nothing was sent, so a refusal is true.
         if self.requests.len() >= self.most_held {
-            let refused = Answer::Refused(Duration::from_micros(self.site.settings.max_retry_after));
+            let refused =
+                Answer::Refused(Duration::from_micros(self.site.settings.max_retry_after));
             return self.turn_away(now, &work.name, CloseReason::TableFull, answer, refused);
         }
         self.gossip.iter_mut().for_each(Gossip::request);
@@ -323,7 +369,8 @@
             "expires_in" => ask.expires_in, "prompt" => ask.prompt, "shared" => ask.prefix_tokens);
         let once = class.is_none_or(|class| class.effect == Effect::Unsafe);
         self.note(|notes| notes.arrival(now, &ask));
-        self.requests.enter(id, Request::new(now, &ask, work, once, answer));
+        self.requests
+            .enter(id, Request::new(now, &ask, work, once, answer));
         self.step(now, api::Event::Request(ask));
     }
 
@@ -337,7 +384,12 @@
 
     /// Answers a request that does not enter the table.
     fn turn_away(
-        &mut self, now: Time, name: &str, reason: CloseReason, to: oneshot::Sender<Answer>, answer: Answer,
+        &mut self,
+        now: Time,
+        name: &str,
+        reason: CloseReason,
+        to: oneshot::Sender<Answer>,
+        answer: Answer,
     ) {
         if self.report.count(now, Kind::Close(reason)) {
             info!(self.log, "request turned away"; "name" => name, "reason" => ?reason,
@@ -350,7 +402,9 @@
         if breaks(Variant::ClientGone) && self.requests.get(id).is_some_and(Request::is_waiting) {
             return;
         }
-        let Some(held) = self.requests.get_mut(id) else { return };
+        let Some(held) = self.requests.get_mut(id) else {
+            return;
+        };
         held.fate = fate;
         // A stream that has begun ends at its node when its receiver is dropped, as the client's side does.
         if held.close() {
@@ -364,13 +418,21 @@
     }
 
     fn first(&mut self, now: Time, id: RequestId, attempt: u32, stream: mpsc::Receiver<Piece>) {
-        let guard = Guard { settings: &self.rules, target: |server| self.nodes.target(server), now };
-        let Some(held) = self.requests.get_mut(id) else { return };
+        let guard = Guard {
+            settings: &self.rules,
+            target: |server| self.nodes.target(server),
+            now,
+        };
+        let Some(held) = self.requests.get_mut(id) else {
+            return;
+        };
         // Dropping the stream of an attempt that came too late ends it at its node.
         if guard.check_stream(held, attempt).is_err() {
             return;
         }
-        let Some(answer) = held.answer.take() else { return };
+        let Some(answer) = held.answer.take() else {
+            return;
+        };
         if answer.send(Answer::Served(stream)).is_err() {
             // The client left at this moment; its ticket tells so.
             return;
@@ -385,20 +447,43 @@
     }
 
     fn ended(
-        &mut self, now: Time, id: RequestId, attempt: u32, reason: EndReason, note: f64, load: Option<Load>,
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u32,
+        reason: EndReason,
+        note: f64,
+        load: Option<Load>,
     ) {
         let status = reason.status();
-        let Some(held) = self.requests.get_mut(id) else { return };
+        let Some(held) = self.requests.get_mut(id) else {
+            return;
+        };
         let role = |server| self.nodes.get(server).map(|node| node.role);
-        let Some(Ended { server, streamed }) = held.attempt_ended(now, attempt, reason, role) else { return };
+        let Some(Ended { server, streamed }) = held.attempt_ended(now, attempt, reason, role)
+        else {
+            return;
+        };
         if reason.is_answer() {
             self.nodes.heard_from(now, server);
         }
         if let Some(notes) = self.notes.as_mut().filter(|_| streamed) {
             // By its good end, or by its break; its client may have left before.
-            notes.over(now, id, if status == Status::Ok { Noted::Served } else { Noted::Broken });
-        }
-        if let Some(held) = self.requests.get(id).filter(|_| streamed && status != Status::Ok) {
+            notes.over(
+                now,
+                id,
+                if status == Status::Ok {
+                    Noted::Served
+                } else {
+                    Noted::Broken
+                },
+            );
+        }
+        if let Some(held) = self
+            .requests
+            .get(id)
+            .filter(|_| streamed && status != Status::Ok)
+        {
             info!(self.log, "a stream broke"; "id" => id, "name" => %held.work.name, "server" => server,
                 "status" => ?status);
         }
@@ -415,21 +500,42 @@
         self.log_end(now, id, attempt, reason);
         debug!(self.log, "attempt ended"; "id" => id, "attempt" => attempt, "server" => server,
             "status" => ?status, "note" => note, "closed" => closed);
-        let failed = matches!(status, Status::Reset | Status::Error | Status::ConnectFailed);
+        let failed = matches!(
+            status,
+            Status::Reset | Status::Error | Status::ConnectFailed
+        );
         self.tell(now, server, failed, load.as_ref());
-        self.step(now, api::Event::Outcome { id, attempt, server, status, closed, note, load });
+        self.step(
+            now,
+            api::Event::Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                closed,
+                note,
+                load,
+            },
+        );
         self.settle(now, id);
     }
 
     /// Logs why an attempt ended, within its budget; the ordinary reasons are only counted.
     fn log_end(&mut self, now: Time, id: RequestId, attempt: u32, reason: EndReason) {
         let may_log = self.report.count(now, Kind::End(reason));
-        let held = self.requests.get(id).filter(|_| may_log && !reason.is_ordinary());
-        let Some((held, ended)) = held.and_then(|held| Some((held, held.attempts.get(attempt as usize)?)))
+        let held = self
+            .requests
+            .get(id)
+            .filter(|_| may_log && !reason.is_ordinary());
+        let Some((held, ended)) =
+            held.and_then(|held| Some((held, held.attempts.get(attempt as usize)?)))
         else {
             return;
         };
-        let server = self.nodes.get(ended.server).map(|node| node.name.to_string());
+        let server = self
+            .nodes
+            .get(ended.server)
+            .map(|node| node.name.to_string());
         info!(self.log, "attempt ended early"; "id" => id, "name" => %held.work.name, "attempt" => attempt,
             "server" => server, "reason" => ?reason, "after_ms" => now.saturating_sub(ended.sent) / 1000);
     }
@@ -438,11 +544,19 @@
         let news = self.nodes.list(now, complete, members, &self.log);
         self.note_nodes(now, &news);
         for server in self.nodes.forget_gone(&self.requests.busy()) {
-            self.gossip.iter_mut().for_each(|gossip| gossip.keep(|it| it != server));
+            self.gossip
+                .iter_mut()
+                .for_each(|gossip| gossip.keep(|it| it != server));
             self.note(|notes| notes.node_gone(server));
         }
         self.commands.extend(self.nodes.bars());
-        self.step(now, api::Event::Members { complete, entries: news.entries });
+        self.step(
+            now,
+            api::Event::Members {
+                complete,
+                entries: news.entries,
+            },
+        );
     }
 
     /// Operators have taken nodes out of use, or back.
@@ -450,13 +564,21 @@
         self.note_nodes(now, &news);
         self.commands.extend(self.nodes.bars());
         if !news.entries.is_empty() {
-            self.step(now, api::Event::Members { complete: false, entries: news.entries });
+            self.step(
+                now,
+                api::Event::Members {
+                    complete: false,
+                    entries: news.entries,
+                },
+            );
         }
     }
 
     fn note_nodes(&mut self, now: Time, news: &News) {
         if let Some(notes) = &mut self.notes {
-            news.noted.iter().for_each(|(name, entry)| notes.node(now, name, entry));
+            news.noted
+                .iter()
+                .for_each(|(name, entry)| notes.node(now, name, entry));
         }
     }
 
@@ -471,15 +593,25 @@
         self.router.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, server, timeout } => self.send(now, id, server, timeout),
+                Action::Send {
+                    id,
+                    server,
+                    timeout,
+                } => self.send(now, id, server, timeout),
                 Action::Cancel { id, attempt } => {
                     let held = self.requests.get(id);
                     // A stream that has begun belongs to the client and is not withdrawn.
-                    if held.is_some_and(|held| held.stream() != Some(attempt) && held.is_out(attempt)) {
+                    if held
+                        .is_some_and(|held| held.stream() != Some(attempt) && held.is_out(attempt))
+                    {
                         self.commands.push(Command::Cancel { id, attempt });
                     }
                 }
-                Action::Refuse { id, retry_after, why } => {
+                Action::Refuse {
+                    id,
+                    retry_after,
+                    why,
+                } => {
                     self.refuse(now, id, why, Duration::from_micros(retry_after));
                     self.settle(now, id);
                 }
@@ -513,13 +645,25 @@
 
     /// The one place for attempts.
     fn send(&mut self, now: Time, id: RequestId, server: ServerId, timeout: Time) {
-        let guard = Guard { settings: &self.rules, target: |server| self.nodes.target(server), now };
-        let Some(held) = self.requests.get_mut(id) else { return };
+        let guard = Guard {
+            settings: &self.rules,
+            target: |server| self.nodes.target(server),
+            now,
+        };
+        let Some(held) = self.requests.get_mut(id) else {
+            return;
+        };
         let checked = guard.check_send(held, server);
         let attempt = held.attempts.len() as u32;
         let before = held.attempts.last().map(|it| it.ended);
         let target = checked.as_ref().ok().copied();
-        held.attempts.push(Attempt { server, target, sent: now, ended: None, ended_at: now });
+        held.attempts.push(Attempt {
+            server,
+            target,
+            sent: now,
+            ended: None,
+            ended_at: now,
+        });
         let (target, node) = match (checked, self.nodes.get(server)) {
             (Ok(target), Some(node)) => (target, node),
             // What the rules forbid is not sent, whoever asks for it.
@@ -551,14 +695,25 @@
 
     /// Refuses a request, or fails it where a refusal would not be true.
     fn refuse(&mut self, now: Time, id: RequestId, why: GiveUp, retry_after: Duration) {
-        let guard = Guard { settings: &self.rules, target: |server| self.nodes.target(server), now };
-        let Some(request) = self.requests.get(id) else { return };
+        let guard = Guard {
+            settings: &self.rules,
+            target: |server| self.nodes.target(server),
+            now,
+        };
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
         match guard.check_refusal(request) {
             // A client that is refused may come again, here or elsewhere, before that close has arrived.
             Ok(()) if !guard.is_safe(request) && guard.was_given_up_just_now(request) => {
                 self.close(now, id, CloseReason::Failed(why), Answer::Failed);
             }
-            Ok(()) => self.close(now, id, CloseReason::Refused(why), Answer::Refused(retry_after)),
+            Ok(()) => self.close(
+                now,
+                id,
+                CloseReason::Refused(why),
+                Answer::Refused(retry_after),
+            ),
             Err(rule) => {
                 self.violation(now, rule, id);
                 self.close(now, id, CloseReason::Failed(why), Answer::Failed);
@@ -568,7 +723,9 @@
 
     /// The one place for final answers but streams.
     fn close(&mut self, now: Time, id: RequestId, reason: CloseReason, answer: Answer) {
-        let Some(held) = self.requests.get_mut(id).filter(|held| held.is_waiting()) else { return };
+        let Some(held) = self.requests.get_mut(id).filter(|held| held.is_waiting()) else {
+            return;
+        };
         held.close();
         if self.report.count(now, Kind::Close(reason)) {
             info!(self.log, "request closed"; "id" => id, "name" => %held.work.name, "reason" => ?reason,
@@ -590,10 +747,16 @@
 
     /// Looks after one request: its deadline, and what was held for too long.
     fn sweep(&mut self, now: Time, id: RequestId) {
-        let Some(held) = self.requests.get(id) else { return };
+        let Some(held) = self.requests.get(id) else {
+            return;
+        };
         if held.is_waiting() && now >= held.deadline {
             // The module ends requests in time by itself; this guards the client against a mistake there.
-            if now >= held.deadline.saturating_add(self.site.settings.answer_slack) {
+            if now
+                >= held
+                    .deadline
+                    .saturating_add(self.site.settings.answer_slack)
+            {
                 self.violation(now, Rule::FinalAnswer, id);
             }
             self.close(now, id, CloseReason::DeadlinePassed, Answer::Failed);
@@ -604,14 +767,20 @@
 
     /// Lets go of what is held where nothing needs it, and forgets the request when all of it is over.
     fn settle(&mut self, now: Time, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
         // A stream that goes on needs no state any more; any other attempt may wait for one.
         let attempt_out = request.stream().is_none() && request.has_attempt_out();
         if attempt_out && breaks(Variant::HeldState) {
             return;
         }
         let (is_needed, release_within) = (request.is_waiting(), self.site.settings.release_within);
-        if let Some(reason) = request.lease.start_release(now, release_within, is_needed, attempt_out) {
+        if let Some(reason) =
+            request
+                .lease
+                .start_release(now, release_within, is_needed, attempt_out)
+        {
             let name = request.work.name.clone();
             // Any server passes it on.
             let addresses = self.nodes.addresses(request.tried());
@@ -619,7 +788,11 @@
                 info!(self.log, "release"; "id" => id, "name" => %name, "reason" => ?reason,
                     "attempts" => request.attempts.len(), "left_ms" => request.deadline.saturating_sub(now) / 1000);
             }
-            self.commands.push(Command::Release { id, name, addresses });
+            self.commands.push(Command::Release {
+                id,
+                name,
+                addresses,
+            });
         }
         self.requests.forget_if_over(now, id);
     }
--- a/src/dispatch/door.rs
+++ b/src/dispatch/door.rs
@@ -34,7 +34,10 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.door.post(Event::Gone { id: self.id, fate: self.fate.take() });
+        self.door.post(Event::Gone {
+            id: self.id,
+            fate: self.fate.take(),
+        });
     }
 }
 
@@ -44,8 +47,16 @@
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
         // The ticket comes first: a client that leaves while the queue is full is told of all the same.
-        let ticket = Ticket { id, door: self.clone(), fate: None };
-        let event = Event::Request { ask: Ask { id, ..ask }, work, answer };
+        let ticket = Ticket {
+            id,
+            door: self.clone(),
+            fate: None,
+        };
+        let event = Event::Request {
+            ask: Ask { id, ..ask },
+            work,
+            answer,
+        };
         let _ = self.events.send(event).await;
         (ticket, answered)
     }
@@ -76,7 +87,14 @@
     /// Takes a replica out of use, or back, ahead of all that waits. `None`: the core has ended.
     pub async fn ban(&self, name: Arc<str>, banned: bool) -> Option<Result<(), Refusal>> {
         let (answer, answered) = oneshot::channel();
-        self.urgent.send(Event::Ban { name, banned, answer }).await.ok()?;
+        self.urgent
+            .send(Event::Ban {
+                name,
+                banned,
+                answer,
+            })
+            .await
+            .ok()?;
         answered.await.ok()
     }
 
@@ -88,7 +106,13 @@
     /// Takes new settings. `None`: the core has ended.
     pub async fn settings(&self, site: Site) -> Option<Result<(), String>> {
         let (answer, answered) = oneshot::channel();
-        self.urgent.send(Event::Settings { site: Box::new(site), answer }).await.ok()?;
+        self.urgent
+            .send(Event::Settings {
+                site: Box::new(site),
+                answer,
+            })
+            .await
+            .ok()?;
         answered.await.ok()
     }
 
@@ -146,7 +170,10 @@
     }
 
     pub(super) fn at_once(&mut self) -> Option<Event> {
-        self.urgent.try_recv().or_else(|_| self.events.try_recv()).ok()
+        self.urgent
+            .try_recv()
+            .or_else(|_| self.events.try_recv())
+            .ok()
     }
 }
 
@@ -158,7 +185,15 @@
     let (set_marks, marks) = watch::channel(Marks::new());
     let (set_readiness, readiness) = watch::channel(Readiness::Starting);
     let (set_open, open) = watch::channel(0);
-    let door = Door { events, urgent, marks, site, next: Arc::new(AtomicU64::new(1)), readiness, open };
+    let door = Door {
+        events,
+        urgent,
+        marks,
+        site,
+        next: Arc::new(AtomicU64::new(1)),
+        readiness,
+        open,
+    };
     let inbox = Inbox {
         events: queue,
         urgent: urgent_queue,
--- a/src/dispatch/guard.rs
+++ b/src/dispatch/guard.rs
@@ -28,14 +28,20 @@
         if !request.is_waiting() || self.now >= request.deadline {
             return Err(Rule::RequestOver);
         }
-        let target = (self.target)(server).filter(|it| it.state == State::Ready).ok_or(Rule::Drain)?;
+        let target = (self.target)(server)
+            .filter(|it| it.state == State::Ready)
+            .ok_or(Rule::Drain)?;
         let is_hedge = request.has_attempt_out();
         if request.attempts.len() as u32 >= self.settings.max_attempts.max(1)
             || is_hedge && !self.settings.second_copies
         {
             return Err(Rule::Attempts);
         }
-        match request.attempts.iter().all(|attempt| self.may_repeat(request, attempt, Some(&target))) {
+        match request
+            .attempts
+            .iter()
+            .all(|attempt| self.may_repeat(request, attempt, Some(&target)))
+        {
             true => Ok(target),
             false => Err(Rule::Duplicate),
         }
@@ -43,7 +49,11 @@
 
     /// Whether it may be said that trying again is harmless.
     pub fn check_refusal(&self, request: &Request) -> Result<(), Rule> {
-        match request.attempts.iter().all(|attempt| self.may_repeat(request, attempt, None)) {
+        match request
+            .attempts
+            .iter()
+            .all(|attempt| self.may_repeat(request, attempt, None))
+        {
             true => Ok(()),
             false => Err(Rule::Duplicate),
         }
@@ -51,7 +61,10 @@
 
     /// Whether any number of copies of a request may run.
     pub fn is_safe(&self, request: &Request) -> bool {
-        self.settings.classes.get(request.class).is_some_and(|class| class.effect == Effect::Safe)
+        self.settings
+            .classes
+            .get(request.class)
+            .is_some_and(|class| class.effect == Effect::Safe)
     }
 
     /// Whether an attempt was given up so short a time ago that its server may not have seen the close yet: to that server it
@@ -77,14 +90,23 @@
         let was = attempt.target;
         let reads = was.is_some_and(|was| was.role == Role::Reader);
         // However an attempt at a reader ends, it has had no effect; while it is out, nothing is known.
-        let is_harmless = attempt.ended.is_some_and(|reason| reads || reason.never_ran());
-        let effect = self.settings.classes.get(request.class).map_or(Effect::Unsafe, |class| class.effect);
+        let is_harmless = attempt
+            .ended
+            .is_some_and(|reason| reads || reason.never_ran());
+        let effect = self
+            .settings
+            .classes
+            .get(request.class)
+            .map_or(Effect::Unsafe, |class| class.effect);
         let is_within = |window: Time| self.now < attempt.sent.saturating_add(window);
         is_harmless
             || match effect {
                 Effect::Safe => true,
                 Effect::Unsafe => false,
-                Effect::Keyed { group: Group::All, window } => is_within(window),
+                Effect::Keyed {
+                    group: Group::All,
+                    window,
+                } => is_within(window),
                 Effect::Keyed { group, window } => {
                     let same = |was: Target, here: &Target| match group {
                         Group::Zone => was.zone == here.zone,
--- a/src/dispatch/lease.rs
+++ b/src/dispatch/lease.rs
@@ -39,7 +39,8 @@
 impl Lease {
     /// An attempt at a server of this role has ended.
     pub fn attempt_ended(&mut self, now: Time, role: Option<Role>, reason: EndReason) {
-        let may_keep = std::mem::take(&mut self.released_under_attempt) && role != Some(Role::Reader);
+        let may_keep =
+            std::mem::take(&mut self.released_under_attempt) && role != Some(Role::Reader);
         if reason.is_given_up() {
             self.given_up_at = Some(now);
         }
@@ -87,8 +88,14 @@
     fn due_at(&self, release_within: Time, attempt_out: bool) -> Option<Time> {
         let after = |tenths: Time| release_within * tenths / 10;
         let is_claimed = self.known.is_some() || attempt_out;
-        let of_possible = after(if is_claimed { CLAIMED_TENTHS } else { UNCLAIMED_TENTHS });
-        let known = self.known.map(|since| since.saturating_add(after(CLAIMED_TENTHS)));
+        let of_possible = after(if is_claimed {
+            CLAIMED_TENTHS
+        } else {
+            UNCLAIMED_TENTHS
+        });
+        let known = self
+            .known
+            .map(|since| since.saturating_add(after(CLAIMED_TENTHS)));
         let possible = self.possible.map(|since| since.saturating_add(of_possible));
         known.into_iter().chain(possible).min()
     }
@@ -96,10 +103,16 @@
     /// Why servers are to be told to release now, if they are; that is under way from here on. `is_needed`: the request
     /// may still be served with what is held.
     pub fn start_release(
-        &mut self, now: Time, release_within: Time, is_needed: bool, attempt_out: bool,
+        &mut self,
+        now: Time,
+        release_within: Time,
+        is_needed: bool,
+        attempt_out: bool,
     ) -> Option<ReleaseReason> {
         let is_free = !self.releasing && now >= self.not_before;
-        let due_at = self.due_at(release_within, attempt_out).filter(|_| is_free)?;
+        let due_at = self
+            .due_at(release_within, attempt_out)
+            .filter(|_| is_free)?;
         let reason = match (is_needed || attempt_out, attempt_out) {
             (false, _) => ReleaseReason::NotNeeded,
             (true, _) if now < due_at => return None,
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -32,8 +32,12 @@
 /// The task that owns the core: it ends when every door is gone. What the core notes goes to the recorder, what it has
 /// to tell to `others`.
 pub async fn run(
-    mut core: Core, clock: Clock, mut inbox: Inbox, commands: mpsc::Sender<Command>,
-    recorder: Option<Recorder>, others: Option<mpsc::Sender<Bytes>>,
+    mut core: Core,
+    clock: Clock,
+    mut inbox: Inbox,
+    commands: mpsc::Sender<Command>,
+    recorder: Option<Recorder>,
+    others: Option<mpsc::Sender<Bytes>>,
 ) {
     loop {
         let due = core.due().map(|at| clock.instant(at));
@@ -66,7 +70,9 @@
             let _ = others.try_send(message); // where it would have to wait it is not worth it
         }
         if let Some(recorder) = &recorder {
-            core.notes().into_iter().for_each(|note| recorder.note(note));
+            core.notes()
+                .into_iter()
+                .for_each(|note| recorder.note(note));
         }
         if let Some(site) = core.new_site() {
             inbox.site.send_replace(site);
@@ -75,13 +81,18 @@
             inbox.marks.send_replace(marks);
         }
         let ready = core.readiness();
-        if inbox.readiness.send_if_modified(|old| std::mem::replace(old, ready) != ready) {
+        if inbox
+            .readiness
+            .send_if_modified(|old| std::mem::replace(old, ready) != ready)
+        {
             info!(core.log, "readiness"; "state" => ?ready);
         }
         let open = core.open();
         if ready == Readiness::Draining && open == 0 {
             core.summarize();
         }
-        inbox.open.send_if_modified(|old| std::mem::replace(old, open) != open);
+        inbox
+            .open
+            .send_if_modified(|old| std::mem::replace(old, open) != open);
     }
 }
--- a/src/dispatch/nodes.rs
+++ b/src/dispatch/nodes.rs
@@ -24,17 +24,21 @@
     pub name: Arc<str>,
     pub address: Arc<str>,
     pub role: Role,
-    pub state: State,           // what holds: operators' word comes before the list's
-    pub listed: Entry,          // what the list says
+    pub state: State,  // what holds: operators' word comes before the list's
+    pub listed: Entry, // what the list says
     listed_start: Option<Time>, // when it started, as the list has it
-    back_at: Option<Time>,      // when operators let it be used again
-    past: Option<Arc<str>>,     // where it was before it moved
+    back_at: Option<Time>, // when operators let it be used again
+    past: Option<Arc<str>>, // where it was before it moved
 }
 
 impl Node {
     /// What the module is told: one that is out of use drains, and one that is back has started then.
     pub fn entry(&self) -> Entry {
-        Entry { state: self.state, started: self.listed.started.max(self.back_at), ..self.listed.clone() }
+        Entry {
+            state: self.state,
+            started: self.listed.started.max(self.back_at),
+            ..self.listed.clone()
+        }
     }
 }
 
@@ -74,7 +78,9 @@
 
     /// Whether one that is not of this role could be used.
     pub fn any_ready(&self, spared: Role) -> bool {
-        self.nodes.values().any(|it| it.state == State::Ready && it.role != spared)
+        self.nodes
+            .values()
+            .any(|it| it.state == State::Ready && it.role != spared)
     }
 
     /// The one node that others know by this hash; none where two share it.
@@ -86,7 +92,12 @@
     /// What the rules ask of a server; `None` where it is not known.
     pub fn target(&self, server: ServerId) -> Option<Target> {
         let node = self.nodes.get(&server)?;
-        Some(Target { role: node.role, zone: node.listed.zone, cell: node.listed.cell, state: node.state })
+        Some(Target {
+            role: node.role,
+            zone: node.listed.zone,
+            cell: node.listed.cell,
+            state: node.state,
+        })
     }
 
     /// A server has answered something: it runs.
@@ -103,22 +114,41 @@
     /// Where something may be passed on for a request: the servers heard of last, for they are the likeliest to run; then those
     /// where it was tried, in that order; then some others.
     pub fn addresses(&self, tried: impl Iterator<Item = ServerId>) -> Vec<Arc<str>> {
-        let heard = self.heard.iter().rev().map(|(_, server)| *server).take(MOST_HEARD);
-        let known = heard.chain(tried).filter_map(|server| self.nodes.get(&server));
-        let rest = self.nodes.values().filter(|node| node.state == State::Ready);
+        let heard = self
+            .heard
+            .iter()
+            .rev()
+            .map(|(_, server)| *server)
+            .take(MOST_HEARD);
+        let known = heard
+            .chain(tried)
+            .filter_map(|server| self.nodes.get(&server));
+        let rest = self
+            .nodes
+            .values()
+            .filter(|node| node.state == State::Ready);
         let mut seen = HashSet::new();
         let known = known.chain(rest).filter(|node| node.state != State::Gone);
-        let addresses = known.map(|node| &node.address).filter(|address| seen.insert(*address));
+        let addresses = known
+            .map(|node| &node.address)
+            .filter(|address| seen.insert(*address));
         addresses.take(MOST_ADDRESSES).cloned().collect()
     }
 
     /// Gives a member of which only the state could be read the rest, as it was told before; false where nothing was.
     fn complement(&self, member: &mut Member) -> bool {
-        let Some(node) = self.numbers.get(&member.name).and_then(|it| self.nodes.get(it)) else {
+        let Some(node) = self
+            .numbers
+            .get(&member.name)
+            .and_then(|it| self.nodes.get(it))
+        else {
             return false;
         };
         member.address = node.address.clone();
-        member.entry = Entry { state: member.entry.state, ..node.listed.clone() };
+        member.entry = Entry {
+            state: member.entry.state,
+            ..node.listed.clone()
+        };
         true
     }
 
@@ -130,7 +160,11 @@
         if let Some(node) = same {
             return node.listed.started;
         }
-        let earliest = if self.has_list { now.saturating_sub(NEWS_TAKES) } else { 0 };
+        let earliest = if self.has_list {
+            now.saturating_sub(NEWS_TAKES)
+        } else {
+            0
+        };
         Some(told.clamp(earliest, now))
     }
 
@@ -142,7 +176,12 @@
             if member.partial && !self.complement(&mut member) {
                 continue;
             }
-            let Member { name, address, mut entry, partial } = member;
+            let Member {
+                name,
+                address,
+                mut entry,
+                partial,
+            } = member;
             let server = *self.numbers.entry(name.clone()).or_insert_with(|| {
                 self.next_number += 1;
                 self.next_number - 1
@@ -150,36 +189,64 @@
             named.insert(server);
             entry.server = server;
             let before = self.nodes.remove(&server);
-            let back_at = before.as_ref().and_then(|it| it.back_at).max(self.bans.ended(&name));
+            let back_at = before
+                .as_ref()
+                .and_then(|it| it.back_at)
+                .max(self.bans.ended(&name));
             let state = self.state_of(&name, entry.state);
             let role = entry.role;
-            let moved = before.as_ref().filter(|it| it.address != address).map(|it| it.address.clone());
+            let moved = before
+                .as_ref()
+                .filter(|it| it.address != address)
+                .map(|it| it.address.clone());
             if moved.is_some() {
                 debug!(log, "a node has moved"; "server" => server, "address" => %address);
             }
             let past = moved.or_else(|| before.as_ref().and_then(|it| it.past.clone()));
             let told = entry.started;
             // Of one that leaves only that could be read: its start is as it was.
-            let listed_start = if partial { before.as_ref().and_then(|it| it.listed_start) } else { told };
+            let listed_start = if partial {
+                before.as_ref().and_then(|it| it.listed_start)
+            } else {
+                told
+            };
             if !partial {
                 entry.started = self.started_at(now, before.as_ref(), told);
             }
             let address_here = address.clone();
-            let node =
-                Node { name, address: address_here, role, state, listed: entry, listed_start, back_at, past };
+            let node = Node {
+                name,
+                address: address_here,
+                role,
+                state,
+                listed: entry,
+                listed_start,
+                back_at,
+                past,
+            };
             let entry = node.entry();
-            if before.as_ref().is_none_or(|it| it.state != state || it.address != address) {
+            if before
+                .as_ref()
+                .is_none_or(|it| it.state != state || it.address != address)
+            {
                 debug!(log, "a node's state"; "server" => server, "name" => %node.name,
                     "address" => %address, "role" => ?role, "state" => ?state, "started" => ?node.listed.started);
                 news.noted.push((node.name.clone(), entry.clone()));
             }
-            self.hashed.entry(gossip::key(entry.key)).or_default().insert(server);
+            self.hashed
+                .entry(gossip::key(entry.key))
+                .or_default()
+                .insert(server);
             self.nodes.insert(server, node);
             news.entries.push(entry);
         }
         self.has_list = true;
         if complete {
-            for (_, node) in self.nodes.iter_mut().filter(|(server, _)| !named.contains(server)) {
+            for (_, node) in self
+                .nodes
+                .iter_mut()
+                .filter(|(server, _)| !named.contains(server))
+            {
                 (node.listed.state, node.state) = (State::Gone, State::Gone);
             }
         }
@@ -190,7 +257,11 @@
     /// that a node has left, unless one that may be used is there now.
     pub fn bars(&mut self) -> Vec<Command> {
         let ready = |node: &&Node| node.state == State::Ready;
-        let left = self.nodes.values().filter(|it| !ready(it)).map(|it| &it.address);
+        let left = self
+            .nodes
+            .values()
+            .filter(|it| !ready(it))
+            .map(|it| &it.address);
         let past = self.nodes.values().filter_map(|it| it.past.as_ref());
         let mut barred: HashSet<Arc<str>> = left.chain(past).cloned().collect();
         for node in self.nodes.values().filter(ready) {
@@ -200,9 +271,13 @@
         let changed = |from: &HashSet<Arc<str>>, to: &HashSet<Arc<str>>, barred| {
             let mut changed: Vec<Arc<str>> = to.difference(from).cloned().collect();
             changed.sort();
-            changed.into_iter().map(move |address| Command::Bar { address, barred })
+            changed
+                .into_iter()
+                .map(move |address| Command::Bar { address, barred })
         };
-        changed(&before, &self.barred, true).chain(changed(&self.barred, &before, false)).collect()
+        changed(&before, &self.barred, true)
+            .chain(changed(&self.barred, &before, false))
+            .collect()
     }
 
     /// The state that holds, by what the list says.
@@ -215,7 +290,13 @@
     }
 
     /// An operator takes a node out of use, or back; no news where that holds already.
-    pub fn ban(&mut self, now: Time, name: Arc<str>, banned: bool, log: &Logger) -> Result<News, Refusal> {
+    pub fn ban(
+        &mut self,
+        now: Time,
+        name: Arc<str>,
+        banned: bool,
+        log: &Logger,
+    ) -> Result<News, Refusal> {
         let listed = self.numbers.contains_key(&name);
         if !self.bans.call(now, &name, banned, listed)? {
             return Ok(News::default());
@@ -237,9 +318,16 @@
         for name in names {
             let banned = self.bans.is_banned(name);
             info!(log, "operators' word on a replica"; "name" => %name, "banned" => banned);
-            let Some(server) = self.numbers.get(name) else { continue };
-            let state = self.nodes.get(server).map(|node| self.state_of(name, node.listed.state));
-            let (Some(node), Some(state)) = (self.nodes.get_mut(server), state) else { continue };
+            let Some(server) = self.numbers.get(name) else {
+                continue;
+            };
+            let state = self
+                .nodes
+                .get(server)
+                .map(|node| self.state_of(name, node.listed.state));
+            let (Some(node), Some(state)) = (self.nodes.get_mut(server), state) else {
+                continue;
+            };
             node.state = state;
             node.back_at = node.back_at.max(self.bans.ended(name));
             let entry = node.entry();
@@ -257,10 +345,19 @@
     /// Lets go of nodes that are gone and have no attempt out: names and addresses are ever new, and the table
     /// must not grow with them. Their bars go too, for nothing can be sent to a node that is not in the table.
     pub fn forget_gone(&mut self, busy: &HashSet<ServerId>) -> Vec<ServerId> {
-        let over = |(server, node): &(&ServerId, &Node)| node.state == State::Gone && !busy.contains(server);
-        let over: Vec<ServerId> = self.nodes.iter().filter(over).map(|(server, _)| *server).collect();
+        let over = |(server, node): &(&ServerId, &Node)| {
+            node.state == State::Gone && !busy.contains(server)
+        };
+        let over: Vec<ServerId> = self
+            .nodes
+            .iter()
+            .filter(over)
+            .map(|(server, _)| *server)
+            .collect();
         for server in &over {
-            let Some(node) = self.nodes.remove(server) else { continue };
+            let Some(node) = self.nodes.remove(server) else {
+                continue;
+            };
             if let Some(at) = self.heard_at.remove(server) {
                 self.heard.remove(&(at, *server));
             }
--- a/src/dispatch/reasons.rs
+++ b/src/dispatch/reasons.rs
@@ -57,11 +57,15 @@
             EndReason::Read => Status::Read,
             EndReason::TurnedAway | EndReason::StateGone => Status::Full,
             EndReason::BadRequest => Status::Rejected,
-            EndReason::ErrorAnswer | EndReason::UnreadableAnswer | EndReason::SpoiltStream => Status::Error,
+            EndReason::ErrorAnswer | EndReason::UnreadableAnswer | EndReason::SpoiltStream => {
+                Status::Error
+            }
             EndReason::Silent => Status::Timeout,
             EndReason::DialFailed | EndReason::Barred => Status::ConnectFailed,
             EndReason::NoPlace | EndReason::NotWritten | EndReason::NotSent => Status::Moot,
-            EndReason::ConnectionBroke | EndReason::StreamSilent | EndReason::TaskDied => Status::Reset,
+            EndReason::ConnectionBroke | EndReason::StreamSilent | EndReason::TaskDied => {
+                Status::Reset
+            }
             EndReason::KeptConnectionBroke => Status::Stale,
             EndReason::Cancelled | EndReason::ClientLeft => Status::Cancelled,
         }
@@ -99,7 +103,10 @@
 
     /// Whether the attempt was ended here, by closing its connection, while a server may have had it.
     pub fn is_given_up(self) -> bool {
-        matches!(self, EndReason::Silent | EndReason::Cancelled | EndReason::ClientLeft)
+        matches!(
+            self,
+            EndReason::Silent | EndReason::Cancelled | EndReason::ClientLeft
+        )
     }
 
     /// Whether it is certain that no server had the whole request.
@@ -109,7 +116,10 @@
 
     /// Whether it is certain that the request had no effect by this attempt.
     pub fn never_ran(self) -> bool {
-        let turned_away = matches!(self.status(), Status::Full | Status::Rejected | Status::Read);
+        let turned_away = matches!(
+            self.status(),
+            Status::Full | Status::Rejected | Status::Read
+        );
         turned_away || self.never_arrived()
     }
 
@@ -120,7 +130,10 @@
 
     /// Whether attempts end so in the ordinary course of a request.
     pub fn is_ordinary(self) -> bool {
-        matches!(self, EndReason::Served | EndReason::Read | EndReason::Cancelled | EndReason::ClientLeft)
+        matches!(
+            self,
+            EndReason::Served | EndReason::Read | EndReason::Cancelled | EndReason::ClientLeft
+        )
     }
 }
 
--- a/src/dispatch/report.rs
+++ b/src/dispatch/report.rs
@@ -45,7 +45,10 @@
     fn take(&mut self, now: Time) -> bool {
         let refills = now.saturating_sub(self.refilled_at) / LINE_EACH;
         if refills > 0 {
-            self.lines = self.lines.saturating_add(refills.min(u64::from(BURST)) as u32).min(BURST);
+            self.lines = self
+                .lines
+                .saturating_add(refills.min(u64::from(BURST)) as u32)
+                .min(BURST);
             self.refilled_at = now;
         }
         let has_one = self.lines > 0;
@@ -78,7 +81,10 @@
     pub fn count(&mut self, now: Time, kind: Kind) -> bool {
         *self.counts.entry(kind).or_default() += 1;
         self.changed = true;
-        let budget = self.budgets.entry(kind).or_insert(Budget { lines: BURST, refilled_at: now });
+        let budget = self.budgets.entry(kind).or_insert(Budget {
+            lines: BURST,
+            refilled_at: now,
+        });
         let may_log = budget.take(now);
         self.held_back += u64::from(!may_log);
         may_log
@@ -87,7 +93,11 @@
     /// Breaches of rules so far.
     pub fn violations(&self) -> u64 {
         let is_violation = |kind: &Kind| matches!(kind, Kind::Violation(_));
-        self.counts.iter().filter(|(kind, _)| is_violation(kind)).map(|(_, count)| count).sum()
+        self.counts
+            .iter()
+            .filter(|(kind, _)| is_violation(kind))
+            .map(|(_, count)| count)
+            .sum()
     }
 
     /// Logs all counts where it is time for it and something has changed.
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -61,7 +61,13 @@
 
 impl Request {
     /// As it arrives.
-    pub fn new(now: Time, ask: &Ask, work: Work, once: bool, answer: oneshot::Sender<Answer>) -> Self {
+    pub fn new(
+        now: Time,
+        ask: &Ask,
+        work: Work,
+        once: bool,
+        answer: oneshot::Sender<Answer>,
+    ) -> Self {
         Request {
             class: ask.class,
             work,
@@ -81,13 +87,20 @@
     }
 
     pub fn is_out(&self, attempt: u32) -> bool {
-        self.attempts.get(attempt as usize).is_some_and(Attempt::is_out)
+        self.attempts
+            .get(attempt as usize)
+            .is_some_and(Attempt::is_out)
     }
 
     /// Servers of its attempts: first those that have answered, the last before the others.
     pub fn tried(&self) -> impl Iterator<Item = ServerId> + '_ {
         let answered = |attempt: &Attempt| attempt.ended.is_some_and(EndReason::is_answer);
-        let by = move |wanted| self.attempts.iter().rev().filter(move |it| answered(it) == wanted);
+        let by = move |wanted| {
+            self.attempts
+                .iter()
+                .rev()
+                .filter(move |it| answered(it) == wanted)
+        };
         by(true).chain(by(false)).map(|attempt| attempt.server)
     }
 
@@ -119,15 +132,24 @@
     /// It has its final answer, or its client has left. False where it was closed before.
     pub fn close(&mut self) -> bool {
         let was_open = !self.is_closed();
-        self.phase = Phase::Closed { stream: self.stream() };
+        self.phase = Phase::Closed {
+            stream: self.stream(),
+        };
         was_open
     }
 
     /// An attempt has ended: what may be held and what may have run by that. `None`: it was not out.
     pub fn attempt_ended(
-        &mut self, now: Time, attempt: u32, reason: EndReason, role: impl Fn(ServerId) -> Option<Role>,
+        &mut self,
+        now: Time,
+        attempt: u32,
+        reason: EndReason,
+        role: impl Fn(ServerId) -> Option<Role>,
     ) -> Option<Ended> {
-        let ended = self.attempts.get_mut(attempt as usize).filter(|it| it.is_out())?;
+        let ended = self
+            .attempts
+            .get_mut(attempt as usize)
+            .filter(|it| it.is_out())?;
         (ended.ended, ended.ended_at) = (Some(reason), now);
         let server = ended.server;
         let role = role(server);
@@ -142,6 +164,9 @@
 
     /// Nothing of it is left to be done.
     pub fn is_over(&self) -> bool {
-        self.is_closed() && !self.has_attempt_out() && !self.lease.is_releasing() && !self.lease.may_be_held()
+        self.is_closed()
+            && !self.has_attempt_out()
+            && !self.lease.is_releasing()
+            && !self.lease.may_be_held()
     }
 }
--- a/src/dispatch/table.rs
+++ b/src/dispatch/table.rs
@@ -37,8 +37,11 @@
             self.ended.push_back((now, name));
         }
         let is_old = |at: Time| at.saturating_add(KNOWN_AFTER) < now;
-        while self.ended.front().is_some_and(|(at, _)| is_old(*at)) || self.ended.len() > MOST_KNOWN {
-            let Some((_, name)) = self.ended.pop_front() else { break };
+        while self.ended.front().is_some_and(|(at, _)| is_old(*at)) || self.ended.len() > MOST_KNOWN
+        {
+            let Some((_, name)) = self.ended.pop_front() else {
+                break;
+            };
             self.may_have_run.remove(&name);
         }
     }
@@ -58,20 +61,31 @@
 
     /// Requests that have to be looked after: all but those of which nothing is left but a stream that goes on.
     pub fn ids_to_look_after(&self) -> Vec<RequestId> {
-        let waits =
-            |request: &Request| request.is_waiting() || request.is_closed() || request.lease.may_be_held();
-        self.requests.iter().filter(|(_, request)| waits(request)).map(|(id, _)| *id).collect()
+        let waits = |request: &Request| {
+            request.is_waiting() || request.is_closed() || request.lease.may_be_held()
+        };
+        self.requests
+            .iter()
+            .filter(|(_, request)| waits(request))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Classes of which some request is in the table.
     pub fn classes(&self) -> HashSet<usize> {
-        self.requests.values().map(|request| request.class).collect()
+        self.requests
+            .values()
+            .map(|request| request.class)
+            .collect()
     }
 
     /// Nodes at which an attempt is out.
     pub fn busy(&self) -> HashSet<ServerId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
-        attempts.filter(|it| it.is_out()).map(|it: &Attempt| it.server).collect()
+        attempts
+            .filter(|it| it.is_out())
+            .map(|it: &Attempt| it.server)
+            .collect()
     }
 
     /// Forgets a request when all of it is over, and tells who wants to know whether it may have run.
@@ -79,7 +93,9 @@
         if !self.requests.get(&id).is_some_and(Request::is_over) {
             return;
         }
-        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
         self.names.remove(&request.work.name);
         if request.may_have_run {
             self.note_end(now, request.work.name.clone());
--- a/src/framing.rs
+++ b/src/framing.rs
@@ -42,7 +42,10 @@
 
 impl Default for Chunks {
     fn default() -> Self {
-        Chunks { at: At::Size(0), left: 0 }
+        Chunks {
+            at: At::Size(0),
+            left: 0,
+        }
     }
 }
 
@@ -53,7 +56,9 @@
         let mut read = 0;
         while read < bytes.len() && self.at != At::End {
             if self.at == At::Data {
-                let piece = usize::try_from(self.left).unwrap_or(usize::MAX).min(bytes.len() - read);
+                let piece = usize::try_from(self.left)
+                    .unwrap_or(usize::MAX)
+                    .min(bytes.len() - read);
                 data(&bytes[read..read + piece]);
                 read += piece;
                 self.left -= piece as u64;
@@ -137,7 +142,10 @@
             (8, 0) => At::End,
             _ => return None,
         };
-        Some(Chunks { at, left: u64::from_be_bytes(*left) })
+        Some(Chunks {
+            at,
+            left: u64::from_be_bytes(*left),
+        })
     }
 
     /// Whether all of the body was read.
@@ -171,7 +179,10 @@
                 return;
             }
             let Some(body) = &mut self.body else {
-                let end = bytes.iter().position(|byte| *byte == b'\n').map(|end| end + 1);
+                let end = bytes
+                    .iter()
+                    .position(|byte| *byte == b'\n')
+                    .map(|end| end + 1);
                 let (line, rest) = bytes.split_at(end.unwrap_or(bytes.len()));
                 bytes = rest;
                 self.line.extend_from_slice(line);
@@ -208,7 +219,10 @@
                     self.lost = self.length.is_none();
                 }
             }
-        } else if let Some((name, value)) = std::str::from_utf8(line).ok().and_then(|it| it.split_once(':')) {
+        } else if let Some((name, value)) = std::str::from_utf8(line)
+            .ok()
+            .and_then(|it| it.split_once(':'))
+        {
             if name.trim().eq_ignore_ascii_case("transfer-encoding") {
                 self.chunked = value.trim().eq_ignore_ascii_case("chunked");
             } else if name.trim().eq_ignore_ascii_case("content-length") {
@@ -224,7 +238,9 @@
 
     /// Where its body stands, and how much data there was, if it comes in chunks and could be followed.
     pub fn body(&self) -> Option<(Chunks, u64)> {
-        self.body.filter(|_| !self.lost).map(|body| (body, self.data))
+        self.body
+            .filter(|_| !self.lost)
+            .map(|body| (body, self.data))
     }
 }
 
@@ -280,7 +296,9 @@
             let read = match &mut self.part {
                 Part::Lost => return all.len(),
                 Part::Length(left) => {
-                    let piece = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
+                    let piece = usize::try_from(*left)
+                        .unwrap_or(usize::MAX)
+                        .min(bytes.len());
                     *left -= piece as u64;
                     if *left == 0 {
                         (self.part, self.ended) = (Part::Head, self.ended + 1);
@@ -342,7 +360,11 @@
     fn end_line(&mut self, line: &[u8]) -> Result<(), Lost> {
         if !line.is_empty() {
             self.lines += 1;
-            return if self.lines == 1 { Ok(()) } else { self.field(line) };
+            return if self.lines == 1 {
+                Ok(())
+            } else {
+                self.field(line)
+            };
         }
         // Empty lines before a request are passed over.
         if self.lines == 0 {
@@ -356,7 +378,10 @@
         self.heads.push_back(stated);
         self.part = match stated {
             Stated { chunked: true, .. } => Part::Chunks(Chunks::default()),
-            Stated { length: Some(length), .. } if length > 0 => Part::Length(length),
+            Stated {
+                length: Some(length),
+                ..
+            } if length > 0 => Part::Length(length),
             _ => {
                 self.ended += 1;
                 Part::Head
@@ -367,7 +392,9 @@
 
     fn field(&mut self, line: &[u8]) -> Result<(), Lost> {
         let line = std::str::from_utf8(line).unwrap_or("");
-        let Some((name, value)) = line.split_once(':') else { return Ok(()) };
+        let Some((name, value)) = line.split_once(':') else {
+            return Ok(());
+        };
         let (name, value) = (name.trim(), value.trim());
         if name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
--- a/src/fronts/health.rs
+++ b/src/fronts/health.rs
@@ -36,7 +36,10 @@
 
 /// The routes for balancers that ask over HTTP.
 pub fn routes(door: Door) -> Router {
-    Router::new().route("/ready", get(ready)).route("/health", get(health)).with_state(door)
+    Router::new()
+        .route("/ready", get(ready))
+        .route("/health", get(health))
+        .with_state(door)
 }
 
 /// The line of an agent check, as HAProxy's `agent-check` reads it.
@@ -49,7 +52,12 @@
 }
 
 /// Answers agent checks, one line a connection, until the dispatcher ends.
-pub async fn serve_agent(listener: TcpListener, door: Door, mut stop: watch::Receiver<Course>, log: Logger) {
+pub async fn serve_agent(
+    listener: TcpListener,
+    door: Door,
+    mut stop: watch::Receiver<Course>,
+    log: Logger,
+) {
     let mut pauses = AcceptPauses::default();
     loop {
         let accepted = tokio::select! {
--- a/src/fronts/listener.rs
+++ b/src/fronts/listener.rs
@@ -66,7 +66,8 @@
     type Error = axum::Error;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
@@ -93,7 +94,11 @@
 }
 
 impl ClientSocket {
-    fn new(stream: TcpStream, client: Arc<ClientConnection>, listener_state: ListenerState) -> Self {
+    fn new(
+        stream: TcpStream,
+        client: Arc<ClientConnection>,
+        listener_state: ListenerState,
+    ) -> Self {
         ClientSocket {
             stream,
             client,
@@ -112,7 +117,9 @@
                 self.over = true;
                 return Poll::Ready(Ok(()));
             }
-            let look = self.end_look.get_or_insert_with(|| Box::pin(sleep(END_LOOK)));
+            let look = self
+                .end_look
+                .get_or_insert_with(|| Box::pin(sleep(END_LOOK)));
             ready!(look.as_mut().poll(context));
             self.end_look = None;
         }
@@ -145,7 +152,9 @@
 
 impl AsyncRead for ClientSocket {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.client.awaits_answer(context) {
             return self.poll_end(context);
@@ -155,12 +164,17 @@
             ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
             self.over = buffer.filled().len() == before;
             let belong = self.client.received(&buffer.filled()[before..]);
-            self.behind.extend_from_slice(&buffer.filled()[before + belong..]);
+            self.behind
+                .extend_from_slice(&buffer.filled()[before + belong..]);
             buffer.set_filled(before + belong);
             return Poll::Ready(Ok(()));
         }
         let room = self.behind.len().min(buffer.remaining());
-        let belong = if room > 0 { self.client.received(&self.behind[..room]) } else { 0 };
+        let belong = if room > 0 {
+            self.client.received(&self.behind[..room])
+        } else {
+            0
+        };
         buffer.put_slice(&self.behind.split_to(belong));
         Poll::Ready(Ok(()))
     }
@@ -168,7 +182,9 @@
 
 impl AsyncWrite for ClientSocket {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.stream).poll_write(context, bytes);
         self.client.wrote(&wrote);
@@ -191,7 +207,11 @@
             None => {
                 ready!(Pin::new(&mut this.stream).poll_shutdown(context))?;
                 // Where others wait for a place, only what is there already is read.
-                let time = if this.listener_state.is_full() { Duration::ZERO } else { LINGER_TIME };
+                let time = if this.listener_state.is_full() {
+                    Duration::ZERO
+                } else {
+                    LINGER_TIME
+                };
                 this.lingers.insert((Box::pin(sleep(time)), LINGER_BYTES))
             }
         };
@@ -213,7 +233,9 @@
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
         self.client.wrote(&wrote);
@@ -239,7 +261,9 @@
     /// connections, as the protocol allows at any time: crowds of clients that ask once and stay would else take
     /// all places for as long as idle ones are kept.
     fn is_full(&self) -> bool {
-        self.waited().is_some_and(|at| at.elapsed() < REPLACEABLE_TIME) || self.places.over() > 0
+        self.waited()
+            .is_some_and(|at| at.elapsed() < REPLACEABLE_TIME)
+            || self.places.over() > 0
     }
 
     fn leaves(&self) -> bool {
@@ -256,7 +280,9 @@
 
 /// Serves one request. A doubtful body is refused, whatever its route.
 async fn answer(
-    mut routes: Router, listener_state: ListenerState, client: Arc<ClientConnection>,
+    mut routes: Router,
+    listener_state: ListenerState,
+    client: Arc<ClientConnection>,
     mut request: Request<Incoming>,
 ) -> Response {
     let stated = client.requests().next_head();
@@ -265,7 +291,12 @@
     request.extensions_mut().insert(open.0.exit.clone());
     let mut response = if is_doubtful(&request, stated) {
         let closing = [(header::CONNECTION, "close")];
-        (StatusCode::LENGTH_REQUIRED, closing, "a length, or chunks alone, are required\n").into_response()
+        (
+            StatusCode::LENGTH_REQUIRED,
+            closing,
+            "a length, or chunks alone, are required\n",
+        )
+            .into_response()
     } else {
         match routes.call(request).await {
             Ok(response) => response,
@@ -275,24 +306,40 @@
     if response.status() == StatusCode::SWITCHING_PROTOCOLS {
         open.0.requests().stop();
     } else if listener_state.is_full() || listener_state.leaves() {
-        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response.map(|body| Body::new(TrackedBody { body, _open: open }))
 }
 
 async fn serve_one(
-    stream: TcpStream, client: Arc<ClientConnection>, routes: Router, listener_state: ListenerState,
+    stream: TcpStream,
+    client: Arc<ClientConnection>,
+    routes: Router,
+    listener_state: ListenerState,
 ) {
     let _ = stream.set_nodelay(true);
     let (mut course, mover) = (listener_state.course.clone(), listener_state.mover.clone());
     let taken = client.clone();
-    let wire = TokioIo::new(ClientSocket::new(stream, client.clone(), listener_state.clone()));
+    let wire = TokioIo::new(ClientSocket::new(
+        stream,
+        client.clone(),
+        listener_state.clone(),
+    ));
     let service = service_fn(move |request| {
-        let answer = answer(routes.clone(), listener_state.clone(), taken.clone(), request);
+        let answer = answer(
+            routes.clone(),
+            listener_state.clone(),
+            taken.clone(),
+            request,
+        );
         async move { Ok::<_, std::convert::Infallible>(answer.await) }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(None).max_buf_size(BUFFER);
+    http.timer(TokioTimer::new())
+        .header_read_timeout(None)
+        .max_buf_size(BUFFER);
     let mut connection = pin!(http.serve_connection(wire, service).with_upgrades());
     let mut ending = false;
     loop {
@@ -319,9 +366,16 @@
 
 impl Connections {
     /// Serves a connection that has its place.
-    fn serve(&mut self, connections: &mut JoinSet<()>, stream: TcpStream, place: Place, routes: &Router) {
+    fn serve(
+        &mut self,
+        connections: &mut JoinSet<()>,
+        stream: TcpStream,
+        place: Place,
+        routes: &Router,
+    ) {
         let client = ClientConnection::new();
-        let (routes, listener_state, of_task) = (routes.clone(), self.listener_state.clone(), client.clone());
+        let (routes, listener_state, of_task) =
+            (routes.clone(), self.listener_state.clone(), client.clone());
         let task = connections.spawn(async move {
             serve_one(stream, of_task, routes, listener_state).await;
             drop(place);
@@ -335,8 +389,10 @@
         let free = self.listener_state.places.take(1);
         let mut free = pin!(free);
         loop {
-            let replaceable =
-                self.taken.values().filter_map(|client| Some((client.replaceable_at()?, client)));
+            let replaceable = self
+                .taken
+                .values()
+                .filter_map(|client| Some((client.replaceable_at()?, client)));
             let first = replaceable.min_by_key(|(at, _)| *at);
             let wait = first.map_or_else(|| Instant::now() + MUTE_TIME, |(at, _)| at);
             if self.listener_state.places.free() == 0 && wait > Instant::now() {
@@ -360,11 +416,20 @@
 /// when it ends, those that are idle are closed, and it returns when all are over. Streams that are to move
 /// go to the `mover`.
 pub async fn serve(
-    listener: TcpListener, routes: Router, places: Places, mut course: watch::Receiver<Course>, mover: Mover,
+    listener: TcpListener,
+    routes: Router,
+    places: Places,
+    mut course: watch::Receiver<Course>,
+    mover: Mover,
     log: Logger,
 ) {
     let mut tracked = Connections {
-        listener_state: ListenerState { places, waited: Arc::default(), course: course.clone(), mover },
+        listener_state: ListenerState {
+            places,
+            waited: Arc::default(),
+            course: course.clone(),
+            mover,
+        },
         taken: HashMap::new(),
     };
     let mut connections = JoinSet::new();
@@ -398,9 +463,10 @@
     }
     if *course.borrow() == Course::Ending {
         // Nobody else takes those that came before this and wait in the queue.
-        while let (Some(place), Some(Ok((stream, _)))) =
-            (tracked.listener_state.places.take_now(1), listener.accept().now_or_never())
-        {
+        while let (Some(place), Some(Ok((stream, _)))) = (
+            tracked.listener_state.places.take_now(1),
+            listener.accept().now_or_never(),
+        ) {
             tracked.serve(&mut connections, stream, place, &routes);
         }
     }
--- a/src/fronts/management.rs
+++ b/src/fronts/management.rs
@@ -58,7 +58,10 @@
     let mut buffer = [0; LONGEST];
     loop {
         let room = LONGEST - line.len();
-        let read = stream.read(&mut buffer[..room]).await.map_err(|_| "the line broke")?;
+        let read = stream
+            .read(&mut buffer[..room])
+            .await
+            .map_err(|_| "the line broke")?;
         line.extend_from_slice(&buffer[..read]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
@@ -95,7 +98,9 @@
 }
 
 async fn serve_one(mut stream: TcpStream, door: Door, log: Logger) {
-    let Ok(line) = timeout(LINE_TIME, line(&mut stream)).await else { return };
+    let Ok(line) = timeout(LINE_TIME, line(&mut stream)).await else {
+        return;
+    };
     let answer = match line.as_deref().map_err(|error| *error).and_then(parse) {
         Ok(call) => {
             let words = format!("{call:?}");
@@ -136,7 +141,9 @@
                         first.abort();
                     }
                 }
-                callers.push_back(tokio::spawn(serve_one(stream, door.clone(), log.clone())).abort_handle());
+                callers.push_back(
+                    tokio::spawn(serve_one(stream, door.clone(), log.clone())).abort_handle(),
+                );
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -42,18 +42,27 @@
 pub fn routes(door: Door, rooms: Rooms, log: Logger) -> Router {
     let door_of_ready = door.clone();
     let shared = Shared { door, rooms, log };
-    let ready = Router::new().route("/ready", get(ready)).with_state(door_of_ready);
-    Router::new().route("/v1/chat/completions", post(complete)).with_state(shared).merge(ready)
+    let ready = Router::new()
+        .route("/ready", get(ready))
+        .with_state(door_of_ready);
+    Router::new()
+        .route("/v1/chat/completions", post(complete))
+        .with_state(shared)
+        .merge(ready)
 }
 
 /// Reads `X-Props`: lengths in tokens, and the shared text where there is one.
 pub fn parse_props(text: &str, ask: &mut Ask) -> Result<(), String> {
     let (mut prompt, mut most) = (None, None);
     for pair in text.split(',') {
-        let (name, value) = pair.split_once('=').ok_or("X-Props is not a list of pairs")?;
+        let (name, value) = pair
+            .split_once('=')
+            .ok_or("X-Props is not a list of pairs")?;
         let (name, value) = (name.trim(), value.trim());
         let tokens = || {
-            let tokens = value.parse::<u32>().map_err(|_| format!("{name} is not a number of tokens"));
+            let tokens = value
+                .parse::<u32>()
+                .map_err(|_| format!("{name} is not a number of tokens"));
             tokens.map(f64::from)
         };
         match name {
@@ -72,22 +81,37 @@
 /// Reads a request's head: its name and what the module is told.
 pub fn parse_head(headers: &HeaderMap, site: &Site) -> Result<(Arc<str>, Ask), String> {
     let text = |name: &str| {
-        let value = headers.get(name).ok_or_else(|| format!("{name} is missing"))?;
-        value.to_str().map_err(|_| format!("{name} is not plain text"))
+        let value = headers
+            .get(name)
+            .ok_or_else(|| format!("{name} is missing"))?;
+        value
+            .to_str()
+            .map_err(|_| format!("{name} is not plain text"))
     };
     let name = text("x-trace-id")?;
     if !is_name(name) {
         return Err("X-Trace-Id is not a plain name".into());
     }
-    let mut ask = Ask { session: Some(key(text("x-object")?)), ..Ask::default() };
+    let mut ask = Ask {
+        session: Some(key(text("x-object")?)),
+        ..Ask::default()
+    };
     let class = text("x-qos")?;
-    ask.class = site.classes.known(class).ok_or_else(|| format!("unknown class {class:?}"))? as usize;
+    ask.class = site
+        .classes
+        .known(class)
+        .ok_or_else(|| format!("unknown class {class:?}"))? as usize;
     if !site.settings.tenants.is_empty() {
         let tenant = text("x-customer")?;
-        let number = site.tenants.known(tenant).ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
+        let number = site
+            .tenants
+            .known(tenant)
+            .ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
         ask.tenant = Some(number as usize);
     }
-    let expires: u32 = text("x-expires-in-ms")?.parse().map_err(|_| "X-Expires-In-Ms is not a number")?;
+    let expires: u32 = text("x-expires-in-ms")?
+        .parse()
+        .map_err(|_| "X-Expires-In-Ms is not a number")?;
     ask.expires_in = micros(f64::from(expires));
     parse_props(text("x-props")?, &mut ask)?;
     Ok((name.into(), ask))
@@ -99,7 +123,12 @@
 
 fn refused(after: Duration) -> Response {
     let after = format!("{:.3}", after.as_secs_f64());
-    (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, after)], "refused\n").into_response()
+    (
+        StatusCode::SERVICE_UNAVAILABLE,
+        [(header::RETRY_AFTER, after)],
+        "refused\n",
+    )
+        .into_response()
 }
 
 async fn complete(State(shared): State<Shared>, request: Request) -> Response {
@@ -113,7 +142,9 @@
             return says(StatusCode::BAD_REQUEST, error);
         }
     };
-    let length = http_body::Body::size_hint(&body).exact().unwrap_or(MOST_BODY as u64);
+    let length = http_body::Body::size_hint(&body)
+        .exact()
+        .unwrap_or(MOST_BODY as u64);
     if length > MOST_BODY as u64 {
         return says(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 256 KiB");
     }
@@ -131,14 +162,35 @@
         Err(_) => return says(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
     let exit = head.extensions.get::<SharedExit>().cloned();
-    let target = head.uri.path_and_query().map_or("/", |target| target.as_str());
-    let work = Work { name, target: target.into(), body };
-    ask.expires_in = ask.expires_in.saturating_sub(came.elapsed().as_micros() as u64);
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("/", |target| target.as_str());
+    let work = Work {
+        name,
+        target: target.into(),
+        body,
+    };
+    ask.expires_in = ask
+        .expires_in
+        .saturating_sub(came.elapsed().as_micros() as u64);
     let (ticket, answered) = shared.door.ask(ask, work).await;
     match answered.await {
         Ok(Answer::Served(pieces)) => {
-            let body = Body::new(Pieces { pieces, ended: false, broken: false, exit, _ticket: ticket });
-            ([(header::CONTENT_TYPE, "text/event-stream"), (header::CACHE_CONTROL, "no-cache")], body)
+            let body = Body::new(Pieces {
+                pieces,
+                ended: false,
+                broken: false,
+                exit,
+                _ticket: ticket,
+            });
+            (
+                [
+                    (header::CONTENT_TYPE, "text/event-stream"),
+                    (header::CACHE_CONTROL, "no-cache"),
+                ],
+                body,
+            )
                 .into_response()
         }
         Ok(Answer::Refused(after)) => refused(after),
@@ -163,7 +215,8 @@
     type Error = io::Error;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if self.ended {
             return Poll::Ready(None);
--- a/src/fronts/room.rs
+++ b/src/fronts/room.rs
@@ -46,19 +46,27 @@
 
     /// Room for a body of this length; waits for it.
     pub async fn wait(&self, bytes: usize) -> Option<Room> {
-        self.0.take(kilobytes(bytes)).await.map(|place| Room { place })
+        self.0
+            .take(kilobytes(bytes))
+            .await
+            .map(|place| Room { place })
     }
 
     /// Room for a body of this length, if there is some now.
     pub fn at_once(&self, bytes: usize) -> Option<Room> {
-        self.0.take_now(kilobytes(bytes)).map(|place| Room { place })
+        self.0
+            .take_now(kilobytes(bytes))
+            .map(|place| Room { place })
     }
 }
 
 impl Room {
     /// The body, with as much of the room as it needs: that is free again when nobody holds the body any more.
     pub fn keep(mut self, body: Bytes) -> Bytes {
-        let spare = self.place.num_permits().saturating_sub(kilobytes(body.len()) as usize);
+        let spare = self
+            .place
+            .num_permits()
+            .saturating_sub(kilobytes(body.len()) as usize);
         drop(self.place.split(spare));
         Bytes::from_owner(Kept { body, _room: self })
     }
--- a/src/fronts/websocket.rs
+++ b/src/fronts/websocket.rs
@@ -69,9 +69,13 @@
 
 /// Reads a terminal's message. The error says what is wrong, and with which id where one could be read.
 pub fn parse(text: &str, site: &Site) -> Result<Call, (Option<String>, String)> {
-    let said: Said = json::from_str(text).map_err(|_| (None, "not a message of the session".into()))?;
-    let id =
-        said.id.clone().filter(|id| is_name(id)).ok_or((None, "id is missing or no plain name".into()))?;
+    let said: Said =
+        json::from_str(text).map_err(|_| (None, "not a message of the session".into()))?;
+    let id = said
+        .id
+        .clone()
+        .filter(|id| is_name(id))
+        .ok_or((None, "id is missing or no plain name".into()))?;
     match said.kind.as_str() {
         "cancel" => Ok(Call::Cancel(id)),
         "request" => match request(said, site) {
@@ -84,12 +88,18 @@
 
 fn request(said: Said, site: &Site) -> Result<(Ask, Bytes), String> {
     let class = said.class.ok_or("class is missing")?;
-    let class = site.classes.known(&class).ok_or_else(|| format!("unknown class {class:?}"))? as usize;
+    let class = site
+        .classes
+        .known(&class)
+        .ok_or_else(|| format!("unknown class {class:?}"))? as usize;
     let tenant = match (said.tenant, site.settings.tenants.is_empty()) {
         (_, true) => None,
         (None, false) => return Err("tenant is missing".into()),
         (Some(tenant), false) => {
-            let number = site.tenants.known(&tenant).ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
+            let number = site
+                .tenants
+                .known(&tenant)
+                .ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
             Some(number as usize)
         }
     };
@@ -98,7 +108,9 @@
         tenant,
         session: Some(key(&said.session.ok_or("session is missing")?)),
         prefix: said.prefix.as_deref().map(key),
-        expires_in: micros(f64::from(said.expires_in_ms.ok_or("expires_in_ms is missing")?)),
+        expires_in: micros(f64::from(
+            said.expires_in_ms.ok_or("expires_in_ms is missing")?,
+        )),
         prompt: f64::from(said.prompt_len.ok_or("prompt_len is missing")?),
         prefix_tokens: f64::from(said.prefix_len.unwrap_or(0)),
         max_tokens: f64::from(said.max_out.ok_or("max_out is missing")?),
@@ -171,9 +183,14 @@
             if self.order.len() <= options.record_entries && self.text <= options.record_bytes {
                 break;
             }
-            let Some(oldest) = self.order.pop_front() else { break };
+            let Some(oldest) = self.order.pop_front() else {
+                break;
+            };
             match self.by_key.get(&oldest) {
-                Some(Record { stage: Stage::Live(_), .. }) => self.order.push_back(oldest),
+                Some(Record {
+                    stage: Stage::Live(_),
+                    ..
+                }) => self.order.push_back(oldest),
                 Some(record) => {
                     self.text -= Self::text_of(record);
                     self.by_key.remove(&oldest);
@@ -217,7 +234,11 @@
 impl Shared {
     /// What sessions share. `seed` makes the names under which nodes know requests differ between starts.
     pub fn new(
-        door: Door, options: Arc<Sessions>, rooms: Rooms, seed: u64, stop: watch::Receiver<Course>,
+        door: Door,
+        options: Arc<Sessions>,
+        rooms: Rooms,
+        seed: u64,
+        stop: watch::Receiver<Course>,
         log: Logger,
     ) -> Self {
         Shared {
@@ -236,7 +257,10 @@
 
     /// Waits until all sessions are over.
     pub async fn over(&self) {
-        let _ = self.places.acquire_many(self.options.most_sessions as u32).await;
+        let _ = self
+            .places
+            .acquire_many(self.options.most_sessions as u32)
+            .await;
     }
 
     fn stands(&self) -> MutexGuard<'_, HashMap<u64, Arc<Stand>>> {
@@ -251,12 +275,18 @@
         }
         let longest = {
             let stands = self.stands();
-            let idle =
-                stands.values().filter(|it| it.places.available_permits() == self.options.most_requests);
-            idle.min_by_key(|it| *it.since()).filter(|it| it.since().elapsed() >= SPARED_TIME).cloned()
+            let idle = stands
+                .values()
+                .filter(|it| it.places.available_permits() == self.options.most_requests);
+            idle.min_by_key(|it| *it.since())
+                .filter(|it| it.since().elapsed() >= SPARED_TIME)
+                .cloned()
         };
         longest?.close.notify_one();
-        timeout(ROOM_TIME, self.places.clone().acquire_owned()).await.ok()?.ok()
+        timeout(ROOM_TIME, self.places.clone().acquire_owned())
+            .await
+            .ok()?
+            .ok()
     }
 
     fn records(&self) -> MutexGuard<'_, Records> {
@@ -266,7 +296,9 @@
 
 /// The front's routes: sessions at `/v1/sessions`.
 pub fn routes(shared: Shared) -> Router {
-    Router::new().route("/v1/sessions", get(upgrade)).with_state(shared)
+    Router::new()
+        .route("/v1/sessions", get(upgrade))
+        .with_state(shared)
 }
 
 async fn upgrade(State(shared): State<Shared>, upgrade: WebSocketUpgrade) -> Response {
@@ -277,11 +309,21 @@
         return (StatusCode::SERVICE_UNAVAILABLE, "too many sessions\n").into_response();
     };
     let most = shared.options.most_message;
-    let upgrade = upgrade.max_message_size(most).max_frame_size(most).read_buffer_size(BUFFER);
+    let upgrade = upgrade
+        .max_message_size(most)
+        .max_frame_size(most)
+        .read_buffer_size(BUFFER);
     upgrade.on_upgrade(move |socket| async move {
         let places = Arc::new(Semaphore::new(shared.options.most_requests));
-        let stand = Stand { since: Mutex::new(Instant::now()), places, close: Notify::new() };
-        let (number, stand) = (shared.names.fetch_add(1, Ordering::Relaxed), Arc::new(stand));
+        let stand = Stand {
+            since: Mutex::new(Instant::now()),
+            places,
+            close: Notify::new(),
+        };
+        let (number, stand) = (
+            shared.names.fetch_add(1, Ordering::Relaxed),
+            Arc::new(stand),
+        );
         shared.stands().insert(number, stand.clone());
         session(&shared, &stand, socket).await;
         shared.stands().remove(&number);
@@ -294,7 +336,10 @@
 }
 
 fn said(kind: &str, id: &str, rest: &str) -> Message {
-    text(format!("{{\"type\":\"{kind}\",\"id\":{}{rest}}}", json::to_string(id)))
+    text(format!(
+        "{{\"type\":\"{kind}\",\"id\":{}{rest}}}",
+        json::to_string(id)
+    ))
 }
 
 fn event(id: &str, data: &str) -> Message {
@@ -302,11 +347,19 @@
 }
 
 fn failed(id: &str, reason: &str) -> Message {
-    said("failed", id, &format!(",\"reason\":{}", json::to_string(reason)))
+    said(
+        "failed",
+        id,
+        &format!(",\"reason\":{}", json::to_string(reason)),
+    )
 }
 
 fn refused(id: &str, after: Duration) -> Message {
-    said("refused", id, &format!(",\"retry_after_ms\":{}", after.as_micros().div_ceil(1000)))
+    said(
+        "refused",
+        id,
+        &format!(",\"retry_after_ms\":{}", after.as_micros().div_ceil(1000)),
+    )
 }
 
 /// One socket: reads calls, writes answers, pings, and ends it with the close code that fits.
@@ -371,7 +424,10 @@
         }
     };
     if let Some((code, reason)) = code {
-        let close = Message::Close(Some(CloseFrame { code, reason: reason.into() }));
+        let close = Message::Close(Some(CloseFrame {
+            code,
+            reason: reason.into(),
+        }));
         let _ = timeout(Duration::from_secs(1), async {
             socket.send(close).await.ok()?;
             // The client's own close ends the handshake; what it still sends is read and left.
@@ -393,8 +449,12 @@
 
 /// Does what a message asks for; what can be answered at once is returned.
 fn call(
-    shared: &Shared, text_said: &str, outgoing: &Outgoing, places: &Arc<Semaphore>,
-    cancels: &mut HashMap<String, mpsc::Sender<()>>, stopping: bool,
+    shared: &Shared,
+    text_said: &str,
+    outgoing: &Outgoing,
+    places: &Arc<Semaphore>,
+    cancels: &mut HashMap<String, mpsc::Sender<()>>,
+    stopping: bool,
 ) -> Option<Message> {
     let site = shared.door.site();
     let (id, ask, body) = match parse(text_said, &site) {
@@ -407,11 +467,18 @@
         }
         Err((Some(id), reason)) => return Some(failed(&id, &reason)),
         Err((None, reason)) => {
-            return Some(text(format!("{{\"type\":\"error\",\"reason\":{}}}", json::to_string(&reason))));
+            return Some(text(format!(
+                "{{\"type\":\"error\",\"reason\":{}}}",
+                json::to_string(&reason)
+            )));
         }
     };
     // By name: a tenant's number may be another's when settings change.
-    let key: Key = (ask.tenant.map(|tenant| site.tenants.name(tenant as u32).to_owned()), id);
+    let key: Key = (
+        ask.tenant
+            .map(|tenant| site.tenants.name(tenant as u32).to_owned()),
+        id,
+    );
     let now = Instant::now();
     let mut records = shared.records();
     let deadline = match records.by_key.get(&key) {
@@ -422,7 +489,9 @@
                 Stage::Live(task) => match task.try_send(outgoing.clone()) {
                     Ok(()) => return None,
                     // Its task has not yet come to the sessions that asked before: no final message, for it lives.
-                    Err(_) => return Some(said("error", &key.1, ",\"reason\":\"asked too often\"")),
+                    Err(_) => {
+                        return Some(said("error", &key.1, ",\"reason\":\"asked too often\""))
+                    }
                 },
                 Stage::Done(Outcome::Served(None)) => {
                     return Some(said("served", &key.1, ",\"recorded\":true,\"whole\":false"));
@@ -441,7 +510,9 @@
                 Stage::Done(Outcome::Refused(again)) if now < *again || now >= deadline => {
                     return Some(refused(&key.1, again.saturating_duration_since(now)));
                 }
-                Stage::Left if now >= deadline => return Some(failed(&key.1, "its deadline has passed")),
+                Stage::Left if now >= deadline => {
+                    return Some(failed(&key.1, "its deadline has passed"))
+                }
                 Stage::Done(Outcome::Refused(_)) | Stage::Left => deadline,
             }
         }
@@ -450,7 +521,10 @@
         return Some(refused(&key.1, Duration::ZERO));
     }
     // Over the bounds of the session or of the memory, nothing is done: the same id may come again.
-    let bounds = (places.clone().try_acquire_owned(), shared.rooms.at_once(body.len()));
+    let bounds = (
+        places.clone().try_acquire_owned(),
+        shared.rooms.at_once(body.len()),
+    );
     let (Ok(place), Some(room)) = bounds else {
         return Some(refused(&key.1, BUSY));
     };
@@ -458,7 +532,13 @@
     let (attach, attached) = mpsc::channel(ATTACHING);
     let (cancel, cancelled) = mpsc::channel(1);
     cancels.insert(key.1.clone(), cancel);
-    records.insert(key.clone(), Record { deadline, stage: Stage::Live(attach) });
+    records.insert(
+        key.clone(),
+        Record {
+            deadline,
+            stage: Stage::Live(attach),
+        },
+    );
     let conversation = Conversation {
         shared: shared.clone(),
         key,
@@ -506,7 +586,9 @@
             let outcome = match tried {
                 Tried::Final(outcome) => outcome,
                 // What may have run is never sent again, unless its class allows a repeat.
-                Tried::Left(true) if !safe => Outcome::Failed("the session closed; it may have run"),
+                Tried::Left(true) if !safe => {
+                    Outcome::Failed("the session closed; it may have run")
+                }
                 Tried::Left(_) => {
                     let mut records = self.shared.records();
                     // Under the lock, so that a session that asks now finds either this task or `Left`.
@@ -530,11 +612,15 @@
             let id = &self.key.1;
             let last = match &outcome {
                 Outcome::Served(_) => said("served", id, ""),
-                Outcome::Refused(again) => refused(id, again.saturating_duration_since(Instant::now())),
+                Outcome::Refused(again) => {
+                    refused(id, again.saturating_duration_since(Instant::now()))
+                }
                 Outcome::Failed(reason) => failed(id, reason),
             };
             let _ = self.out.send(last.clone()).await;
-            self.shared.records().finish(&self.key, Stage::Done(outcome), &self.shared.options);
+            self.shared
+                .records()
+                .finish(&self.key, Stage::Done(outcome), &self.shared.options);
             // From here on a session that asks finds the record; one that asked just before is answered too.
             while let Ok(out) = self.attached.try_recv() {
                 if !self.text.is_empty() {
@@ -552,15 +638,33 @@
         let shared = self.shared.clone();
         let reattach = Duration::from_millis(shared.options.reattach_ms);
         // A request that waited for its terminal may find its class's number given to another.
-        let class = shared.door.site().settings.classes.get(self.ask.class).cloned();
-        if class.is_none_or(|class| Class { open: true, ..class } != self.class) {
+        let class = shared
+            .door
+            .site()
+            .settings
+            .classes
+            .get(self.ask.class)
+            .cloned();
+        if class.is_none_or(|class| {
+            Class {
+                open: true,
+                ..class
+            } != self.class
+        }) {
             return Tried::Final(Outcome::Failed("its class is gone"));
         }
         let number = shared.names.fetch_add(1, Ordering::Relaxed);
         let name = format!("ws-{:016x}-{number}", shared.boot);
         let left = self.deadline.saturating_duration_since(Instant::now());
-        let ask = Ask { expires_in: left.as_micros() as u64, ..self.ask.clone() };
-        let work = Work { name: name.into(), target: "/v1/chat/completions".into(), body: self.body.clone() };
+        let ask = Ask {
+            expires_in: left.as_micros() as u64,
+            ..self.ask.clone()
+        };
+        let work = Work {
+            name: name.into(),
+            target: "/v1/chat/completions".into(),
+            body: self.body.clone(),
+        };
         let (ticket, mut answered) = shared.door.ask(ask, work).await;
         let mut lost: Option<Instant> = None;
         let mut stream: Option<mpsc::Receiver<Piece>> = None;
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -95,7 +95,9 @@
 
     /// A request has come: a little more may be told.
     pub fn request(&mut self) {
-        let save = |left: f64, earned: f64| (left + earned).min((SAVED * earned).max((HEAD + NOTE) as f64));
+        let save = |left: f64, earned: f64| {
+            (left + earned).min((SAVED * earned).max((HEAD + NOTE) as f64))
+        };
         self.left = save(self.left, self.earned);
         self.left_for_loads = save(self.left_for_loads, self.earned * ON_LOADS);
     }
@@ -106,7 +108,10 @@
     }
 
     fn believe(&mut self, now: Time, server: ServerId, in_flight: f64) -> f64 {
-        let before = self.believed.insert(server, (in_flight, now)).filter(|(_, at)| at + BELIEVED > now);
+        let before = self
+            .believed
+            .insert(server, (in_flight, now))
+            .filter(|(_, at)| at + BELIEVED > now);
         let usual = self.usual;
         self.usual += 0.05 * (in_flight - usual);
         before.map_or(usual, |(before, _)| before)
@@ -114,12 +119,18 @@
 
     /// A server's own report; it is told on if it would surprise the others.
     pub fn report(&mut self, now: Time, server: ServerId, hash: u64, load: &Load) {
-        let Some(in_flight) = load.in_flight.filter(|it| *it >= 0.0) else { return };
+        let Some(in_flight) = load.in_flight.filter(|it| *it >= 0.0) else {
+            return;
+        };
         let before = self.believe(now, server, in_flight);
         let off = (in_flight - before).abs();
         if self.receivers >= 1.0 && off > OFF && off > OFF_PART * before {
             let memory = load.memory.unwrap_or(0.0).clamp(0.0, 1.0) * MEMORY_SCALE;
-            self.note(key(hash), in_flight.min(MOST_IN_FLIGHT).round() as u8, memory.round() as u8);
+            self.note(
+                key(hash),
+                in_flight.min(MOST_IN_FLIGHT).round() as u8,
+                memory.round() as u8,
+            );
         }
     }
 
@@ -133,7 +144,12 @@
         let failed = what == FAILED;
         let full = self.pending.len() >= (LONGEST - HEAD) / NOTE;
         // A failure takes a load's place.
-        let load = self.pending.keys().find(|(_, failed)| !failed).filter(|_| full && failed).copied();
+        let load = self
+            .pending
+            .keys()
+            .find(|(_, failed)| !failed)
+            .filter(|_| full && failed)
+            .copied();
         if let Some(load) = load {
             self.pending.remove(&load);
         }
@@ -167,17 +183,33 @@
     }
 
     /// What a message from another dispatcher says.
-    pub fn hear(&mut self, now: Time, from: usize, message: &[u8]) -> Result<Vec<Observation>, Dropped> {
+    pub fn hear(
+        &mut self,
+        now: Time,
+        from: usize,
+        message: &[u8],
+    ) -> Result<Vec<Observation>, Dropped> {
         let read = self.read(now, from, message);
         self.dropped += u64::from(read.is_err());
         read
     }
 
-    fn read(&mut self, now: Time, from: usize, message: &[u8]) -> Result<Vec<Observation>, Dropped> {
+    fn read(
+        &mut self,
+        now: Time,
+        from: usize,
+        message: &[u8],
+    ) -> Result<Vec<Observation>, Dropped> {
         let (head, notes) = message.split_at_checked(HEAD).ok_or(Dropped::Spoilt)?;
-        let spoilt =
-            head[0] != MARK || notes.is_empty() || notes.len() % NOTE != 0 || message.len() > LONGEST;
-        let last = self.last.get_mut(from).filter(|_| !spoilt).ok_or(Dropped::Spoilt)?;
+        let spoilt = head[0] != MARK
+            || notes.is_empty()
+            || notes.len() % NOTE != 0
+            || message.len() > LONGEST;
+        let last = self
+            .last
+            .get_mut(from)
+            .filter(|_| !spoilt)
+            .ok_or(Dropped::Spoilt)?;
         let sent = u16::from_be_bytes([head[1], head[2]]);
         let age = ((now / TICK) as u16).wrapping_sub(sent) as i16;
         if !(NEWEST..=OLDEST).contains(&age) {
@@ -195,7 +227,10 @@
                 memory: Some((f64::from(note[4]) / MEMORY_SCALE).min(1.0)),
                 ..Load::default()
             });
-            Observation { key: u32::from_be_bytes([0, note[0], note[1], note[2]]), load }
+            Observation {
+                key: u32::from_be_bytes([0, note[0], note[1], note[2]]),
+                load,
+            }
         };
         Ok(notes.chunks_exact(NOTE).map(observation).collect())
     }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -40,8 +40,11 @@
 #[allow(unsafe_code)]
 pub fn inherited(descriptor: &str) -> Result<std::net::TcpListener, String> {
     use std::os::fd::{FromRawFd, IntoRawFd};
-    let wrong = |error: &dyn std::fmt::Display| format!("the inherited socket {descriptor:?}: {error}");
-    let number: i32 = descriptor.parse().map_err(|_| wrong(&"not the number of a descriptor"))?;
+    let wrong =
+        |error: &dyn std::fmt::Display| format!("the inherited socket {descriptor:?}: {error}");
+    let number: i32 = descriptor
+        .parse()
+        .map_err(|_| wrong(&"not the number of a descriptor"))?;
     if number < 3 {
         return Err(wrong(&"not the number of a descriptor that is handed on"));
     }
@@ -49,7 +52,9 @@
     // nothing here has it from elsewhere: this runs once, before anything else opens one. If that word is wrong, the
     // number is not open, or no listening socket: then it is given back untouched below, before it can be closed.
     let socket = unsafe { socket2::Socket::from_raw_fd(number) };
-    match socket.is_listener().and_then(|listens| Ok((listens, socket.set_nonblocking(true)?)).map(|it| it.0))
+    match socket
+        .is_listener()
+        .and_then(|listens| Ok((listens, socket.set_nonblocking(true)?)).map(|it| it.0))
     {
         Ok(true) => Ok(socket.into()),
         Ok(false) => {
@@ -78,18 +83,33 @@
 
 /// The file of bans, as text.
 fn marks_text(marks: &Marks) -> String {
-    let line =
-        |(id, mark): (&Arc<str>, &Mark)| MarkLine { id: id.to_string(), at: mark.at, banned: mark.banned };
-    json::to_string(&MarkFile { version: 1, marks: marks.iter().map(line).collect() })
+    let line = |(id, mark): (&Arc<str>, &Mark)| MarkLine {
+        id: id.to_string(),
+        at: mark.at,
+        banned: mark.banned,
+    };
+    json::to_string(&MarkFile {
+        version: 1,
+        marks: marks.iter().map(line).collect(),
+    })
 }
 
 /// Reads the file of bans; the error is one line.
 fn parse_marks(text: &str) -> Result<Marks, String> {
-    let file: MarkFile = json::from_str(text).map_err(|_| "not the JSON object that is expected")?;
+    let file: MarkFile =
+        json::from_str(text).map_err(|_| "not the JSON object that is expected")?;
     if file.version != 1 {
         return Err(format!("unknown version {}", file.version));
     }
-    let mark = |line: MarkLine| (Arc::from(line.id), Mark { at: line.at, banned: line.banned });
+    let mark = |line: MarkLine| {
+        (
+            Arc::from(line.id),
+            Mark {
+                at: line.at,
+                banned: line.banned,
+            },
+        )
+    };
     Ok(file.marks.into_iter().map(mark).collect())
 }
 
@@ -108,9 +128,14 @@
 
 /// When a process started, in the order of them, and its number, by the name of its notice.
 fn born_and_process(name: &str, file_name: &str) -> (Option<u64>, Option<u32>) {
-    let rest = file_name.strip_prefix(name).and_then(|rest| rest.strip_prefix('-')?.strip_suffix(NOTICE));
+    let rest = file_name
+        .strip_prefix(name)
+        .and_then(|rest| rest.strip_prefix('-')?.strip_suffix(NOTICE));
     let parts = rest.and_then(|rest| rest.split_once('-'));
-    (parts.and_then(|(born, _)| born.parse().ok()), parts.and_then(|(_, process)| process.parse().ok()))
+    (
+        parts.and_then(|(born, _)| born.parse().ok()),
+        parts.and_then(|(_, process)| process.parse().ok()),
+    )
 }
 
 /// Where the youngest living process of this name stands in the order, if any lives.
@@ -119,9 +144,15 @@
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         let file_name = path.file_name().and_then(|it| it.to_str()).unwrap_or("");
-        let Some(born) = born_and_process(name, file_name).0 else { continue };
+        let Some(born) = born_and_process(name, file_name).0 else {
+            continue;
+        };
         let is_held = File::open(&path).is_ok_and(|file| file.try_lock_shared().is_err());
-        youngest = if is_held { youngest.max(Some(born)) } else { youngest };
+        youngest = if is_held {
+            youngest.max(Some(born))
+        } else {
+            youngest
+        };
     }
     Ok(youngest)
 }
@@ -171,11 +202,21 @@
         let youngest = born_of_living(folder, &name)?;
         let born = youngest.map_or(now, |youngest| now.max(youngest.saturating_add(1)));
         let unique = format!("{name}-{born:020}-{}", std::process::id());
-        let (hidden, path) =
-            (folder.join(format!("{unique}{NEW_NOTICE}")), folder.join(format!("{unique}{NOTICE}")));
-        let file = File::options().read(true).write(true).create_new(true).open(&hidden)?;
+        let (hidden, path) = (
+            folder.join(format!("{unique}{NEW_NOTICE}")),
+            folder.join(format!("{unique}{NOTICE}")),
+        );
+        let file = File::options()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(&hidden)?;
         file.try_lock().map_err(io::Error::from)?;
-        let own = Notice { born, phase: Phase::Starting, part: shares::START };
+        let own = Notice {
+            born,
+            phase: Phase::Starting,
+            part: shares::START,
+        };
         let folder = folder.to_owned();
         let mut handover = Handover {
             folder,
@@ -215,15 +256,22 @@
     /// Reads the others' notices and removes those of dead processes.
     fn look(&mut self) -> io::Result<()> {
         let looked = fs::metadata(&self.folder)?.modified()?;
-        let (mut others, mut unfinished, mut living) = (Vec::new(), Vec::new(), vec![std::process::id()]);
+        let (mut others, mut unfinished, mut living) =
+            (Vec::new(), Vec::new(), vec![std::process::id()]);
         for entry in fs::read_dir(&self.folder)? {
             let path = entry?.path();
-            let file_name = path.file_name().and_then(|name| name.to_str()).unwrap_or("");
+            let file_name = path
+                .file_name()
+                .and_then(|name| name.to_str())
+                .unwrap_or("");
             if path == self.path || !file_name.starts_with(&self.name) {
                 continue;
             }
             if let Some(rest) = file_name.strip_suffix(NEW_BANS) {
-                let process = rest.rsplit('-').next().and_then(|it| it.parse::<u32>().ok());
+                let process = rest
+                    .rsplit('-')
+                    .next()
+                    .and_then(|it| it.parse::<u32>().ok());
                 unfinished.push((process, path));
                 continue;
             }
@@ -231,7 +279,9 @@
                 continue;
             }
             let (born, process) = born_and_process(&self.name, file_name);
-            let Ok(mut file) = File::open(&path) else { continue };
+            let Ok(mut file) = File::open(&path) else {
+                continue;
+            };
             match file.try_lock_shared() {
                 Ok(()) => {
                     let _ = fs::remove_file(&path);
@@ -243,7 +293,11 @@
                     let mut line = String::new();
                     let _ = file.read_to_string(&mut line);
                     // One that can't be read may be using all that an older process may.
-                    let unread = Notice { born: born.unwrap_or(0), phase: Phase::Serving, part: 15 };
+                    let unread = Notice {
+                        born: born.unwrap_or(0),
+                        phase: Phase::Serving,
+                        part: 15,
+                    };
                     others.push(Notice::parse(&line).unwrap_or(unread));
                     living.extend(process);
                 }
@@ -251,7 +305,8 @@
             }
         }
         // What a process was writing when it was killed is of no use to anybody.
-        let is_dead = |process: &Option<u32>| process.is_none_or(|process| !living.contains(&process));
+        let is_dead =
+            |process: &Option<u32>| process.is_none_or(|process| !living.contains(&process));
         for (_, path) in unfinished.iter().filter(|(process, _)| is_dead(process)) {
             let _ = fs::remove_file(path);
         }
@@ -263,8 +318,9 @@
     /// Whether anything can have changed since the last look: while alone, only a new file.
     fn is_new(&self) -> bool {
         let modified = fs::metadata(&self.folder).and_then(|it| it.modified()).ok();
-        let is_as_it_was =
-            |(at, looked): (SystemTime, Instant)| modified == Some(at) && looked.elapsed() < LOOK_AT_LEAST;
+        let is_as_it_was = |(at, looked): (SystemTime, Instant)| {
+            modified == Some(at) && looked.elapsed() < LOOK_AT_LEAST
+        };
         !self.others.is_empty() || !self.looked.is_some_and(is_as_it_was)
     }
 
@@ -274,7 +330,12 @@
             part: self.own.part,
             processes: 1 + self.others.len() as u32,
             predecessor: self.others.iter().any(|other| other.born < self.own.born),
-            successor: self.others.iter().map(|other| other.born).filter(|born| *born > self.own.born).max(),
+            successor: self
+                .others
+                .iter()
+                .map(|other| other.born)
+                .filter(|born| *born > self.own.born)
+                .max(),
         }
     }
 
@@ -305,8 +366,11 @@
     pub fn new_bans(&mut self) -> Option<Marks> {
         let path = self.bans_path();
         let metadata = fs::metadata(&path).ok()?;
-        let stamp =
-            FileStamp { inode: metadata.ino(), length: metadata.len(), modified: metadata.modified().ok()? };
+        let stamp = FileStamp {
+            inode: metadata.ino(),
+            length: metadata.len(),
+            modified: metadata.modified().ok()?,
+        };
         if self.bans_read == Some(stamp) {
             return None;
         }
@@ -333,7 +397,9 @@
 
     /// Writes the file of bans beside and renames it: nobody reads half of it.
     fn write_bans(&self, marks: &Marks) -> io::Result<()> {
-        let hidden = self.folder.join(format!("{}-{}{NEW_BANS}", self.name, std::process::id()));
+        let hidden = self
+            .folder
+            .join(format!("{}-{}{NEW_BANS}", self.name, std::process::id()));
         let mut file = File::create(&hidden)?;
         file.write_all(marks_text(marks).as_bytes())?;
         file.sync_all()?;
@@ -369,7 +435,10 @@
 
 /// Looks after the files for as long as the process runs. `phase` is what it is doing.
 pub async fn run(
-    mut handover: Handover, limits: impl Limits, door: Door, mut phase: watch::Receiver<Phase>,
+    mut handover: Handover,
+    limits: impl Limits,
+    door: Door,
+    mut phase: watch::Receiver<Phase>,
     view: watch::Sender<View>,
 ) {
     let mut own_bans = door.marks();
@@ -384,14 +453,22 @@
         let said = *phase.borrow_and_update();
         let wanted = shares::wanted(&handover.own, &handover.others);
         let used = limits.set(wanted);
-        let own = Notice { phase: said, part: wanted.max(used.min(handover.own.part)), ..handover.own };
+        let own = Notice {
+            phase: said,
+            part: wanted.max(used.min(handover.own.part)),
+            ..handover.own
+        };
         if own != handover.own {
             info!(log, "share of the limits"; "part" => own.part, "phase" => ?own.phase, "others" => handover.others.len());
         }
         handover.publish(own);
         let now = handover.view();
         if view.send_if_modified(|old| std::mem::replace(old, now) != now) {
-            door.tell_first(Event::Share { part: wanted, processes: now.processes }).await;
+            door.tell_first(Event::Share {
+                part: wanted,
+                processes: now.processes,
+            })
+            .await;
         }
 
         if let Some(marks) = handover.new_bans() {
@@ -406,7 +483,11 @@
                 Err(error) => handover.notes("bans", Err(error)),
             }
         }
-        let pause = if handover.others.is_empty() { ALONE } else { BESIDE };
+        let pause = if handover.others.is_empty() {
+            ALONE
+        } else {
+            BESIDE
+        };
         tokio::select! {
             () = sleep(pause) => {}
             Ok(()) = own_bans.changed() => {}
--- a/src/handover/shares.rs
+++ b/src/handover/shares.rs
@@ -45,7 +45,8 @@
     /// Reads a notice.
     pub fn parse(line: &str) -> Option<Notice> {
         let mut words = line.strip_suffix('\n')?.split_ascii_whitespace();
-        let (version, born, phase, part) = (words.next()?, words.next()?, words.next()?, words.next()?);
+        let (version, born, phase, part) =
+            (words.next()?, words.next()?, words.next()?, words.next()?);
         let phase = match phase {
             "starting" => Phase::Starting,
             "serving" => Phase::Serving,
@@ -53,7 +54,11 @@
             _ => return None,
         };
         let part = part.parse().ok().filter(|part| *part <= PARTS)?;
-        (version == "1" && words.next().is_none()).then_some(Notice { born: born.parse().ok()?, phase, part })
+        (version == "1" && words.next().is_none()).then_some(Notice {
+            born: born.parse().ok()?,
+            phase,
+            part,
+        })
     }
 }
 
@@ -62,7 +67,12 @@
 pub fn wanted(own: &Notice, others: &[Notice]) -> u32 {
     let youngest = others.iter().all(|other| other.born < own.born);
     if !youngest {
-        return if own.phase == Phase::Leaving { LEAVING } else { OLDER }.min(own.part.max(START));
+        return if own.phase == Phase::Leaving {
+            LEAVING
+        } else {
+            OLDER
+        }
+        .min(own.part.max(START));
     }
     let kept: u32 = others.iter().map(|other| other.part).sum();
     let rest = PARTS.saturating_sub(kept);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -46,7 +46,14 @@
 
 /// The least of an aim over the classes that are in use.
 fn least(settings: &Settings, of: fn(&Class) -> Time) -> Time {
-    settings.classes.iter().filter(|it| it.open).map(of).filter(|it| *it > 0).min().unwrap_or(REFIT)
+    settings
+        .classes
+        .iter()
+        .filter(|it| it.open)
+        .map(of)
+        .filter(|it| *it > 0)
+        .min()
+        .unwrap_or(REFIT)
 }
 
 fn blend(value: &mut f64, new: f64) {
@@ -133,10 +140,10 @@
     watching: bool,
     usual: f64,
     spare: f64,              // second copies and moves that may be made
-    home_match: Vec<f64>,    // per class: part of a prompt that its session's home was found to keep
+    home_match: Vec<f64>, // per class: part of a prompt that its session's home was found to keep
     usual_load: [Counts; 2], // told by servers that write, and by readers
-    quotas: Vec<Quota>,      // per tenant: this router's part
-    flow: [[f64; 2]; 3],     // by side, fading at each refit: FINISHED, BORNE, STARTED
+    quotas: Vec<Quota>,   // per tenant: this router's part
+    flow: [[f64; 2]; 3],  // by side, fading at each refit: FINISHED, BORNE, STARTED
     salt: u64,
 }
 
@@ -149,14 +156,33 @@
         let (aim, pace) = (seconds(pause), seconds(least(&settings, |it| it.token_aim)));
         let read = 1.5 * seconds(least(&settings, |it| it.aim_per_1000_tokens)).min(0.05 * aim);
         let covariance = SMatrix::identity() * COVARIANCE;
-        let prior = |weights, mean| Model { weights, covariance, samples: 0, mean, spread: mean };
+        let prior = |weights, mean| Model {
+            weights,
+            covariance,
+            samples: 0,
+            mean,
+            spread: mean,
+        };
         let models = [
-            prior(Inputs::new(0.02 * aim, 0.1 * aim, read, 0.02 * aim, read), 0.1 * aim),
-            prior(Inputs::new(0.02 * aim, 0.005 * aim, 0.1 * aim, 0.2 * read, 0.1 * read), 0.05 * aim),
-            prior(Inputs::new(0.3 * pace, 0.03 * pace, 0.2 * pace, 0.0, 0.0), 0.2 * pace),
+            prior(
+                Inputs::new(0.02 * aim, 0.1 * aim, read, 0.02 * aim, read),
+                0.1 * aim,
+            ),
+            prior(
+                Inputs::new(0.02 * aim, 0.005 * aim, 0.1 * aim, 0.2 * read, 0.1 * read),
+                0.05 * aim,
+            ),
+            prior(
+                Inputs::new(0.3 * pace, 0.03 * pace, 0.2 * pace, 0.0, 0.0),
+                0.2 * pace,
+            ),
         ];
         Router {
-            quotas: settings.tenants.iter().map(|it| Quota::new(it.quota_per_s / share, now)).collect(),
+            quotas: settings
+                .tenants
+                .iter()
+                .map(|it| Quota::new(it.quota_per_s / share, now))
+                .collect(),
             home_match: vec![HOME_MATCH; settings.classes.len()],
             settings,
             share,
@@ -197,14 +223,27 @@
             Event::EndBy(at) => {
                 self.ends_at = at;
                 let ids: Vec<RequestId> = self.requests.keys().copied().collect();
-                ids.into_iter().for_each(|id| self.with(id, |_, it| it.end_at = it.end_at.min(at)));
+                ids.into_iter()
+                    .for_each(|id| self.with(id, |_, it| it.end_at = it.end_at.min(at)));
             }
             Event::ListFailed => self.watching = false,
             Event::Request(ask) => self.arrive(ask),
-            Event::First { id, attempt } => self.with(id, |it, request| it.first(request, attempt as usize)),
-            Event::Outcome { id, attempt, server, status, closed, note, load } => {
+            Event::First { id, attempt } => {
+                self.with(id, |it, request| it.first(request, attempt as usize))
+            }
+            Event::Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                closed,
+                note,
+                load,
+            } => {
                 self.told_load(server, load);
-                self.with(id, |it, request| it.outcome(request, attempt as usize, status, closed, note));
+                self.with(id, |it, request| {
+                    it.outcome(request, attempt as usize, status, closed, note)
+                });
             }
             Event::Heard { server, load } => {
                 self.told_load(server, load);
@@ -219,20 +258,31 @@
             }),
             Event::Probed { server, ok, load } => {
                 self.told_load(server, load);
-                self.servers.entry(server).and_modify(|server| server.asked_at = None);
+                self.servers
+                    .entry(server)
+                    .and_modify(|server| server.asked_at = None);
                 if !ok {
                     self.blame(server, None, true);
                 }
             }
             Event::Wake => self.wake_at = self.wake_at.filter(|at| *at > self.now),
         }
-        while let Some((_, id)) = self.due.first().copied().filter(|(due, _)| *due <= self.now) {
+        while let Some((_, id)) = self
+            .due
+            .first()
+            .copied()
+            .filter(|(due, _)| *due <= self.now)
+        {
             self.with(id, Self::look_at);
         }
         if self.now >= self.next_refit {
             self.refit();
         }
-        let next = self.due.first().map_or(Time::MAX, |(due, _)| *due).min(self.next_refit);
+        let next = self
+            .due
+            .first()
+            .map_or(Time::MAX, |(due, _)| *due)
+            .min(self.next_refit);
         if self.wake_at.is_none_or(|at| next < at) {
             self.wake_at = Some(next);
             self.out.push(Action::Wake { at: next });
@@ -242,7 +292,9 @@
 
     /// Does something with a request, then sets when it is due next.
     fn with(&mut self, id: RequestId, act: impl FnOnce(&mut Self, &mut Request)) {
-        let Some(mut request) = self.requests.remove(&id) else { return };
+        let Some(mut request) = self.requests.remove(&id) else {
+            return;
+        };
         self.due.remove(&(request.due, id));
         act(self, &mut request);
         let over = request.answered && !request.out();
@@ -257,15 +309,24 @@
     }
 
     fn members(&mut self, complete: bool, entries: Vec<Entry>) {
-        self.servers.values_mut().take_while(|_| complete).for_each(|it| it.entry.state = State::Gone);
+        self.servers
+            .values_mut()
+            .take_while(|_| complete)
+            .for_each(|it| it.entry.state = State::Gone);
         for entry in entries {
             let mut old = self.servers.remove(&entry.server).unwrap_or_default();
             if old.entry.started != entry.started {
                 // A restarted server is a new one, but for what this router still has out there.
-                old = Server { own: old.own, waiting: old.waiting, sent: old.sent, ..Server::default() };
+                old = Server {
+                    own: old.own,
+                    waiting: old.waiting,
+                    sent: old.sent,
+                    ..Server::default()
+                };
                 self.prefixes.forget_server(entry.server);
             }
-            self.candidates.list(self.now, &entry, self.settings.warm_within);
+            self.candidates
+                .list(self.now, &entry, self.settings.warm_within);
             self.servers.insert(entry.server, Server { entry, ..old });
         }
         if complete {
@@ -275,7 +336,9 @@
 
     fn list_all(&mut self) {
         let (now, warm_within) = (self.now, self.settings.warm_within);
-        self.servers.values().for_each(|it| self.candidates.list(now, &it.entry, warm_within));
+        self.servers
+            .values()
+            .for_each(|it| self.candidates.list(now, &it.entry, warm_within));
     }
 
     /// New settings; what was learned stays. Requests under way have their class by its number.
@@ -283,7 +346,8 @@
         self.share = f64::from(settings.balancers.max(1));
         self.pause = least(&settings, |it| it.aim);
         self.home_match.resize(settings.classes.len(), HOME_MATCH);
-        self.quotas.resize(settings.tenants.len(), Quota::new(0.0, self.now));
+        self.quotas
+            .resize(settings.tenants.len(), Quota::new(0.0, self.now));
         let quotas = self.quotas.iter_mut().zip(&settings.tenants);
         quotas.for_each(|(quota, tenant)| quota.set_rate(tenant.quota_per_s / self.share));
         self.settings = settings;
@@ -291,7 +355,9 @@
     }
 
     fn told_load(&mut self, id: ServerId, load: Option<Load>) {
-        let (Some(server), Some(load)) = (self.servers.get_mut(&id), load) else { return };
+        let (Some(server), Some(load)) = (self.servers.get_mut(&id), load) else {
+            return;
+        };
         let told = [load.in_flight, load.to_read, load.memory];
         server.told = told.map(|told| told.filter(|it| (0.0..1e6).contains(it)));
         (server.told_at, server.own_then) = (Some(self.now), server.own);
@@ -303,29 +369,62 @@
     fn arrive(&mut self, ask: Ask) {
         let id = ask.id;
         let Some(class) = self.settings.classes.get(ask.class) else {
-            return self.out.push(Action::Fail { id, why: GiveUp::UnknownClass });
+            return self.out.push(Action::Fail {
+                id,
+                why: GiveUp::UnknownClass,
+            });
         };
         let (aim, worth) = (seconds(class.aim).max(1e-3), class.worth);
-        let aim_at = self.now + class.aim + (class.aim_per_1000_tokens as f64 * ask.prompt / 1000.0) as Time;
-        let worth = worth * if self.over_share(ask.tenant) { self.settings.over_share_worth } else { 1.0 };
-        let end_at = self.now.saturating_add(ask.expires_in).saturating_sub(2 * self.settings.tick);
+        let aim_at =
+            self.now + class.aim + (class.aim_per_1000_tokens as f64 * ask.prompt / 1000.0) as Time;
+        let worth = worth
+            * if self.over_share(ask.tenant) {
+                self.settings.over_share_worth
+            } else {
+                1.0
+            };
+        let end_at = self
+            .now
+            .saturating_add(ask.expires_in)
+            .saturating_sub(2 * self.settings.tick);
         self.spare = (self.spare + SPARE_PER_REQUEST).min(SPARE_MOST);
-        let (end_at, aim_at) = (end_at.min(self.ends_at), aim_at.min(end_at).min(self.ends_at));
+        let (end_at, aim_at) = (
+            end_at.min(self.ends_at),
+            aim_at.min(end_at).min(self.ends_at),
+        );
         self.prefixes.arrived(&ask);
-        self.requests.insert(id, Request { ask, end_at, aim, aim_at, worth, ..Request::default() });
+        self.requests.insert(
+            id,
+            Request {
+                ask,
+                end_at,
+                aim,
+                aim_at,
+                worth,
+                ..Request::default()
+            },
+        );
         self.with(id, Self::place);
     }
 
     fn cancel_all(&mut self, request: &mut Request, useless: impl Fn(&Attempt) -> bool) {
         for at in 0..request.attempts.len() {
             if request.attempts[at].out && useless(&request.attempts[at]) {
-                self.act(request, Action::Cancel { id: request.ask.id, attempt: at as u32 });
+                self.act(
+                    request,
+                    Action::Cancel {
+                        id: request.ask.id,
+                        attempt: at as u32,
+                    },
+                );
             }
         }
     }
 
     fn first(&mut self, request: &mut Request, at: usize) {
-        let Some(attempt) = request.attempts.get_mut(at).filter(|attempt| attempt.out) else { return };
+        let Some(attempt) = request.attempts.get_mut(at).filter(|attempt| attempt.out) else {
+            return;
+        };
         attempt.first_at = Some(self.now);
         self.observed(&request.ask, at, attempt, &attempt.choice.inputs);
         (request.begun, request.state_at, request.may_hold) = (true, None, false);
@@ -334,7 +433,9 @@
 
     /// A wait is over: corrects the server; teaches the shared model, but for cold servers.
     fn observed(&mut self, ask: &Ask, at: usize, attempt: &Attempt, inputs: &Inputs) {
-        let Some(server) = self.servers.get_mut(&attempt.choice.server) else { return };
+        let Some(server) = self.servers.get_mut(&attempt.choice.server) else {
+            return;
+        };
         server.waiting.remove(&(ask.id, at));
         server.begun = server.begun.max(attempt.sent);
         let health = server.health_mut(ask.class);
@@ -350,16 +451,32 @@
             model.learn(inputs, took);
         }
         let (bearing, any_warm) = self.candidates.bearing(side);
-        self.flow[BORNE][side as usize] += if warm >= 1.0 || !any_warm { 1.0 / bearing } else { 0.0 };
+        self.flow[BORNE][side as usize] += if warm >= 1.0 || !any_warm {
+            1.0 / bearing
+        } else {
+            0.0
+        };
         self.flow[FINISHED][side as usize] += 1.0;
     }
 
-    fn outcome(&mut self, request: &mut Request, at: usize, status: Status, closed: bool, note: f64) {
+    fn outcome(
+        &mut self,
+        request: &mut Request,
+        at: usize,
+        status: Status,
+        closed: bool,
+        note: f64,
+    ) {
         let (now, id) = (self.now, request.ask.id);
         request.answered |= closed;
-        let Some(attempt) = request.attempts.get_mut(at).filter(|attempt| attempt.out) else { return };
+        let Some(attempt) = request.attempts.get_mut(at).filter(|attempt| attempt.out) else {
+            return;
+        };
         attempt.out = false;
-        let never = matches!(status, Status::ConnectFailed | Status::Moot | Status::Rejected);
+        let never = matches!(
+            status,
+            Status::ConnectFailed | Status::Moot | Status::Rejected
+        );
         attempt.harmless |= never || status == Status::Full || attempt.stage == Stage::Read;
         let server = attempt.choice.server;
         if let Some(server) = self.servers.get_mut(&server) {
@@ -368,7 +485,8 @@
         }
         // A broken connection is one failure; that of a dead server is followed by one that does not open.
         let dead = status == Status::ConnectFailed;
-        let failed = matches!(status, Status::Reset | Status::Error) || status == Status::Full && note == 0.0;
+        let failed = matches!(status, Status::Reset | Status::Error)
+            || status == Status::Full && note == 0.0;
         if dead || failed || (status == Status::Timeout && attempt.check_at > 0) {
             let answered = matches!(status, Status::Error | Status::Full);
             self.blame(server, answered.then_some(request.ask.class), dead);
@@ -396,14 +514,20 @@
             Status::Full if note > 0.0 => request.state_at = None,
             // It may have taken the state: given up where too few attempts would be left to read and write.
             Status::Error | Status::Reset | Status::Stale if attempt.stage == Stage::Write => {
-                let left = self.settings.max_attempts.saturating_sub(request.attempts.len() as u32);
+                let left = self
+                    .settings
+                    .max_attempts
+                    .saturating_sub(request.attempts.len() as u32);
                 request.state_at = request.state_at.filter(|_| left >= 3);
             }
             _ => {}
         }
         // One that may have run and must not run twice is given up, and its client told so at once.
         let unsafe_class = self.settings.classes[request.ask.class].effect == Effect::Unsafe;
-        if unsafe_class && !request.begun && request.attempts.iter().any(|it| !it.out && !it.harmless) {
+        if unsafe_class
+            && !request.begun
+            && request.attempts.iter().any(|it| !it.out && !it.harmless)
+        {
             return self.end(request, GiveUp::MustNotRepeat);
         }
         self.place(request);
@@ -411,11 +535,18 @@
 
     /// Notes what a reader has read, and corrects what homes are presumed to keep.
     fn note_kept(&mut self, ask: &Ask, attempt: &Attempt, found: f64) {
-        let Some(server) = self.servers.get(&attempt.choice.server) else { return };
+        let Some(server) = self.servers.get(&attempt.choice.server) else {
+            return;
+        };
         if attempt.choice.matched > ask.prefix_tokens / ask.prompt.max(1.0) {
             blend(&mut self.home_match[ask.class], found / ask.prompt.max(1.0));
         }
-        self.prefixes.note(self.now, server.entry.server, ROOM * server.entry.memory, ask);
+        self.prefixes.note(
+            self.now,
+            server.entry.server,
+            ROOM * server.entry.memory,
+            ask,
+        );
     }
 
     /// An answer has ended well: learns the pace from its length, as far as that is told.
@@ -423,18 +554,22 @@
         if attempt.stage == Stage::Whole {
             self.note_kept(ask, attempt, note);
         }
-        let Some(first_at) = attempt.first_at else { return };
+        let Some(first_at) = attempt.first_at else {
+            return;
+        };
         let took = seconds(self.now.saturating_sub(first_at));
         self.models[PACE].learn(&attempt.choice.inputs, took / self.tokens(ask).max(1.0));
     }
 
     fn place(&mut self, request: &mut Request) {
         // A state may be taken while a second read is still out.
-        let waits = |it: &Attempt| it.out && (it.stage != Stage::Read || request.state_at.is_none());
+        let waits =
+            |it: &Attempt| it.out && (it.stage != Stage::Read || request.state_at.is_none());
         if request.answered || request.begun || request.attempts.iter().any(waits) {
             return;
         }
-        let held_until = request.held_since + (self.settings.release_within as f64 * HELD_PART) as Time;
+        let held_until =
+            request.held_since + (self.settings.release_within as f64 * HELD_PART) as Time;
         let held_too_long = request.state_at.is_some() && self.now >= held_until;
         if held_too_long {
             return self.end(request, GiveUp::StateHeldTooLong);
@@ -468,27 +603,44 @@
         }
         // A lot that is won at a cold server that fits is used, or the rest would jam; rations need not be.
         let lots = request.homes.is_empty() || request.state_at.is_some();
-        let rationed =
-            |it: &Choice| it.chance >= FIT && self.servers[&it.server].age(&self.settings, self.now) < 1.0;
+        let rationed = |it: &Choice| {
+            it.chance >= FIT && self.servers[&it.server].age(&self.settings, self.now) < 1.0
+        };
         if self.share >= FEW && lots && choices.iter().any(rationed) {
             choices.retain(rationed);
         }
-        let Some(choice) = self.draw(choices) else { return };
-        let reads = self.servers.get(&choice.server).is_some_and(|to| to.entry.role == Role::Reader);
-        let stage = request.state_at.map_or(if reads { Stage::Read } else { Stage::Whole }, |_| Stage::Write);
+        let Some(choice) = self.draw(choices) else {
+            return;
+        };
+        let reads = self
+            .servers
+            .get(&choice.server)
+            .is_some_and(|to| to.entry.role == Role::Reader);
+        let stage = request
+            .state_at
+            .map_or(if reads { Stage::Read } else { Stage::Whole }, |_| {
+                Stage::Write
+            });
         self.send(request, stage, choice);
     }
 
     /// Asks likely servers for their load before the choice; true while it waits for answers.
     fn asks_first(&mut self, request: &mut Request, choices: &[Choice]) -> bool {
-        if request.asked.is_none() && self.settings.may_probe && self.settings.reports != Reports::Never {
+        if request.asked.is_none()
+            && self.settings.may_probe
+            && self.settings.reports != Reports::Never
+        {
             let (now, due) = (self.now, self.now + self.asking(request));
             request.asked = Some(now);
-            let mut likely: Vec<_> =
-                choices.iter().map(|it| (it.weight() + self.rng.gen::<f64>(), it.server)).collect();
+            let mut likely: Vec<_> = choices
+                .iter()
+                .map(|it| (it.weight() + self.rng.gen::<f64>(), it.server))
+                .collect();
             likely.sort_by(|a, b| b.0.total_cmp(&a.0));
             for (_, id) in likely.into_iter().take(ASKED) {
-                let Some(server) = self.servers.get_mut(&id) else { continue };
+                let Some(server) = self.servers.get_mut(&id) else {
+                    continue;
+                };
                 if server.asked_at.is_none() && server.told_at.is_none_or(|at| at + FRESH <= now) {
                     (server.asked_at, request.asked) = (Some(now), Some(due));
                     self.out.push(Action::Probe { server: id });
@@ -504,18 +656,47 @@
 
     fn send(&mut self, request: &mut Request, stage: Stage, choice: Choice) {
         let (id, server, sent) = (request.ask.id, choice.server, self.now);
-        let allowed = self.servers.get(&server).is_some_and(|server| self.may_send(request, server, stage));
-        let held = request.ask.prompt + if stage == Stage::Read { 0.0 } else { self.tokens(&request.ask) };
-        let Some(to) = self.servers.get_mut(&server).filter(|_| allowed) else { return };
-        to.sent.extend((to.age(&self.settings, sent) < 1.0).then_some(sent));
-        let work = [1.0, (request.ask.prompt - choice.kept) / 1000.0, to.part_of_memory(held)];
+        let allowed = self
+            .servers
+            .get(&server)
+            .is_some_and(|server| self.may_send(request, server, stage));
+        let held = request.ask.prompt
+            + if stage == Stage::Read {
+                0.0
+            } else {
+                self.tokens(&request.ask)
+            };
+        let Some(to) = self.servers.get_mut(&server).filter(|_| allowed) else {
+            return;
+        };
+        to.sent
+            .extend((to.age(&self.settings, sent) < 1.0).then_some(sent));
+        let work = [
+            1.0,
+            (request.ask.prompt - choice.kept) / 1000.0,
+            to.part_of_memory(held),
+        ];
         add(&mut to.own, &work, 1.0);
-        to.waiting.insert((id, request.attempts.len()), (sent, choice.predicted, request.ask.class));
+        to.waiting.insert(
+            (id, request.attempts.len()),
+            (sent, choice.predicted, request.ask.class),
+        );
         self.flow[STARTED][side(stage) as usize] += 1.0;
         request.widened = 0;
         // Not harmless yet, reads neither: while one is out, nothing proves that it had no effect.
-        request.attempts.push(Attempt { choice, stage, sent, work, out: true, ..Attempt::default() });
-        self.out.push(Action::Send { id, server, timeout: request.end_at.saturating_sub(sent) });
+        request.attempts.push(Attempt {
+            choice,
+            stage,
+            sent,
+            work,
+            out: true,
+            ..Attempt::default()
+        });
+        self.out.push(Action::Send {
+            id,
+            server,
+            timeout: request.end_at.saturating_sub(sent),
+        });
     }
 
     fn may_send(&self, request: &Request, server: &Server, stage: Stage) -> bool {
@@ -523,7 +704,8 @@
         let tries = (request.attempts.len() as u32) < self.settings.max_attempts.max(1);
         let alone = self.settings.second_copies || !request.out();
         let open = live && tries && alone && server.entry.state == State::Ready;
-        open && self.effect_allows(request, server, stage) && self.cold_allows(request, server, stage)
+        open && self.effect_allows(request, server, stage)
+            && self.cold_allows(request, server, stage)
     }
 
     /// Everything for a request but sends passes here; false where a rule or its state forbids it.
@@ -547,8 +729,15 @@
         if request.answered || request.begun {
             return Time::MAX;
         }
-        let retry_at = if request.out() { Time::MAX } else { request.retry_at };
-        let checks = request.attempts.iter().map(|attempt| self.check_at(attempt));
+        let retry_at = if request.out() {
+            Time::MAX
+        } else {
+            request.retry_at
+        };
+        let checks = request
+            .attempts
+            .iter()
+            .map(|attempt| self.check_at(attempt));
         checks.fold(request.end_at.min(retry_at), Time::min)
     }
 
@@ -557,15 +746,22 @@
         let spread = self.models[side(attempt.stage) as usize].spread;
         let limit = (predicted + OVERDUE_SPREADS * spread).max(predicted * OVERDUE_MULTIPLE);
         let never = u64::from(!attempt.out || attempt.stage == Stage::Whole) * Time::MAX;
-        (attempt.sent + ((limit * 1e6) as Time).max(self.settings.tick)).max(attempt.check_at).max(never)
+        (attempt.sent + ((limit * 1e6) as Time).max(self.settings.tick))
+            .max(attempt.check_at)
+            .max(never)
     }
 
     fn look_at(&mut self, request: &mut Request) {
         if self.now >= request.end_at {
             return self.end(request, GiveUp::OutOfTime);
         }
-        let late = request.attempts.iter().position(|attempt| self.check_at(attempt) <= self.now);
-        let Some(at) = late else { return self.place(request) };
+        let late = request
+            .attempts
+            .iter()
+            .position(|attempt| self.check_at(attempt) <= self.now);
+        let Some(at) = late else {
+            return self.place(request);
+        };
         self.help(request, at);
     }
 
@@ -575,23 +771,46 @@
         let attempt = &mut request.attempts[at];
         let (server, writes) = (attempt.choice.server, attempt.stage == Stage::Write);
         // Where no second copy may be, one is given up once later ones there are over: its answer is lost.
-        let helped = copies || self.servers.get(&server).is_some_and(|it| it.begun > attempt.sent);
-        attempt.check_at = if helped { Time::MAX } else { self.now + self.pause / 5 };
+        let helped = copies
+            || self
+                .servers
+                .get(&server)
+                .is_some_and(|it| it.begun > attempt.sent);
+        attempt.check_at = if helped {
+            Time::MAX
+        } else {
+            self.now + self.pause / 5
+        };
         if !helped || self.spare < 1.0 || tries + 2 > self.settings.max_attempts {
             return;
         }
-        let reader = request.state_at.and_then(|reader| self.servers.get(&reader));
+        let reader = request
+            .state_at
+            .and_then(|reader| self.servers.get(&reader));
         // What could be sent is asked as if it had ended, which it does first where there is no second copy.
         request.attempts[at].out = !writes && copies;
-        let mut choices = if writes { self.writers(request, reader) } else { self.readers(request) };
+        let mut choices = if writes {
+            self.writers(request, reader)
+        } else {
+            self.readers(request)
+        };
         request.attempts[at].out = true;
         // A text that is read where it has no home pushes out what others come back for.
-        let home = |it: ServerId| writes || request.homes.len() < 2 || request.homes.contains_key(&it);
+        let home =
+            |it: ServerId| writes || request.homes.len() < 2 || request.homes.contains_key(&it);
         choices.retain(|it| it.server != server && it.chance >= FIT && home(it.server));
-        let Some(choice) = self.draw(choices) else { return };
+        let Some(choice) = self.draw(choices) else {
+            return;
+        };
         self.spare -= 1.0;
         if writes || !copies {
-            self.act(request, Action::Cancel { id: request.ask.id, attempt: at as u32 });
+            self.act(
+                request,
+                Action::Cancel {
+                    id: request.ask.id,
+                    attempt: at as u32,
+                },
+            );
         } else {
             self.send(request, Stage::Read, choice);
         }
@@ -599,14 +818,23 @@
 
     fn refit(&mut self) {
         self.next_refit = self.now + REFIT;
-        self.flow.as_flattened_mut().iter_mut().for_each(|it| *it *= 1.0 - NEWEST);
+        self.flow
+            .as_flattened_mut()
+            .iter_mut()
+            .for_each(|it| *it *= 1.0 - NEWEST);
         let ask = self.settings.must_watch && !std::mem::replace(&mut self.watching, true);
         self.out.extend(ask.then_some(Action::Watch));
         for server in self.servers.values_mut() {
-            server.sent.retain(|at| *at + self.settings.fall >= self.now);
-            server.health.values_mut().for_each(|it| it.failing *= 1.0 - NEWEST);
-        }
-        self.prefixes.forget(self.now.saturating_sub(KEPT_AIMS * self.pause));
+            server
+                .sent
+                .retain(|at| *at + self.settings.fall >= self.now);
+            server
+                .health
+                .values_mut()
+                .for_each(|it| it.failing *= 1.0 - NEWEST);
+        }
+        self.prefixes
+            .forget(self.now.saturating_sub(KEPT_AIMS * self.pause));
         let over = |it: &Server| it.entry.state == State::Gone && it.own[REQUESTS] <= 0.0;
         self.servers
             .values()
--- a/src/logic/choice.rs
+++ b/src/logic/choice.rs
@@ -37,16 +37,25 @@
 impl super::Router {
     pub(super) fn choices(&self, request: &Request) -> Vec<Choice> {
         let reader = request.state_at.map(|reader| self.servers.get(&reader));
-        reader.map_or_else(|| self.readers(request), |reader| self.writers(request, reader))
+        reader.map_or_else(
+            || self.readers(request),
+            |reader| self.writers(request, reader),
+        )
     }
 
     pub(super) fn looks_at_all(&self, request: &Request) -> bool {
-        self.candidates.is_whole(Side::of(request.state_at.is_some()), &self.look(request))
+        self.candidates
+            .is_whole(Side::of(request.state_at.is_some()), &self.look(request))
     }
 
     /// Chance and headroom of a server: the shared model, its own correction, and what is overdue there.
     pub(super) fn judge(
-        &self, request: &Request, server: &Server, side: usize, inputs: Inputs, later: f64,
+        &self,
+        request: &Request,
+        server: &Server,
+        side: usize,
+        inputs: Inputs,
+        later: f64,
     ) -> Choice {
         let model = &self.models[side];
         let base = model.predict(&inputs);
@@ -55,14 +64,19 @@
         let overdue = server.overdue(self.now, 2.0 * model.spread);
         let left = seconds(request.aim_at) - seconds(self.now) - later - corrected - overdue;
         // How long a stall still lasts is unknown: a state that waits goes elsewhere before it is hopeless.
-        let spread = model.spread.max(LEAST_SPREAD * request.aim) + request.state_at.map_or(0.0, |_| overdue);
+        let spread = model.spread.max(LEAST_SPREAD * request.aim)
+            + request.state_at.map_or(0.0, |_| overdue);
         Choice {
             server: server.entry.server,
             inputs,
             predicted: corrected + overdue,
             headroom: left / request.aim,
             chance: odds(left / spread) * (1.0 - server.health(request.ask.class).failing),
-            price: if server.entry.zone == self.settings.zone { 0.0 } else { self.settings.cross_zone_price },
+            price: if server.entry.zone == self.settings.zone {
+                0.0
+            } else {
+                self.settings.cross_zone_price
+            },
             ..Choice::default()
         }
     }
@@ -73,28 +87,50 @@
         let own = server.own[of];
         let usual = self.usual_load[usize::from(server.entry.role == Role::Reader)][of];
         let guess = ((EVENNESS * usual + own) / (EVENNESS + 1.0 / self.share)).max(own);
-        let (Some(told), Some(at)) = (server.told[of], server.told_at) else { return guess };
+        let (Some(told), Some(at)) = (server.told[of], server.told_at) else {
+            return guess;
+        };
         let trust = 0.5f64.powf(seconds(self.now.saturating_sub(at)) / STALE);
         (trust * (told + own - server.own_then[of]) + (1.0 - trust) * guess).max(own)
     }
 
     pub(super) fn look(&self, request: &Request) -> Look {
-        Look { zone: self.settings.zone, seed: request.ask.id ^ self.salt, widened: request.widened }
+        Look {
+            zone: self.settings.zone,
+            seed: request.ask.id ^ self.salt,
+            widened: request.widened,
+        }
     }
 
     /// Those of these that may be sent this request now: well before set aside or on trial, new before tried.
-    pub(super) fn open(&self, request: &Request, stage: Stage, servers: Vec<ServerId>) -> Vec<&Server> {
+    pub(super) fn open(
+        &self,
+        request: &Request,
+        stage: Stage,
+        servers: Vec<ServerId>,
+    ) -> Vec<&Server> {
         let servers = servers.iter().filter_map(|it| self.servers.get(it));
-        let allowed: Vec<_> = servers.filter(|server| self.may_send(request, server, stage)).collect();
+        let allowed: Vec<_> = servers
+            .filter(|server| self.may_send(request, server, stage))
+            .collect();
         let last = |server: &&Server| {
-            let silent = server.asked_at.is_some_and(|at| at + self.asking(request) <= self.now);
+            let silent = server
+                .asked_at
+                .is_some_and(|at| at + self.asking(request) <= self.now);
             let tried = |it: &Attempt| it.choice.server == server.entry.server && it.stage == stage;
             let health = server.health(request.ask.class);
-            let on_trial = health.pauses > 0 && server.waiting.values().any(|it| it.2 == request.ask.class);
-            (self.now < health.paused_until || on_trial || silent, request.attempts.iter().any(tried))
+            let on_trial =
+                health.pauses > 0 && server.waiting.values().any(|it| it.2 == request.ask.class);
+            (
+                self.now < health.paused_until || on_trial || silent,
+                request.attempts.iter().any(tried),
+            )
         };
         let best = allowed.iter().map(last).min();
-        allowed.into_iter().filter(|server| Some(last(server)) == best).collect()
+        allowed
+            .into_iter()
+            .filter(|server| Some(last(server)) == best)
+            .collect()
     }
 
     /// Headroom tiers and the weighted draw. Most headroom is favoured: least, the default of the design at
@@ -104,7 +140,10 @@
         let fits = fitting > 0 && (fitting == choices.len() || self.rng.gen::<f64>() >= EXPLORE);
         choices.retain(|choice| (choice.chance >= FIT) == fits);
         let top = choices.iter().map(Choice::weight).fold(f64::MIN, f64::max);
-        let weights: Vec<f64> = choices.iter().map(|choice| (choice.weight() - top).exp()).collect();
+        let weights: Vec<f64> = choices
+            .iter()
+            .map(|choice| (choice.weight() - top).exp())
+            .collect();
         let at = WeightedIndex::new(weights).ok()?.sample(&mut self.rng);
         choices.into_iter().nth(at)
     }
--- a/src/logic/reads.rs
+++ b/src/logic/reads.rs
@@ -20,11 +20,26 @@
     pub(super) fn warm_only(&mut self, mut choices: Vec<Choice>, request: &Request) -> Vec<Choice> {
         let sooner = |a: &&Choice, b: &&Choice| a.predicted.total_cmp(&b.predicted);
         // After a flush no reader keeps enough of a prompt: taken for equal, each would read it anew.
-        let most = choices.iter().map(|choice| choice.matched).fold(0.0, f64::max);
-        let least = WARM_MATCH * if (SOME_MATCH..WARM_MATCH).contains(&most) { most } else { 1.0 };
-        let warm = choices.iter().filter(|choice| choice.matched > least).min_by(sooner);
-        let (gap, best) = (TRAILING * request.aim, warm.zip(choices.iter().min_by(sooner)));
-        let stays = best.is_some_and(|it| it.0.predicted <= it.1.predicted + gap || it.1.chance < EASY);
+        let most = choices
+            .iter()
+            .map(|choice| choice.matched)
+            .fold(0.0, f64::max);
+        let least = WARM_MATCH
+            * if (SOME_MATCH..WARM_MATCH).contains(&most) {
+                most
+            } else {
+                1.0
+            };
+        let warm = choices
+            .iter()
+            .filter(|choice| choice.matched > least)
+            .min_by(sooner);
+        let (gap, best) = (
+            TRAILING * request.aim,
+            warm.zip(choices.iter().min_by(sooner)),
+        );
+        let stays =
+            best.is_some_and(|it| it.0.predicted <= it.1.predicted + gap || it.1.chance < EASY);
         if self.rng.gen::<f64>() >= EXPLORE && stays {
             choices.retain(|choice| choice.matched > least);
         }
@@ -37,9 +52,16 @@
         likely.extend(request.homes.keys());
         let open = self.open(request, Stage::Read, self.candidates.readers(&look, likely));
         let reads = |it: &&&Server| it.entry.role == Role::Reader;
-        let later = self.best_writers(request, open.iter().filter(reads).map(|it| it.entry.cell).collect());
+        let later = self.best_writers(
+            request,
+            open.iter().filter(reads).map(|it| it.entry.cell).collect(),
+        );
         let choice = |it: &Server| {
-            let after = later.get(&it.entry.cell).filter(|_| reads(&&it)).copied().unwrap_or((0.0, 1.0));
+            let after = later
+                .get(&it.entry.cell)
+                .filter(|_| reads(&&it))
+                .copied()
+                .unwrap_or((0.0, 1.0));
             let home = request.homes.get(&it.entry.server).copied().unwrap_or(0.0);
             self.reader_choice(request, it, home, after)
         };
@@ -47,21 +69,38 @@
     }
 
     /// The best writer after a reader of each cell: seconds to the first token there, and its chance.
-    pub(super) fn best_writers(&self, request: &Request, cells: BTreeSet<u32>) -> BTreeMap<u32, (f64, f64)> {
+    pub(super) fn best_writers(
+        &self,
+        request: &Request,
+        cells: BTreeSet<u32>,
+    ) -> BTreeMap<u32, (f64, f64)> {
         let writers = self.open_writers(request, &cells);
         let told = |at: usize, far| {
             let choice = self.writer_choice(request, writers[at], far);
             (choice.chance, at, choice.predicted)
         };
-        let better = |a: &(f64, usize, f64), b: &(f64, usize, f64)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
+        let better =
+            |a: &(f64, usize, f64), b: &(f64, usize, f64)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
         let mut far: Vec<_> = (0..writers.len()).map(|at| told(at, true)).collect();
         far.sort_by(|a, b| better(b, a));
         let mut near: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
-        writers.iter().enumerate().for_each(|(at, it)| near.entry(it.entry.cell).or_default().push(at));
+        writers
+            .iter()
+            .enumerate()
+            .for_each(|(at, it)| near.entry(it.entry.cell).or_default().push(at));
         let best = |cell: u32| {
-            let far = far.iter().find(|it| writers[it.1].entry.cell != cell).copied();
-            let near = near.get(&cell).into_iter().flatten().map(|at| told(*at, false));
-            near.chain(far).max_by(better).map_or((0.0, FIT), |best| (best.2, best.0))
+            let far = far
+                .iter()
+                .find(|it| writers[it.1].entry.cell != cell)
+                .copied();
+            let near = near
+                .get(&cell)
+                .into_iter()
+                .flatten()
+                .map(|at| told(*at, false));
+            near.chain(far)
+                .max_by(better)
+                .map_or((0.0, FIT), |best| (best.2, best.0))
         };
         cells.iter().map(|cell| (*cell, best(*cell))).collect()
     }
@@ -70,23 +109,57 @@
     pub(super) fn homes(&self, request: &Request) -> BTreeMap<ServerId, f64> {
         let ask = &request.ask;
         let share = self.prefixes.share(ask);
-        let warm = |it| self.servers.get(&it).map_or(0.0, |it| it.warm_share(&self.settings, self.now));
-        let (shared, own) = self.candidates.homes(&self.look(request), ask.prefix, ask.session, share, warm);
+        let warm = |it| {
+            self.servers
+                .get(&it)
+                .map_or(0.0, |it| it.warm_share(&self.settings, self.now))
+        };
+        let (shared, own) =
+            self.candidates
+                .homes(&self.look(request), ask.prefix, ask.session, share, warm);
         let whole = (self.home_match[ask.class] * ask.prompt).max(ask.prefix_tokens);
         let shared = shared.into_iter().map(|it| (it, ask.prefix_tokens));
-        shared.chain(own.map(|it| (it, whole))).filter(|(_, tokens)| *tokens > 0.0).collect()
+        shared
+            .chain(own.map(|it| (it, whole)))
+            .filter(|(_, tokens)| *tokens > 0.0)
+            .collect()
     }
 
     pub(super) fn reader_choice(
-        &self, request: &Request, server: &Server, home: f64, after: (f64, f64),
+        &self,
+        request: &Request,
+        server: &Server,
+        home: f64,
+        after: (f64, f64),
     ) -> Choice {
-        let kept = self.prefixes.kept(&request.ask, server.entry.server).max(home.min(request.ask.prompt));
+        let kept = self
+            .prefixes
+            .kept(&request.ask, server.entry.server)
+            .max(home.min(request.ask.prompt));
         let matched = kept / request.ask.prompt.max(1.0);
-        let [running, to_read, memory] = [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
-        let inputs = Inputs::new(1.0, memory, (request.ask.prompt - kept) / 1000.0, running / 10.0, to_read);
-        let judged = self.judge(request, server, READ, inputs, after.0 + MARGIN * request.aim);
+        let [running, to_read, memory] =
+            [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
+        let inputs = Inputs::new(
+            1.0,
+            memory,
+            (request.ask.prompt - kept) / 1000.0,
+            running / 10.0,
+            to_read,
+        );
+        let judged = self.judge(
+            request,
+            server,
+            READ,
+            inputs,
+            after.0 + MARGIN * request.aim,
+        );
         let chance = judged.chance * (after.1 / FIT).min(1.0);
-        let mut choice = Choice { kept, matched, chance, ..judged };
+        let mut choice = Choice {
+            kept,
+            matched,
+            chance,
+            ..judged
+        };
         if self.models[READ].samples < ENOUGH {
             choice.headroom = 1.0 + matched - memory - (running + to_read) / 10.0;
         }
--- a/src/logic/refusal.rs
+++ b/src/logic/refusal.rs
@@ -13,11 +13,17 @@
     /// Nothing fits and load is above usual, by the best reader's time: the lowest worth is refused unread,
     /// and all that is hopeless.
     pub(super) fn refuses(&mut self, request: &Request, choices: &[Choice]) -> bool {
-        let chance = choices.iter().map(|choice| choice.chance).fold(0.0, f64::max);
+        let chance = choices
+            .iter()
+            .map(|choice| choice.chance)
+            .fold(0.0, f64::max);
         let reading = self.models[READ].weights[TOKENS].max(0.0);
-        let waits = choices.iter().map(|choice| choice.predicted - reading * choice.inputs[TOKENS]);
+        let waits = choices
+            .iter()
+            .map(|choice| choice.predicted - reading * choice.inputs[TOKENS]);
         let wait = waits.fold(f64::MAX, f64::min);
-        if self.models[WRITE].samples < ENOUGH || !request.attempts.is_empty() || choices.is_empty() {
+        if self.models[WRITE].samples < ENOUGH || !request.attempts.is_empty() || choices.is_empty()
+        {
             return false;
         }
         if chance >= FIT {
@@ -26,7 +32,8 @@
         }
         let open = self.settings.classes.iter().filter(|class| class.open);
         let lowest = open.map(|class| class.worth).fold(f64::MAX, f64::min);
-        wait > self.usual + ABOVE_USUAL * request.aim && (request.worth <= lowest || chance < HOPELESS)
+        wait > self.usual + ABOVE_USUAL * request.aim
+            && (request.worth <= lowest || chance < HOPELESS)
     }
 
     pub(super) fn over_share(&mut self, tenant: Option<usize>) -> bool {
@@ -37,8 +44,15 @@
     /// The final answer, where none was given: a refusal where that is true, else a failure.
     pub(super) fn end(&mut self, request: &mut Request, why: GiveUp) {
         self.cancel_all(request, |_| true);
-        let (id, retry_after) = (request.ask.id, self.pause.min(self.settings.max_retry_after));
-        let refuse = Action::Refuse { id, retry_after, why };
+        let (id, retry_after) = (
+            request.ask.id,
+            self.pause.min(self.settings.max_retry_after),
+        );
+        let refuse = Action::Refuse {
+            id,
+            retry_after,
+            why,
+        };
         let _ = self.act(request, refuse) || self.act(request, Action::Fail { id, why });
     }
 
@@ -54,9 +68,24 @@
         let may = |it: &Attempt| match (effect, self.servers.get(&it.choice.server).zip(here)) {
             (Effect::Safe, _) => true,
             (Effect::Keyed { window, .. }, _) if self.now >= it.sent + window => false,
-            (Effect::Keyed { group: Group::All, .. }, _) => true,
-            (Effect::Keyed { group: Group::Zone, .. }, Some((it, here))) => it.entry.zone == here.zone,
-            (Effect::Keyed { group: Group::Cell, .. }, Some((it, here))) => it.entry.cell == here.cell,
+            (
+                Effect::Keyed {
+                    group: Group::All, ..
+                },
+                _,
+            ) => true,
+            (
+                Effect::Keyed {
+                    group: Group::Zone, ..
+                },
+                Some((it, here)),
+            ) => it.entry.zone == here.zone,
+            (
+                Effect::Keyed {
+                    group: Group::Cell, ..
+                },
+                Some((it, here)),
+            ) => it.entry.cell == here.cell,
             _ => false,
         };
         request.attempts.iter().all(|it| it.harmless || may(it))
--- a/src/logic/server.rs
+++ b/src/logic/server.rs
@@ -14,7 +14,9 @@
 pub(super) const MEMORY: usize = 2;
 
 pub(super) fn add(to: &mut Counts, other: &Counts, sign: f64) {
-    to.iter_mut().zip(other).for_each(|(to, other)| *to = (*to + sign * other).max(0.0));
+    to.iter_mut()
+        .zip(other)
+        .for_each(|(to, other)| *to = (*to + sign * other).max(0.0));
 }
 
 /// How attempts of a class fared at a server.
@@ -44,8 +46,16 @@
 impl Server {
     /// A server may turn away a class and serve the rest; one not tried fares like the best that was.
     pub(super) fn health(&self, class: usize) -> Health {
-        let best = || self.health.values().min_by(|a, b| a.failing.total_cmp(&b.failing));
-        self.health.get(&class).or_else(best).copied().unwrap_or_default()
+        let best = || {
+            self.health
+                .values()
+                .min_by(|a, b| a.failing.total_cmp(&b.failing))
+        };
+        self.health
+            .get(&class)
+            .or_else(best)
+            .copied()
+            .unwrap_or_default()
     }
 
     pub(super) fn health_mut(&mut self, class: usize) -> &mut Health {
@@ -60,7 +70,9 @@
     }
 
     pub(super) fn part_of_memory(&self, tokens: f64) -> f64 {
-        Some(self.entry.memory).filter(|told| *told > 0.0).map_or(0.0, |memory| tokens / memory)
+        Some(self.entry.memory)
+            .filter(|told| *told > 0.0)
+            .map_or(0.0, |memory| tokens / memory)
     }
 
     pub(super) fn warm_share(&self, settings: &Settings, now: Time) -> f64 {
@@ -69,7 +81,10 @@
 
     /// Time since its start as part of that in which it is warm, up to 1.
     pub(super) fn age(&self, settings: &Settings, now: Time) -> f64 {
-        let age = self.entry.started.map_or(Time::MAX, |started| now.saturating_sub(started));
+        let age = self
+            .entry
+            .started
+            .map_or(Time::MAX, |started| now.saturating_sub(started));
         (age as f64 / settings.warm_within.max(1) as f64).min(1.0)
     }
 }
@@ -79,10 +94,13 @@
     pub(super) fn blame(&mut self, id: ServerId, class: Option<usize>, at_once: bool) {
         let (now, pause) = (self.now, self.pause);
         for class in class.map_or(0..self.settings.classes.len(), |class| class..class + 1) {
-            let Some(server) = self.servers.get_mut(&id) else { return };
+            let Some(server) = self.servers.get_mut(&id) else {
+                return;
+            };
             let health = server.health_mut(class);
             blend(&mut health.failing, 1.0);
-            if (at_once || health.failing > SICK || health.pauses > 0) && now >= health.paused_until {
+            if (at_once || health.failing > SICK || health.pauses > 0) && now >= health.paused_until
+            {
                 health.paused_until = now + (pause << health.pauses.min(PAUSE_DOUBLINGS));
                 health.pauses += 1;
             }
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -23,7 +23,11 @@
         let times = request.end_at.saturating_sub(self.now) / self.settings.fall.max(1);
         let drawn = mix(mix(request.ask.id ^ self.salt, times), to.into());
         let home = u64::from(!request.homes.contains_key(&to)) * u64::MAX;
-        let lot = if stage == Stage::Write || request.homes.is_empty() { drawn } else { home };
+        let lot = if stage == Stage::Write || request.homes.is_empty() {
+            drawn
+        } else {
+            home
+        };
         let factor = self.candidates.lot_factor(side, &self.look(request), to);
         let flow = self.flow.map(|it| it[side as usize]);
         let lot = lot as f64 / u64::MAX as f64 * factor * span * (flow[STARTED] + 1.0);
--- a/src/logic/writes.rs
+++ b/src/logic/writes.rs
@@ -13,21 +13,39 @@
     pub(super) fn writers(&self, request: &Request, reader: Option<&Server>) -> Vec<Choice> {
         let cell = reader.map(|reader| reader.entry.cell);
         let far = |it: &Server| cell.is_some_and(|cell| cell != it.entry.cell);
-        let open = self.open_writers(request, &cell.into_iter().collect()).into_iter();
-        open.map(|server| self.writer_choice(request, server, far(server))).collect()
+        let open = self
+            .open_writers(request, &cell.into_iter().collect())
+            .into_iter();
+        open.map(|server| self.writer_choice(request, server, far(server)))
+            .collect()
     }
 
     pub(super) fn open_writers(&self, request: &Request, cells: &BTreeSet<u32>) -> Vec<&Server> {
-        self.open(request, Stage::Write, self.candidates.writers(&self.look(request), cells))
+        self.open(
+            request,
+            Stage::Write,
+            self.candidates.writers(&self.look(request), cells),
+        )
     }
 
     pub(super) fn writer_choice(&self, request: &Request, server: &Server, far: bool) -> Choice {
-        let [running, to_fetch, memory] = [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
+        let [running, to_fetch, memory] =
+            [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
         let prompt = request.ask.prompt / 1000.0;
-        let inputs = Inputs::new(1.0, running / 10.0, memory, prompt * f64::from(far), prompt + to_fetch);
+        let inputs = Inputs::new(
+            1.0,
+            running / 10.0,
+            memory,
+            prompt * f64::from(far),
+            prompt + to_fetch,
+        );
         // What its memory can't take waits until running answers end; how full it is, is known in part.
-        let (tokens, pace) = (self.tokens(&request.ask), self.models[PACE].predict(&inputs));
-        let over = (memory + server.part_of_memory(request.ask.prompt + tokens) - 1.0) / MEMORY_SPREAD;
+        let (tokens, pace) = (
+            self.tokens(&request.ask),
+            self.models[PACE].predict(&inputs),
+        );
+        let over =
+            (memory + server.part_of_memory(request.ask.prompt + tokens) - 1.0) / MEMORY_SPREAD;
         let over = MEMORY_SPREAD * (over.max(0.0) + (-over.abs()).exp().ln_1p());
         let mut choice = self.judge(request, server, WRITE, inputs, over * tokens * pace);
         choice.kept = request.ask.prompt;
@@ -48,7 +66,10 @@
 
     pub(super) fn tokens(&self, ask: &Ask) -> f64 {
         let aim = self.settings.classes[ask.class].token_aim;
-        let hint = ask.hint.filter(|hint| *hint > 0 && aim > 0).map(|hint| hint as f64 / aim as f64);
+        let hint = ask
+            .hint
+            .filter(|hint| *hint > 0 && aim > 0)
+            .map(|hint| hint as f64 / aim as f64);
         hint.unwrap_or(ask.max_tokens * ANSWER_PART)
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -94,7 +94,10 @@
     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn read(config: &Path, websocket: Option<&Path>) -> Result<(String, Config, Site, Sessions), String> {
+fn read(
+    config: &Path,
+    websocket: Option<&Path>,
+) -> Result<(String, Config, Site, Sessions), String> {
     let whole = text(config)?;
     let config = Config::parse(&whole)?;
     let site = Site::new(&config.settings)?;
@@ -104,7 +107,9 @@
 }
 
 async fn listen(address: &str) -> Result<TcpListener, String> {
-    TcpListener::bind(address).await.map_err(|error| format!("{address}: {error}"))
+    TcpListener::bind(address)
+        .await
+        .map_err(|error| format!("{address}: {error}"))
 }
 
 /// A listener on an address that is not inherited: a successor waits until its predecessor has let go of it.
@@ -143,8 +148,13 @@
 /// Writes to standard error from a thread of its own; a log that nobody reads is dropped and counted.
 fn logger(level: Level) -> (Logger, slog_async::AsyncGuard) {
     let plain = slog_term::PlainDecorator::new(std::io::stderr());
-    let format = slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res();
-    let (drain, guard) = slog_async::Async::new(format).chan_size(4096).build_with_guard();
+    let format = slog_term::FullFormat::new(plain)
+        .use_utc_timestamp()
+        .build()
+        .ignore_res();
+    let (drain, guard) = slog_async::Async::new(format)
+        .chan_size(4096)
+        .build_with_guard();
     (Logger::root(drain.filter_level(level).fuse(), o!()), guard)
 }
 
@@ -171,23 +181,37 @@
 fn post(name: &str, clock: Clock, log: &Logger) -> Option<Handover> {
     let folder = std::env::var_os("TMPDIR").filter(|it| !it.is_empty())?;
     let posted = Handover::start(Path::new(&folder), name, clock.now(), log.clone());
-    posted.map_err(|error| warn!(log, "no notice for other processes"; "error" => %error)).ok()
+    posted
+        .map_err(|error| warn!(log, "no notice for other processes"; "error" => %error))
+        .ok()
 }
 
 /// A recording to a new file: none is ever written over.
-fn recording(path: &Path, name: &str, clock: Clock, site: &Site) -> Result<(Notes, Recorder), String> {
-    let wrong = |error: &dyn std::fmt::Display| format!("the recording {}: {error}", path.display());
+fn recording(
+    path: &Path,
+    name: &str,
+    clock: Clock,
+    site: &Site,
+) -> Result<(Notes, Recorder), String> {
+    let wrong =
+        |error: &dyn std::fmt::Display| format!("the recording {}: {error}", path.display());
     let mut secret = [0; 32];
     getrandom::fill(&mut secret).map_err(|error| wrong(&error))?;
     let file = std::fs::File::create_new(path).map_err(|error| wrong(&error))?;
     let recorder = Recorder::start(file, RECORDS).map_err(|error| wrong(&error))?;
-    Ok((Notes::new(Key::from_secret(&secret), clock.now(), name, site), recorder))
+    Ok((
+        Notes::new(Key::from_secret(&secret), clock.now(), name, site),
+        recorder,
+    ))
 }
 
 /// Waits until a successor can take clients: it has a list, discovery's own if that comes soon, and its part of the
 /// limits, if the predecessor comes down to its own soon.
 async fn take_over(door: &Door, known: Option<Event>, view: &mut watch::Receiver<View>) {
-    if timeout(LIST_TIME, door.becomes(Readiness::Able)).await.is_err() {
+    if timeout(LIST_TIME, door.becomes(Readiness::Able))
+        .await
+        .is_err()
+    {
         if let Some(known) = known {
             door.tell(known).await;
         }
@@ -197,14 +221,21 @@
 }
 
 async fn serve(
-    (file, text): (PathBuf, String), config: Config, site: Site, sessions: Sessions,
-    management: Option<String>, record: Option<PathBuf>, log: Logger,
+    (file, text): (PathBuf, String),
+    config: Config,
+    site: Site,
+    sessions: Sessions,
+    management: Option<String>,
+    record: Option<PathBuf>,
+    log: Logger,
 ) -> Result<(), String> {
     // Signals come first: one that came before its handler would end the program.
     let hangup = signal(SignalKind::hangup()).map_err(|error| error.to_string())?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|error| error.to_string())?;
-    let inherited = std::env::var("GW_SOCKET_FD").ok().filter(|it| !it.is_empty());
+    let inherited = std::env::var("GW_SOCKET_FD")
+        .ok()
+        .filter(|it| !it.is_empty());
     let platform_listener = match &inherited {
         Some(descriptor) => {
             TcpListener::from_std(handover::inherited(descriptor)?).map_err(|it| it.to_string())?
@@ -213,12 +244,19 @@
     };
     info!(log, "start"; "stage" => "listening");
     let clock = Clock::start();
-    let mut handover = inherited.is_some().then(|| post(&config.name, clock, &log)).flatten();
+    let mut handover = inherited
+        .is_some()
+        .then(|| post(&config.name, clock, &log))
+        .flatten();
     let view = handover.as_ref().map_or(View::default(), Handover::view);
     let session_listener = Late::bind(sessions.listen.clone(), view.predecessor).await?;
     let agent_listener = Late::bind(sessions.agent_check.clone(), view.predecessor).await?;
     let mut management_listener = None;
-    if let Some(address) = management.as_ref().or(config.management.as_ref()).filter(|it| !it.is_empty()) {
+    if let Some(address) = management
+        .as_ref()
+        .or(config.management.as_ref())
+        .filter(|it| !it.is_empty())
+    {
         management_listener = Some(listen(address).await?);
     }
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| "the seed is not hexadecimal")?;
@@ -226,7 +264,9 @@
     let memory = (config.limits.memory_mb.unwrap_or(192) as usize).saturating_mul(1 << 20);
     let (sessions, shaking) = sessions.within(client_sockets, memory);
     // Sessions, where they are taken, get theirs out of the clients' part.
-    let for_sessions = session_listener.as_ref().map_or(0, |_| sessions.most_sessions + shaking);
+    let for_sessions = session_listener
+        .as_ref()
+        .map_or(0, |_| sessions.most_sessions + shaking);
 
     let site = Arc::new(site);
     let (door, inbox) = dispatch::door(site.clone());
@@ -241,13 +281,20 @@
         core.hear(clock.now(), Event::Marks(marks));
     }
     let mut members_site = Site::new(&config.settings)?;
-    let known = config.known.as_ref().map(|known| discovery::members(&mut members_site, known, &log));
+    let known = config
+        .known
+        .as_ref()
+        .map(|known| discovery::members(&mut members_site, known, &log));
     // A successor hears discovery first: what it was told at its start may be as old as its predecessor.
     let (mut known_later, mut revision) = (None, None);
     match known {
         Some(known) if !view.predecessor => {
             core.hear(clock.now(), known);
-            revision = config.known.as_ref().filter(|known| known.complete).map(|known| known.revision);
+            revision = config
+                .known
+                .as_ref()
+                .filter(|known| known.complete)
+                .map(|known| known.revision);
         }
         known => known_later = known,
     }
@@ -267,7 +314,11 @@
     if view.predecessor {
         limits.set(view.part);
     }
-    let Shares { clients, nodes: to_nodes, rooms } = limits.clone();
+    let Shares {
+        clients,
+        nodes: to_nodes,
+        rooms,
+    } = limits.clone();
     // Without any of these the dispatcher would take requests and answer none: it ends instead.
     let mut vital = JoinSet::new();
     vital.spawn(nodes::run(
@@ -280,16 +331,36 @@
         log.clone(),
     ));
     let mut others = None;
-    if let Some((price, peers)) = site.peer_price.zip(Peers::new(&config)).filter(|(_, it)| it.others() > 0) {
+    if let Some((price, peers)) = site
+        .peer_price
+        .zip(Peers::new(&config))
+        .filter(|(_, it)| it.others() > 0)
+    {
         let (tell, telling) = Peers::queue();
         core.set_gossip(Gossip::new(peers.others() + 1, price));
         others = Some(tell);
         tokio::spawn(peers.run(telling, door.clone(), log.clone()));
     }
-    vital.spawn(dispatch::run(core, clock, inbox, commands, recorder, others));
+    vital.spawn(dispatch::run(
+        core, clock, inbox, commands, recorder, others,
+    ));
     let (set_discovery, discovery) = watch::channel(config.discovery);
-    vital.spawn(discovery::run(discovery, members_site, seed, revision, door.clone(), log.clone()));
-    vital.spawn(reload::run(file, text, hangup, door.clone(), set_discovery, log.clone()));
+    vital.spawn(discovery::run(
+        discovery,
+        members_site,
+        seed,
+        revision,
+        door.clone(),
+        log.clone(),
+    ));
+    vital.spawn(reload::run(
+        file,
+        text,
+        hangup,
+        door.clone(),
+        set_discovery,
+        log.clone(),
+    ));
     if let Some(at) = management_listener {
         // Operators are answered to the very end.
         vital.spawn(management::serve(at, door.clone(), log.clone()));
@@ -300,7 +371,9 @@
     if let Some(handover) = handover {
         // Streams come in from a predecessor, and go out to a successor.
         match handover.listen() {
-            Ok(at) => drop(vital.spawn(moving::take_in(at, clients.clone(), to_nodes, log.clone()))),
+            Ok(at) => {
+                drop(vital.spawn(moving::take_in(at, clients.clone(), to_nodes, log.clone())))
+            }
             Err(error) => warn!(log, "no streams can be taken in"; "error" => %error),
         }
         let (streams, whole) = mpsc::channel(64);
@@ -308,7 +381,13 @@
         let path = move || seen.borrow().successor.map(&doors);
         vital.spawn(moving::carry(path, whole, log.clone()));
         mover = Some(streams);
-        vital.spawn(handover::run(handover, limits, door.clone(), phase, set_view));
+        vital.spawn(handover::run(
+            handover,
+            limits,
+            door.clone(),
+            phase,
+            set_view,
+        ));
     }
 
     info!(log, "start"; "stage" => "tasks run", "tasks" => vital.len());
@@ -317,19 +396,30 @@
     let most = clients.whole();
     let mut fronts = JoinSet::new();
     let options = Arc::new(sessions);
-    let shared = websocket::Shared::new(door.clone(), options, rooms, seed, course.clone(), log.clone());
+    let shared = websocket::Shared::new(
+        door.clone(),
+        options,
+        rooms,
+        seed,
+        course.clone(),
+        log.clone(),
+    );
     if let Some(late) = session_listener {
         let routes = websocket::routes(shared.clone()).merge(health::routes(door.clone()));
         let (course, log) = (course.clone(), log.clone());
         fronts.spawn(async move {
-            let Some(at) = late.listener(course.clone()).await else { return };
+            let Some(at) = late.listener(course.clone()).await else {
+                return;
+            };
             listener::serve(at, routes, Places::new(shaking), course, None, log).await;
         });
     }
     if let Some(late) = agent_listener {
         let (door, course, log) = (door.clone(), course.clone(), log.clone());
         fronts.spawn(async move {
-            let Some(at) = late.listener(course.clone()).await else { return };
+            let Some(at) = late.listener(course.clone()).await else {
+                return;
+            };
             health::serve_agent(at, door, course, log).await;
         });
     }
@@ -357,7 +447,14 @@
             () = opens => false,
         };
         if !ended_early {
-            fronts.spawn(listener::serve(platform_listener, routes, clients, course, mover, log.clone()));
+            fronts.spawn(listener::serve(
+                platform_listener,
+                routes,
+                clients,
+                course,
+                mover,
+                log.clone(),
+            ));
             ends.await;
         }
         let succeeded = view.borrow_and_update().successor.is_some();
@@ -393,18 +490,40 @@
             let (_, config, site, sessions) = read(&config, websocket.as_deref())?;
             let (classes, tenants) = (site.settings.classes.len(), site.settings.tenants.len());
             let known = config.known.map_or(0, |known| known.members.len());
-            println!("{}: {classes} classes, {tenants} tenants, {known} known members", config.name);
-            println!("management: {}", config.management.as_deref().unwrap_or("off"));
+            println!(
+                "{}: {classes} classes, {tenants} tenants, {known} known members",
+                config.name
+            );
+            println!(
+                "management: {}",
+                config.management.as_deref().unwrap_or("off")
+            );
             println!("sessions: {}", sessions.listen.as_deref().unwrap_or("off"));
             Ok(())
         }
-        Task::Serve { config, websocket, management, record, log } => {
+        Task::Serve {
+            config,
+            websocket,
+            management,
+            record,
+            log,
+        } => {
             let file = config;
             let (text, config, site, sessions) = read(&file, websocket.as_deref())?;
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
             let runtime = runtime.map_err(|error| error.to_string())?;
             let (log, _guard) = logger(log);
-            runtime.block_on(serve((file, text), config, site, sessions, management, record, log))
+            runtime.block_on(serve(
+                (file, text),
+                config,
+                site,
+                sessions,
+                management,
+                record,
+                log,
+            ))
         }
     }
 }
--- a/src/moving.rs
+++ b/src/moving.rs
@@ -79,7 +79,13 @@
 /// A signal, and what turns it on.
 pub fn signal() -> (watch::Sender<bool>, Signal) {
     let (turn_on, on) = watch::channel(false);
-    (turn_on, Signal { on, turns: Arc::new(Semaphore::new(AT_ONCE)) })
+    (
+        turn_on,
+        Signal {
+            on,
+            turns: Arc::new(Semaphore::new(AT_ONCE)),
+        },
+    )
 }
 
 /// Pieces of a stream are compared in tests; one that moves is like no other.
@@ -131,10 +137,18 @@
     pub async fn moves(&self, mover: &Option<mpsc::Sender<Whole>>) -> bool {
         loop {
             self.ready.notified().await;
-            let (Some(half), Some(client)) = std::mem::take(&mut *self.ends()) else { continue };
+            let (Some(half), Some(client)) = std::mem::take(&mut *self.ends()) else {
+                continue;
+            };
             let (moved, told) = oneshot::channel();
             if let Some(mover) = mover {
-                let _ = mover.send(Whole { half, client, moved }).await;
+                let _ = mover
+                    .send(Whole {
+                        half,
+                        client,
+                        moved,
+                    })
+                    .await;
             }
             return told.await.unwrap_or(false);
         }
@@ -142,12 +156,20 @@
 }
 
 /// Hands streams over to the process that takes them in at this path, where there is one.
-pub async fn carry(path: impl Fn() -> Option<PathBuf>, mut streams: mpsc::Receiver<Whole>, log: Logger) {
+pub async fn carry(
+    path: impl Fn() -> Option<PathBuf>,
+    mut streams: mpsc::Receiver<Whole>,
+    log: Logger,
+) {
     while let Some(whole) = streams.recv().await {
         let (path, log) = (path(), log.clone());
         // Each by itself: one that takes long keeps no other waiting.
         tokio::spawn(async move {
-            let Whole { half, client, moved } = whole;
+            let Whole {
+                half,
+                client,
+                moved,
+            } = whole;
             let done = match path {
                 Some(path) => hand_over(path, &half, client).await,
                 None => Err(ErrorKind::NotFound.into()),
@@ -172,7 +194,12 @@
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(&descriptors));
-        Ok(sendmsg(&stream, &[IoSlice::new(&head)], &mut control, SendFlags::NOSIGNAL)?)
+        Ok(sendmsg(
+            &stream,
+            &[IoSlice::new(&head)],
+            &mut control,
+            SendFlags::NOSIGNAL,
+        )?)
     });
     if sent.await? != HEAD {
         return Err(ErrorKind::WriteZero.into());
@@ -210,8 +237,12 @@
     let read = stream.async_io(Interest::READABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
-        let told =
-            recvmsg(&stream, &mut [IoSliceMut::new(&mut head)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        let told = recvmsg(
+            &stream,
+            &mut [IoSliceMut::new(&mut head)],
+            &mut control,
+            RecvFlags::CMSG_CLOEXEC,
+        )?;
         for message in control.drain() {
             if let RecvAncillaryMessage::ScmRights(rights) = message {
                 descriptors.extend(rights);
@@ -220,17 +251,29 @@
         Ok(told.bytes)
     });
     let whole = read.await? == HEAD && head.starts_with(&MARK) && descriptors.len() == 2;
-    let chunks = head[MARK.len()..].first_chunk().and_then(Chunks::from_bytes).filter(|_| whole);
+    let chunks = head[MARK.len()..]
+        .first_chunk()
+        .and_then(Chunks::from_bytes)
+        .filter(|_| whole);
     let chunks = chunks.ok_or(ErrorKind::InvalidData)?;
-    let length = head.last_chunk().map_or(u32::MAX, |length| u32::from_be_bytes(*length)) as usize;
+    let length = head
+        .last_chunk()
+        .map_or(u32::MAX, |length| u32::from_be_bytes(*length)) as usize;
     if length > LONGEST_PART {
         return Err(ErrorKind::InvalidData.into());
     }
     let mut part = vec![0; length];
     stream.read_exact(&mut part).await?;
     let (node, client) = (descriptors.pop(), descriptors.pop());
-    let (Some(node), Some(client)) = (node, client) else { return Err(ErrorKind::InvalidData.into()) };
-    let taken = Taken { client: tcp(client)?, node: tcp(node)?, chunks, part };
+    let (Some(node), Some(client)) = (node, client) else {
+        return Err(ErrorKind::InvalidData.into());
+    };
+    let taken = Taken {
+        client: tcp(client)?,
+        node: tcp(node)?,
+        chunks,
+        part,
+    };
     // From the yes on the stream is this process's.
     stream.write_u8(TAKEN).await?;
     Ok(taken)
@@ -254,7 +297,11 @@
         let (log, places) = (log.clone(), (clients.take_now(1), nodes.take_now(1)));
         tokio::spawn(async move {
             let _places = places;
-            match timeout(SAYING, take(stream)).await.map_err(io::Error::from).flatten() {
+            match timeout(SAYING, take(stream))
+                .await
+                .map_err(io::Error::from)
+                .flatten()
+            {
                 Ok(taken) => {
                     info!(log, "a stream was taken in");
                     let ended = pass_on(taken).await;
@@ -270,7 +317,12 @@
 
 /// Passes a stream's events on, whole ones as they come, up to its end. An error: it ends without the last chunk.
 async fn pass_on(taken: Taken) -> io::Result<()> {
-    let Taken { mut client, mut node, mut chunks, part } = taken;
+    let Taken {
+        mut client,
+        mut node,
+        mut chunks,
+        part,
+    } = taken;
     let spoilt = || io::Error::from(ErrorKind::InvalidData);
     let mut events = Events::resumed();
     let first = events.take(&part).map_err(|_| spoilt())?;
@@ -286,7 +338,9 @@
             return Err(ErrorKind::UnexpectedEof.into());
         }
         let mut data = Vec::new();
-        chunks.feed(&buffer[..read], |piece| data.extend_from_slice(piece)).map_err(|Lost| spoilt())?;
+        chunks
+            .feed(&buffer[..read], |piece| data.extend_from_slice(piece))
+            .map_err(|Lost| spoilt())?;
         let whole = events.take(&data).map_err(|_| spoilt())?;
         if !whole.is_empty() {
             write_chunk(&mut client, &whole).await?;
--- a/src/nodes/attempt.rs
+++ b/src/nodes/attempt.rs
@@ -51,7 +51,12 @@
 
 impl From<EndReason> for End {
     fn from(reason: EndReason) -> Self {
-        End { reason, note: f64::from(u8::from(reason == EndReason::StateGone)), written: 0.0, load: None }
+        End {
+            reason,
+            note: f64::from(u8::from(reason == EndReason::StateGone)),
+            written: 0.0,
+            load: None,
+        }
     }
 }
 
@@ -97,7 +102,11 @@
 
     /// What comes next from the node, or how the attempt has ended instead: before a first event the time-out
     /// holds, later the time within which each event has to come; and a stream that nobody wants any more ends.
-    pub async fn next<T>(&self, until: Instant, next: impl Future<Output = T>) -> Result<T, EndReason> {
+    pub async fn next<T>(
+        &self,
+        until: Instant,
+        next: impl Future<Output = T>,
+    ) -> Result<T, EndReason> {
         let (limit, ended) = match self.begun() {
             true => (self.last + SILENCE, EndReason::StreamSilent),
             false => (until, EndReason::Silent),
@@ -119,9 +128,16 @@
     /// Offers the node's side, behind all that was passed on. True when it has moved: nothing of it is left here.
     pub async fn moves(&self, node: OwnedFd, chunks: Chunks) -> bool {
         let (moved, told) = oneshot::channel();
-        let half = Half { node, chunks, part: self.events.part(), moved };
+        let half = Half {
+            node,
+            chunks,
+            part: self.events.part(),
+            moved,
+        };
         match &self.pieces {
-            Some(pieces) if pieces.send(Piece::Move(half)).await.is_ok() => told.await.unwrap_or(false),
+            Some(pieces) if pieces.send(Piece::Move(half)).await.is_ok() => {
+                told.await.unwrap_or(false)
+            }
             _ => false,
         }
     }
@@ -146,8 +162,10 @@
     /// Takes what came and passes on the events that are whole. An error is how the attempt has ended: nobody
     /// wants the stream any more, or it is spoilt.
     pub async fn data(&mut self, data: &[u8]) -> Result<(), EndReason> {
-        let whole =
-            self.events.take(data).map_err(|Spoilt| self.given_up("spoilt", EndReason::SpoiltStream))?;
+        let whole = self
+            .events
+            .take(data)
+            .map_err(|Spoilt| self.given_up("spoilt", EndReason::SpoiltStream))?;
         self.pass(whole).await
     }
 
@@ -156,13 +174,22 @@
             return Ok(());
         }
         match &self.pieces {
-            Some(pieces) => pieces.send(Piece::Data(data)).await.map_err(|_| EndReason::ClientLeft)?,
+            Some(pieces) => pieces
+                .send(Piece::Data(data))
+                .await
+                .map_err(|_| EndReason::ClientLeft)?,
             None => {
                 let (pieces, stream) = mpsc::channel(PIECES);
                 let _ = pieces.try_send(Piece::Data(data)); // the channel is new and empty
                 self.pieces = Some(pieces);
                 self.mark.store(true, Ordering::Relaxed);
-                self.door.tell(Event::First { id: self.id, attempt: self.attempt, stream }).await;
+                self.door
+                    .tell(Event::First {
+                        id: self.id,
+                        attempt: self.attempt,
+                        stream,
+                    })
+                    .await;
             }
         }
         self.last = Instant::now();
@@ -173,7 +200,8 @@
     /// it as broken. A stream without an event is no answer.
     pub async fn end(mut self) -> Result<(), EndReason> {
         let rest = std::mem::take(&mut self.events).rest();
-        let rest = rest.map_err(|Spoilt| self.given_up("spoilt at its end", EndReason::SpoiltStream))?;
+        let rest =
+            rest.map_err(|Spoilt| self.given_up("spoilt at its end", EndReason::SpoiltStream))?;
         if !self.begun() {
             return Err(EndReason::UnreadableAnswer);
         }
@@ -188,12 +216,24 @@
 /// Reads a load report: `TEXT inflight=7, queue=2`. What is not known is disregarded.
 pub fn parse_load(text: &str) -> Option<Load> {
     let text = text.trim();
-    let text = text.strip_prefix("Endpoint-Load-Metrics:").unwrap_or(text).trim_start();
+    let text = text
+        .strip_prefix("Endpoint-Load-Metrics:")
+        .unwrap_or(text)
+        .trim_start();
     let mut load = Load::default();
     let mut any = false;
     for pair in text.strip_prefix("TEXT")?.split(',') {
-        let Some((name, value)) = pair.split_once('=') else { continue };
-        let Some(value) = value.trim().parse().ok().filter(|value: &f64| value.is_finite()) else { continue };
+        let Some((name, value)) = pair.split_once('=') else {
+            continue;
+        };
+        let Some(value) = value
+            .trim()
+            .parse()
+            .ok()
+            .filter(|value: &f64| value.is_finite())
+        else {
+            continue;
+        };
         match name.trim() {
             "inflight" => load.in_flight = Some(value),
             "queue" => load.queue = Some(value),
--- a/src/nodes/connections.rs
+++ b/src/nodes/connections.rs
@@ -136,7 +136,9 @@
 
 impl Wire {
     fn writes(
-        &self, context: &mut Context<'_>, write: impl Fn(&TcpStream) -> io::Result<usize>,
+        &self,
+        context: &mut Context<'_>,
+        write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(context))?;
@@ -150,7 +152,9 @@
 
 impl AsyncRead for Wire {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         {
             let mut frozen = self.carried.frozen();
@@ -180,7 +184,11 @@
 }
 
 impl AsyncWrite for Wire {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let wrote = self.writes(context, |stream| stream.try_write(bytes));
         self.carried.wrote(&wrote, bytes.len());
         wrote
@@ -193,7 +201,11 @@
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // One that has moved is another process's too: an end here would be one there.
         let moved = self.carried.frozen().0;
-        let done = if moved { Ok(()) } else { SockRef::from(&*self.stream).shutdown(Shutdown::Write) };
+        let done = if moved {
+            Ok(())
+        } else {
+            SockRef::from(&*self.stream).shutdown(Shutdown::Write)
+        };
         Poll::Ready(done.or_else(|error| match error.kind() {
             io::ErrorKind::NotConnected => Ok(()),
             _ => Err(error),
@@ -205,10 +217,13 @@
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[io::IoSlice<'_>],
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let wrote = self.writes(context, |stream| stream.try_write_vectored(slices));
-        self.carried.wrote(&wrote, slices.iter().map(|slice| slice.len()).sum());
+        self.carried
+            .wrote(&wrote, slices.iter().map(|slice| slice.len()).sum());
         wrote
     }
 }
@@ -247,8 +262,15 @@
     /// Nothing new may go to this address, not even what waits for a connection; or it may again.
     pub fn bar(&self, address: Arc<str>, barred: bool) {
         if barred {
-            let there = address.parse().ok().and_then(|address| self.wires().remove(&address));
-            there.iter().flatten().filter_map(Weak::upgrade).for_each(|carried| carried.let_go());
+            let there = address
+                .parse()
+                .ok()
+                .and_then(|address| self.wires().remove(&address));
+            there
+                .iter()
+                .flatten()
+                .filter_map(Weak::upgrade)
+                .for_each(|carried| carried.let_go());
             self.barred().insert(address);
             self.changed.send_replace(());
         } else {
@@ -296,7 +318,9 @@
     fn take_parked(&self, target: SocketAddr) -> Option<Wire> {
         let mut parked = self.parked();
         let there = parked.get_mut(&target)?;
-        let taken = there.pop().filter(|(_, since)| since.elapsed() < self.limit);
+        let taken = there
+            .pop()
+            .filter(|(_, since)| since.elapsed() < self.limit);
         if there.is_empty() {
             parked.remove(&target);
         }
@@ -328,23 +352,36 @@
     /// it tells nothing of the node.
     pub async fn dial(&self, address: &str) -> io::Result<Wire> {
         let target: SocketAddr = address.parse().map_err(io::Error::other)?;
-        let place = timeout(self.limit, self.places.take(1)).await.ok().flatten();
+        let place = timeout(self.limit, self.places.take(1))
+            .await
+            .ok()
+            .flatten();
         let place = place.ok_or(io::Error::from(CROWDED))?;
         let dialled = connect_within(self.limit, || TcpStream::connect(target)).await;
         dialled.map(|stream| {
             // Without it small writes wait a little, which is no reason to give the connection up.
             let _ = stream.set_nodelay(true);
             let stream = Arc::new(stream);
-            let carried = Arc::new(Carried { stream: Arc::downgrade(&stream), ..Carried::default() });
+            let carried = Arc::new(Carried {
+                stream: Arc::downgrade(&stream),
+                ..Carried::default()
+            });
             let mut wires = self.wires();
             // Those that are closed go as others are opened, also at nodes that are gone.
             wires.retain(|_, there| {
                 there.retain(|carried| carried.strong_count() > 0);
                 !there.is_empty()
             });
-            wires.entry(target).or_default().push(Arc::downgrade(&carried));
+            wires
+                .entry(target)
+                .or_default()
+                .push(Arc::downgrade(&carried));
             drop(wires);
-            Wire { stream, carried, _place: place }
+            Wire {
+                stream,
+                carried,
+                _place: place,
+            }
         })
     }
 }
@@ -381,7 +418,9 @@
 
 impl hyper::rt::Read for HttpWire {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: hyper::rt::ReadBufCursor<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: hyper::rt::ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.0).poll_read(context, buffer)
     }
@@ -389,7 +428,9 @@
 
 impl hyper::rt::Write for HttpWire {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         hyper::rt::Write::poll_write(Pin::new(&mut self.0), context, bytes)
     }
@@ -407,7 +448,9 @@
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, slices: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         hyper::rt::Write::poll_write_vectored(Pin::new(&mut self.0), context, slices)
     }
--- a/src/nodes/events.rs
+++ b/src/nodes/events.rs
@@ -37,7 +37,10 @@
 impl Events {
     /// Of a stream whose first event has passed.
     pub fn resumed() -> Events {
-        Events { begun: true, ..Events::default() }
+        Events {
+            begun: true,
+            ..Events::default()
+        }
     }
 
     /// What came since the last event's end.
@@ -50,7 +53,10 @@
     pub fn take(&mut self, data: &[u8]) -> Result<Bytes, Spoilt> {
         self.part.extend_from_slice(data);
         let mut whole = 0;
-        while let Some(length) = self.part[self.read..].iter().position(|byte| *byte == b'\n') {
+        while let Some(length) = self.part[self.read..]
+            .iter()
+            .position(|byte| *byte == b'\n')
+        {
             let line = &self.part[self.read..self.read + length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             self.read += length + 1;
