--- a/src/nodes/http.rs
+++ b/src/nodes/http.rs
@@ -52,7 +52,8 @@
     type Error = std::convert::Infallible;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, _: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         self.taken.store(true, Ordering::Relaxed);
         Poll::Ready(self.body.take().map(|body| Ok(Frame::data(body))))
@@ -94,18 +95,31 @@
     for line in text.lines() {
         if let Some(comment) = line.strip_prefix(':') {
             load = parse_load(comment).or(load);
-        } else if let Some(data) = line.strip_prefix("data:").filter(|data| data.contains("\"usage\"")) {
-            let usage = json::from_str::<Last>(data.trim()).ok().and_then(|last| last.usage);
-            written = usage.as_ref().and_then(|usage| usage.completion_tokens).unwrap_or(written);
+        } else if let Some(data) = line
+            .strip_prefix("data:")
+            .filter(|data| data.contains("\"usage\""))
+        {
+            let usage = json::from_str::<Last>(data.trim())
+                .ok()
+                .and_then(|last| last.usage);
+            written = usage
+                .as_ref()
+                .and_then(|usage| usage.completion_tokens)
+                .unwrap_or(written);
             let details = usage.and_then(|usage| usage.prompt_tokens_details);
-            kept = details.and_then(|details| details.cached_tokens).unwrap_or(kept);
+            kept = details
+                .and_then(|details| details.cached_tokens)
+                .unwrap_or(kept);
         }
     }
     (kept, written, load)
 }
 
 /// Whether this holds for an error or for one that it comes from.
-fn any_cause(error: &(dyn Error + 'static), holds: impl Fn(&(dyn Error + 'static)) -> bool) -> bool {
+fn any_cause(
+    error: &(dyn Error + 'static),
+    holds: impl Fn(&(dyn Error + 'static)) -> bool,
+) -> bool {
     let mut next = Some(error);
     while let Some(error) = next {
         if holds(error) {
@@ -124,8 +138,13 @@
 /// nothing of the node's health, and a reset where its connection broke.
 fn broken(error: &(dyn Error + 'static)) -> EndReason {
     let unreadable = any_cause(error, |error| {
-        error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse)
-            || matches!(kind(error), Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput))
+        error
+            .downcast_ref::<hyper::Error>()
+            .is_some_and(hyper::Error::is_parse)
+            || matches!(
+                kind(error),
+                Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)
+            )
     });
     if unreadable {
         EndReason::UnreadableAnswer
@@ -147,7 +166,9 @@
 /// Whether the connection came up, but late: nothing was written, and it waits for the request to be made anew.
 fn came_late(failure: &Failure) -> bool {
     let is_late = |error: &(dyn Error + 'static)| {
-        let inner = error.downcast_ref::<io::Error>().and_then(io::Error::get_ref);
+        let inner = error
+            .downcast_ref::<io::Error>()
+            .and_then(io::Error::get_ref);
         inner.is_some_and(|inner| inner.is::<CameLate>())
     };
     any_cause(&failure.error, is_late)
@@ -181,7 +202,11 @@
 impl OpenExchange {
     fn carried(&self) -> Option<Arc<Carried>> {
         let mut extras = Extensions::new();
-        self.taken.as_ref()?.connection_metadata().as_ref()?.get_extras(&mut extras);
+        self.taken
+            .as_ref()?
+            .connection_metadata()
+            .as_ref()?
+            .get_extras(&mut extras);
         extras.remove::<Arc<Carried>>()
     }
 
@@ -242,7 +267,14 @@
             distrust: Duration::ZERO,
         };
         let single = client(&dialer, idle_time, 0);
-        Http { pool: Arc::new(Mutex::new(pool)), single, dialer, idle_time, most_idle, log }
+        Http {
+            pool: Arc::new(Mutex::new(pool)),
+            single,
+            dialer,
+            idle_time,
+            most_idle,
+            log,
+        }
     }
 
     fn pool(&self) -> MutexGuard<'_, Pool> {
@@ -258,7 +290,11 @@
             return; // it was out when the first one broke
         }
         let again = now < pool.distrusted_until + pool.distrust;
-        pool.distrust = if again { (pool.distrust * 2).min(DISTRUST_MOST) } else { DISTRUST };
+        pool.distrust = if again {
+            (pool.distrust * 2).min(DISTRUST_MOST)
+        } else {
+            DISTRUST
+        };
         pool.distrusted_until = now + pool.distrust;
         pool.client = client(&self.dialer, self.idle_time, self.most_idle);
         info!(self.log, "kept connections break"; "none_for_ms" => pool.distrust.as_millis() as u64);
@@ -266,7 +302,10 @@
 
     /// One request and the head of its answer; `alone`: on a connection of its own.
     async fn exchange(
-        &self, mut request: Request<Once>, alone: bool, open: &mut OpenExchange,
+        &self,
+        mut request: Request<Once>,
+        alone: bool,
+        open: &mut OpenExchange,
     ) -> Result<Exchanged, Failure> {
         let client = {
             let pool = self.pool();
@@ -283,42 +322,71 @@
             if stale {
                 self.distrust();
             }
-            Failure { error, stale, unwritten: carried.is_some_and(|it| it.is_unwritten()) }
+            Failure {
+                error,
+                stale,
+                unwritten: carried.is_some_and(|it| it.is_unwritten()),
+            }
         })
     }
 
     /// The same with a request that is made when its connection is up: made anew where that came up late, for nothing was
     /// written then. `None`: no request can be made.
     async fn exchange_when_up(
-        &self, request: impl Fn() -> Option<Request<Once>>, alone: bool, open: &mut OpenExchange,
+        &self,
+        request: impl Fn() -> Option<Request<Once>>,
+        alone: bool,
+        open: &mut OpenExchange,
     ) -> Option<Result<Exchanged, Failure>> {
         match self.exchange(request()?, alone, open).await {
-            Err(failure) if came_late(&failure) => Some(self.exchange(request()?, alone, open).await),
+            Err(failure) if came_late(&failure) => {
+                Some(self.exchange(request()?, alone, open).await)
+            }
             exchanged => Some(exchanged),
         }
     }
 
     async fn call(
-        &self, method: Method, address: &str, target: &str, alone: bool,
+        &self,
+        method: Method,
+        address: &str,
+        target: &str,
+        alone: bool,
     ) -> Option<Response<Incoming>> {
         let request = || {
-            let body = Once { body: None, taken: Arc::default() };
+            let body = Once {
+                body: None,
+                taken: Arc::default(),
+            };
             let uri = format!("http://{address}{target}");
-            Request::builder().method(method.clone()).uri(uri).body(body).ok()
+            Request::builder()
+                .method(method.clone())
+                .uri(uri)
+                .body(body)
+                .ok()
         };
         let mut open = OpenExchange::default();
         let answer = self.exchange_when_up(request, alone, &mut open).await?;
         open.ended();
         answer
-            .map_err(|it| debug!(self.log, "a call failed"; "address" => address, "error" => ?it.error))
+            .map_err(
+                |it| debug!(self.log, "a call failed"; "address" => address, "error" => ?it.error),
+            )
             .ok()
             .map(|(response, _)| response)
     }
 
     /// The request of an attempt, which tells the server the time that is left now.
     fn request(trial: &Trial, until: Instant, taken: &Arc<AtomicBool>) -> Option<Request<Once>> {
-        let body = Once { body: Some(trial.work.body.clone()), taken: taken.clone() };
-        let surplus = if breaks(Variant::ToldTime) { Duration::from_secs(1) } else { Duration::ZERO };
+        let body = Once {
+            body: Some(trial.work.body.clone()),
+            taken: taken.clone(),
+        };
+        let surplus = if breaks(Variant::ToldTime) {
+            Duration::from_secs(1)
+        } else {
+            Duration::ZERO
+        };
         let left = until.saturating_duration_since(Instant::now()) + surplus;
         let request = Request::builder()
             .method(Method::POST)
@@ -353,7 +421,11 @@
         };
         let (response, carried) = match exchange {
             Ok(Ok(exchanged)) => exchanged,
-            Ok(Err(Failure { error, stale, unwritten })) => {
+            Ok(Err(Failure {
+                error,
+                stale,
+                unwritten,
+            })) => {
                 debug!(self.log, "attempt failed"; "id" => trial.id, "attempt" => trial.attempt,
                     "address" => %trial.address, "error" => ?error, "stale" => stale, "unwritten" => unwritten);
                 return if error.is_connect() || !taken.load(Ordering::Relaxed) {
@@ -375,7 +447,10 @@
             open.ended();
         }
         let load = load_of(response.headers());
-        let never_ran = response.headers().get("x-never-ran").is_some_and(|value| value == "1");
+        let never_ran = response
+            .headers()
+            .get("x-never-ran")
+            .is_some_and(|value| value == "1");
         match response.status() {
             StatusCode::OK => self.stream(until, response, carried, passing, open).await,
             StatusCode::ACCEPTED => {
@@ -383,41 +458,75 @@
                 match timeout_at(until, body).await {
                     Ok(Ok(body)) => {
                         let body = body.to_bytes();
-                        let kept = std::str::from_utf8(&body).ok().and_then(|it| json::from_str(it).ok());
-                        let note = kept.and_then(|kept: Kept| kept.cached_tokens).unwrap_or(0.0);
+                        let kept = std::str::from_utf8(&body)
+                            .ok()
+                            .and_then(|it| json::from_str(it).ok());
+                        let note = kept
+                            .and_then(|kept: Kept| kept.cached_tokens)
+                            .unwrap_or(0.0);
                         open.ended();
-                        End { reason: EndReason::Read, note, written: 0.0, load }
+                        End {
+                            reason: EndReason::Read,
+                            note,
+                            written: 0.0,
+                            load,
+                        }
                     }
                     Ok(Err(_)) => EndReason::ConnectionBroke.into(),
                     Err(_) => EndReason::Silent.into(),
                 }
             }
-            StatusCode::GONE if never_ran => End { load, ..EndReason::StateGone.into() },
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
-                End { load, ..EndReason::TurnedAway.into() }
-            }
+            StatusCode::GONE if never_ran => End {
+                load,
+                ..EndReason::StateGone.into()
+            },
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => End {
+                load,
+                ..EndReason::TurnedAway.into()
+            },
             StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND | StatusCode::PAYLOAD_TOO_LARGE => {
                 debug!(self.log, "a bad request, says a node"; "id" => trial.id, "address" => %trial.address);
-                End { load, ..EndReason::BadRequest.into() }
+                End {
+                    load,
+                    ..EndReason::BadRequest.into()
+                }
             }
             other => {
                 debug!(self.log, "a node's error"; "id" => trial.id, "address" => %trial.address,
                     "code" => other.as_u16());
-                End { load, ..EndReason::ErrorAnswer.into() }
+                End {
+                    load,
+                    ..EndReason::ErrorAnswer.into()
+                }
             }
         }
     }
 
     async fn stream(
-        &self, until: Instant, response: Response<Incoming>, carried: Option<Arc<Carried>>, passing: Passing,
+        &self,
+        until: Instant,
+        response: Response<Incoming>,
+        carried: Option<Arc<Carried>>,
+        passing: Passing,
         mut open: OpenExchange,
     ) -> End {
         let load = load_of(response.headers());
-        let kind = response.headers().get(header::CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
+        let kind = response
+            .headers()
+            .get(header::CONTENT_TYPE)
+            .and_then(|kind| kind.to_str().ok());
         if !kind.is_some_and(|kind| kind.starts_with("text/event-stream")) {
-            return End { load, ..EndReason::UnreadableAnswer.into() };
+            return End {
+                load,
+                ..EndReason::UnreadableAnswer.into()
+            };
         }
-        let mut stream = Stream { body: response.into_body(), passing, seen: 0, tail: Vec::new() };
+        let mut stream = Stream {
+            body: response.into_body(),
+            passing,
+            seen: 0,
+            tail: Vec::new(),
+        };
         let mut carried = carried;
         loop {
             let next = tokio::select! {
@@ -445,15 +554,25 @@
         }
         open.ended();
         if let Err(reason) = stream.passing.end().await {
-            return End { load, ..reason.into() };
+            return End {
+                load,
+                ..reason.into()
+            };
         }
         let (note, written, last) = parse_tail(&stream.tail);
-        End { reason: EndReason::Served, note, written, load: last.or(load) }
+        End {
+            reason: EndReason::Served,
+            note,
+            written,
+            load: last.or(load),
+        }
     }
 
     /// Takes what came next of a stream; false at its end.
     async fn take(
-        &self, stream: &mut Stream, next: Result<Option<hyper::Result<Frame<Bytes>>>, EndReason>,
+        &self,
+        stream: &mut Stream,
+        next: Result<Option<hyper::Result<Frame<Bytes>>>, EndReason>,
     ) -> Result<bool, EndReason> {
         let frame = match next? {
             Some(Ok(frame)) => frame,
@@ -465,7 +584,9 @@
         };
         if let Ok(data) = frame.into_data() {
             stream.seen += data.len() as u64;
-            stream.tail.extend_from_slice(&data[data.len().saturating_sub(TAIL)..]);
+            stream
+                .tail
+                .extend_from_slice(&data[data.len().saturating_sub(TAIL)..]);
             stream.tail.drain(..stream.tail.len().saturating_sub(TAIL));
             stream.passing.data(&data).await?;
         }
@@ -482,11 +603,15 @@
                 return Ok(false);
             };
             if data == stream.seen {
-                let Some(node) = carried.descriptor() else { return Ok(false) };
+                let Some(node) = carried.descriptor() else {
+                    return Ok(false);
+                };
                 return Ok(stream.passing.moves(node, chunks).await);
             }
             // What was read and has not come yet needs no more than the connection's own task.
-            let Ok(frame) = timeout_at(until, stream.body.frame()).await else { return Ok(false) };
+            let Ok(frame) = timeout_at(until, stream.body.frame()).await else {
+                return Ok(false);
+            };
             if !self.take(stream, Ok(frame)).await? {
                 return Ok(false);
             }
@@ -496,19 +621,32 @@
     /// Asks a node to let go of what is held for a request; true when it said that it has.
     pub async fn release(&self, name: &str, address: &str, fresh: bool) -> bool {
         let target = format!("/kv/leases/{name}");
-        let Some(answer) = self.call(Method::DELETE, address, &target, fresh).await else { return false };
+        let Some(answer) = self.call(Method::DELETE, address, &target, fresh).await else {
+            return false;
+        };
         let done = answer.status().is_success();
         // Read to its end, so that its connection can be used again.
-        let _ = Limited::new(answer.into_body(), SHORT_ANSWER).collect().await;
+        let _ = Limited::new(answer.into_body(), SHORT_ANSWER)
+            .collect()
+            .await;
         done
     }
 
     /// Asks a node for its load: whether it is well, and its report.
     pub async fn probe(&self, address: &str) -> Option<(bool, Option<Load>)> {
-        let answer = self.call(Method::GET, address, "/status/load", false).await?;
+        let answer = self
+            .call(Method::GET, address, "/status/load", false)
+            .await?;
         let ok = answer.status() == StatusCode::OK;
         let load = load_of(answer.headers());
-        let body = Limited::new(answer.into_body(), SHORT_ANSWER).collect().await.ok()?.to_bytes();
-        Some((ok, load.or_else(|| parse_load(std::str::from_utf8(&body).ok()?))))
+        let body = Limited::new(answer.into_body(), SHORT_ANSWER)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
+        Some((
+            ok,
+            load.or_else(|| parse_load(std::str::from_utf8(&body).ok()?)),
+        ))
     }
 }
--- a/src/nodes/mod.rs
+++ b/src/nodes/mod.rs
@@ -138,8 +138,13 @@
 /// `speak_sessions` names the addresses of nodes that speak WebSocket sessions. Streams move to another process
 /// when `moving` says so.
 pub async fn run(
-    mut commands: mpsc::Receiver<Command>, door: Door, bounds: Bounds, places: Places,
-    speak_sessions: HashSet<String>, moving: Signal, log: Logger,
+    mut commands: mpsc::Receiver<Command>,
+    door: Door,
+    bounds: Bounds,
+    places: Places,
+    speak_sessions: HashSet<String>,
+    moving: Signal,
+    log: Logger,
 ) {
     let most_idle = (places.whole() / IDLE_PART).max(1);
     let dialer = Dialer::new(Duration::from_micros(bounds.dial), places);
@@ -147,7 +152,13 @@
     let idle = Duration::from_micros(bounds.idle * 7 / 10);
     let http = Http::new(dialer.clone(), idle, most_idle, log.clone());
     let sessions = Sessions::new(dialer.clone(), idle, log.clone());
-    let shared = Shared { http, sessions, speak_sessions: Arc::new(speak_sessions), door, log };
+    let shared = Shared {
+        http,
+        sessions,
+        speak_sessions: Arc::new(speak_sessions),
+        door,
+        log,
+    };
     let mut tasks: JoinSet<()> = JoinSet::new();
     let mut trials: HashMap<tokio::task::Id, (RequestId, u32)> = HashMap::new();
     let mut cancels: HashMap<(RequestId, u32), oneshot::Sender<()>> = HashMap::new();
--- a/src/nodes/sessions.rs
+++ b/src/nodes/sessions.rs
@@ -56,27 +56,48 @@
 /// Reads a node's message. What makes no sense, or belongs to another request, is an error of the node.
 pub fn parse(text: &str, name: &str) -> Sense {
     let error = || Sense::End(EndReason::UnreadableAnswer.into());
-    let Ok(told) = json::from_str::<Told>(text) else { return error() };
+    let Ok(told) = json::from_str::<Told>(text) else {
+        return error();
+    };
     if told.id.as_deref() != Some(name) {
         return error();
     }
     let load = told.load.as_deref().and_then(parse_load);
     let kept = told.cached_tokens.unwrap_or(0.0);
-    let end = |reason| Sense::End(End { load, ..End::from(reason) });
+    let end = |reason| {
+        Sense::End(End {
+            load,
+            ..End::from(reason)
+        })
+    };
     match (told.kind.as_str(), told.data) {
         ("event", Some(data)) => Sense::Data(data.into()),
-        ("read", _) => Sense::End(End { reason: EndReason::Read, note: kept, written: 0.0, load }),
-        ("served", _) => Sense::End(End { reason: EndReason::Served, note: kept, written: 0.0, load }),
-        ("refused", _) if told.never_ran == Some(true) => {
-            end(if told.state_gone == Some(true) { EndReason::StateGone } else { EndReason::TurnedAway })
-        }
+        ("read", _) => Sense::End(End {
+            reason: EndReason::Read,
+            note: kept,
+            written: 0.0,
+            load,
+        }),
+        ("served", _) => Sense::End(End {
+            reason: EndReason::Served,
+            note: kept,
+            written: 0.0,
+            load,
+        }),
+        ("refused", _) if told.never_ran == Some(true) => end(if told.state_gone == Some(true) {
+            EndReason::StateGone
+        } else {
+            EndReason::TurnedAway
+        }),
         ("rejected", _) => end(EndReason::BadRequest),
         _ => end(EndReason::ErrorAnswer),
     }
 }
 
 fn config() -> WebSocketConfig {
-    let config = WebSocketConfig::default().max_message_size(Some(MOST)).max_frame_size(Some(MOST));
+    let config = WebSocketConfig::default()
+        .max_message_size(Some(MOST))
+        .max_frame_size(Some(MOST));
     config.read_buffer_size(BUFFER)
 }
 
@@ -92,7 +113,12 @@
 impl Sessions {
     /// No sessions yet. One that was idle for `idle_time` is not used again.
     pub fn new(dialer: Dialer, idle_time: Duration, log: Logger) -> Self {
-        Sessions { dialer, idle: Arc::default(), idle_time, log }
+        Sessions {
+            dialer,
+            idle: Arc::default(),
+            idle_time,
+            log,
+        }
     }
 
     fn idle(&self) -> MutexGuard<'_, Idle> {
@@ -128,14 +154,21 @@
 
     /// A new session, or why none came up; nothing has run either way.
     async fn open(&self, address: &str) -> Result<Session, EndReason> {
-        let wire = self.dialer.dial(address).await.map_err(|error| match error.kind() {
-            CROWDED => EndReason::NoPlace,
-            _ => EndReason::DialFailed,
-        })?;
+        let wire = self
+            .dialer
+            .dial(address)
+            .await
+            .map_err(|error| match error.kind() {
+                CROWDED => EndReason::NoPlace,
+                _ => EndReason::DialFailed,
+            })?;
         let opened = timeout(self.dialer.limit(), async {
             let url = format!("ws://{address}{PATH}");
-            let opened = tokio_tungstenite::client_async_with_config(url, wire, Some(config())).await;
-            opened.map_err(|error| debug!(self.log, "no session"; "error" => %error)).ok()
+            let opened =
+                tokio_tungstenite::client_async_with_config(url, wire, Some(config())).await;
+            opened
+                .map_err(|error| debug!(self.log, "no session"; "error" => %error))
+                .ok()
         });
         let (session, _) = opened.await.ok().flatten().ok_or(EndReason::DialFailed)?;
         // The drain rule counts from a send's first byte: one that waited here is checked again.
@@ -152,10 +185,17 @@
             return EndReason::NotSent.into();
         }
         // What breaks on a session that was kept may have run, so that what must not run twice gets a new one.
-        let kept = if trial.alone { None } else { self.take(&trial.address) };
+        let kept = if trial.alone {
+            None
+        } else {
+            self.take(&trial.address)
+        };
         // How it has broken, until something came back.
-        let mut broken =
-            if kept.is_some() { EndReason::KeptConnectionBroke } else { EndReason::ConnectionBroke };
+        let mut broken = if kept.is_some() {
+            EndReason::KeptConnectionBroke
+        } else {
+            EndReason::ConnectionBroke
+        };
         let mut session = match kept {
             Some(session) => session,
             None => match timeout_at(until, self.open(&trial.address)).await {
@@ -167,7 +207,9 @@
         // The body goes with its last byte: a long stream keeps none of it.
         let body = std::mem::take(&mut trial.work.body);
         // Text messages carry text: a body that is none is not sent, rather than sent as something else.
-        let Ok(body) = std::str::from_utf8(&body) else { return EndReason::NotSent.into() };
+        let Ok(body) = std::str::from_utf8(&body) else {
+            return EndReason::NotSent.into();
+        };
         let request = format!(
             r#"{{"type":"request","id":{},"target":{},"expires_in_ms":{},"body":{}}}"#,
             json::to_string(&*trial.work.name),
@@ -178,7 +220,9 @@
         // A message whose last byte was not written is no request.
         match timeout_at(until, session.send(Message::Text(request.into()))).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) if broken == EndReason::KeptConnectionBroke => return EndReason::NotWritten.into(),
+            Ok(Err(_)) if broken == EndReason::KeptConnectionBroke => {
+                return EndReason::NotWritten.into()
+            }
             Ok(Err(_)) => return EndReason::DialFailed.into(),
             Err(_) => return EndReason::Silent.into(),
         }
@@ -225,15 +269,20 @@
             Some(session) => Some(session),
             None => self.reopen(address).await,
         };
-        let Some(mut session) = session else { return false };
+        let Some(mut session) = session else {
+            return false;
+        };
         let call = format!(r#"{{"type":"release","id":{}}}"#, json::to_string(name));
         if session.send(Message::Text(call.into())).await.is_err() {
             return false;
         }
         while let Some(Ok(message)) = session.next().await {
-            let Message::Text(text) = message else { continue };
+            let Message::Text(text) = message else {
+                continue;
+            };
             let told = json::from_str::<Told>(&text).ok();
-            let done = told.is_some_and(|told| told.kind == "released" && told.id.as_deref() == Some(name));
+            let done = told
+                .is_some_and(|told| told.kind == "released" && told.id.as_deref() == Some(name));
             if done {
                 self.keep(address, session);
             }
--- a/src/notes.rs
+++ b/src/notes.rs
@@ -45,16 +45,31 @@
 impl Notes {
     /// Notes of a dispatcher, from now on.
     pub fn new(key: Key, at: Time, dispatcher: &str, site: &Site) -> Notes {
-        let start = Record::Start { at, dispatcher: dispatcher.into(), dispatchers: site.settings.balancers };
-        let mut notes = Notes { key, notes: vec![start], nodes: HashSet::new() };
+        let start = Record::Start {
+            at,
+            dispatcher: dispatcher.into(),
+            dispatchers: site.settings.balancers,
+        };
+        let mut notes = Notes {
+            key,
+            notes: vec![start],
+            nodes: HashSet::new(),
+        };
         notes.settings(site);
         notes
     }
 
     /// The numbers of classes and tenants mean this from now on.
     pub fn settings(&mut self, site: &Site) {
-        for (table, names) in [(Table::Class, &site.classes), (Table::Tenant, &site.tenants)] {
-            let named = |(name, number): (&String, u32)| Record::Name { table, number, name: name.clone() };
+        for (table, names) in [
+            (Table::Class, &site.classes),
+            (Table::Tenant, &site.tenants),
+        ] {
+            let named = |(name, number): (&String, u32)| Record::Name {
+                table,
+                number,
+                name: name.clone(),
+            };
             self.notes.extend(Names::pairs(names).map(named));
         }
     }
@@ -63,11 +78,22 @@
     pub fn node(&mut self, at: Time, name: &Arc<str>, entry: &Entry) {
         let node = entry.server;
         if self.nodes.insert(node) {
-            self.notes.push(Record::Name { table: Table::Node, number: node, name: name.to_string() });
+            self.notes.push(Record::Name {
+                table: Table::Node,
+                number: node,
+                name: name.to_string(),
+            });
         }
         let ready = entry.state == State::Ready;
         let started = entry.started.unwrap_or(0);
-        self.notes.push(Record::Node { at, node, role: role(entry.role), cell: entry.cell, ready, started });
+        self.notes.push(Record::Node {
+            at,
+            node,
+            role: role(entry.role),
+            cell: entry.cell,
+            ready,
+            started,
+        });
     }
 
     /// A node is gone; its number is not used again.
@@ -77,7 +103,8 @@
 
     /// A request has come.
     pub fn arrival(&mut self, at: Time, ask: &Ask) {
-        let digest = |sort, name: Option<u64>| name.map(|name| self.key.digest(sort, &name.to_le_bytes()));
+        let digest =
+            |sort, name: Option<u64>| name.map(|name| self.key.digest(sort, &name.to_le_bytes()));
         self.notes.push(Record::Arrival {
             at,
             request: ask.id,
@@ -94,23 +121,51 @@
 
     /// An attempt has been sent.
     pub fn sent(&mut self, at: Time, request: u64, attempt: u32, node: ServerId) {
-        self.notes.push(Record::Sent { at, request, attempt, node });
+        self.notes.push(Record::Sent {
+            at,
+            request,
+            attempt,
+            node,
+        });
     }
 
     /// An attempt's first event has come.
     pub fn first(&mut self, at: Time, request: u64, attempt: u32) {
-        self.notes.push(Record::First { at, request, attempt });
+        self.notes.push(Record::First {
+            at,
+            request,
+            attempt,
+        });
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, at: Time, request: u64, attempt: u32, how: Status, kept: f64, written: f64) {
+    pub fn ended(
+        &mut self,
+        at: Time,
+        request: u64,
+        attempt: u32,
+        how: Status,
+        kept: f64,
+        written: f64,
+    ) {
         let (status, kept, written) = (status(how), tokens(kept), tokens(written));
-        self.notes.push(Record::Ended { at, request, attempt, status, kept, written });
+        self.notes.push(Record::Ended {
+            at,
+            request,
+            attempt,
+            status,
+            kept,
+            written,
+        });
     }
 
     /// A request is over.
     pub fn over(&mut self, at: Time, request: u64, answer: Answer) {
-        self.notes.push(Record::Final { at, request, answer });
+        self.notes.push(Record::Final {
+            at,
+            request,
+            answer,
+        });
     }
 
     /// Takes what was noted.
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -31,11 +31,25 @@
 impl Peers {
     /// Where the configuration says that dispatchers tell each other things. Without it they do without.
     pub fn new(config: &Config) -> Option<Peers> {
-        let (listen, all) = (config.peer_listen.clone()?, config.peers_all.as_ref()?.parse().ok()?);
+        let (listen, all) = (
+            config.peer_listen.clone()?,
+            config.peers_all.as_ref()?.parse().ok()?,
+        );
         let me = config.settings.me;
-        let others = config.peers.iter().flatten().enumerate().filter(|(at, _)| Some(*at) != me);
-        let numbers = others.filter_map(|(at, address)| Some((address.parse().ok()?, at))).collect();
-        Some(Peers { listen, all, numbers })
+        let others = config
+            .peers
+            .iter()
+            .flatten()
+            .enumerate()
+            .filter(|(at, _)| Some(*at) != me);
+        let numbers = others
+            .filter_map(|(at, address)| Some((address.parse().ok()?, at)))
+            .collect();
+        Some(Peers {
+            listen,
+            all,
+            numbers,
+        })
     }
 
     /// How many dispatchers there are beside this one.
@@ -69,7 +83,9 @@
 
     /// Carries messages to all others, and theirs to the core, until nobody sends any more.
     pub async fn run(self, mut tell: mpsc::Receiver<Bytes>, door: Door, log: Logger) {
-        let Some(socket) = self.open(&mut tell, &log).await else { return };
+        let Some(socket) = self.open(&mut tell, &log).await else {
+            return;
+        };
         // One byte more than allowed shows what is longer.
         let mut buffer = [0; LONGEST + 1];
         loop {
--- a/src/places.rs
+++ b/src/places.rs
@@ -25,8 +25,15 @@
 impl Places {
     /// So many, all of them free.
     pub fn new(whole: usize) -> Places {
-        let most = Arc::new(Mutex::new(Most { most: whole, owed: 0 }));
-        Places { whole, free: Arc::new(Semaphore::new(whole)), most }
+        let most = Arc::new(Mutex::new(Most {
+            most: whole,
+            owed: 0,
+        }));
+        Places {
+            whole,
+            free: Arc::new(Semaphore::new(whole)),
+            most,
+        }
     }
 
     fn most(&self) -> MutexGuard<'_, Most> {
@@ -67,7 +74,9 @@
     /// From now on there are so many of [`PARTS`] parts, though not fewer than `least`. What is taken beyond
     /// goes as it comes free: call again, until nothing is [`Places::over`].
     pub fn set_part(&self, part: u32, least: usize) {
-        let wanted = (self.whole * part.min(PARTS) as usize / PARTS as usize).max(least).min(self.whole);
+        let wanted = (self.whole * part.min(PARTS) as usize / PARTS as usize)
+            .max(least)
+            .min(self.whole);
         let mut most = self.most();
         let there = most.most + most.owed;
         if wanted >= there {
--- a/src/prefixes.rs
+++ b/src/prefixes.rs
@@ -31,12 +31,18 @@
     /// A request has arrived.
     pub fn arrived(&mut self, ask: &Ask) {
         self.recent.push_back(ask.prefix.unwrap_or(0));
-        self.recent.drain(..self.recent.len().saturating_sub(RECENT));
+        self.recent
+            .drain(..self.recent.len().saturating_sub(RECENT));
     }
 
     /// The part of recent requests that begin with the same shared text.
     pub fn share(&self, ask: &Ask) -> f64 {
-        let same = |prefix| self.recent.iter().filter(|recent| **recent == prefix).count();
+        let same = |prefix| {
+            self.recent
+                .iter()
+                .filter(|recent| **recent == prefix)
+                .count()
+        };
         ask.prefix.map_or(0, same) as f64 / RECENT as f64
     }
 
@@ -54,9 +60,19 @@
     /// Some servers that keep a request's texts; of a text that many keep, others for each seed.
     pub fn holders(&self, ask: &Ask, seed: u64) -> BTreeSet<ServerId> {
         let mut found = BTreeSet::new();
-        for holders in [ask.session, ask.prefix].iter().flatten().filter_map(|text| self.by_text.get(text)) {
+        for holders in [ask.session, ask.prefix]
+            .iter()
+            .flatten()
+            .filter_map(|text| self.by_text.get(text))
+        {
             let first = (seed % holders.len().max(1) as u64) as usize;
-            found.extend(holders.iter().cycle().skip(first).take(HOLDERS.min(holders.len())));
+            found.extend(
+                holders
+                    .iter()
+                    .cycle()
+                    .skip(first)
+                    .take(HOLDERS.min(holders.len())),
+            );
         }
         found
     }
@@ -64,19 +80,35 @@
     /// A server has read a request. No more tokens that are in no shared text are noted than `room`, where that is told:
     /// a full server lets the oldest go.
     pub fn note(&mut self, now: Time, server: ServerId, room: f64, ask: &Ask) {
-        let shared = if ask.prefix.is_some() { ask.prefix_tokens } else { 0.0 };
+        let shared = if ask.prefix.is_some() {
+            ask.prefix_tokens
+        } else {
+            0.0
+        };
         let own = (ask.prompt - shared).max(0.0);
         let texts = [(ask.prefix, shared, shared), (ask.session, ask.prompt, own)];
         let table = self.by_server.entry(server).or_default();
         for (text, tokens, own) in texts {
             let Some(text) = text else { continue };
-            table.insert(text, Kept { tokens, own, at: now });
+            table.insert(
+                text,
+                Kept {
+                    tokens,
+                    own,
+                    at: now,
+                },
+            );
             self.by_text.entry(text).or_default().insert(server);
         }
         let mut over = table.values().map(|kept| kept.own).sum::<f64>() - room;
         while over > 0.0 && room > 0.0 {
-            let oldest = table.iter().min_by_key(|(_, kept)| kept.at).map(|(text, _)| *text);
-            let Some((text, kept)) = oldest.and_then(|text| table.remove_entry(&text)) else { break };
+            let oldest = table
+                .iter()
+                .min_by_key(|(_, kept)| kept.at)
+                .map(|(text, _)| *text);
+            let Some((text, kept)) = oldest.and_then(|text| table.remove_entry(&text)) else {
+                break;
+            };
             over -= kept.own;
             forget_holder(&mut self.by_text, text, server);
         }
@@ -98,14 +130,21 @@
 
     /// A server has gone, or has started anew.
     pub fn forget_server(&mut self, server: ServerId) {
-        for text in self.by_server.remove(&server).unwrap_or_default().into_keys() {
+        for text in self
+            .by_server
+            .remove(&server)
+            .unwrap_or_default()
+            .into_keys()
+        {
             forget_holder(&mut self.by_text, text, server);
         }
     }
 }
 
 fn forget_holder(by_text: &mut HashMap<u64, BTreeSet<ServerId>>, text: u64, server: ServerId) {
-    let Some(holders) = by_text.get_mut(&text) else { return };
+    let Some(holders) = by_text.get_mut(&text) else {
+        return;
+    };
     holders.remove(&server);
     if holders.is_empty() {
         by_text.remove(&text);
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -16,7 +16,11 @@
 impl Quota {
     /// A bucket for so many requests a second; 0: no limit.
     pub fn new(rate: f64, now: Time) -> Quota {
-        Quota { rate, left: BURST, at: now }
+        Quota {
+            rate,
+            left: BURST,
+            at: now,
+        }
     }
 
     /// From now on it fills at this rate.
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -21,7 +21,10 @@
 
 /// Reads the file and has it taken; its text is the running one then.
 async fn take(
-    file: &Path, running: &str, door: &Door, discovery: &watch::Sender<String>,
+    file: &Path,
+    running: &str,
+    door: &Door,
+    discovery: &watch::Sender<String>,
 ) -> Result<String, String> {
     let text = std::fs::read_to_string(file).map_err(|error| error.to_string())?;
     let config = Config::parse_next(running, &text)?;
@@ -38,7 +41,11 @@
 /// Takes the file after each SIGHUP. A bad one is logged in one line and nothing of it is taken; it is read again
 /// shortly, and at once when the next SIGHUP comes.
 pub async fn run(
-    file: PathBuf, mut running: String, mut hangup: Signal, door: Door, discovery: watch::Sender<String>,
+    file: PathBuf,
+    mut running: String,
+    mut hangup: Signal,
+    door: Door,
+    discovery: watch::Sender<String>,
     log: Logger,
 ) {
     while hangup.recv().await.is_some() {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -139,7 +139,9 @@
     /// All names with their numbers, in their order.
     pub fn pairs(&self) -> impl Iterator<Item = (&String, u32)> {
         let number = |name: &String| self.known(name);
-        self.names.iter().filter_map(move |name| Some((name, number(name)?)))
+        self.names
+            .iter()
+            .filter_map(move |name| Some((name, number(name)?)))
     }
 
     /// The name with this number.
@@ -183,7 +185,10 @@
                 None | Some("cell") => Group::Cell,
                 Some(word) => return Err(format!("unknown group {word:?}")),
             };
-            Ok(Effect::Keyed { group, window: span(class.key_ttl) })
+            Ok(Effect::Keyed {
+                group,
+                window: span(class.key_ttl),
+            })
         }
         Some(word) => Err(format!("unknown kind of repeat {word:?}")),
     }
@@ -234,7 +239,9 @@
         let class_lines = profile.classes.as_deref().unwrap_or_default();
         let tenant_lines = profile.tenants.as_deref().unwrap_or_default();
         let mut zones = Names::new(profile.dcs.iter().flatten());
-        let at = |list: &Option<Vec<f64>>, at: usize| list.as_ref().and_then(|list| list.get(at)).copied();
+        let at = |list: &Option<Vec<f64>>, at: usize| {
+            list.as_ref().and_then(|list| list.get(at)).copied()
+        };
         let class = |(number, class): (usize, &ClassLine)| {
             Ok(Class {
                 aim: span(class.aim),
@@ -246,14 +253,27 @@
                 open: true,
             })
         };
-        let tenant = |tenant: &TenantLine| Tenant { quota_per_s: tenant.quota_per_s.unwrap_or(0.0) };
+        let tenant = |tenant: &TenantLine| Tenant {
+            quota_per_s: tenant.quota_per_s.unwrap_or(0.0),
+        };
         let settings = Settings {
             balancers: profile.balancers.unwrap_or(0),
-            zone: profile.zone.as_ref().map_or(u32::MAX, |zone| zones.number(zone)),
-            classes: class_lines.iter().enumerate().map(class).collect::<Result<_, String>>()?,
+            zone: profile
+                .zone
+                .as_ref()
+                .map_or(u32::MAX, |zone| zones.number(zone)),
+            classes: class_lines
+                .iter()
+                .enumerate()
+                .map(class)
+                .collect::<Result<_, String>>()?,
             tenants: tenant_lines.iter().map(tenant).collect(),
             over_share_worth: profile.over_share_worth.unwrap_or(0.0),
-            reports: match profile.reporting.as_ref().and_then(|reporting| reporting.via.as_deref()) {
+            reports: match profile
+                .reporting
+                .as_ref()
+                .and_then(|reporting| reporting.via.as_deref())
+            {
                 Some("answers") => Reports::WithAnswers,
                 Some("probe") => Reports::WhenProbed,
                 None | Some("none") => Reports::Never,
@@ -263,7 +283,11 @@
             may_probe: limits.may_probe.unwrap_or(false),
             may_cancel: limits.cancel.unwrap_or(false),
             second_copies: limits.second_copies.unwrap_or(false),
-            max_retry_after: if limits.retry_after == Some(true) { span(limits.max_retry_after) } else { 0 },
+            max_retry_after: if limits.retry_after == Some(true) {
+                span(limits.max_retry_after)
+            } else {
+                0
+            },
             max_attempts: limits.most_tries.unwrap_or(0),
             tick: span(profile.tick),
             answer_slack: span(rules.answer_slack),
@@ -273,7 +297,11 @@
             warm_within: span(rules.warm_within),
             fall_multiple: rules.tip_multiple.unwrap_or(0.0),
             fall: span(rules.fall),
-            cross_zone_price: profile.deductions.as_ref().and_then(|it| it.cross_zone).unwrap_or(0.0),
+            cross_zone_price: profile
+                .deductions
+                .as_ref()
+                .and_then(|it| it.cross_zone)
+                .unwrap_or(0.0),
             far_price: family.move_fee.unwrap_or(0.0),
         };
         Ok(Site {
@@ -290,14 +318,22 @@
                     .unwrap_or(Time::MAX),
             },
             classes: Names::new(class_lines.iter().map(|class| &class.name)),
-            peer_price: limits
-                .peers
-                .filter(|may| *may)
-                .map(|_| profile.deductions.as_ref().and_then(|it| it.peer).unwrap_or(0.0)),
+            peer_price: limits.peers.filter(|may| *may).map(|_| {
+                profile
+                    .deductions
+                    .as_ref()
+                    .and_then(|it| it.peer)
+                    .unwrap_or(0.0)
+            }),
             tenants: Names::new(tenant_lines.iter().map(|tenant| &tenant.name)),
             zones,
             kinds: Names::new(profile.machine_types.iter().flatten()),
-            roles: family.role_by_kind.iter().flatten().map(role).collect::<Result<_, String>>()?,
+            roles: family
+                .role_by_kind
+                .iter()
+                .flatten()
+                .map(role)
+                .collect::<Result<_, String>>()?,
             memory: family.tokens_by_kind.clone().unwrap_or_default(),
         })
     }
@@ -309,17 +345,25 @@
         classes.iter_mut().for_each(|class| class.open = false);
         let mut numbers = Vec::new();
         for (name, class) in self.classes.names.iter().zip(&self.settings.classes) {
-            let same = old.classes.known(name).filter(|at| old.settings.classes[*at as usize] == *class);
+            let same = old
+                .classes
+                .known(name)
+                .filter(|at| old.settings.classes[*at as usize] == *class);
             let number = match same {
                 Some(number) => number as usize,
                 None => {
-                    let free =
-                        |at: &usize| !classes[*at].open && !used(*at) && !old.settings.classes[*at].open;
-                    (0..old.settings.classes.len()).find(free).unwrap_or(classes.len())
+                    let free = |at: &usize| {
+                        !classes[*at].open && !used(*at) && !old.settings.classes[*at].open
+                    };
+                    (0..old.settings.classes.len())
+                        .find(free)
+                        .unwrap_or(classes.len())
                 }
             };
             if number >= MOST_CLASSES {
-                return Err("too many classes have come and gone while requests of theirs are open".into());
+                return Err(
+                    "too many classes have come and gone while requests of theirs are open".into(),
+                );
             }
             match classes.get_mut(number) {
                 Some(there) => *there = class.clone(),
@@ -336,7 +380,12 @@
     }
 
     /// One server of a list, by the names of its kind and zone. The caller numbers servers.
-    pub fn entry(&mut self, server: ServerId, name: &str, kind: Option<&str>) -> Result<Entry, String> {
+    pub fn entry(
+        &mut self,
+        server: ServerId,
+        name: &str,
+        kind: Option<&str>,
+    ) -> Result<Entry, String> {
         let number = kind.map_or(Some(0), |kind| self.kinds.known(kind));
         let number = number.ok_or_else(|| format!("unknown kind {kind:?}"))? as usize;
         Ok(Entry {
@@ -376,7 +425,9 @@
 
 impl From<&Value> for MemberLine {
     fn from(line: &Value) -> Self {
-        let Value::Object(line) = line else { return MemberLine::default() };
+        let Value::Object(line) = line else {
+            return MemberLine::default();
+        };
         let text = |field: &str| match line.get(field) {
             Some(Value::String(text)) => Some(text.clone()),
             _ => None,
@@ -390,7 +441,9 @@
             host_port: text("host_port"),
             locality: text("locality"),
             flavor: text("flavor"),
-            cell: number("cell").filter(|cell| (0.0..u32::MAX.into()).contains(cell)).map(|cell| cell as u32),
+            cell: number("cell")
+                .filter(|cell| (0.0..u32::MAX.into()).contains(cell))
+                .map(|cell| cell as u32),
             phase: text("phase"),
             up_since_ms: number("up_since_ms"),
         }
@@ -424,7 +477,11 @@
     /// Descriptors for clients' connections, and for those to nodes. Clients get five eighths: beside an open
     /// request, which needs one on either side, there are those that stand idle or mute until they may be closed.
     pub fn shares(&self) -> (usize, usize) {
-        let sockets = self.sockets.unwrap_or(1024).saturating_sub(SPARE_SOCKETS).max(16) as usize;
+        let sockets = self
+            .sockets
+            .unwrap_or(1024)
+            .saturating_sub(SPARE_SOCKETS)
+            .max(16) as usize;
         (sockets * 5 / 8, sockets - sockets * 5 / 8)
     }
 }
@@ -539,7 +596,8 @@
     /// Reads the session file; the error is one line.
     pub fn parse(text: &str) -> Result<Sessions, String> {
         let wrong = |what: &str| format!("the session file: {what}");
-        let file: SessionFile = json::from_str(text).map_err(|_| wrong("not the JSON object expected"))?;
+        let file: SessionFile =
+            json::from_str(text).map_err(|_| wrong("not the JSON object expected"))?;
         let sessions = Sessions {
             listen: file.listen,
             agent_check: file.agent_check,
@@ -554,8 +612,15 @@
             record_text: file.record_text.unwrap_or(16 * 1024),
             record_bytes: file.record_bytes.unwrap_or(8 * 1024 * 1024),
         };
-        let counts = [sessions.most_sessions, sessions.most_requests, sessions.most_message];
-        if counts.contains(&0) || counts.iter().any(|count| *count > 1 << 24) || sessions.ping_ms == 0 {
+        let counts = [
+            sessions.most_sessions,
+            sessions.most_requests,
+            sessions.most_message,
+        ];
+        if counts.contains(&0)
+            || counts.iter().any(|count| *count > 1 << 24)
+            || sessions.ping_ms == 0
+        {
             return Err(wrong("a bound that bounds nothing"));
         }
         Ok(sessions)
@@ -565,8 +630,18 @@
     /// messages on their way, an eighth for the record. Told beside it: descriptors for connections that are no
     /// session yet.
     pub fn within(self, sockets: usize, memory: usize) -> (Sessions, usize) {
-        let most = self.most_sessions.min(sockets * 3 / 8).min(memory / 4 / self.most_message);
+        let most = self
+            .most_sessions
+            .min(sockets * 3 / 8)
+            .min(memory / 4 / self.most_message);
         let record_bytes = self.record_bytes.min(memory / 8);
-        (Sessions { most_sessions: most.max(1), record_bytes, ..self }, (sockets / 8).max(1))
+        (
+            Sessions {
+                most_sessions: most.max(1),
+                record_bytes,
+                ..self
+            },
+            (sockets / 8).max(1),
+        )
     }
 }
--- a/src/strict.rs
+++ b/src/strict.rs
@@ -48,12 +48,13 @@
     let key = path.rsplit('.').next().unwrap_or(path);
     match value {
         Value::Number(it) => check_number(path, key, number(it)),
-        Value::Array(list) => {
-            list.iter().enumerate().try_for_each(|(at, it)| check_values(&format!("{path}[{at}]"), it))
-        }
-        Value::Object(object) => {
-            object.iter().try_for_each(|(key, it)| check_values(&format!("{path}.{key}"), it))
-        }
+        Value::Array(list) => list
+            .iter()
+            .enumerate()
+            .try_for_each(|(at, it)| check_values(&format!("{path}[{at}]"), it)),
+        Value::Object(object) => object
+            .iter()
+            .try_for_each(|(key, it)| check_values(&format!("{path}.{key}"), it)),
         Value::Null | Value::Bool(_) | Value::String(_) => Ok(()),
     }
 }
@@ -63,7 +64,10 @@
 pub fn complete(path: &str, running: &Value, new: &Value) -> Result<(), String> {
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => {
-            for (key, running) in running.iter().filter(|(key, _)| !MAY_LACK.contains(&key.as_str())) {
+            for (key, running) in running
+                .iter()
+                .filter(|(key, _)| !MAY_LACK.contains(&key.as_str()))
+            {
                 let path = format!("{path}.{key}");
                 let new = new.get(key).ok_or_else(|| format!("{path} is missing"))?;
                 complete(&path, running, new)?;
@@ -71,9 +75,13 @@
             Ok(())
         }
         (Value::Array(running), Value::Array(new)) => {
-            let Some(common) = running.iter().cloned().reduce(common) else { return Ok(()) };
+            let Some(common) = running.iter().cloned().reduce(common) else {
+                return Ok(());
+            };
             let path = |at| format!("{path}[{at}]");
-            new.iter().enumerate().try_for_each(|(at, new)| complete(&path(at), &common, new))
+            new.iter()
+                .enumerate()
+                .try_for_each(|(at, new)| complete(&path(at), &common, new))
         }
         // Nothing stood there.
         (Value::Null, _) => Ok(()),
--- a/src/system_errors.rs
+++ b/src/system_errors.rs
@@ -12,7 +12,9 @@
 /// Whether this machine is short of something for a moment: descriptors, memory, ports or a route. It tells nothing of the
 /// other side.
 pub fn is_local_shortage(error: &io::Error) -> bool {
-    let Some(code) = error.raw_os_error() else { return false };
+    let Some(code) = error.raw_os_error() else {
+        return false;
+    };
     let shortages = [
         rustix::io::Errno::MFILE,
         rustix::io::Errno::NFILE,
@@ -24,13 +26,17 @@
         rustix::io::Errno::AGAIN,
         rustix::io::Errno::INTR,
     ];
-    shortages.iter().any(|shortage| shortage.raw_os_error() == code)
+    shortages
+        .iter()
+        .any(|shortage| shortage.raw_os_error() == code)
 }
 
 /// Whether a failed `accept` concerns only the connection that was to be taken: the next one may be taken at once. These are
 /// the errors that Linux passes on from a connection that has broken while it waited.
 fn is_of_one_connection(error: &io::Error) -> bool {
-    let Some(code) = error.raw_os_error() else { return false };
+    let Some(code) = error.raw_os_error() else {
+        return false;
+    };
     let broken = [
         rustix::io::Errno::CONNABORTED,
         rustix::io::Errno::CONNRESET,
@@ -57,7 +63,10 @@
 
 impl Default for AcceptPauses {
     fn default() -> Self {
-        AcceptPauses { next: FIRST_PAUSE, at_once: 0 }
+        AcceptPauses {
+            next: FIRST_PAUSE,
+            at_once: 0,
+        }
     }
 }
 
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -51,13 +51,21 @@
 impl Watch {
     /// A watch from a revision that is known on, or from a full list. `pushed`: lists come to an agent on this machine.
     pub fn from(revision: Option<u64>, pushed: bool) -> Self {
-        Watch { revision, pushed, silent: 0 }
+        Watch {
+            revision,
+            pushed,
+            silent: 0,
+        }
     }
 
     /// The next call.
     pub fn call(&self) -> Call {
         let patient = self.silent > 0 && self.silent.is_multiple_of(TURNS);
-        let late = if self.pushed && !patient { LATE_HERE } else { LATE };
+        let late = if self.pushed && !patient {
+            LATE_HERE
+        } else {
+            LATE
+        };
         let hold = match self.pushed {
             // One that was silent is asked for what it has, without a wait in which it may fall silent again unseen.
             true if self.silent > 0 => Duration::ZERO,
@@ -65,7 +73,10 @@
             false => HOLD,
         };
         match self.revision {
-            None => Call { target: "/v1/endpoints".to_owned(), patience: late },
+            None => Call {
+                target: "/v1/endpoints".to_owned(),
+                patience: late,
+            },
             Some(from) => Call {
                 target: format!("/v1/endpoints?from={from}&hold_ms={}", hold.as_millis()),
                 patience: hold + late,
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -81,8 +81,15 @@
         let mut client = send(&fleet.platform, text).await;
         let sent = Instant::now();
         let told = read(&mut client, "").await;
-        assert!(told.starts_with(answer) && told.is_empty() == answer.is_empty(), "{text:?}: {told}");
-        assert!(sent.elapsed() < Duration::from_millis(2500), "{text:?}: {:?}", sent.elapsed());
+        assert!(
+            told.starts_with(answer) && told.is_empty() == answer.is_empty(),
+            "{text:?}: {told}"
+        );
+        assert!(
+            sent.elapsed() < Duration::from_millis(2500),
+            "{text:?}: {:?}",
+            sent.elapsed()
+        );
     }
     fleet.nothing_left().await;
 }
@@ -91,7 +98,11 @@
 async fn an_open_request_has_its_time() {
     let fleet = Fleet::start(false).await;
     fleet.way(2, Way::Pause);
-    let mut client = send(&fleet.platform, &format!("{HEAD}Content-Length: 2\r\n\r\n{{}}")).await;
+    let mut client = send(
+        &fleet.platform,
+        &format!("{HEAD}Content-Length: 2\r\n\r\n{{}}"),
+    )
+    .await;
     assert!(read(&mut client, "\n\n\r\n").await.contains(ANSWER[0]));
     sleep(Duration::from_secs(3)).await;
     fleet.go.notify_one();
@@ -104,22 +115,34 @@
     let mut idle = Vec::new();
     for _ in 0..5 {
         let mut client = send(&address, GET).await;
-        assert!(read(&mut client, "ready.").await.starts_with("HTTP/1.1 200"));
+        assert!(read(&mut client, "ready.")
+            .await
+            .starts_with("HTTP/1.1 200"));
         idle.push(client);
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_millis(500)).await;
     // What has begun a head is neither idle nor mute.
     let begun = "GET /re";
-    let _begun = [send(&address, begun).await, send(&address, begun).await, send(&address, begun).await];
+    let _begun = [
+        send(&address, begun).await,
+        send(&address, begun).await,
+        send(&address, begun).await,
+    ];
     let asked = Instant::now();
     let mut new = send(&address, GET).await;
     assert!(read(&mut new, "ready.").await.starts_with("HTTP/1.1 200"));
     // Not before it had stood idle for 2 s, and not much later.
-    assert!((900..1200).contains(&asked.elapsed().as_millis()), "{:?}", asked.elapsed());
+    assert!(
+        (900..1200).contains(&asked.elapsed().as_millis()),
+        "{:?}",
+        asked.elapsed()
+    );
     assert_eq!(read(&mut idle[0], "").await, "");
     idle[1].write_all(GET.as_bytes()).await.unwrap();
-    assert!(read(&mut idle[1], "ready.").await.starts_with("HTTP/1.1 200"));
+    assert!(read(&mut idle[1], "ready.")
+        .await
+        .starts_with("HTTP/1.1 200"));
 }
 
 /// A request that comes in the very step in which its idle connection would make room is served: the runtime has not told
@@ -129,14 +152,18 @@
     for _ in 0..5 {
         let (address, _stop) = listen(2).await;
         let mut client = send(&address, GET).await;
-        assert!(read(&mut client, "ready.").await.starts_with("HTTP/1.1 200"));
+        assert!(read(&mut client, "ready.")
+            .await
+            .starts_with("HTTP/1.1 200"));
         let idle_since = Instant::now();
         sleep(Duration::from_millis(1900)).await;
         let _last_place = send(&address, "GET /re").await;
         // The timer of the listener is due in the same step; the test's own future is polled first.
         sleep_until(idle_since + Duration::from_millis(2000)).await;
         assert_eq!(client.try_write(GET.as_bytes()).unwrap(), GET.len());
-        assert!(read(&mut client, "ready.").await.starts_with("HTTP/1.1 200"));
+        assert!(read(&mut client, "ready.")
+            .await
+            .starts_with("HTTP/1.1 200"));
     }
 }
 
@@ -150,7 +177,10 @@
     assert!(told.starts_with("HTTP/1.1 200"));
     let (mut taken, mut some) = (told.len(), vec![0; 1 << 16]);
     while taken < LONG_ANSWER {
-        let read = timeout(Duration::from_secs(1), client.read(&mut some)).await.unwrap().unwrap();
+        let read = timeout(Duration::from_secs(1), client.read(&mut some))
+            .await
+            .unwrap()
+            .unwrap();
         assert!(read > 0, "the answer was cut after {taken} bytes");
         taken += read;
     }
@@ -165,10 +195,18 @@
         let mut client = send(&address, GET).await;
         let told = read(&mut client, "ready.").await;
         assert!(told.starts_with("HTTP/1.1 200"));
-        assert_eq!(told.contains("connection: close"), number >= 3, "{number}: {told}");
+        assert_eq!(
+            told.contains("connection: close"),
+            number >= 3,
+            "{number}: {told}"
+        );
         crowd.push(client);
     }
-    assert!(asked.elapsed() < Duration::from_millis(3000), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(3000),
+        "{:?}",
+        asked.elapsed()
+    );
 }
 
 /// A crowd that connects and says nothing keeps nobody waiting for its whole time.
@@ -181,8 +219,14 @@
     }
     let asked = Instant::now();
     let mut client = send(&address, GET).await;
-    assert!(read(&mut client, "ready.").await.starts_with("HTTP/1.1 200"));
-    assert!(asked.elapsed() < Duration::from_millis(3500), "{:?}", asked.elapsed());
+    assert!(read(&mut client, "ready.")
+        .await
+        .starts_with("HTTP/1.1 200"));
+    assert!(
+        asked.elapsed() < Duration::from_millis(3500),
+        "{:?}",
+        asked.elapsed()
+    );
 }
 
 /// With a length and an encoding a body may end in two places, and what lies between them is a request to one
@@ -209,7 +253,11 @@
                     told.contains("HTTP/1.1 411") && told.contains("connection: close"),
                     "{heads}: {told}"
                 );
-                assert_eq!(told.matches("ready.").count(), before.len().min(1), "{told}");
+                assert_eq!(
+                    told.matches("ready.").count(),
+                    before.len().min(1),
+                    "{told}"
+                );
             }
         }
     }
@@ -219,7 +267,8 @@
 #[tokio::test]
 async fn bodies_in_chunks_are_read_and_the_connection_goes_on() {
     let (address, _stop) = listen(9).await;
-    let post = "POST /post HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
+    let post =
+        "POST /post HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut client = send(&address, &format!("{post}{post}{GET}")).await;
     let told = read(&mut client, "ready.").await;
     assert_eq!(told.matches("HTTP/1.1 200").count(), 3, "{told}");
@@ -252,7 +301,11 @@
         client.read_u8().await.unwrap();
         sleep(Duration::from_secs(pause)).await;
         let told = read(&mut client, "0\r\n\r\n").await;
-        assert_eq!((told.len() > FLOOD, told.ends_with("0\r\n\r\n")), (whole, whole), "{pause} s");
+        assert_eq!(
+            (told.len() > FLOOD, told.ends_with("0\r\n\r\n")),
+            (whole, whole),
+            "{pause} s"
+        );
     }
 }
 
@@ -272,7 +325,12 @@
         fleet.until("sent", |ledger| ledger.places > 0).await;
         drop(client);
         fleet.nothing_left().await;
-        assert_eq!(fleet.sent_to(0) + fleet.sent_to(1), 1, "{} bytes behind", behind.len());
+        assert_eq!(
+            fleet.sent_to(0) + fleet.sent_to(1),
+            1,
+            "{} bytes behind",
+            behind.len()
+        );
     }
 }
 
@@ -308,7 +366,8 @@
     for before in ["", GET] {
         for _ in 0..20 {
             let later = GET.replace("ready", "later");
-            let mut client = send(&address, &format!("{before}{}", &later[..later.len() - 1])).await;
+            let mut client =
+                send(&address, &format!("{before}{}", &later[..later.len() - 1])).await;
             if !before.is_empty() {
                 assert!(read(&mut client, "ready.").await.ends_with("ready."));
             }
@@ -316,7 +375,11 @@
             sleep(Duration::from_millis(1)).await;
             assert_eq!(client.try_write(b"\n").unwrap(), 1);
             tokio::time::advance(Duration::from_millis(2200)).await;
-            assert!(read(&mut client, "ready.").await.ends_with("ready."), "after {} bytes", before.len());
+            assert!(
+                read(&mut client, "ready.").await.ends_with("ready."),
+                "after {} bytes",
+                before.len()
+            );
         }
     }
 }
@@ -331,13 +394,24 @@
     let (stop, stopped) = watch::channel(Course::Serving);
     let routes = Router::new().route("/ready", get(|| async { "x".repeat(LENGTH) }));
     let log = Logger::root(Discard, o!());
-    let over = tokio::spawn(listener::serve(listener, routes, Places::new(9), stopped, None, log));
+    let over = tokio::spawn(listener::serve(
+        listener,
+        routes,
+        Places::new(9),
+        stopped,
+        None,
+        log,
+    ));
     let close = GET.replace("Host", "Connection: close\r\nHost");
     for behind in [1, 1000, 40_000, 200_000] {
         let mut client = send(&address, &close).await;
         client.write_all(&vec![b'?'; behind]).await.unwrap();
         let told = read(&mut client, "").await;
-        assert!(told.len() > LENGTH && told.ends_with("xxx"), "{} bytes, {behind} behind", told.len());
+        assert!(
+            told.len() > LENGTH && told.ends_with("xxx"),
+            "{} bytes, {behind} behind",
+            told.len()
+        );
     }
     // A client that rests until the connection is ended, and then sends: it is not reset either.
     let mut client = send(&address, GET).await;
@@ -351,7 +425,10 @@
     tokio::task::yield_now().await;
     assert_eq!(client.read(&mut [0; 16]).await.unwrap(), 0);
     drop(client);
-    timeout(Duration::from_secs(10), over).await.expect("it ends").unwrap();
+    timeout(Duration::from_secs(10), over)
+        .await
+        .expect("it ends")
+        .unwrap();
 }
 
 /// When the dispatcher ends, a request of which half has come is answered, and connections that wait in the listener's
@@ -370,13 +447,22 @@
         let mut queued = TcpStream::connect(&address).await.unwrap();
         stop.send(Course::Ending).unwrap();
         queued.write_all(GET.as_bytes()).await.unwrap();
-        assert!(read(&mut queued, "").await.ends_with("ready."), "it waited in the queue");
+        assert!(
+            read(&mut queued, "").await.ends_with("ready."),
+            "it waited in the queue"
+        );
         half.write_all(&GET.as_bytes()[20..]).await.unwrap();
-        assert!(read(&mut half, "").await.ends_with("ready."), "half of it had come");
+        assert!(
+            read(&mut half, "").await.ends_with("ready."),
+            "half of it had come"
+        );
         if read_before {
             rests.write_all(&GET.as_bytes()[9..]).await.unwrap();
             let told = read(&mut rests, "").await;
-            assert!(told.ends_with("ready."), "half of a later one had come: {told}");
+            assert!(
+                told.ends_with("ready."),
+                "half of a later one had come: {told}"
+            );
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,14 @@
 pub const SECOND: Time = 1_000_000;
 
 pub fn class(worth: f64, effect: Effect) -> Class {
-    Class { aim: SECOND, aim_per_1000_tokens: 40 * MS, token_aim: 60 * MS, worth, effect, open: true }
+    Class {
+        aim: SECOND,
+        aim_per_1000_tokens: 40 * MS,
+        token_aim: 60 * MS,
+        worth,
+        effect,
+        open: true,
+    }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
@@ -75,9 +82,15 @@
 
     /// One of several routers that share the servers.
     pub fn seeded(settings: Settings, servers: Vec<Entry>, seed: u64) -> Self {
-        let mut desk = Desk { router: Router::new(settings, seed, 0), now: 0 };
+        let mut desk = Desk {
+            router: Router::new(settings, seed, 0),
+            now: 0,
+        };
         desk.hear(Event::Wake);
-        desk.hear(Event::Members { complete: true, entries: servers });
+        desk.hear(Event::Members {
+            complete: true,
+            entries: servers,
+        });
         desk
     }
 
@@ -103,15 +116,34 @@
         all
     }
 
-    pub fn outcome(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) -> Vec<Action> {
+    pub fn outcome(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        status: Status,
+    ) -> Vec<Action> {
         self.outcome_with(id, attempt, server, status, 0.0)
     }
 
     pub fn outcome_with(
-        &mut self, id: RequestId, attempt: u32, server: ServerId, status: Status, note: f64,
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        status: Status,
+        note: f64,
     ) -> Vec<Action> {
         let closed = status == Status::Ok;
-        self.hear(Event::Outcome { id, attempt, server, status, closed, note, load: None })
+        self.hear(Event::Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            closed,
+            note,
+            load: None,
+        })
     }
 
     /// Serves a request from start to end with these times, whatever servers are chosen; tells which.
@@ -121,15 +153,23 @@
 
     /// The same with a time to read that the reader settles, and with tokens found kept.
     pub fn serve_by(
-        &mut self, ask: Ask, read: impl Fn(ServerId) -> Time, kept: f64, wait: Time, stream: Time,
+        &mut self,
+        ask: Ask,
+        read: impl Fn(ServerId) -> Time,
+        kept: f64,
+        wait: Time,
+        stream: Time,
     ) -> Vec<ServerId> {
         let id = ask.id;
         let actions = self.ask(ask);
-        let Some(reader) = sent_to(&actions, id) else { return vec![] };
+        let Some(reader) = sent_to(&actions, id) else {
+            return vec![];
+        };
         self.pass(read(reader));
         let actions = self.outcome_with(id, 0, reader, Status::Read, kept);
-        let Some(Action::Send { server: writer, .. }) =
-            actions.iter().find(|action| matches!(action, Action::Send { .. }))
+        let Some(Action::Send { server: writer, .. }) = actions
+            .iter()
+            .find(|action| matches!(action, Action::Send { .. }))
         else {
             return vec![reader];
         };
@@ -144,7 +184,9 @@
 /// Where a request was sent by these actions.
 pub fn sent_to(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
-        Action::Send { id: sent, server, .. } if *sent == id => Some(*server),
+        Action::Send {
+            id: sent, server, ..
+        } if *sent == id => Some(*server),
         _ => None,
     })
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -2,7 +2,9 @@
 
 use quartzhall::api::{Ask, Entry, Load, Role, State, Status, Time};
 use quartzhall::bans::Refusal;
-use quartzhall::dispatch::{self, Answer, Command, Core, EndReason, Event, Member, Piece, Readiness, Work};
+use quartzhall::dispatch::{
+    self, Answer, Command, Core, EndReason, Event, Member, Piece, Readiness, Work,
+};
 use quartzhall::gossip::Gossip;
 use quartzhall::notes::Notes;
 use quartzhall::settings::{Profile, Site};
@@ -26,9 +28,20 @@
 }
 
 fn member(name: &str, role: Role, state: State) -> Member {
-    let entry = Entry { key: name.len() as u64, role, state, memory: 200_000.0, ..Entry::default() };
+    let entry = Entry {
+        key: name.len() as u64,
+        role,
+        state,
+        memory: 200_000.0,
+        ..Entry::default()
+    };
     let address = format!("127.0.0.1:{}", 7000 + name.len()).into();
-    Member { name: name.into(), address, entry, partial: false }
+    Member {
+        name: name.into(),
+        address,
+        entry,
+        partial: false,
+    }
 }
 
 fn site(profile: &str) -> Site {
@@ -45,10 +58,20 @@
         let site = Arc::new(site);
         let log = Logger::root(Discard, o!());
         let core = Core::new(site, most_held, 7, START, log);
-        let mut bench = Bench { core, now: START, commands: Vec::new() };
+        let mut bench = Bench {
+            core,
+            now: START,
+            commands: Vec::new(),
+        };
         assert_eq!(bench.core.readiness(), Readiness::Starting);
-        let members = vec![member("r", Role::Reader, State::Ready), member("ww", Role::Writer, State::Ready)];
-        bench.hear(Event::Members { complete: true, members });
+        let members = vec![
+            member("r", Role::Reader, State::Ready),
+            member("ww", Role::Writer, State::Ready),
+        ];
+        bench.hear(Event::Members {
+            complete: true,
+            members,
+        });
         assert_eq!(bench.core.readiness(), Readiness::Ready);
         bench
     }
@@ -70,9 +93,19 @@
     }
 
     fn ask(&mut self, id: u64, class: usize, name: &str) -> oneshot::Receiver<Answer> {
-        let ask =
-            Ask { id, class, expires_in: 2_000 * MS, prompt: 500.0, max_tokens: 100.0, ..Ask::default() };
-        let work = Work { name: name.into(), target: "/v1/chat/completions".into(), body: "{}".into() };
+        let ask = Ask {
+            id,
+            class,
+            expires_in: 2_000 * MS,
+            prompt: 500.0,
+            max_tokens: 100.0,
+            ..Ask::default()
+        };
+        let work = Work {
+            name: name.into(),
+            target: "/v1/chat/completions".into(),
+            body: "{}".into(),
+        };
         let (answer, answered) = oneshot::channel();
         self.hear(Event::Request { ask, work, answer });
         answered
@@ -80,15 +113,28 @@
 
     fn ended(&mut self, id: u64, attempt: u32, status: Status) {
         let reason = EndReason::of(status);
-        self.hear(Event::Ended { id, attempt, reason, note: 0.0, written: 0.0, load: None });
+        self.hear(Event::Ended {
+            id,
+            attempt,
+            reason,
+            note: 0.0,
+            written: 0.0,
+            load: None,
+        });
     }
 
     fn sends(&self) -> usize {
-        self.commands.iter().filter(|command| matches!(command, Command::Send { .. })).count()
+        self.commands
+            .iter()
+            .filter(|command| matches!(command, Command::Send { .. }))
+            .count()
     }
 
     fn releases(&self) -> usize {
-        self.commands.iter().filter(|command| matches!(command, Command::Release { .. })).count()
+        self.commands
+            .iter()
+            .filter(|command| matches!(command, Command::Release { .. }))
+            .count()
     }
 
     /// The release of a request whose attempt was given up just now is taken; it is repeated when the close of that attempt
@@ -118,8 +164,14 @@
     bench.ended(1, 0, Status::Read);
     assert_eq!(bench.sends(), 2);
     let (pieces, stream) = mpsc::channel(4);
-    bench.hear(Event::First { id: 1, attempt: 1, stream });
-    let Ok(Answer::Served(mut stream)) = answered.try_recv() else { panic!("not served") };
+    bench.hear(Event::First {
+        id: 1,
+        attempt: 1,
+        stream,
+    });
+    let Ok(Answer::Served(mut stream)) = answered.try_recv() else {
+        panic!("not served")
+    };
     pieces.try_send(Piece::End).unwrap();
     assert_eq!(stream.try_recv(), Ok(Piece::End));
     // A stream has no deadline.
@@ -137,7 +189,10 @@
         bench.pass(1_980 * MS);
         assert!(answered.try_recv().is_err(), "not before its time");
         bench.pass(40 * MS);
-        assert!(matches!(answered.try_recv(), Ok(Answer::Refused(_) | Answer::Failed)));
+        assert!(matches!(
+            answered.try_recv(),
+            Ok(Answer::Refused(_) | Answer::Failed)
+        ));
         for (id, attempt) in bench.cancels() {
             bench.ended(id, attempt, Status::Cancelled);
         }
@@ -169,12 +224,18 @@
 fn a_name_in_flight_is_no_second_request() {
     let mut bench = Bench::new(10);
     let mut first = bench.ask(1, 0, "same");
-    assert!(matches!(bench.ask(2, 0, "same").try_recv(), Ok(Answer::Duplicate)));
+    assert!(matches!(
+        bench.ask(2, 0, "same").try_recv(),
+        Ok(Answer::Duplicate)
+    ));
     assert_eq!((bench.core.open(), bench.sends()), (1, 1));
     assert!(first.try_recv().is_err());
     // While the client's leaving is being cleaned up, the name is still in use at the nodes.
     bench.hear(Event::Gone { id: 1, fate: None });
-    assert!(matches!(bench.ask(3, 0, "same").try_recv(), Ok(Answer::Duplicate)));
+    assert!(matches!(
+        bench.ask(3, 0, "same").try_recv(),
+        Ok(Answer::Duplicate)
+    ));
     bench.ended(1, 0, Status::Cancelled);
     bench.released_twice(1);
     assert!(bench.ask(4, 0, "same").try_recv().is_err(), "taken");
@@ -184,7 +245,10 @@
 fn more_than_may_be_held_is_refused_at_once() {
     let mut bench = Bench::new(1);
     let _first = bench.ask(1, 0, "a");
-    assert!(matches!(bench.ask(2, 1, "b").try_recv(), Ok(Answer::Refused(_))));
+    assert!(matches!(
+        bench.ask(2, 1, "b").try_recv(),
+        Ok(Answer::Refused(_))
+    ));
     assert_eq!(bench.sends(), 1);
 }
 
@@ -194,7 +258,10 @@
     let _answered = bench.ask(1, 1, "a");
     // Nobody can take the request any more: it waits without an attempt.
     let members = vec![member("r", Role::Reader, State::Draining)];
-    bench.hear(Event::Members { complete: false, members });
+    bench.hear(Event::Members {
+        complete: false,
+        members,
+    });
     bench.ended(1, 0, Status::Reset);
     assert_eq!((bench.sends(), bench.releases()), (1, 0));
     bench.pass(1_000 * MS);
@@ -211,9 +278,14 @@
         bench.ended(1, 0, read);
         assert_eq!(bench.sends(), 2);
         bench.pass(700 * MS);
-        let members =
-            vec![member("r", Role::Reader, State::Draining), member("ww", Role::Writer, State::Draining)];
-        bench.hear(Event::Members { complete: false, members });
+        let members = vec![
+            member("r", Role::Reader, State::Draining),
+            member("ww", Role::Writer, State::Draining),
+        ];
+        bench.hear(Event::Members {
+            complete: false,
+            members,
+        });
         bench.ended(1, 1, Status::ConnectFailed);
         bench.pass((within - 700) * MS);
         assert_eq!(bench.releases(), 1, "{read:?}");
@@ -250,7 +322,11 @@
     assert!(answered.try_recv().is_err());
     bench.hear(Event::Released { id: 1, done: true });
     let (_pieces, stream) = mpsc::channel(4);
-    bench.hear(Event::First { id: 1, attempt: 1, stream });
+    bench.hear(Event::First {
+        id: 1,
+        attempt: 1,
+        stream,
+    });
     assert!(matches!(answered.try_recv(), Ok(Answer::Served(_))));
     bench.ended(1, 1, Status::Ok);
     assert_eq!((bench.core.open(), bench.releases()), (0, 1));
@@ -261,9 +337,15 @@
     let mut bench = Bench::new(10);
     let _answered = bench.ask(1, 0, "a");
     let members = vec![member("ww", Role::Writer, State::Draining)];
-    bench.hear(Event::Members { complete: false, members });
+    bench.hear(Event::Members {
+        complete: false,
+        members,
+    });
     let barred = |command: &Command| matches!(command, Command::Bar { barred: true, .. });
-    assert!(bench.commands.iter().any(barred), "what waits for a connection is told");
+    assert!(
+        bench.commands.iter().any(barred),
+        "what waits for a connection is told"
+    );
     bench.ended(1, 0, Status::Read);
     bench.pass(500 * MS);
     assert_eq!(bench.sends(), 1);
@@ -287,7 +369,10 @@
             bench.ended(1, 0, Status::Read);
         }
         let (fate, mut told) = oneshot::channel();
-        bench.hear(Event::Gone { id: 1, fate: Some(fate) });
+        bench.hear(Event::Gone {
+            id: 1,
+            fate: Some(fate),
+        });
         bench.ended(1, attempt, status);
         match status {
             Status::Cancelled => bench.released_twice(1),
@@ -319,7 +404,11 @@
     bench.pass(2_100 * MS);
     assert!(matches!(answered.try_recv(), Ok(Answer::Failed)));
     let (pieces, stream) = mpsc::channel(4);
-    bench.hear(Event::First { id: 1, attempt: 1, stream });
+    bench.hear(Event::First {
+        id: 1,
+        attempt: 1,
+        stream,
+    });
     assert!(pieces.is_closed(), "its node is read no further");
     // Outcomes of attempts that never were, or ended before, change nothing.
     bench.ended(1, 7, Status::Ok);
@@ -332,7 +421,10 @@
     let mut bench = Bench::new(10);
     bench.hear(Event::Drain(std::time::Duration::from_secs(3)));
     assert_eq!(bench.core.readiness(), Readiness::Draining);
-    assert!(bench.ask(1, 0, "a").try_recv().is_err(), "what still comes is served");
+    assert!(
+        bench.ask(1, 0, "a").try_recv().is_err(),
+        "what still comes is served"
+    );
     assert_eq!(bench.sends(), 1);
 }
 
@@ -377,27 +469,50 @@
     for round in 0..500 {
         let place = |name: &str, port: usize, role, state| {
             let address = format!("127.0.{}.{}:{port}", round / 200, round % 200).into();
-            Member { name: format!("{name}{round}").into(), address, ..member(name, role, state) }
+            Member {
+                name: format!("{name}{round}").into(),
+                address,
+                ..member(name, role, state)
+            }
         };
-        let old = [place("r", 1, Role::Reader, State::Gone), place("w", 2, Role::Writer, State::Gone)];
+        let old = [
+            place("r", 1, Role::Reader, State::Gone),
+            place("w", 2, Role::Writer, State::Gone),
+        ];
         let members = vec![
             place("r", 1, Role::Reader, State::Ready),
             place("w", 2, Role::Writer, State::Ready),
             // It drains where the old writer was.
             place("d", 2, Role::Writer, State::Draining),
         ];
-        bench.hear(Event::Members { complete: true, members });
-        bench.hear(Event::Members { complete: false, members: old.into() });
+        bench.hear(Event::Members {
+            complete: true,
+            members,
+        });
+        bench.hear(Event::Members {
+            complete: false,
+            members: old.into(),
+        });
         for command in bench.commands.drain(..) {
             match command {
-                Command::Bar { address, barred: true } => barred.insert(address),
+                Command::Bar {
+                    address,
+                    barred: true,
+                } => barred.insert(address),
                 Command::Bar { address, .. } => barred.remove(&address),
                 _ => continue,
             };
         }
-        assert!(barred.contains(&*format!("127.0.{}.{}:2", round / 200, round % 200)), "{barred:?}");
+        assert!(
+            barred.contains(&*format!("127.0.{}.{}:2", round / 200, round % 200)),
+            "{barred:?}"
+        );
         // The list's, and the reader that the request is out at.
-        assert!(bench.core.nodes() <= 3 + 2 && barred.len() <= 4, "{}, {barred:?}", bench.core.nodes());
+        assert!(
+            bench.core.nodes() <= 3 + 2 && barred.len() <= 4,
+            "{}, {barred:?}",
+            bench.core.nodes()
+        );
         bench.pass(1_100 * MS);
     }
 }
@@ -405,13 +520,20 @@
 impl Bench {
     fn ban(&mut self, name: &str, banned: bool) -> Result<(), Refusal> {
         let (answer, mut answered) = oneshot::channel();
-        self.hear(Event::Ban { name: name.into(), banned, answer });
+        self.hear(Event::Ban {
+            name: name.into(),
+            banned,
+            answer,
+        });
         answered.try_recv().unwrap()
     }
 
     fn bars(&self) -> Vec<(&str, bool)> {
         let bar = |command| match command {
-            &Command::Bar { ref address, barred } => Some((&**address, barred)),
+            &Command::Bar {
+                ref address,
+                barred,
+            } => Some((&**address, barred)),
             _ => None,
         };
         self.commands.iter().filter_map(bar).collect()
@@ -421,7 +543,11 @@
     fn barred(&self) -> Vec<&str> {
         let mut barred = BTreeSet::new();
         for (address, is_barred) in self.bars() {
-            let _ = if is_barred { barred.insert(address) } else { barred.remove(address) };
+            let _ = if is_barred {
+                barred.insert(address)
+            } else {
+                barred.remove(address)
+            };
         }
         barred.into_iter().collect()
     }
@@ -441,7 +567,13 @@
     };
     // It leaves the list and its node is forgotten, comes back, drains, is ready again, and moves.
     bench.commands.clear();
-    for state in [State::Ready, State::Gone, State::Ready, State::Draining, State::Ready] {
+    for state in [
+        State::Ready,
+        State::Gone,
+        State::Ready,
+        State::Draining,
+        State::Ready,
+    ] {
         bench.hear(told(state, true));
         bench.pass(100 * MS);
         assert_eq!(bench.core.readiness(), Readiness::Starting);
@@ -450,9 +582,19 @@
         !bench.bars().contains(&("127.0.0.1:7001", false))
             || bench.bars().contains(&("127.0.0.1:7001", true))
     );
-    let moved = Member { address: "127.0.0.1:7999".into(), ..member("r", Role::Reader, State::Ready) };
-    bench.hear(Event::Members { complete: false, members: vec![moved] });
-    assert_eq!(bench.barred(), ["127.0.0.1:7001", "127.0.0.1:7999"], "where it was, where it is, no writer");
+    let moved = Member {
+        address: "127.0.0.1:7999".into(),
+        ..member("r", Role::Reader, State::Ready)
+    };
+    bench.hear(Event::Members {
+        complete: false,
+        members: vec![moved],
+    });
+    assert_eq!(
+        bench.barred(),
+        ["127.0.0.1:7001", "127.0.0.1:7999"],
+        "where it was, where it is, no writer"
+    );
     let _waits = bench.ask(1, 0, "a");
     bench.pass(200 * MS);
     assert_eq!(bench.sends(), 0);
@@ -462,7 +604,10 @@
     bench.hear(told(State::Ready, true));
     assert_eq!(bench.ban("r", false), Ok(()));
     bench.pass(200 * MS);
-    assert_eq!((bench.sends(), bench.core.readiness()), (1, Readiness::Ready));
+    assert_eq!(
+        (bench.sends(), bench.core.readiness()),
+        (1, Readiness::Ready)
+    );
     // Discovery drains it by itself: the ban's end does not hide that.
     bench.hear(told(State::Draining, true));
     assert_eq!(bench.core.readiness(), Readiness::Starting);
@@ -489,12 +634,18 @@
 impl Bench {
     fn settings(&mut self, profile: &str) -> Result<(), String> {
         let (answer, mut answered) = oneshot::channel();
-        self.hear(Event::Settings { site: Box::new(site(profile)), answer });
+        self.hear(Event::Settings {
+            site: Box::new(site(profile)),
+            answer,
+        });
         answered.try_recv().unwrap()
     }
 }
 
-const STRICTER: (&str, &str) = (r#""aim":1500.0,"repeat":"free""#, r#""aim":1500.0,"repeat":"single_shot""#);
+const STRICTER: (&str, &str) = (
+    r#""aim":1500.0,"repeat":"free""#,
+    r#""aim":1500.0,"repeat":"single_shot""#,
+);
 
 /// What is under way keeps the effect with which it came, and what comes later has the new one.
 #[test]
@@ -503,7 +654,9 @@
     assert!(bench.core.new_site().is_some() && bench.core.new_site().is_none());
     let mut safe = bench.ask(1, 0, "before");
     bench.ended(1, 0, Status::Read);
-    bench.settings(&profile::PROFILE.replace(STRICTER.0, STRICTER.1)).unwrap();
+    bench
+        .settings(&profile::PROFILE.replace(STRICTER.0, STRICTER.1))
+        .unwrap();
     let site = bench.core.new_site().unwrap();
     let number = site.classes.known("status-query").unwrap() as usize;
     assert_ne!(number, 0, "another meaning has another number");
@@ -524,11 +677,16 @@
     let mut answered = bench.ask(1, 0, "a");
     bench.ended(1, 0, Status::Read);
     assert_eq!(bench.sends(), 2);
-    bench.settings(&profile::PROFILE.replace(r#""most_tries":5"#, r#""most_tries":2"#)).unwrap();
+    bench
+        .settings(&profile::PROFILE.replace(r#""most_tries":5"#, r#""most_tries":2"#))
+        .unwrap();
     bench.ended(1, 1, Status::Error);
     bench.pass(100 * MS);
     assert_eq!(bench.sends(), 2);
-    assert!(matches!(answered.try_recv(), Ok(Answer::Refused(_) | Answer::Failed)));
+    assert!(matches!(
+        answered.try_recv(),
+        Ok(Answer::Refused(_) | Answer::Failed)
+    ));
 }
 
 /// The number of a class that is gone is another's only when its requests are over and a minute has passed; so the
@@ -540,20 +698,32 @@
     let _first = bench.ask(1, 0, "long");
     let (_pieces, stream) = mpsc::channel(4);
     bench.ended(1, 0, Status::Read);
-    bench.hear(Event::First { id: 1, attempt: 1, stream });
+    bench.hear(Event::First {
+        id: 1,
+        attempt: 1,
+        stream,
+    });
     for round in 0..300 {
         let aim = format!(r#""aim":{}.0,"repeat":"free""#, 1000 + round);
-        bench.settings(&profile::PROFILE.replace(STRICTER.0, &aim)).unwrap();
+        bench
+            .settings(&profile::PROFILE.replace(STRICTER.0, &aim))
+            .unwrap();
         let site = bench.core.new_site().unwrap();
         largest = largest.max(site.classes.known("status-query").unwrap());
-        assert_ne!(site.classes.known("status-query"), Some(0), "a request of it is open");
+        assert_ne!(
+            site.classes.known("status-query"),
+            Some(0),
+            "a request of it is open"
+        );
         bench.pass(10_000 * MS);
     }
     assert!(largest < 12, "{largest}");
     // Without the time between, the bound turns the change down, and what held goes on holding.
     let mut taken = 0;
     while bench
-        .settings(&profile::PROFILE.replace(STRICTER.0, &format!(r#""aim":{taken}.5,"repeat":"free""#)))
+        .settings(
+            &profile::PROFILE.replace(STRICTER.0, &format!(r#""aim":{taken}.5,"repeat":"free""#)),
+        )
         .is_ok()
     {
         taken += 1;
@@ -568,22 +738,38 @@
 #[test]
 fn all_but_streams_is_over_when_the_process_ends() {
     let mut bench = Bench::new(10);
-    let (mut read, mut reads, mut waits) =
-        (bench.ask(1, 0, "read"), bench.ask(2, 1, "reads"), bench.ask(3, 0, "writes"));
+    let (mut read, mut reads, mut waits) = (
+        bench.ask(1, 0, "read"),
+        bench.ask(2, 1, "reads"),
+        bench.ask(3, 0, "writes"),
+    );
     bench.ended(1, 0, Status::Read);
     bench.ended(3, 0, Status::Read);
     let (_pieces, stream) = mpsc::channel(4);
-    bench.hear(Event::First { id: 3, attempt: 1, stream });
+    bench.hear(Event::First {
+        id: 3,
+        attempt: 1,
+        stream,
+    });
     assert!(matches!(waits.try_recv(), Ok(Answer::Served(_))));
     bench.hear(Event::Drain(std::time::Duration::from_millis(700)));
     let mut late = bench.ask(4, 0, "late");
     bench.pass(600 * MS);
     assert!(read.try_recv().is_err() && reads.try_recv().is_err() && late.try_recv().is_err());
     bench.pass(100 * MS);
-    assert!(matches!(read.try_recv(), Ok(Answer::Refused(_) | Answer::Failed)));
+    assert!(matches!(
+        read.try_recv(),
+        Ok(Answer::Refused(_) | Answer::Failed)
+    ));
     // What was only read has had no effect.
-    assert!(matches!(reads.try_recv(), Ok(Answer::Refused(_) | Answer::Failed)));
-    assert!(matches!(late.try_recv(), Ok(Answer::Refused(_) | Answer::Failed)));
+    assert!(matches!(
+        reads.try_recv(),
+        Ok(Answer::Refused(_) | Answer::Failed)
+    ));
+    assert!(matches!(
+        late.try_recv(),
+        Ok(Answer::Refused(_) | Answer::Failed)
+    ));
     for (id, attempt) in bench.cancels() {
         bench.ended(id, attempt, Status::Cancelled);
     }
@@ -592,7 +778,11 @@
         bench.hear(Event::Released { id, done: true });
     }
     bench.pass(120 * MS);
-    assert_eq!((bench.core.open(), bench.releases()), (4, 6), "each is repeated");
+    assert_eq!(
+        (bench.core.open(), bench.releases()),
+        (4, 6),
+        "each is repeated"
+    );
     for id in [1, 2, 4] {
         bench.hear(Event::Released { id, done: true });
     }
@@ -608,12 +798,31 @@
     for state in [State::Draining, State::Gone] {
         let mut bench = Bench::new(10);
         let partial = |name: &str| {
-            let entry = Entry { state, ..Entry::default() };
-            Member { name: name.into(), address: "".into(), entry, partial: true }
+            let entry = Entry {
+                state,
+                ..Entry::default()
+            };
+            Member {
+                name: name.into(),
+                address: "".into(),
+                entry,
+                partial: true,
+            }
         };
-        bench.hear(Event::Members { complete: false, members: vec![partial("r"), partial("never")] });
-        let barred: &[&str] = if state == State::Gone { &[] } else { &["127.0.0.1:7001"] };
-        assert_eq!(bench.barred(), barred, "one that is gone with nothing out is forgotten, with its bar");
+        bench.hear(Event::Members {
+            complete: false,
+            members: vec![partial("r"), partial("never")],
+        });
+        let barred: &[&str] = if state == State::Gone {
+            &[]
+        } else {
+            &["127.0.0.1:7001"]
+        };
+        assert_eq!(
+            bench.barred(),
+            barred,
+            "one that is gone with nothing out is forgotten, with its bar"
+        );
         assert_eq!(bench.core.readiness(), Readiness::Starting, "{state:?}");
         let _waits = bench.ask(1, 0, "a");
         bench.pass(200 * MS);
@@ -632,17 +841,29 @@
     };
     let steps: [(&[Member], &[&str]); 9] = [
         (&[at("r", 7999, State::Ready)], &["127.0.0.1:7001"]),
-        (&[at("r", 7999, State::Draining)], &["127.0.0.1:7001", "127.0.0.1:7999"]),
+        (
+            &[at("r", 7999, State::Draining)],
+            &["127.0.0.1:7001", "127.0.0.1:7999"],
+        ),
         (&[at("new", 7999, State::Ready)], &["127.0.0.1:7001"]),
         (&[at("old", 7001, State::Ready)], &[]),
         (&[at("old", 7001, State::Draining)], &["127.0.0.1:7001"]),
         (&[at("r", 7001, State::Ready)], &[]),
-        (&[at("r", 7998, State::Draining)], &["127.0.0.1:7001", "127.0.0.1:7998"]),
-        (&[at("old", 7001, State::Gone), at("r", 7001, State::Gone)], &[]),
+        (
+            &[at("r", 7998, State::Draining)],
+            &["127.0.0.1:7001", "127.0.0.1:7998"],
+        ),
+        (
+            &[at("old", 7001, State::Gone), at("r", 7001, State::Gone)],
+            &[],
+        ),
         (&[at("new", 7999, State::Gone)], &[]),
     ];
     for (members, barred) in steps {
-        bench.hear(Event::Members { complete: false, members: members.into() });
+        bench.hear(Event::Members {
+            complete: false,
+            members: members.into(),
+        });
         assert_eq!(bench.barred(), barred, "{members:?}");
     }
 }
@@ -660,7 +881,10 @@
             let mut bench = Bench::at(site(&keyed), 10);
             if renewed {
                 let (answer, _taken) = oneshot::channel();
-                bench.hear(Event::Settings { site: Box::new(site(&keyed)), answer });
+                bench.hear(Event::Settings {
+                    site: Box::new(site(&keyed)),
+                    answer,
+                });
             }
             let ask = Ask {
                 id: 1,
@@ -670,7 +894,11 @@
                 max_tokens: 9.0,
                 ..Ask::default()
             };
-            let work = Work { name: "a".into(), target: "/".into(), body: "{}".into() };
+            let work = Work {
+                name: "a".into(),
+                target: "/".into(),
+                body: "{}".into(),
+            };
             let (answer, _waits) = oneshot::channel();
             bench.hear(Event::Request { ask, work, answer });
             bench.ended(1, 0, Status::Read);
@@ -686,7 +914,12 @@
                 .iter()
                 .filter(|it| matches!(it, Command::Send { address, .. } if address.ends_with('2')));
             let writes = writes.count();
-            assert_eq!(writes > 1, again, "after {after} ms: {before} sends before, {} then", bench.sends());
+            assert_eq!(
+                writes > 1,
+                again,
+                "after {after} ms: {before} sends before, {} then",
+                bench.sends()
+            );
         }
     }
 }
@@ -695,17 +928,40 @@
 #[test]
 fn bars_come_before_what_was_commanded_earlier() {
     let mut bench = Bench::new(10);
-    let ask = |id| Ask { id, expires_in: 2_000 * MS, prompt: 500.0, max_tokens: 9.0, ..Ask::default() };
-    let work = Work { name: "a".into(), target: "/".into(), body: "{}".into() };
+    let ask = |id| Ask {
+        id,
+        expires_in: 2_000 * MS,
+        prompt: 500.0,
+        max_tokens: 9.0,
+        ..Ask::default()
+    };
+    let work = Work {
+        name: "a".into(),
+        target: "/".into(),
+        body: "{}".into(),
+    };
     let (answer, _waits) = oneshot::channel();
-    bench.core.hear(START, Event::Request { ask: ask(1), work, answer });
     bench.core.hear(
         START,
-        Event::Members { complete: false, members: vec![member("r", Role::Reader, State::Draining)] },
+        Event::Request {
+            ask: ask(1),
+            work,
+            answer,
+        },
+    );
+    bench.core.hear(
+        START,
+        Event::Members {
+            complete: false,
+            members: vec![member("r", Role::Reader, State::Draining)],
+        },
     );
     let commands = bench.core.commands();
     assert!(
-        matches!(commands[..], [Command::Bar { barred: true, .. }, Command::Send { .. }, ..]),
+        matches!(
+            commands[..],
+            [Command::Bar { barred: true, .. }, Command::Send { .. }, ..]
+        ),
         "{commands:?}"
     );
 }
@@ -715,15 +971,37 @@
 fn a_recording_tells_each_request_once_and_no_session() {
     let mut bench = Bench::new(10);
     let site = site(profile::PROFILE);
-    bench.core.take_notes(Notes::new(Key::from_secret(b"test"), START, "n1", &site));
     bench
-        .hear(Event::Members { complete: false, members: vec![member("ww", Role::Writer, State::Draining)] });
-    bench.hear(Event::Members { complete: false, members: vec![member("ww", Role::Writer, State::Ready)] });
+        .core
+        .take_notes(Notes::new(Key::from_secret(b"test"), START, "n1", &site));
+    bench.hear(Event::Members {
+        complete: false,
+        members: vec![member("ww", Role::Writer, State::Draining)],
+    });
+    bench.hear(Event::Members {
+        complete: false,
+        members: vec![member("ww", Role::Writer, State::Ready)],
+    });
     let (secret, mut waiting) = (0x7f3a_9c21_e0b4_d655, Vec::new());
-    for (id, session) in [(1, Some(secret)), (2, Some(secret)), (3, Some(5)), (4, None)] {
-        let ask =
-            Ask { id, session, expires_in: 2_000 * MS, prompt: 500.0, max_tokens: 9.0, ..Ask::default() };
-        let work = Work { name: format!("r{id}").into(), target: "/".into(), body: "{}".into() };
+    for (id, session) in [
+        (1, Some(secret)),
+        (2, Some(secret)),
+        (3, Some(5)),
+        (4, None),
+    ] {
+        let ask = Ask {
+            id,
+            session,
+            expires_in: 2_000 * MS,
+            prompt: 500.0,
+            max_tokens: 9.0,
+            ..Ask::default()
+        };
+        let work = Work {
+            name: format!("r{id}").into(),
+            target: "/".into(),
+            body: "{}".into(),
+        };
         let (answer, answered) = oneshot::channel();
         waiting.push(answered);
         bench.hear(Event::Request { ask, work, answer });
@@ -731,7 +1009,11 @@
     }
     // One is served, one breaks after its client has left, one is given up, one's client leaves.
     let (_pieces, stream) = mpsc::channel(4);
-    bench.hear(Event::First { id: 1, attempt: 1, stream });
+    bench.hear(Event::First {
+        id: 1,
+        attempt: 1,
+        stream,
+    });
     bench.hear(Event::Ended {
         id: 1,
         attempt: 1,
@@ -741,7 +1023,11 @@
         load: None,
     });
     let (_pieces, stream) = mpsc::channel(4);
-    bench.hear(Event::First { id: 2, attempt: 1, stream });
+    bench.hear(Event::First {
+        id: 2,
+        attempt: 1,
+        stream,
+    });
     bench.hear(Event::Gone { id: 2, fate: None });
     bench.ended(2, 1, Status::Reset);
     bench.hear(Event::Gone { id: 3, fate: None });
@@ -750,14 +1036,25 @@
     assert!(bench.core.notes().is_empty());
     let names = |wanted| {
         let name = |record: &Record| match record {
-            Record::Name { table, number, name } if *table == wanted => Some((*number, name.clone())),
+            Record::Name {
+                table,
+                number,
+                name,
+            } if *table == wanted => Some((*number, name.clone())),
             _ => None,
         };
         records.iter().filter_map(name).collect::<Vec<_>>()
     };
-    assert_eq!(names(Table::Class), [(0, "status-query".into()), (1, "return-request".into())]);
+    assert_eq!(
+        names(Table::Class),
+        [(0, "status-query".into()), (1, "return-request".into())]
+    );
     assert_eq!(names(Table::Tenant), [(0, "acme".into())]);
-    assert_eq!(names(Table::Node).len(), 1, "once, however often it is told of");
+    assert_eq!(
+        names(Table::Node).len(),
+        1,
+        "once, however often it is told of"
+    );
     let sessions = |record: &Record| match record {
         Record::Arrival { session, .. } => Some(*session),
         _ => None,
@@ -773,11 +1070,20 @@
         kept: 4096,
         written: 200,
     };
-    let at = |record: &Record| format!("{record:?}").split_once("request").map(|it| it.1.to_owned());
-    assert!(records.iter().any(|record| at(record) == at(&ended)), "{records:?}");
+    let at = |record: &Record| {
+        format!("{record:?}")
+            .split_once("request")
+            .map(|it| it.1.to_owned())
+    };
+    assert!(
+        records.iter().any(|record| at(record) == at(&ended)),
+        "{records:?}"
+    );
     records.retain(|record| matches!(record, Record::Final { .. }));
     let finals = records.iter().map(|record| match record {
-        Record::Final { request, answer, .. } => (*request, *answer),
+        Record::Final {
+            request, answer, ..
+        } => (*request, *answer),
         _ => unreachable!(),
     });
     let mut finals: Vec<_> = finals.collect();
@@ -790,13 +1096,22 @@
 /// change nothing.
 #[test]
 fn dispatchers_hear_of_each_others_servers() {
-    let load = |in_flight| Some(Load { in_flight: Some(in_flight), ..Load::default() });
+    let load = |in_flight| {
+        Some(Load {
+            in_flight: Some(in_flight),
+            ..Load::default()
+        })
+    };
     let told = |bench: &mut Bench, in_flight| {
         for id in 100..110 {
             let _left = bench.ask(id, 0, &format!("{in_flight}-{id}"));
         }
         let server = 0;
-        bench.hear(Event::Probed { server, ok: true, load: load(in_flight) });
+        bench.hear(Event::Probed {
+            server,
+            ok: true,
+            load: load(in_flight),
+        });
         bench.core.to_tell(bench.now)
     };
     let pair = || {
@@ -807,19 +1122,38 @@
     let (mut one, mut other) = (pair(), pair());
     let message = told(&mut one, 40.0).expect("forty requests are a surprise");
     for cut in 0..message.len() {
-        other.hear(Event::Peer { from: 3, message: message.slice(..cut) });
+        other.hear(Event::Peer {
+            from: 3,
+            message: message.slice(..cut),
+        });
     }
     let unknown = [&message[..3], &[9, 9, 9, 40, 0]].concat().into();
-    other.hear(Event::Peer { from: 4, message: unknown });
-    assert!(told(&mut other, 40.0).is_some(), "that was no news of it yet");
+    other.hear(Event::Peer {
+        from: 4,
+        message: unknown,
+    });
+    assert!(
+        told(&mut other, 40.0).is_some(),
+        "that was no news of it yet"
+    );
     let mut third = pair();
-    third.hear(Event::Peer { from: 3, message: message.clone() });
+    third.hear(Event::Peer {
+        from: 3,
+        message: message.clone(),
+    });
     third.hear(Event::Peer { from: 3, message });
     assert_eq!(told(&mut third, 40.0), None, "all know that by now");
     // Requests pay for what is told.
     (200..210).for_each(|id| drop(one.ask(id, 0, &format!("later-{id}"))));
-    one.hear(Event::Probed { server: 0, ok: true, load: load(2.0) });
-    assert!(one.core.to_tell(one.now).is_some(), "and that it has changed is news again");
+    one.hear(Event::Probed {
+        server: 0,
+        ok: true,
+        load: load(2.0),
+    });
+    assert!(
+        one.core.to_tell(one.now).is_some(),
+        "and that it has changed is news again"
+    );
 }
 
 /// However many servers there are, a lease call names a bounded number of them, the one that holds the state first.
@@ -828,11 +1162,22 @@
     let mut bench = Bench::new(10);
     let address = |at: usize| Arc::<str>::from(format!("127.0.0.1:{}", 10_000 + at));
     let members = (0..500).map(|at| {
-        let role = if at % 2 == 0 { Role::Reader } else { Role::Writer };
+        let role = if at % 2 == 0 {
+            Role::Reader
+        } else {
+            Role::Writer
+        };
         let member = member("x", role, State::Ready);
-        Member { name: format!("n{at}").into(), address: address(at), ..member }
+        Member {
+            name: format!("n{at}").into(),
+            address: address(at),
+            ..member
+        }
+    });
+    bench.hear(Event::Members {
+        complete: true,
+        members: members.collect(),
     });
-    bench.hear(Event::Members { complete: true, members: members.collect() });
     let _answer = bench.ask(1, 0, "a");
     let sent = bench.commands.iter().find_map(|it| match it {
         Command::Send { address, .. } => Some(address.clone()),
@@ -848,7 +1193,11 @@
         _ => None,
     });
     let (sent, released) = (sent.expect("it is read"), released.expect("it is let go"));
-    assert!(released.contains(&sent) && released.len() <= 64, "{} addresses", released.len());
+    assert!(
+        released.contains(&sent) && released.len() <= 64,
+        "{} addresses",
+        released.len()
+    );
     let distinct: BTreeSet<&Arc<str>> = released.iter().collect();
     assert_eq!(distinct.len(), released.len());
 }
@@ -861,21 +1210,36 @@
         let mut bench = Bench::new(1);
         let _served = bench.ask(1, class, "again");
         bench.ended(1, 0, Status::Read);
-        bench.hear(Event::First { id: 1, attempt: 1, stream: mpsc::channel(1).1 });
+        bench.hear(Event::First {
+            id: 1,
+            attempt: 1,
+            stream: mpsc::channel(1).1,
+        });
         bench.ended(1, 1, Status::Ok);
         assert_eq!(bench.core.open(), 0);
         // As much is held as may be: another one is refused.
         let _other = bench.ask(2, class, "other");
-        assert!(matches!(bench.ask(3, class, "third").try_recv(), Ok(Answer::Refused(_))));
+        assert!(matches!(
+            bench.ask(3, class, "third").try_recv(),
+            Ok(Answer::Refused(_))
+        ));
         let again = bench.ask(4, class, "again").try_recv();
         assert_eq!(matches!(again, Ok(Answer::Duplicate)), harmful, "{again:?}");
-        assert_eq!(matches!(again, Ok(Answer::Refused(_))), !harmful, "{again:?}");
+        assert_eq!(
+            matches!(again, Ok(Answer::Refused(_))),
+            !harmful,
+            "{again:?}"
+        );
     }
     let mut bench = Bench::new(1);
     let run = |bench: &mut Bench, id: u64, name: &str| {
         let answered = bench.ask(id, 1, name);
         bench.ended(id, 0, Status::Read);
-        bench.hear(Event::First { id, attempt: 1, stream: mpsc::channel(1).1 });
+        bench.hear(Event::First {
+            id,
+            attempt: 1,
+            stream: mpsc::channel(1).1,
+        });
         bench.ended(id, 1, Status::Ok);
         drop(answered);
     };
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -10,7 +10,9 @@
 
 /// Compares a text with a golden file.
 fn assert_golden(name: &str, actual: &str) {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
         std::fs::write(&path, actual).unwrap();
     }
@@ -30,7 +32,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("quartzhall-golden-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("quartzhall-golden-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -60,7 +63,11 @@
     use std::io::Write;
     let recorded = include_str!("golden/simhost-exchange.txt");
     let lines_after = |mark: &str| -> String {
-        recorded.lines().filter_map(|line| line.strip_prefix(mark)).flat_map(|line| [line, "\n"]).collect()
+        recorded
+            .lines()
+            .filter_map(|line| line.strip_prefix(mark))
+            .flat_map(|line| [line, "\n"])
+            .collect()
     };
     let mut child = Command::new(env!("CARGO_BIN_EXE_quartzhall-simhost"))
         .stdin(Stdio::piped())
@@ -83,7 +90,9 @@
 fn check(config: &str, sessions: Option<&str>) -> Output {
     let folder = Folder::new(&format!("check-{:?}", std::thread::current().id()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_quartzhall"));
-    command.current_dir(&folder.0).args(["check", "--config", "config.json"]);
+    command
+        .current_dir(&folder.0)
+        .args(["check", "--config", "config.json"]);
     folder.file("config.json", config);
     if let Some(sessions) = sessions {
         folder.file("websocket.json", sessions);
@@ -102,41 +111,91 @@
     };
     let cases: Vec<(&str, String, Option<&str>)> = vec![
         ("good", good.clone(), None),
-        ("good with the deployed session file", good.clone(), Some(deployed)),
-        ("good with sessions", good.clone(), Some(r#"{"listen":"127.0.0.1:1","agent_check":"127.0.0.1:2"}"#)),
+        (
+            "good with the deployed session file",
+            good.clone(),
+            Some(deployed),
+        ),
+        (
+            "good with sessions",
+            good.clone(),
+            Some(r#"{"listen":"127.0.0.1:1","agent_check":"127.0.0.1:2"}"#),
+        ),
         ("cut", good[..good.len() / 2].to_owned(), None),
         ("empty", String::new(), None),
         ("repeat", replaced("single_shot", "sometimes"), None),
         (
             "group",
-            replaced("\"repeat\":\"free\",\"group\":\"all\"", "\"repeat\":\"guarded\",\"group\":\"some\""),
+            replaced(
+                "\"repeat\":\"free\",\"group\":\"all\"",
+                "\"repeat\":\"guarded\",\"group\":\"some\"",
+            ),
+            None,
+        ),
+        (
+            "role",
+            replaced("\"read\",\"write\"", "\"read\",\"sing\""),
+            None,
+        ),
+        (
+            "reporting",
+            replaced("\"via\":\"answers\"", "\"via\":\"pigeon\""),
             None,
         ),
-        ("role", replaced("\"read\",\"write\"", "\"read\",\"sing\""), None),
-        ("reporting", replaced("\"via\":\"answers\"", "\"via\":\"pigeon\""), None),
         ("no classes", replaced("\"classes\"", "\"klasses\""), None),
         ("no aim", replaced("\"aim\":1500.0,", ""), None),
-        ("negative aim", replaced("\"aim\":1500.0", "\"aim\":-1.0"), None),
+        (
+            "negative aim",
+            replaced("\"aim\":1500.0", "\"aim\":-1.0"),
+            None,
+        ),
         ("aim of 0", replaced("\"aim\":1500.0", "\"aim\":0"), None),
         ("no most_tries", replaced("\"most_tries\":5,", ""), None),
-        ("most_tries of a half", replaced("\"most_tries\":5", "\"most_tries\":0.5"), None),
-        ("a class twice", replaced("return-request", "status-query"), None),
-        ("discovery", replaced("\"discovery\":\"127.0.0.1:9000\"", "\"discovery\":\"nowhere\""), None),
+        (
+            "most_tries of a half",
+            replaced("\"most_tries\":5", "\"most_tries\":0.5"),
+            None,
+        ),
+        (
+            "a class twice",
+            replaced("return-request", "status-query"),
+            None,
+        ),
+        (
+            "discovery",
+            replaced(
+                "\"discovery\":\"127.0.0.1:9000\"",
+                "\"discovery\":\"nowhere\"",
+            ),
+            None,
+        ),
         ("session file", good.clone(), Some("{\"listen\":7}")),
-        ("session bounds", good.clone(), Some("{\"most_requests\":0}")),
+        (
+            "session bounds",
+            good.clone(),
+            Some("{\"most_requests\":0}"),
+        ),
     ];
     let mut text = String::new();
     for (name, config, sessions) in cases {
         let output = check(&config, sessions);
         let line = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        text +=
-            &format!("{name}: {:?}\n{}{}", output.status.code(), line(&output.stdout), line(&output.stderr));
+        text += &format!(
+            "{name}: {:?}\n{}{}",
+            output.status.code(),
+            line(&output.stdout),
+            line(&output.stderr)
+        );
     }
     let missing = Command::new(env!("CARGO_BIN_EXE_quartzhall"))
         .args(["check", "--config", "no-such-file.json"])
         .output()
         .unwrap();
-    text += &format!("no file: {:?}\n{}", missing.status.code(), String::from_utf8_lossy(&missing.stderr));
+    text += &format!(
+        "no file: {:?}\n{}",
+        missing.status.code(),
+        String::from_utf8_lossy(&missing.stderr)
+    );
     assert_golden("check.txt", &text);
 }
 
@@ -152,7 +211,11 @@
         let now = 1_700_000_000_000_000;
         gossip.failure(0x1122_3344_5566_7788);
         for (server, in_flight) in [(1, 30.0), (2, 254.6), (3, 999.0)] {
-            let load = Load { in_flight: Some(in_flight), memory: Some(0.25), ..Load::default() };
+            let load = Load {
+                in_flight: Some(in_flight),
+                memory: Some(0.25),
+                ..Load::default()
+            };
             gossip.report(now, server, 0xabcd_ef00 + u64::from(server), &load);
         }
         assert_golden("datagram.txt", &(hex(&gossip.message(now).unwrap()) + "\n"));
@@ -162,10 +225,26 @@
     fn recording_is_unchanged() {
         use quartzhall_recording::{Answer, Digest, Record, Role, Status, Table, Writer};
         let mut records = vec![
-            Record::Start { at: 1_700_000_000_000_000, dispatcher: "n1".into(), dispatchers: 3 },
-            Record::Name { table: Table::Class, number: 1, name: "status-query".into() },
-            Record::Name { table: Table::Tenant, number: 2, name: "acme".into() },
-            Record::Name { table: Table::Node, number: 7, name: "r1".into() },
+            Record::Start {
+                at: 1_700_000_000_000_000,
+                dispatcher: "n1".into(),
+                dispatchers: 3,
+            },
+            Record::Name {
+                table: Table::Class,
+                number: 1,
+                name: "status-query".into(),
+            },
+            Record::Name {
+                table: Table::Tenant,
+                number: 2,
+                name: "acme".into(),
+            },
+            Record::Name {
+                table: Table::Node,
+                number: 7,
+                name: "r1".into(),
+            },
             Record::Arrival {
                 at: 5,
                 request: 9,
@@ -178,12 +257,28 @@
                 most: 800,
                 expires_in: 7_500_000,
             },
-            Record::Sent { at: 6, request: 9, attempt: 0, node: 7 },
-            Record::First { at: 7, request: 9, attempt: 0 },
+            Record::Sent {
+                at: 6,
+                request: 9,
+                attempt: 0,
+                node: 7,
+            },
+            Record::First {
+                at: 7,
+                request: 9,
+                attempt: 0,
+            },
             Record::Dropped { records: 4 },
         ];
         for role in [Role::Reader, Role::Writer, Role::Both] {
-            records.push(Record::Node { at: 2, node: 7, role, cell: 1, ready: true, started: 3 });
+            records.push(Record::Node {
+                at: 2,
+                node: 7,
+                role,
+                cell: 1,
+                ready: true,
+                started: 3,
+            });
         }
         for status in [
             Status::Ok,
@@ -198,14 +293,33 @@
             Status::Moot,
             Status::Rejected,
         ] {
-            records.push(Record::Ended { at: 8, request: 9, attempt: 0, status, kept: 4096, written: 200 });
+            records.push(Record::Ended {
+                at: 8,
+                request: 9,
+                attempt: 0,
+                status,
+                kept: 4096,
+                written: 200,
+            });
         }
-        for answer in [Answer::Served, Answer::Broken, Answer::Refused, Answer::Failed, Answer::Left] {
-            records.push(Record::Final { at: 9, request: 9, answer });
+        for answer in [
+            Answer::Served,
+            Answer::Broken,
+            Answer::Refused,
+            Answer::Failed,
+            Answer::Left,
+        ] {
+            records.push(Record::Final {
+                at: 9,
+                request: 9,
+                answer,
+            });
         }
         let mut bytes = Vec::new();
         let mut writer = Writer::new(&mut bytes).unwrap();
-        records.iter().for_each(|record| writer.write(record).unwrap());
+        records
+            .iter()
+            .for_each(|record| writer.write(record).unwrap());
         let lines: Vec<String> = bytes.chunks(32).map(hex).collect();
         assert_golden("recording.txt", &(lines.join("\n") + "\n"));
     }
@@ -222,8 +336,12 @@
     let path = folder.0.join("successor.sock");
     let successor = UnixListener::bind(&path).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    let upstream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
+    let upstream = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let mut chunks = Chunks::default();
     chunks.feed(b"1f\r\ndata: half of a ch", |_| {}).unwrap();
     let (streams, receiver) = tokio::sync::mpsc::channel(1);
@@ -281,8 +399,13 @@
         let mut lines = Vec::new();
         for line in text.split("\r\n") {
             let lower = line.to_ascii_lowercase();
-            let varies =
-                ["host: ", "date: ", "x-expires-in-ms: ", "sec-websocket-key: ", "sec-websocket-accept: "];
+            let varies = [
+                "host: ",
+                "date: ",
+                "x-expires-in-ms: ",
+                "sec-websocket-key: ",
+                "sec-websocket-accept: ",
+            ];
             match varies.iter().find(|name| lower.starts_with(**name)) {
                 Some(name) => lines.push(format!("{}*", &line[..name.len()])),
                 None => lines.push(line.to_owned()),
@@ -296,7 +419,9 @@
         loop {
             if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
                 let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
-                let length = head.split("\r\n").find_map(|line| line.strip_prefix("content-length: "));
+                let length = head
+                    .split("\r\n")
+                    .find_map(|line| line.strip_prefix("content-length: "));
                 if bytes.len() >= end + 4 + length.map_or(0, |length| length.parse().unwrap()) {
                     return Some(String::from_utf8_lossy(&bytes).into_owned());
                 }
@@ -308,10 +433,12 @@
     }
 
     fn answer(is_prefill: bool, request: &str) -> &'static str {
-        const FULL: &str = "HTTP/1.1 503 Service Unavailable\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n";
+        const FULL: &str =
+            "HTTP/1.1 503 Service Unavailable\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n";
         const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n";
         const BAD: &str = "HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
-        const READ: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":7}";
+        const READ: &str =
+            "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":7}";
         const STREAM: &str =
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
             e\r\ndata: {\"n\":1}\n\r\n1\r\n\n\r\n2a\r\n: Endpoint-Load-Metrics: TEXT inflight=3\n\n\r\n\
@@ -319,7 +446,11 @@
         if request.starts_with("DELETE") {
             return "HTTP/1.1 204 No Content\r\n\r\n";
         }
-        let is_named = |name: &str| request.to_ascii_lowercase().contains(&format!("x-trace-id: {name}"));
+        let is_named = |name: &str| {
+            request
+                .to_ascii_lowercase()
+                .contains(&format!("x-trace-id: {name}"))
+        };
         match is_prefill {
             true if is_named("full") => FULL,
             true if is_named("bad") => BAD,
@@ -342,8 +473,14 @@
                         let answer = answer(name == "prefill", &request);
                         let _ = stream.write_all(answer.as_bytes()).await;
                         // Any replica may be asked to release: which one depends on time.
-                        let at = if request.starts_with("DELETE") { "any" } else { name };
-                        seen.lock().unwrap().insert(format!("=== {at}\n{}\n", normalized(&request)));
+                        let at = if request.starts_with("DELETE") {
+                            "any"
+                        } else {
+                            name
+                        };
+                        seen.lock()
+                            .unwrap()
+                            .insert(format!("=== {at}\n{}\n", normalized(&request)));
                     }
                 });
             }
@@ -360,7 +497,9 @@
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 if let Some(request) = read_request(&mut stream).await {
-                    seen.lock().unwrap().insert(format!("=== discovery\n{}\n", normalized(&request)));
+                    seen.lock()
+                        .unwrap()
+                        .insert(format!("=== discovery\n{}\n", normalized(&request)));
                 }
                 open.push(stream);
             }
@@ -369,7 +508,12 @@
     }
 
     async fn free_address() -> String {
-        TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string()
+        TcpListener::bind("127.0.0.1:0")
+            .await
+            .unwrap()
+            .local_addr()
+            .unwrap()
+            .to_string()
     }
 
     async fn connect(address: &str) -> TcpStream {
@@ -381,14 +525,17 @@
                 }
             }
         };
-        tokio::time::timeout(Duration::from_secs(20), connects).await.expect("a connection")
+        tokio::time::timeout(Duration::from_secs(20), connects)
+            .await
+            .expect("a connection")
     }
 
     async fn exchange(address: &str, request: &str) -> String {
         let mut stream = connect(address).await;
         stream.write_all(request.as_bytes()).await.unwrap();
         let mut answer = Vec::new();
-        let read = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut answer)).await;
+        let read =
+            tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut answer)).await;
         let _ = read.expect("an end");
         String::from_utf8_lossy(&answer).into_owned()
     }
@@ -404,27 +551,48 @@
 
     async fn start(name: &str) -> Program {
         let seen = Seen::default();
-        let (prefill, decode) =
-            (replica("prefill", seen.clone()).await, replica("decode", seen.clone()).await);
+        let (prefill, decode) = (
+            replica("prefill", seen.clone()).await,
+            replica("decode", seen.clone()).await,
+        );
         let known = format!(
             r#"{{"revision":41,"complete":true,"members":[
                 {{"id":"p","host_port":"{prefill}","locality":"east","flavor":"prefill","cell":1,"phase":"Ready"}},
                 {{"id":"d","host_port":"{decode}","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}}]}}"#
         );
         let discovery = discovery(seen.clone()).await;
-        let (address, sessions, management) =
-            (free_address().await, free_address().await, free_address().await);
+        let (address, sessions, management) = (
+            free_address().await,
+            free_address().await,
+            free_address().await,
+        );
         let folder = Folder::new(name);
         let file = folder.file("config.json", &config(&address, &discovery, &known));
         let second = folder.file("websocket.json", &format!(r#"{{"listen":"{sessions}"}}"#));
         let mut command = Command::new(env!("CARGO_BIN_EXE_quartzhall"));
-        command.args(["serve", "--config"]).arg(file).arg("--websocket").arg(second);
-        command.env("GW_MANAGEMENT", &management).stderr(Stdio::null());
+        command
+            .args(["serve", "--config"])
+            .arg(file)
+            .arg("--websocket")
+            .arg(second);
+        command
+            .env("GW_MANAGEMENT", &management)
+            .stderr(Stdio::null());
         let running = Running(command.spawn().unwrap());
         let ready = "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        let becomes_ready = async { while !exchange(&address, ready).await.starts_with("HTTP/1.1 200") {} };
-        tokio::time::timeout(Duration::from_secs(20), becomes_ready).await.expect("ready");
-        Program { _running: running, _folder: folder, address, sessions, management, seen }
+        let becomes_ready =
+            async { while !exchange(&address, ready).await.starts_with("HTTP/1.1 200") {} };
+        tokio::time::timeout(Duration::from_secs(20), becomes_ready)
+            .await
+            .expect("ready");
+        Program {
+            _running: running,
+            _folder: folder,
+            address,
+            sessions,
+            management,
+            seen,
+        }
     }
 
     fn post(name: &str, class: &str, rest: &str, body: &str) -> String {
@@ -442,31 +610,60 @@
             ("served once", post("once", "return-request", length, "{}")),
             (
                 "in chunks",
-                post("chunks", "status-query", "Transfer-Encoding: chunked", "2\r\n{}\r\n0\r\n\r\n"),
+                post(
+                    "chunks",
+                    "status-query",
+                    "Transfer-Encoding: chunked",
+                    "2\r\n{}\r\n0\r\n\r\n",
+                ),
+            ),
+            (
+                "ready",
+                "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned(),
+            ),
+            (
+                "unknown path",
+                "GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned(),
             ),
-            ("ready", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned()),
-            ("unknown path", "GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned()),
             (
                 "wrong method",
-                "GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned(),
+                "GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                    .to_owned(),
             ),
             ("unknown class", post("a", "no-such-class", length, "{}")),
             ("no plain name", post("a b", "status-query", length, "{}")),
-            ("no props", post("a", "status-query", length, "{}").replace("X-Props", "X-Other")),
+            (
+                "no props",
+                post("a", "status-query", length, "{}").replace("X-Props", "X-Other"),
+            ),
             (
                 "props without a length",
                 post("a", "status-query", length, "{}").replace("prompt_len", "other"),
             ),
-            ("too large", post("a", "status-query", "Content-Length: 300000", "")),
+            (
+                "too large",
+                post("a", "status-query", "Content-Length: 300000", ""),
+            ),
             (
                 "length and chunks",
-                post("a", "status-query", "Content-Length: 2\r\nTransfer-Encoding: chunked", "0\r\n\r\n"),
+                post(
+                    "a",
+                    "status-query",
+                    "Content-Length: 2\r\nTransfer-Encoding: chunked",
+                    "0\r\n\r\n",
+                ),
             ),
             ("not HTTP", "what?\r\n\r\n".to_owned()),
-            ("bad at the replica", post("bad", "status-query", length, "{}")),
+            (
+                "bad at the replica",
+                post("bad", "status-query", length, "{}"),
+            ),
             ("full", post("full", "status-query", length, "{}")),
             ("error", post("error", "return-request", length, "{}")),
-            ("error, again", post("error", "return-request", length, "{}")),
+            (
+                "error, again",
+                post("error", "return-request", length, "{}"),
+            ),
         ];
         let mut text = String::new();
         for (name, request) in cases {
@@ -476,11 +673,19 @@
         assert_golden("http-answers.txt", &text);
         // A read state is released after the failure: the last thing that the replicas see.
         let released = async {
-            while !program.seen.lock().unwrap().iter().any(|seen| seen.contains("DELETE /kv/leases/error")) {
+            while !program
+                .seen
+                .lock()
+                .unwrap()
+                .iter()
+                .any(|seen| seen.contains("DELETE /kv/leases/error"))
+            {
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(20), released).await.expect("released");
+        tokio::time::timeout(Duration::from_secs(20), released)
+            .await
+            .expect("released");
         let seen: String = program.seen.lock().unwrap().iter().cloned().collect();
         assert_golden("upstream-requests.txt", &seen);
     }
@@ -502,10 +707,16 @@
             "quit",
             "",
         ] {
-            text += &format!("> {line}\n< {}", exchange(&program.management, &format!("{line}\n")).await);
+            text += &format!(
+                "> {line}\n< {}",
+                exchange(&program.management, &format!("{line}\n")).await
+            );
         }
         let long = format!("{}\n", "x".repeat(600));
-        text += &format!("> 600 bytes\n< {}", exchange(&program.management, &long).await);
+        text += &format!(
+            "> 600 bytes\n< {}",
+            exchange(&program.management, &long).await
+        );
         assert_golden("management.txt", &text);
     }
 
@@ -584,28 +795,49 @@
             {"id":"d","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","cell":1,"phase":"Ready"},
             {"id":"d2","host_port":"127.0.0.1:3","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}]}"#;
         let address = socket.local_addr().unwrap().to_string();
-        let file = folder.file("config.json", &config(&address, &free_address().await, known));
+        let file = folder.file(
+            "config.json",
+            &config(&address, &free_address().await, known),
+        );
         let shared = folder.0.join("shared");
         std::fs::create_dir(&shared).unwrap();
         // A version before this one has banned a replica.
         let bans = shared.join("quartzhall-08b37b07b558d4c0.bans");
-        std::fs::write(&bans, r#"{"version":1,"marks":[{"id":"d2","at":1700000000000000,"banned":true}]}"#)
-            .unwrap();
+        std::fs::write(
+            &bans,
+            r#"{"version":1,"marks":[{"id":"d2","at":1700000000000000,"banned":true}]}"#,
+        )
+        .unwrap();
         let mut command = Command::new("sh");
         command.args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""]);
-        command.arg(env!("CARGO_BIN_EXE_quartzhall")).arg("--config").arg(file);
-        command.env("GW_SOCKET_FD", "5").env("TMPDIR", &shared).env("GW_MANAGEMENT", &management);
-        command.stdin(Stdio::from(std::os::fd::OwnedFd::from(socket))).stderr(Stdio::null());
+        command
+            .arg(env!("CARGO_BIN_EXE_quartzhall"))
+            .arg("--config")
+            .arg(file);
+        command
+            .env("GW_SOCKET_FD", "5")
+            .env("TMPDIR", &shared)
+            .env("GW_MANAGEMENT", &management);
+        command
+            .stdin(Stdio::from(std::os::fd::OwnedFd::from(socket)))
+            .stderr(Stdio::null());
         let _running = Running(command.spawn().unwrap());
         assert_eq!(exchange(&management, "disable-server d\n").await, "ACK\n");
-        assert!(exchange(&management, "ready\n").await.starts_with("NAK"), "both decode replicas are banned");
+        assert!(
+            exchange(&management, "ready\n").await.starts_with("NAK"),
+            "both decode replicas are banned"
+        );
         let files = || {
             let mut all = Vec::new();
             for entry in std::fs::read_dir(&shared).unwrap() {
                 let path = entry.unwrap().path();
                 let name = path.file_name().unwrap().to_str().unwrap().to_owned();
                 let holds = std::fs::read_to_string(&path).unwrap_or_else(|_| "a socket".into());
-                all.push(format!("{}: {}\n", without_numbers(&name), without_numbers(holds.trim_end())));
+                all.push(format!(
+                    "{}: {}\n",
+                    without_numbers(&name),
+                    without_numbers(holds.trim_end())
+                ));
             }
             all.sort();
             all.concat()
@@ -617,7 +849,9 @@
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(20), written).await.expect("the files");
+        tokio::time::timeout(Duration::from_secs(20), written)
+            .await
+            .expect("the files");
         assert_golden("upgrade-files.txt", &files());
     }
 }
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -41,7 +41,8 @@
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let length = head.lines().find_map(|line| {
                 let (name, value) = line.split_once(':')?;
-                name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse().ok())?
+                name.eq_ignore_ascii_case("content-length")
+                    .then(|| value.trim().parse().ok())?
             });
             if body.len() >= length.unwrap_or(0) {
                 return Some(text);
@@ -76,16 +77,27 @@
             r#"{{"id":"{id}","host_port":"{address}","locality":"east","flavor":"{flavor}","cell":1,"phase":"Ready"}}"#
         )
     };
-    let members = [member("r", reader, "prefill"), member("w", writer, "decode")].join(",");
+    let members = [
+        member("r", reader, "prefill"),
+        member("w", writer, "decode"),
+    ]
+    .join(",");
     let text = format!(
         r#"{{"name":"n1","listen":"{listen}","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{{"revision":1,"complete":true,"members":[{members}]}},"settings":{}}}"#,
         stand::PROFILE
     );
-    let config = std::env::temp_dir().join(format!("quartzhall-incident-{}.json", std::process::id()));
+    let config =
+        std::env::temp_dir().join(format!("quartzhall-incident-{}.json", std::process::id()));
     std::fs::write(&config, text).unwrap();
     let mut command = Command::new(PROGRAM);
-    command.args(["serve", "--config"]).arg(&config).stderr(Stdio::null());
-    Program { child: command.spawn().unwrap(), config }
+    command
+        .args(["serve", "--config"])
+        .arg(&config)
+        .stderr(Stdio::null());
+    Program {
+        child: command.spawn().unwrap(),
+        config,
+    }
 }
 
 async fn connect(address: &str) -> TcpStream {
@@ -97,7 +109,9 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, connects).await.expect("it listens")
+    tokio::time::timeout(PATIENCE, connects)
+        .await
+        .expect("it listens")
 }
 
 /// The client waits for 4 s and the state may be held for 1 s: it is released while the client still waits.
@@ -119,6 +133,8 @@
             answer = client.read(&mut some) => format!("an answer: {answer:?}"),
         }
     };
-    let first = tokio::time::timeout(PATIENCE, first).await.expect("a release or an answer");
+    let first = tokio::time::timeout(PATIENCE, first)
+        .await
+        .expect("a release or an answer");
     assert_eq!(first, "DELETE /kv/leases/00000000000000aa HTTP/1.1");
 }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -10,9 +10,14 @@
 
 /// Readers in cells of their own, and writers in cells of four.
 fn fleet() -> Vec<Entry> {
-    let readers = (0..READERS).map(|id| Entry { cell: id, ..server(id, Role::Reader) });
-    let writers =
-        (0..WRITERS).map(|at| Entry { cell: cell_of(at), ..server(FIRST_WRITER + at, Role::Writer) });
+    let readers = (0..READERS).map(|id| Entry {
+        cell: id,
+        ..server(id, Role::Reader)
+    });
+    let writers = (0..WRITERS).map(|at| Entry {
+        cell: cell_of(at),
+        ..server(FIRST_WRITER + at, Role::Writer)
+    });
     readers.chain(writers).collect()
 }
 
@@ -25,7 +30,10 @@
 #[test]
 fn a_server_that_no_first_look_has_is_found() {
     for seed in 0..10 {
-        let keyed = Effect::Keyed { group: Group::Cell, window: 3 * SECOND };
+        let keyed = Effect::Keyed {
+            group: Group::Cell,
+            window: 3 * SECOND,
+        };
         let mut desk = Desk::seeded(settings(vec![class(1.0, keyed)]), fleet(), seed);
         let actions = desk.ask(ask(1, seed));
         let reader = sent_to(&actions, 1).expect("it is read");
@@ -38,11 +46,18 @@
             cell: cell_of(first - FIRST_WRITER),
             ..server(first, Role::Writer)
         };
-        desk.hear(Event::Members { complete: false, entries: vec![drains] });
+        desk.hear(Event::Members {
+            complete: false,
+            entries: vec![drains],
+        });
         let mut actions = desk.outcome(1, 1, first, Status::Reset);
         actions.extend(desk.pass(200 * MS));
         let second = sent_to(&actions, 1).expect("it is sent again, in time");
-        assert_eq!(cell_of(second - FIRST_WRITER), cell_of(first - FIRST_WRITER), "seed {seed}");
+        assert_eq!(
+            cell_of(second - FIRST_WRITER),
+            cell_of(first - FIRST_WRITER),
+            "seed {seed}"
+        );
         assert_eq!(finals(&actions, 1), 0);
     }
 }
@@ -58,12 +73,22 @@
         let idle = (seed * 17 + 3) as ServerId % READERS;
         for server in 0..READERS {
             let part = if server == idle { 0.0 } else { 1.0 };
-            let load =
-                Load { in_flight: Some(400.0 * part), to_read: Some(4_000.0 * part), ..Load::default() };
-            desk.hear(Event::Heard { server, load: Some(load) });
+            let load = Load {
+                in_flight: Some(400.0 * part),
+                to_read: Some(4_000.0 * part),
+                ..Load::default()
+            };
+            desk.hear(Event::Heard {
+                server,
+                load: Some(load),
+            });
         }
         let actions = desk.ask(ask(100, 7_777 + seed));
-        assert_eq!((sent_to(&actions, 100), finals(&actions, 100)), (Some(idle), 0), "seed {seed}");
+        assert_eq!(
+            (sent_to(&actions, 100), finals(&actions, 100)),
+            (Some(idle), 0),
+            "seed {seed}"
+        );
     }
 }
 
@@ -75,14 +100,27 @@
     for step in 0..300_u32 {
         let changes = (0..12).map(|number| {
             let at = (step * 37 + number * 61) % (READERS + WRITERS);
-            let id = if at < READERS { at } else { FIRST_WRITER + at - READERS };
-            let role = if at < READERS { Role::Reader } else { Role::Writer };
+            let id = if at < READERS {
+                at
+            } else {
+                FIRST_WRITER + at - READERS
+            };
+            let role = if at < READERS {
+                Role::Reader
+            } else {
+                Role::Writer
+            };
             let state = [State::Ready, State::Draining, State::Gone][(step + number) as usize % 3];
             match state {
                 State::Ready => left.remove(&id),
                 _ => left.insert(id),
             };
-            Entry { state, cell: (step + number) % 50, zone: step % 2, ..server(id, role) }
+            Entry {
+                state,
+                cell: (step + number) % 50,
+                zone: step % 2,
+                ..server(id, role)
+            }
         });
         let entries: Vec<Entry> = changes.collect();
         // The last word on a server is the one that counts.
@@ -92,7 +130,10 @@
                 _ => left.insert(entry.server),
             };
         }
-        desk.hear(Event::Members { complete: false, entries });
+        desk.hear(Event::Members {
+            complete: false,
+            entries,
+        });
         let id = u64::from(step) + 1;
         let sends = desk.ask(ask(id, id));
         let reader = sent_to(&sends, id).expect("a reader is left");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -80,14 +80,24 @@
 
 /// Discovery's task ends with the set that is returned.
 fn follow(
-    address: String, pushed: bool, balancers: u32, known: Option<u64>,
+    address: String,
+    pushed: bool,
+    balancers: u32,
+    known: Option<u64>,
 ) -> (dispatch::Door, Inbox, JoinSet<()>) {
     let (door, inbox) = dispatch::door(Arc::new(site(pushed, balancers)));
     let (set, told) = watch::channel(address);
     std::mem::forget(set); // the address stays as it is
     let log = Logger::root(Discard, o!());
     let mut task = JoinSet::new();
-    task.spawn(discovery::run(told, site(pushed, balancers), 7, known, door.clone(), log));
+    task.spawn(discovery::run(
+        told,
+        site(pushed, balancers),
+        7,
+        known,
+        door.clone(),
+        log,
+    ));
     (door, inbox, task)
 }
 
@@ -108,7 +118,11 @@
     let (door, mut inbox, _task) = follow(address, true, 1, None);
     let mut waiting = Vec::new();
     let ask = |number| {
-        let work = Work { name: format!("n{number}").into(), target: "/".into(), body: "{}".into() };
+        let work = Work {
+            name: format!("n{number}").into(),
+            target: "/".into(),
+            body: "{}".into(),
+        };
         tokio::task::unconstrained(door.ask(Ask::default(), work)).now_or_never()
     };
     while let Some(asked) = ask(waiting.len()) {
@@ -122,7 +136,10 @@
         }
     });
     told.await.expect("a list that waits for no request");
-    assert!(matches!(inbox.next().await, Some(Event::Members { .. })), "a request came first");
+    assert!(
+        matches!(inbox.next().await, Some(Event::Members { .. })),
+        "a request came first"
+    );
 }
 
 const OK: &str =
@@ -140,18 +157,48 @@
 async fn a_list_is_heard_in_time_whatever_came_of_the_calls_before() {
     let orders: &[&'static [Says]] = &[
         &[Says::Text(ERROR), Says::Text(OK), Says::Nothing],
-        &[Says::Text(BUSY), Says::Text(BUSY), Says::Text(OK), Says::Nothing],
-        &[Says::Text(GARBLED), Says::Text(GARBLED), Says::Text(GARBLED), Says::Text(OK), Says::Nothing],
-        &[Says::Cut(HALF), Says::Text(ERROR), Says::Text(OK), Says::Nothing],
-        &[Says::Cut(HEAD), Says::Cut(""), Says::Text(ERROR), Says::Text(OK), Says::Nothing],
+        &[
+            Says::Text(BUSY),
+            Says::Text(BUSY),
+            Says::Text(OK),
+            Says::Nothing,
+        ],
+        &[
+            Says::Text(GARBLED),
+            Says::Text(GARBLED),
+            Says::Text(GARBLED),
+            Says::Text(OK),
+            Says::Nothing,
+        ],
+        &[
+            Says::Cut(HALF),
+            Says::Text(ERROR),
+            Says::Text(OK),
+            Says::Nothing,
+        ],
+        &[
+            Says::Cut(HEAD),
+            Says::Cut(""),
+            Says::Text(ERROR),
+            Says::Text(OK),
+            Says::Nothing,
+        ],
         &[Says::Text(ENDLESS), Says::Text(OK), Says::Nothing],
         &[Says::Text(HEAD), Says::Text(OK), Says::Nothing],
         &[Says::Nothing, Says::Text(OK), Says::Nothing],
-        &[Says::Nothing, Says::Text(GARBLED), Says::Text(OK), Says::Nothing],
+        &[
+            Says::Nothing,
+            Says::Text(GARBLED),
+            Says::Text(OK),
+            Says::Nothing,
+        ],
     ];
-    for (pushed, known, each) in
-        [(true, None, 150), (true, Some(7), 1_150), (false, None, 6_000), (false, Some(7), 6_000)]
-    {
+    for (pushed, known, each) in [
+        (true, None, 150),
+        (true, Some(7), 1_150),
+        (false, None, 6_000),
+        (false, Some(7), 6_000),
+    ] {
         for (at, order) in orders.iter().enumerate() {
             for balancers in [1, 300] {
                 let (address, calls, _) = agent(order).await;
@@ -190,5 +237,9 @@
     while calls.load(Ordering::SeqCst) < 100 {
         inbox.next().await;
     }
-    assert!(began.elapsed() > Duration::from_secs(1), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() > Duration::from_secs(1),
+        "{:?}",
+        began.elapsed()
+    );
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -11,13 +11,28 @@
 fn decision_files() -> Vec<(String, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("a deploy file");
-    let line = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a line on the policy");
-    let list = line.split('[').nth(1).and_then(|rest| rest.split(']').next()).expect("a list");
+    let line = deploy
+        .lines()
+        .find(|line| line.starts_with("policy = "))
+        .expect("a line on the policy");
+    let list = line
+        .split('[')
+        .nth(1)
+        .and_then(|rest| rest.split(']').next())
+        .expect("a list");
     let mut files = Vec::new();
-    for name in list.split(',').map(|name| name.trim().trim_matches('"')).filter(|name| !name.is_empty()) {
+    for name in list
+        .split(',')
+        .map(|name| name.trim().trim_matches('"'))
+        .filter(|name| !name.is_empty())
+    {
         let path = root.join(name);
         let paths = match path.is_dir() {
-            true => path.read_dir().expect("a folder").map(|entry| entry.expect("an entry").path()).collect(),
+            true => path
+                .read_dir()
+                .expect("a folder")
+                .map(|entry| entry.expect("an entry").path())
+                .collect(),
             false => vec![path],
         };
         for path in paths {
@@ -35,7 +50,10 @@
     assert!(!files.is_empty());
     for (name, text) in &files {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MOST_LINES, "{name}: {lines} lines that are not blank, {MOST_LINES} at most");
+        assert!(
+            lines <= MOST_LINES,
+            "{name}: {lines} lines that are not blank, {MOST_LINES} at most"
+        );
         for (at, line) in text.lines().enumerate() {
             let length = line.chars().count();
             assert!(
@@ -44,9 +62,15 @@
                 at + 1
             );
         }
-        assert!(text.starts_with("//! "), "{name}: no doc comment on the module");
+        assert!(
+            text.starts_with("//! "),
+            "{name}: no doc comment on the module"
+        );
     }
     let names_interface =
         |(_, text): &(String, String)| text.lines().take(3).any(|it| it.contains("src/api.rs"));
-    assert!(files.iter().any(names_interface), "the entry names the interface file");
+    assert!(
+        files.iter().any(names_interface),
+        "the entry names the interface file"
+    );
 }
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -15,7 +15,9 @@
         stream.read_to_string(&mut answer).await.unwrap();
         answer
     };
-    tokio::time::timeout(Duration::from_secs(1), exchange).await.expect("an answer within 1 s")
+    tokio::time::timeout(Duration::from_secs(1), exchange)
+        .await
+        .expect("an answer within 1 s")
 }
 
 #[tokio::test]
@@ -23,18 +25,31 @@
     let fleet = Fleet::start(false).await;
     assert_eq!(call(&fleet, b"ready\n").await, "ACK\n");
     assert_eq!(call(&fleet, b"ready\r\n").await, "ACK\n");
-    assert_eq!(call(&fleet, b"disable-server n2\nready\n and more").await, "ACK\n");
+    assert_eq!(
+        call(&fleet, b"disable-server n2\nready\n and more").await,
+        "ACK\n"
+    );
     assert_eq!(call(&fleet, b"disable-server n2\n").await, "ACK\n");
     assert_eq!(call(&fleet, b"enable-server n2\n").await, "ACK\n");
     let long = [b"disable-server n2".as_slice(), &[b' '; 1000], b"\n"].concat();
-    for bad in
-        [b"quit\n".as_slice(), b"\n", b"ready now\n", b"disable-server\n", b"enable-server \xff\n", &long]
-    {
+    for bad in [
+        b"quit\n".as_slice(),
+        b"\n",
+        b"ready now\n",
+        b"disable-server\n",
+        b"enable-server \xff\n",
+        &long,
+    ] {
         let answer = call(&fleet, bad).await;
-        assert!(answer.starts_with("NAK ") && answer.ends_with('\n'), "{answer}");
+        assert!(
+            answer.starts_with("NAK ") && answer.ends_with('\n'),
+            "{answer}"
+        );
     }
     // Unlisted: also as the beginning of a listed one's line that was cut.
-    assert!(call(&fleet, b"disable-server nobody\n").await.starts_with("NAK "));
+    assert!(call(&fleet, b"disable-server nobody\n")
+        .await
+        .starts_with("NAK "));
     let mut cut = TcpStream::connect(&fleet.management).await.unwrap();
     cut.write_all(b"disable-server n1").await.unwrap();
     cut.shutdown().await.unwrap();
@@ -58,7 +73,10 @@
     }
     // The first ones have made room.
     let mut rest = [0; 8];
-    assert!(matches!(unfinished[0].read(&mut rest).await, Ok(0) | Err(_)));
+    assert!(matches!(
+        unfinished[0].read(&mut rest).await,
+        Ok(0) | Err(_)
+    ));
 }
 
 /// A replica that is out of use gets nothing: not on a kept connection, not what waits, whatever discovery says.
@@ -78,7 +96,10 @@
         fleet.way(2, Way::Serve);
         assert_eq!(call(&fleet, b"disable-server n2\n").await, "ACK\n");
         fleet.tell(&[(3, "Ready")]).await;
-        for (number, phase) in ["Ready", "Gone", "Ready", "Terminating", "Ready"].iter().enumerate() {
+        for (number, phase) in ["Ready", "Gone", "Ready", "Terminating", "Ready"]
+            .iter()
+            .enumerate()
+        {
             fleet.tell(&[(2, phase)]).await;
             let name = format!("c{number}");
             terminal.ask(&name, "status-query", 4000).await;
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -13,17 +13,37 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 fn work(name: &str) -> Work {
-    Work { name: name.into(), target: "/v1/chat/completions".into(), body: "{}".into() }
+    Work {
+        name: name.into(),
+        target: "/v1/chat/completions".into(),
+        body: "{}".into(),
+    }
 }
 
 fn send(id: RequestId, address: &str) -> Command {
     let (work, timeout) = (work(&format!("n{id}")), Duration::from_secs(5));
-    Command::Send { id, attempt: 0, address: address.into(), work, timeout, alone: false }
+    Command::Send {
+        id,
+        attempt: 0,
+        address: address.into(),
+        work,
+        timeout,
+        alone: false,
+    }
 }
 
 fn send_alone(id: RequestId, address: &str) -> Command {
-    let Command::Send { work, timeout, .. } = send(id, address) else { unreachable!() };
-    Command::Send { id, attempt: 0, address: address.into(), work, timeout, alone: true }
+    let Command::Send { work, timeout, .. } = send(id, address) else {
+        unreachable!()
+    };
+    Command::Send {
+        id,
+        attempt: 0,
+        address: address.into(),
+        work,
+        timeout,
+        alone: true,
+    }
 }
 
 /// Reads a whole request from a raw connection.
@@ -40,11 +60,17 @@
 /// Reads a request and answers it as a reader does, on a connection that stays open.
 async fn read_for(stream: &mut TcpStream) {
     hear(stream).await;
-    stream.write_all(b"HTTP/1.1 202 OK\r\nContent-Length: 2\r\n\r\n{}").await.unwrap();
+    stream
+        .write_all(b"HTTP/1.1 202 OK\r\nContent-Length: 2\r\n\r\n{}")
+        .await
+        .unwrap();
 }
 
 async fn next(inbox: &mut Inbox) -> Event {
-    timeout(Duration::from_secs(10), inbox.next()).await.expect("an event").expect("an open queue")
+    timeout(Duration::from_secs(10), inbox.next())
+        .await
+        .expect("an event")
+        .expect("an open queue")
 }
 
 async fn ended(inbox: &mut Inbox) -> Status {
@@ -57,13 +83,19 @@
 /// A stream that has begun at a writer, which pauses after the first event.
 async fn begun(over_sessions: bool) -> (Fleet, Sender<Command>, Inbox, Receiver<Piece>) {
     let fleet = Fleet::start(over_sessions).await;
-    let speak = if over_sessions { fleet.addresses.clone() } else { Vec::new() };
+    let speak = if over_sessions {
+        fleet.addresses.clone()
+    } else {
+        Vec::new()
+    };
     let (commands, mut inbox) = node_side(&speak);
     commands.send(send(1, &fleet.addresses[0])).await.unwrap();
     assert_eq!(ended(&mut inbox).await, Status::Read);
     fleet.way(2, Way::Pause);
     commands.send(send(1, &fleet.addresses[2])).await.unwrap();
-    let Event::First { stream, .. } = next(&mut inbox).await else { panic!("no first event") };
+    let Event::First { stream, .. } = next(&mut inbox).await else {
+        panic!("no first event")
+    };
     (fleet, commands, inbox, stream)
 }
 
@@ -73,11 +105,21 @@
 async fn a_cancel_that_crosses_with_the_first_event_cuts_no_stream() {
     for over_sessions in [false, true] {
         let (fleet, commands, mut inbox, mut stream) = begun(over_sessions).await;
-        commands.send(Command::Cancel { id: 1, attempt: 0 }).await.unwrap();
+        commands
+            .send(Command::Cancel { id: 1, attempt: 0 })
+            .await
+            .unwrap();
         // Once a later command has been done, so has the cancel.
-        let probe = Command::Release { id: 9, name: "none".into(), addresses: vec![] };
+        let probe = Command::Release {
+            id: 9,
+            name: "none".into(),
+            addresses: vec![],
+        };
         commands.send(probe).await.unwrap();
-        assert!(matches!(next(&mut inbox).await, Event::Released { id: 9, done: false }));
+        assert!(matches!(
+            next(&mut inbox).await,
+            Event::Released { id: 9, done: false }
+        ));
         fleet.go.notify_one();
         let mut text = Vec::new();
         while let Some(Piece::Data(data)) = stream.recv().await {
@@ -105,13 +147,29 @@
     let fleet = Fleet::start(false).await;
     let (commands, mut inbox) = node_side(&[]);
     let address = &fleet.addresses[0];
-    commands.send(Command::Bar { address: address.as_str().into(), barred: true }).await.unwrap();
+    commands
+        .send(Command::Bar {
+            address: address.as_str().into(),
+            barred: true,
+        })
+        .await
+        .unwrap();
     commands.send(send(1, address)).await.unwrap();
     assert_eq!(ended(&mut inbox).await, Status::ConnectFailed);
     assert_eq!(fleet.sent_to(0), 0);
     let addresses = vec![address.as_str().into()];
-    commands.send(Command::Release { id: 2, name: "x".into(), addresses }).await.unwrap();
-    assert!(matches!(next(&mut inbox).await, Event::Released { id: 2, done: true }));
+    commands
+        .send(Command::Release {
+            id: 2,
+            name: "x".into(),
+            addresses,
+        })
+        .await
+        .unwrap();
+    assert!(matches!(
+        next(&mut inbox).await,
+        Event::Released { id: 2, done: true }
+    ));
     assert_eq!(fleet.ledger.lock().unwrap().released, 1);
 }
 
@@ -125,7 +183,12 @@
     for id in 0..600 {
         commands.try_send(send(id, address)).unwrap();
     }
-    commands.try_send(Command::Bar { address: address.as_str().into(), barred: true }).unwrap();
+    commands
+        .try_send(Command::Bar {
+            address: address.as_str().into(),
+            barred: true,
+        })
+        .unwrap();
     for _ in 0..600 {
         assert_eq!(ended(&mut inbox).await, Status::ConnectFailed);
     }
@@ -142,11 +205,20 @@
     commands.send(send(1, address)).await.unwrap();
     assert_eq!(ended(&mut inbox).await, Status::Read);
     commands.try_send(send(2, address)).unwrap();
-    commands.try_send(Command::Cancel { id: 2, attempt: 0 }).unwrap();
+    commands
+        .try_send(Command::Cancel { id: 2, attempt: 0 })
+        .unwrap();
     assert_eq!(ended(&mut inbox).await, Status::Cancelled);
     commands.send(send(3, address)).await.unwrap();
     assert_eq!(ended(&mut inbox).await, Status::Read);
-    let names: Vec<String> = fleet.ledger.lock().unwrap().sent.iter().map(|(_, name)| name.clone()).collect();
+    let names: Vec<String> = fleet
+        .ledger
+        .lock()
+        .unwrap()
+        .sent
+        .iter()
+        .map(|(_, name)| name.clone())
+        .collect();
     assert_eq!(names, ["n1", "n3"]);
 }
 
@@ -163,8 +235,18 @@
         commands.send(send(1, &nowhere)).await.unwrap();
         assert_eq!(ended(&mut inbox).await, Status::ConnectFailed);
         let addresses = vec![nowhere.as_str().into(), fleet.addresses[1].as_str().into()];
-        commands.send(Command::Release { id: 2, name: "x".into(), addresses }).await.unwrap();
-        assert!(matches!(next(&mut inbox).await, Event::Released { id: 2, done: true }));
+        commands
+            .send(Command::Release {
+                id: 2,
+                name: "x".into(),
+                addresses,
+            })
+            .await
+            .unwrap();
+        assert!(matches!(
+            next(&mut inbox).await,
+            Event::Released { id: 2, done: true }
+        ));
         assert_eq!(fleet.ledger.lock().unwrap().released, 1);
     }
 }
@@ -174,15 +256,37 @@
 async fn a_lease_call_does_not_wait_for_nodes_that_are_silent() {
     let fleet = Fleet::start(false).await;
     let (commands, mut inbox) = node_side(&[]);
-    let silent =
-        [TcpListener::bind("127.0.0.1:0").await.unwrap(), TcpListener::bind("127.0.0.1:0").await.unwrap()];
-    let silent = silent.each_ref().map(|it| it.local_addr().unwrap().to_string());
-    let addresses = silent.iter().chain(&fleet.addresses[1..2]).map(|it| it.as_str().into()).collect();
+    let silent = [
+        TcpListener::bind("127.0.0.1:0").await.unwrap(),
+        TcpListener::bind("127.0.0.1:0").await.unwrap(),
+    ];
+    let silent = silent
+        .each_ref()
+        .map(|it| it.local_addr().unwrap().to_string());
+    let addresses = silent
+        .iter()
+        .chain(&fleet.addresses[1..2])
+        .map(|it| it.as_str().into())
+        .collect();
     let begun = tokio::time::Instant::now();
-    commands.send(Command::Release { id: 2, name: "x".into(), addresses }).await.unwrap();
-    assert!(matches!(next(&mut inbox).await, Event::Released { id: 2, done: true }));
+    commands
+        .send(Command::Release {
+            id: 2,
+            name: "x".into(),
+            addresses,
+        })
+        .await
+        .unwrap();
+    assert!(matches!(
+        next(&mut inbox).await,
+        Event::Released { id: 2, done: true }
+    ));
     assert_eq!(fleet.ledger.lock().unwrap().released, 1);
-    assert!(begun.elapsed() < Duration::from_millis(300), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(300),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// A connection that breaks after the request was written may have run: a reset, and it is sent only once.
@@ -196,8 +300,9 @@
     hear(&mut stream).await;
     drop(stream);
     assert_eq!(ended(&mut inbox).await, Status::Reset);
-    let again =
-        std::future::poll_fn(|context| std::task::Poll::Ready(listener.poll_accept(context).is_ready()));
+    let again = std::future::poll_fn(|context| {
+        std::task::Poll::Ready(listener.poll_accept(context).is_ready())
+    });
     assert!(!again.await, "no library resends it");
 }
 
@@ -238,7 +343,11 @@
     let (mut alone, _) = listener.accept().await.unwrap();
     read_for(&mut alone).await;
     assert_eq!(ended(&mut inbox).await, Status::Read);
-    assert_eq!(alone.read(&mut [0; 8]).await.unwrap(), 0, "it is not kept either");
+    assert_eq!(
+        alone.read(&mut [0; 8]).await.unwrap(),
+        0,
+        "it is not kept either"
+    );
     commands.send(send(3, &address)).await.unwrap();
     read_for(&mut kept).await;
     assert_eq!(ended(&mut inbox).await, Status::Read);
@@ -250,7 +359,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (commands, mut inbox) = node_side(&[]);
-    let Command::Send { work, timeout, .. } = send(1, &address) else { unreachable!() };
+    let Command::Send { work, timeout, .. } = send(1, &address) else {
+        unreachable!()
+    };
     let body = vec![b' '; 64 << 20].into(); // more than sockets take
     let long = Command::Send {
         id: 1,
@@ -273,12 +384,18 @@
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         fleet.way(0, Way::Wait);
-        let speak = if over_sessions { fleet.addresses.clone() } else { Vec::new() };
+        let speak = if over_sessions {
+            fleet.addresses.clone()
+        } else {
+            Vec::new()
+        };
         let (commands, mut inbox) = node_side(&speak);
         for id in 0..10 {
             commands.send(send(id, &fleet.addresses[0])).await.unwrap();
         }
-        fleet.until("ten are out", |ledger| ledger.sent.len() == 10).await;
+        fleet
+            .until("ten are out", |ledger| ledger.sent.len() == 10)
+            .await;
         commands.send(send(10, &fleet.addresses[1])).await.unwrap();
         assert_eq!(ended(&mut inbox).await, Status::Moot);
     }
@@ -297,22 +414,41 @@
     commands.send(send(2, &address)).await.unwrap();
     let (mut busy, _) = listener.accept().await.unwrap();
     hear(&mut busy).await;
-    let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-    busy.write_all(format!("{head}9\r\ndata: 1\n\n\r\n").as_bytes()).await.unwrap();
-    let Event::First { mut stream, .. } = next(&mut inbox).await else { panic!("no first event") };
-    idle.write_all(b"HTTP/1.1 202 OK\r\nContent-Length: 2\r\n\r\n{}").await.unwrap();
+    let head =
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+    busy.write_all(format!("{head}9\r\ndata: 1\n\n\r\n").as_bytes())
+        .await
+        .unwrap();
+    let Event::First { mut stream, .. } = next(&mut inbox).await else {
+        panic!("no first event")
+    };
+    idle.write_all(b"HTTP/1.1 202 OK\r\nContent-Length: 2\r\n\r\n{}")
+        .await
+        .unwrap();
     assert_eq!(ended(&mut inbox).await, Status::Read);
-    commands.send(Command::Bar { address: address.as_str().into(), barred: true }).await.unwrap();
-    let gone = timeout(Duration::from_secs(5), idle.read(&mut [0])).await.expect("let go");
+    commands
+        .send(Command::Bar {
+            address: address.as_str().into(),
+            barred: true,
+        })
+        .await
+        .unwrap();
+    let gone = timeout(Duration::from_secs(5), idle.read(&mut [0]))
+        .await
+        .expect("let go");
     assert!(matches!(gone, Ok(0)));
-    busy.write_all(b"9\r\ndata: 2\n\n\r\n0\r\n\r\n").await.unwrap();
+    busy.write_all(b"9\r\ndata: 2\n\n\r\n0\r\n\r\n")
+        .await
+        .unwrap();
     assert_eq!(ended(&mut inbox).await, Status::Ok);
     let mut whole = Vec::new();
     while let Some(Piece::Data(data)) = stream.recv().await {
         whole.extend_from_slice(&data);
     }
     assert_eq!(whole, b"data: 1\n\ndata: 2\n\n");
-    let gone = timeout(Duration::from_secs(5), busy.read(&mut [0])).await.expect("let go");
+    let gone = timeout(Duration::from_secs(5), busy.read(&mut [0]))
+        .await
+        .expect("let go");
     assert!(matches!(gone, Ok(0)));
 }
 
@@ -342,10 +478,25 @@
         let (commands, mut inbox) = node_side(&[]);
         let began = Instant::now();
         let limit = Duration::from_millis(if cancels { 5_000 } else { 100 });
-        let Command::Send { id, attempt, address, work, alone, .. } = send(2, &address) else {
+        let Command::Send {
+            id,
+            attempt,
+            address,
+            work,
+            alone,
+            ..
+        } = send(2, &address)
+        else {
             unreachable!()
         };
-        let send = Command::Send { id, attempt, address, work, timeout: limit, alone };
+        let send = Command::Send {
+            id,
+            attempt,
+            address,
+            work,
+            timeout: limit,
+            alone,
+        };
         // Wakes together with the attempt, and so runs before what that one wakes.
         let mut with_attempt = std::pin::pin!(sleep_until(began + limit));
         assert!(with_attempt.as_mut().now_or_never().is_none());
@@ -353,7 +504,10 @@
         let mut server = hear_paused(listener).await.0;
         let expected = match cancels {
             true => {
-                commands.send(Command::Cancel { id: 2, attempt: 0 }).await.unwrap();
+                commands
+                    .send(Command::Cancel { id: 2, attempt: 0 })
+                    .await
+                    .unwrap();
                 Status::Cancelled
             }
             false => {
@@ -374,20 +528,38 @@
     // All places are taken by attempts at a server that says nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for id in 0..10 {
-        commands.send(send(id, &silent.local_addr().unwrap().to_string())).await.unwrap();
+        commands
+            .send(send(id, &silent.local_addr().unwrap().to_string()))
+            .await
+            .unwrap();
     }
-    let accepts = move || (0..10).map(|_| silent.accept().unwrap()).collect::<Vec<_>>();
+    let accepts = move || {
+        (0..10)
+            .map(|_| silent.accept().unwrap())
+            .collect::<Vec<_>>()
+    };
     let _connections = tokio::task::spawn_blocking(accepts).await.unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    commands.send(send(20, &listener.local_addr().unwrap().to_string())).await.unwrap();
+    commands
+        .send(send(20, &listener.local_addr().unwrap().to_string()))
+        .await
+        .unwrap();
     tokio::task::yield_now().await;
     tokio::time::advance(Duration::from_millis(200)).await;
-    commands.send(Command::Cancel { id: 0, attempt: 0 }).await.unwrap();
+    commands
+        .send(Command::Cancel { id: 0, attempt: 0 })
+        .await
+        .unwrap();
     let (_server, head) = hear_paused(listener).await;
-    let told =
-        head.lines().find_map(|line| line.strip_prefix("x-expires-in-ms: ")).expect("the time that is left");
+    let told = head
+        .lines()
+        .find_map(|line| line.strip_prefix("x-expires-in-ms: "))
+        .expect("the time that is left");
     let told: u64 = told.parse().unwrap();
-    assert!((4_700..=4_800).contains(&told), "{told} ms of 5 s, 0.2 s later");
+    assert!(
+        (4_700..=4_800).contains(&told),
+        "{told} ms of 5 s, 0.2 s later"
+    );
     drop(inbox);
 }
 
@@ -397,21 +569,37 @@
     let (commands, mut inbox) = node_side(&[]);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for id in 0..10 {
-        commands.send(send(id, &silent.local_addr().unwrap().to_string())).await.unwrap();
+        commands
+            .send(send(id, &silent.local_addr().unwrap().to_string()))
+            .await
+            .unwrap();
     }
-    let accepts = move || (0..10).map(|_| silent.accept().unwrap()).collect::<Vec<_>>();
+    let accepts = move || {
+        (0..10)
+            .map(|_| silent.accept().unwrap())
+            .collect::<Vec<_>>()
+    };
     let _connections = tokio::task::spawn_blocking(accepts).await.unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string().into();
-    commands.send(Command::Probe { server: 9, address }).await.unwrap();
+    commands
+        .send(Command::Probe { server: 9, address })
+        .await
+        .unwrap();
     tokio::task::yield_now().await;
     tokio::time::advance(Duration::from_millis(200)).await;
-    commands.send(Command::Cancel { id: 0, attempt: 0 }).await.unwrap();
+    commands
+        .send(Command::Cancel { id: 0, attempt: 0 })
+        .await
+        .unwrap();
     let answers = move || {
         let mut stream = listener.accept().unwrap().0;
-        stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         if std::io::Read::read(&mut stream, &mut [0; 1024]).unwrap_or(0) > 0 {
-            std::io::Write::write_all(&mut stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+            std::io::Write::write_all(&mut stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .unwrap();
         }
         stream
     };
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -7,11 +7,16 @@
 
 fn fleet() -> Vec<Entry> {
     let readers = (1..=4).map(|id| server(id, Role::Reader));
-    readers.chain((11..=13).map(|id| server(id, Role::Writer))).collect()
+    readers
+        .chain((11..=13).map(|id| server(id, Role::Writer)))
+        .collect()
 }
 
 fn desk() -> Desk {
-    Desk::new(settings(vec![class(3.0, Effect::Safe), class(1.0, Effect::Safe)]), fleet())
+    Desk::new(
+        settings(vec![class(3.0, Effect::Safe), class(1.0, Effect::Safe)]),
+        fleet(),
+    )
 }
 
 /// A router that has served 80 requests one after another, with streams of this length.
@@ -38,7 +43,10 @@
     let mut back = 0;
     for id in 1_000..1_050 {
         let home = desk.serve(ask(id, id), 40 * MS, 30 * MS, 50 * MS)[0];
-        let next = Ask { prompt: 2_200.0, ..ask(id + 1_000, id) };
+        let next = Ask {
+            prompt: 2_200.0,
+            ..ask(id + 1_000, id)
+        };
         let reader = desk.serve_by(next, |_| 30 * MS, 2_000.0, 30 * MS, 50 * MS)[0];
         back += usize::from(reader == home);
     }
@@ -49,10 +57,22 @@
 fn a_reader_that_forgot_is_not_taken_for_warm() {
     let mut desk = taught();
     let home = desk.serve(ask(1_000, 5_000), 40 * MS, 30 * MS, 50 * MS)[0];
-    let restarted = Entry { started: Some(1), ..server(home, Role::Reader) };
-    desk.hear(Event::Members { complete: false, entries: vec![restarted] });
+    let restarted = Entry {
+        started: Some(1),
+        ..server(home, Role::Reader)
+    };
+    desk.hear(Event::Members {
+        complete: false,
+        entries: vec![restarted],
+    });
     let away = (2_000..2_040).filter(|id| {
-        let reader = sent_to(&desk.ask(Ask { prompt: 2_200.0, ..ask(*id, 5_000) }), *id);
+        let reader = sent_to(
+            &desk.ask(Ask {
+                prompt: 2_200.0,
+                ..ask(*id, 5_000)
+            }),
+            *id,
+        );
         desk.hear(Event::Gone { id: *id });
         reader != Some(home)
     });
@@ -76,14 +96,18 @@
         });
         sent.collect::<Vec<_>>()
     };
-    let same = (1_000..1_030).filter(|session| home(*session, 3).windows(2).all(|pair| pair[0] == pair[1]));
+    let same = (1_000..1_030)
+        .filter(|session| home(*session, 3).windows(2).all(|pair| pair[0] == pair[1]));
     let same = same.count();
     assert!(same >= 25, "{same} of 30 sessions kept to one reader");
 }
 
 #[test]
 fn a_slow_reader_is_learned_and_avoided() {
-    let alone = Settings { second_copies: false, ..settings(vec![class(3.0, Effect::Safe)]) };
+    let alone = Settings {
+        second_copies: false,
+        ..settings(vec![class(3.0, Effect::Safe)])
+    };
     let mut desk = served(alone, fleet(), 50 * MS);
     let mut slow = 0;
     for id in 1_000..1_100 {
@@ -99,17 +123,29 @@
     let mut desk = taught();
     let stalled = sent_to(&desk.ask(ask(1_000, 1_000)), 1_000).expect("sent");
     desk.pass(800 * MS);
-    let again = (2_000..2_060).filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id) == Some(stalled)).count();
+    let again = (2_000..2_060)
+        .filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id) == Some(stalled))
+        .count();
     assert!(again <= 8, "{again} of 60 went to the stalled reader");
 }
 
 #[test]
 fn a_state_leaves_its_rack_before_a_stalled_writer_there_is_hopeless() {
     // The price of leaving the rack kept states at writers with full memory until all that waited was late.
-    let cell = |id, role, cell| Entry { cell, ..server(id, role) };
-    let fleet = [cell(1, Role::Reader, 0), cell(11, Role::Writer, 0), cell(12, Role::Writer, 1)];
-    let alone =
-        Settings { far_price: 0.08, reports: Reports::Never, ..settings(vec![class(3.0, Effect::Safe)]) };
+    let cell = |id, role, cell| Entry {
+        cell,
+        ..server(id, role)
+    };
+    let fleet = [
+        cell(1, Role::Reader, 0),
+        cell(11, Role::Writer, 0),
+        cell(12, Role::Writer, 1),
+    ];
+    let alone = Settings {
+        far_price: 0.08,
+        reports: Reports::Never,
+        ..settings(vec![class(3.0, Effect::Safe)])
+    };
     let mut desk = served(alone, fleet.to_vec(), 50 * MS);
     let mut written = |id, after| {
         let reader = sent_to(&desk.ask(ask(id, id)), id).expect("read");
@@ -118,18 +154,31 @@
         desk.pass(after);
         writer
     };
-    let at_home = (1_000..1_004).filter(|id| written(*id, 10 * MS) == 11).count();
+    let at_home = (1_000..1_004)
+        .filter(|id| written(*id, 10 * MS) == 11)
+        .count();
     assert_eq!(at_home, 4, "nothing is late yet");
     written(2_000, 400 * MS);
     let away = (3_000..3_010).filter(|id| written(*id, MS) == 12).count();
-    assert!(away >= 8, "{away} of 10 left a writer that has been silent for 0.4 s of an aim of 1 s");
+    assert!(
+        away >= 8,
+        "{away} of 10 left a writer that has been silent for 0.4 s of an aim of 1 s"
+    );
 }
 
 #[test]
 fn a_writer_is_not_filled_beyond_its_memory() {
     // Without reports own counts tell how full a writer is: 20 of these prompts fill one.
-    let rack = |id, role, cell| Entry { cell, memory: 50_000.0, ..server(id, role) };
-    let fleet = [rack(1, Role::Reader, 0), rack(11, Role::Writer, 0), rack(12, Role::Writer, 1)];
+    let rack = |id, role, cell| Entry {
+        cell,
+        memory: 50_000.0,
+        ..server(id, role)
+    };
+    let fleet = [
+        rack(1, Role::Reader, 0),
+        rack(11, Role::Writer, 0),
+        rack(12, Role::Writer, 1),
+    ];
     let settings = Settings {
         balancers: 1,
         far_price: 0.08,
@@ -147,14 +196,23 @@
         writers.push(writer);
     }
     let at_home = writers.iter().filter(|it| **it == 11).count();
-    assert!((20..=32).contains(&at_home), "{at_home} of 40 in the reader's rack, where 24 find room");
+    assert!(
+        (20..=32).contains(&at_home),
+        "{at_home} of 40 in the reader's rack, where 24 find room"
+    );
     let early = writers[..14].iter().filter(|it| **it == 11).count();
-    assert!(early >= 12, "{early} of the first 14: the rack is left only when it is nearly full");
+    assert!(
+        early >= 12,
+        "{early} of the first 14: the rack is left only when it is nearly full"
+    );
 }
 
 /// What is done for a request whose read falls silent, where later ones at its reader come back or don't.
 fn after_silence(second_copies: bool, others_come_back: bool) -> Vec<Action> {
-    let alone = Settings { second_copies, ..settings(vec![class(3.0, Effect::Safe)]) };
+    let alone = Settings {
+        second_copies,
+        ..settings(vec![class(3.0, Effect::Safe)])
+    };
     let mut desk = served(alone, fleet(), 50 * MS);
     let reader = sent_to(&desk.ask(ask(1_000, 1_000)), 1_000).expect("sent");
     desk.pass(2 * MS);
@@ -167,7 +225,12 @@
     }
     actions.extend(desk.pass(SECOND));
     actions.extend(desk.outcome(1_000, 0, reader, Status::Cancelled));
-    let of_it = |it: &Action| matches!(it, Action::Cancel { id: 1_000, .. } | Action::Send { id: 1_000, .. });
+    let of_it = |it: &Action| {
+        matches!(
+            it,
+            Action::Cancel { id: 1_000, .. } | Action::Send { id: 1_000, .. }
+        )
+    };
     actions.retain(of_it);
     actions
 }
@@ -177,13 +240,25 @@
     // A connection that falls silent held its request until the client's time was up: no second copy may be sent, and
     // nothing ended the first.
     let lost = after_silence(false, true);
-    assert!(matches!(lost[0], Action::Cancel { id: 1_000, attempt: 0 }), "{lost:?}");
+    assert!(
+        matches!(
+            lost[0],
+            Action::Cancel {
+                id: 1_000,
+                attempt: 0
+            }
+        ),
+        "{lost:?}"
+    );
     assert!(
         matches!(lost[1], Action::Send { id: 1_000, .. }),
         "elsewhere, once the first has ended: {lost:?}"
     );
     let copied = after_silence(true, true);
-    assert!(matches!(copied[0], Action::Send { id: 1_000, .. }), "a copy where that is allowed: {copied:?}");
+    assert!(
+        matches!(copied[0], Action::Send { id: 1_000, .. }),
+        "a copy where that is allowed: {copied:?}"
+    );
     // A reader that is only slow answers in order: what waits there is not begun anew elsewhere.
     let waits = after_silence(false, false);
     assert!(!matches!(waits[0], Action::Cancel { .. }), "{waits:?}");
@@ -200,7 +275,9 @@
     let none = (2_000..2_040).all(|id| sent_to(&desk.ask(ask(id, id)), id) != Some(1));
     assert!(none, "nothing goes there in its pause");
     desk.pass(10 * SECOND);
-    let trials = (3_000..3_060).filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id) == Some(1)).count();
+    let trials = (3_000..3_060)
+        .filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id) == Some(1))
+        .count();
     assert!(trials <= 1, "{trials} trials at once");
 }
 
@@ -212,7 +289,10 @@
             desk.outcome(id, 0, reader, Status::Reset);
         }
     }
-    assert!(sent_to(&desk.ask(ask(100, 100)), 100).is_some(), "all are set aside, one is used all the same");
+    assert!(
+        sent_to(&desk.ask(ask(100, 100)), 100).is_some(),
+        "all are set aside, one is used all the same"
+    );
 }
 
 #[test]
@@ -220,7 +300,8 @@
     let mut desk = taught();
     let reader = sent_to(&desk.ask(ask(1_000, 1_000)), 1_000).expect("sent");
     let writer = sent_to(&desk.outcome(1_000, 0, reader, Status::Read), 1_000).expect("a writer");
-    let next = sent_to(&desk.outcome(1_000, 1, writer, Status::Full), 1_000).expect("another writer");
+    let next =
+        sent_to(&desk.outcome(1_000, 1, writer, Status::Full), 1_000).expect("another writer");
     assert!(next > 10 && next != writer);
 }
 
@@ -229,7 +310,11 @@
     let mut desk = taught();
     let reader = sent_to(&desk.ask(ask(1_000, 1_000)), 1_000).expect("sent");
     let writer = sent_to(&desk.outcome(1_000, 0, reader, Status::Read), 1_000).expect("a writer");
-    let again = sent_to(&desk.outcome_with(1_000, 1, writer, Status::Full, 1.0), 1_000).expect("read again");
+    let again = sent_to(
+        &desk.outcome_with(1_000, 1, writer, Status::Full, 1.0),
+        1_000,
+    )
+    .expect("read again");
     assert!(again < 10);
 }
 
@@ -239,30 +324,45 @@
     let (mut refused, mut last) = ([0; 2], 0);
     for id in 1_000..1_400 {
         let class = (id % 2) as usize;
-        let actions = desk.ask(Ask { class, ..ask(id, id) });
+        let actions = desk.ask(Ask {
+            class,
+            ..ask(id, id)
+        });
         refused[class] += finals(&actions, id);
         last += usize::from(id >= 1_350 && sent_to(&actions, id).is_none());
         desk.pass(4 * MS);
     }
     assert!(refused[1] > refused[0], "{refused:?}");
-    assert!(last > 25, "nearly nothing is read once nothing could be in time");
+    assert!(
+        last > 25,
+        "nearly nothing is read once nothing could be in time"
+    );
 }
 
 #[test]
 fn the_same_seed_and_events_give_the_same_actions() {
     let run = || {
         let mut desk = taught();
-        (1_000..1_200).flat_map(|id| desk.ask(ask(id, id % 17))).collect::<Vec<_>>()
+        (1_000..1_200)
+            .flat_map(|id| desk.ask(ask(id, id % 17)))
+            .collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
 }
 
 #[test]
 fn a_broken_subscription_is_made_again() {
-    let rules = Settings { must_watch: true, ..settings(vec![class(1.0, Effect::Safe)]) };
+    let rules = Settings {
+        must_watch: true,
+        ..settings(vec![class(1.0, Effect::Safe)])
+    };
     let mut desk = Desk::new(rules, fleet());
     desk.hear(Event::ListFailed);
-    let watches = desk.pass(2 * SECOND).into_iter().filter(|action| *action == Action::Watch).count();
+    let watches = desk
+        .pass(2 * SECOND)
+        .into_iter()
+        .filter(|action| *action == Action::Watch)
+        .count();
     assert_eq!(watches, 1);
 }
 
@@ -270,16 +370,30 @@
 fn absurd_reports_and_unknown_ids_are_ordinary_input() {
     let mut desk = taught();
     for value in [f64::NAN, f64::INFINITY, -1e300, 1e300, 0.0] {
-        let load =
-            Load { in_flight: Some(value), queue: Some(value), memory: Some(value), to_read: Some(value) };
+        let load = Load {
+            in_flight: Some(value),
+            queue: Some(value),
+            memory: Some(value),
+            to_read: Some(value),
+        };
         for server in 0..20 {
-            desk.hear(Event::Probed { server, ok: true, load: Some(load) });
+            desk.hear(Event::Probed {
+                server,
+                ok: true,
+                load: Some(load),
+            });
         }
-        desk.hear(Event::First { id: 9_999, attempt: 7 });
+        desk.hear(Event::First {
+            id: 9_999,
+            attempt: 7,
+        });
         desk.hear(Event::Gone { id: 9_999 });
         let id = 5_000 + desk.now;
         let actions = desk.ask(ask(id, 1));
-        assert!(sent_to(&actions, id).is_some() || finals(&actions, id) == 1, "{value}: {actions:?}");
+        assert!(
+            sent_to(&actions, id).is_some() || finals(&actions, id) == 1,
+            "{value}: {actions:?}"
+        );
         desk.now += MS;
     }
 }
@@ -315,8 +429,9 @@
         desk.hear(Event::Gone { id });
         desk.outcome(id, 1, again, Status::Cancelled);
     }
-    let used: std::collections::BTreeSet<_> =
-        (2_000..2_040).filter_map(|id| sent_to(&desk.ask(ask(id, id)), id)).collect();
+    let used: std::collections::BTreeSet<_> = (2_000..2_040)
+        .filter_map(|id| sent_to(&desk.ask(ask(id, id)), id))
+        .collect();
     assert_eq!(used.len(), 4, "{used:?}");
 }
 
@@ -327,7 +442,10 @@
     let mut desk = taught();
     let (mut turned_away, mut others) = (0, std::collections::BTreeSet::new());
     for id in 1_000..1_400 {
-        let of_class = Ask { class: (id % 2) as usize, ..ask(id, id) };
+        let of_class = Ask {
+            class: (id % 2) as usize,
+            ..ask(id, id)
+        };
         if of_class.class == 1 {
             others.insert(desk.serve(of_class, 40 * MS, 30 * MS, 50 * MS)[0]);
             continue;
@@ -353,7 +471,11 @@
         turned_away <= 10,
         "{turned_away} attempts for the last 50 went where their class is turned away"
     );
-    assert_eq!(others.len(), 4, "the other class goes to all readers: {others:?}");
+    assert_eq!(
+        others.len(),
+        4,
+        "the other class goes to all readers: {others:?}"
+    );
 }
 
 /// A kept connection that its node has closed tells nothing of the node. Set aside for it, a node's connections would
@@ -367,8 +489,9 @@
         desk.hear(Event::Gone { id });
         desk.outcome(id, 1, again, Status::Cancelled);
     }
-    let used: std::collections::BTreeSet<_> =
-        (2_000..2_040).filter_map(|id| sent_to(&desk.ask(ask(id, id)), id)).collect();
+    let used: std::collections::BTreeSet<_> = (2_000..2_040)
+        .filter_map(|id| sent_to(&desk.ask(ask(id, id)), id))
+        .collect();
     assert_eq!(used.len(), 4, "{used:?}");
 }
 
@@ -377,24 +500,47 @@
 fn a_few_failures_by_chance_set_nobody_aside() {
     for (failures, most) in [(3, true), (10, false)] {
         let mut desk = taught();
-        let alone = Ask { prompt: 2_000.0, ..ask(0, 1_000) };
+        let alone = Ask {
+            prompt: 2_000.0,
+            ..ask(0, 1_000)
+        };
         let home = sent_to(&desk.ask(alone.clone()), 0).expect("sent");
         desk.outcome(0, 0, home, Status::Cancelled);
         desk.hear(Event::Gone { id: 0 });
         let mut failed = 0;
         for id in 1_000..2_000 {
-            let reader =
-                sent_to(&desk.ask(Ask { id, session: Some(id), ..alone.clone() }), id).expect("sent");
+            let reader = sent_to(
+                &desk.ask(Ask {
+                    id,
+                    session: Some(id),
+                    ..alone.clone()
+                }),
+                id,
+            )
+            .expect("sent");
             let lost = reader == home && failed < failures;
             failed += usize::from(lost);
             desk.hear(Event::Gone { id });
-            desk.outcome(id, 0, reader, if lost { Status::Reset } else { Status::Cancelled });
+            desk.outcome(
+                id,
+                0,
+                reader,
+                if lost {
+                    Status::Reset
+                } else {
+                    Status::Cancelled
+                },
+            );
             if failed == failures {
                 break;
             }
         }
         let asked = (3_000..3_060).map(|id| sent_to(&desk.ask(ask(id, id)), id));
-        assert_eq!(asked.filter(|reader| *reader == Some(home)).count() > 0, most, "{failures}");
+        assert_eq!(
+            asked.filter(|reader| *reader == Some(home)).count() > 0,
+            most,
+            "{failures}"
+        );
     }
 }
 
@@ -403,16 +549,24 @@
 #[test]
 fn the_table_notes_no_more_than_a_reader_can_keep() {
     let mut desk = taught();
-    let early: Vec<_> =
-        (1_000..1_020).map(|id| (id, desk.serve(ask(id, id), 40 * MS, 30 * MS, 50 * MS)[0])).collect();
+    let early: Vec<_> = (1_000..1_020)
+        .map(|id| (id, desk.serve(ask(id, id), 40 * MS, 30 * MS, 50 * MS)[0]))
+        .collect();
     // 75 texts of 2,000 tokens for each reader, of 200,000 tokens that both routers together can keep there.
     for id in 2_000..2_300 {
         desk.serve(ask(id, id), 40 * MS, 30 * MS, 50 * MS);
     }
     let back = early.into_iter().filter(|(session, reader)| {
-        let next =
-            sent_to(&desk.ask(Ask { prompt: 2_200.0, ..ask(session + 5_000, *session) }), session + 5_000);
-        desk.hear(Event::Gone { id: session + 5_000 });
+        let next = sent_to(
+            &desk.ask(Ask {
+                prompt: 2_200.0,
+                ..ask(session + 5_000, *session)
+            }),
+            session + 5_000,
+        );
+        desk.hear(Event::Gone {
+            id: session + 5_000,
+        });
         desk.outcome(session + 5_000, 0, next.expect("sent"), Status::Cancelled);
         next == Some(*reader)
     });
@@ -426,8 +580,19 @@
     let classes = vec![class(3.0, Effect::Safe), class(1.0, Effect::Safe)];
     let mut desk = Desk::seeded(settings(classes), fleet(), seed);
     let read = |desk: &mut Desk, id: u64, session: u64, prompt: f64, flushed: bool, known: bool| {
-        let reader = sent_to(&desk.ask(Ask { prompt, ..ask(id, session) }), id).expect("sent");
-        let found = if known && !(flushed && reader == 1) { prompt - 200.0 } else { 0.0 };
+        let reader = sent_to(
+            &desk.ask(Ask {
+                prompt,
+                ..ask(id, session)
+            }),
+            id,
+        )
+        .expect("sent");
+        let found = if known && !(flushed && reader == 1) {
+            prompt - 200.0
+        } else {
+            0.0
+        };
         desk.pass(10 * MS + ((prompt - found) * 0.05) as u64 * MS);
         desk.outcome_with(id, 0, reader, Status::Read, found);
         desk.hear(Event::Gone { id });
@@ -439,26 +604,46 @@
         read(&mut desk, id, id, 1_000.0 + 50.0 * id as f64, false, false);
     }
     for id in 0..80 {
-        read(&mut desk, 100 + id, id, 1_200.0 + 50.0 * id as f64, true, true);
+        read(
+            &mut desk,
+            100 + id,
+            id,
+            1_200.0 + 50.0 * id as f64,
+            true,
+            true,
+        );
     }
-    (1_000..1_060).filter(|id| read(&mut desk, *id, *id, 2_000.0, false, false) == 1).count()
+    (1_000..1_060)
+        .filter(|id| read(&mut desk, *id, *id, 2_000.0, false, false) == 1)
+        .count()
 }
 
 #[test]
 fn a_reader_that_was_flushed_is_not_taken_for_slow() {
     // Over twenty draws: one alone may fall to either side, with the fault (11 of 60) and without (17).
     let at_it: usize = (0..20).map(at_a_flushed_reader).sum();
-    assert!(at_it >= 300, "{at_it} of 1200 went to the reader that was flushed");
+    assert!(
+        at_it >= 300,
+        "{at_it} of 1200 went to the reader that was flushed"
+    );
 }
 
 /// Where each text goes in a fleet of six readers, two of them started anew `age` ago.
 fn homes_with_cold_readers(age: Time) -> Vec<Option<ServerId>> {
-    let cold = |id| Entry { started: Some(20 * SECOND), ..server(id, Role::Reader) };
-    let readers = (1..=4).map(|id| server(id, Role::Reader)).chain([cold(5), cold(6)]);
+    let cold = |id| Entry {
+        started: Some(20 * SECOND),
+        ..server(id, Role::Reader)
+    };
+    let readers = (1..=4)
+        .map(|id| server(id, Role::Reader))
+        .chain([cold(5), cold(6)]);
     let fleet: Vec<_> = readers.chain([server(12, Role::Writer)]).collect();
     let text = |text: u64| {
         // One router a text, and one in a hundred: none has sent to a cold reader before.
-        let thin = Settings { balancers: 100, ..settings(vec![class(1.0, Effect::Safe)]) };
+        let thin = Settings {
+            balancers: 100,
+            ..settings(vec![class(1.0, Effect::Safe)])
+        };
         let mut desk = Desk::new(thin, fleet.clone());
         desk.now = 20 * SECOND + age;
         let ask = Ask {
@@ -479,20 +664,46 @@
     let older = homes_with_cold_readers(5 * SECOND);
     let at_cold = |homes: &[Option<ServerId>]| homes.iter().filter(|home| **home > Some(4)).count();
     let (few, more) = (at_cold(&young), at_cold(&older));
-    assert!((20..=90).contains(&few), "{few} of 400 texts went to cold readers at once");
-    assert!(more > few + 15, "{few}, then {more} of 400 texts went to readers that warm");
-    let moved =
-        young.iter().zip(&older).filter(|(young, older)| young != older && **older <= Some(4)).count();
-    assert!(moved < 40, "{moved} texts went from one warm reader to another");
+    assert!(
+        (20..=90).contains(&few),
+        "{few} of 400 texts went to cold readers at once"
+    );
+    assert!(
+        more > few + 15,
+        "{few}, then {more} of 400 texts went to readers that warm"
+    );
+    let moved = young
+        .iter()
+        .zip(&older)
+        .filter(|(young, older)| young != older && **older <= Some(4))
+        .count();
+    assert!(
+        moved < 40,
+        "{moved} texts went from one warm reader to another"
+    );
 }
 
 /// The one reader of a zone can't be the only home of all its texts: when it is out, each router would have them read
 /// anew at a reader of its own choice.
 #[test]
 fn texts_of_a_zone_with_one_reader_have_a_further_home() {
-    let elsewhere = (2..=5).map(|id| Entry { zone: 1, cell: 1, ..server(id, Role::Reader) });
-    let writers = [server(11, Role::Writer), Entry { zone: 1, cell: 1, ..server(12, Role::Writer) }];
-    let fleet: Vec<_> = elsewhere.chain([server(1, Role::Reader)]).chain(writers).collect();
+    let elsewhere = (2..=5).map(|id| Entry {
+        zone: 1,
+        cell: 1,
+        ..server(id, Role::Reader)
+    });
+    let writers = [
+        server(11, Role::Writer),
+        Entry {
+            zone: 1,
+            cell: 1,
+            ..server(12, Role::Writer)
+        },
+    ];
+    let fleet: Vec<_> = elsewhere
+        .chain([server(1, Role::Reader)])
+        .chain(writers)
+        .collect();
     let mut homes = std::collections::BTreeSet::new();
     for text in 0..12 {
         let of_text = |id| Ask {
@@ -504,7 +715,11 @@
         for seed in 1..=4 {
             let rules = settings(vec![class(1.0, Effect::Safe)]);
             let mut desk = Desk::seeded(rules, fleet.clone(), seed);
-            desk.hear(Event::Probed { server: 1, ok: false, load: None });
+            desk.hear(Event::Probed {
+                server: 1,
+                ok: false,
+                load: None,
+            });
             used.extend(sent_to(&desk.ask(of_text(seed)), seed));
         }
         assert_eq!(used.len(), 1, "text {text} went to {used:?}");
@@ -518,25 +733,46 @@
 fn a_writer_that_fails_others_is_avoided_here() {
     let mut desk = taught();
     let at_bad = |desk: &mut Desk, ids: std::ops::Range<u64>| {
-        ids.filter(|id| desk.serve(ask(*id, *id), 40 * MS, 30 * MS, 50 * MS).get(1) == Some(&11)).count()
+        ids.filter(|id| desk.serve(ask(*id, *id), 40 * MS, 30 * MS, 50 * MS).get(1) == Some(&11))
+            .count()
     };
     let before = at_bad(&mut desk, 1_000..1_060);
-    (0..12).for_each(|_| drop(desk.hear(Event::Heard { server: 11, load: None })));
-    desk.hear(Event::Heard { server: 999, load: None });
+    (0..12).for_each(|_| {
+        drop(desk.hear(Event::Heard {
+            server: 11,
+            load: None,
+        }))
+    });
+    desk.hear(Event::Heard {
+        server: 999,
+        load: None,
+    });
     let after = at_bad(&mut desk, 2_000..2_020);
-    assert!(before >= 10 && after <= 2, "{before} of 60 before it was heard of, {after} of 20 after");
+    assert!(
+        before >= 10 && after <= 2,
+        "{before} of 60 before it was heard of, {after} of 20 after"
+    );
 }
 
 /// A second copy of a read goes only where its text has a home: elsewhere it pushes out what others come back for.
 #[test]
 fn a_second_copy_is_read_at_home() {
-    let servers = (1..=8).map(|id| server(id, Role::Reader)).chain([server(12, Role::Writer)]);
+    let servers = (1..=8)
+        .map(|id| server(id, Role::Reader))
+        .chain([server(12, Role::Writer)]);
     let fleet: Vec<_> = servers.collect();
     let desk = |seed| {
         let mut desk = desk();
         desk.router = Router::new(settings(vec![class(3.0, Effect::Safe)]), seed, 0);
-        desk.hear(Event::Members { complete: true, entries: fleet.clone() });
-        let text = Ask { prefix: Some(77), prefix_tokens: 1_900.0, ..ask(1, seed) };
+        desk.hear(Event::Members {
+            complete: true,
+            entries: fleet.clone(),
+        });
+        let text = Ask {
+            prefix: Some(77),
+            prefix_tokens: 1_900.0,
+            ..ask(1, seed)
+        };
         let first = sent_to(&desk.ask(text), 1).expect("a read");
         (desk, first)
     };
@@ -547,9 +783,19 @@
         // The homes are busy by now, and everybody else is idle.
         for server in 1..=8 {
             let in_flight = Some(if homes.contains(&server) { 25.0 } else { 0.0 });
-            desk.hear(Event::Heard { server, load: Some(Load { in_flight, ..Load::default() }) });
+            desk.hear(Event::Heard {
+                server,
+                load: Some(Load {
+                    in_flight,
+                    ..Load::default()
+                }),
+            });
         }
         sent_to(&desk.pass(2 * SECOND), 1).is_some_and(|second| !homes.contains(&second))
     });
-    assert_eq!(away.count(), 0, "copies were read where the text has no home");
+    assert_eq!(
+        away.count(),
+        0,
+        "copies were read where the text has no home"
+    );
 }
