--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -20,8 +20,12 @@
 }
 
 fn config() -> String {
-    let rest = r#""name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:0","seed":"7","limits":{}"#;
-    format!(r#"{{{rest},"known":{MEMBERS},"settings":{}}}"#, stand::PROFILE)
+    let rest =
+        r#""name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:0","seed":"7","limits":{}"#;
+    format!(
+        r#"{{{rest},"known":{MEMBERS},"settings":{}}}"#,
+        stand::PROFILE
+    )
 }
 
 /// Gives every parser the bytes; true where one of the JSON parsers took them.
@@ -54,7 +58,10 @@
         let mut random = Gen::from_size_and_seed(100, 11);
         for _ in 0..300 {
             let at = usize::arbitrary(&mut random) % whole.len();
-            assert!(!feed(&site, &whole.as_bytes()[..at]), "cut at {at}: {whole}");
+            assert!(
+                !feed(&site, &whole.as_bytes()[..at]),
+                "cut at {at}: {whole}"
+            );
         }
     }
     for at in 0..TAIL.len() {
@@ -85,12 +92,25 @@
     let (kept, written, load) = http::parse_tail(TAIL.as_bytes());
     let load = load.expect("a report");
     assert_eq!(written, 200.0);
-    assert_eq!((kept, load.in_flight, load.memory, load.queue), (4096.0, Some(7.0), Some(0.5), None));
-    assert!(attempt::parse_load("TEXT what=7").is_none() && attempt::parse_load("JSON inflight=7").is_none());
+    assert_eq!(
+        (kept, load.in_flight, load.memory, load.queue),
+        (4096.0, Some(7.0), Some(0.5), None)
+    );
+    assert!(
+        attempt::parse_load("TEXT what=7").is_none()
+            && attempt::parse_load("JSON inflight=7").is_none()
+    );
     assert!(attempt::parse_load("TEXT inflight=inf").is_none());
     let mut ask = Ask::default();
-    platform::parse_props("prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1", &mut ask).unwrap();
-    assert_eq!((ask.prefix, ask.prompt, ask.max_tokens), (Some(0x5c), 5120.0, 800.0));
+    platform::parse_props(
+        "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1",
+        &mut ask,
+    )
+    .unwrap();
+    assert_eq!(
+        (ask.prefix, ask.prompt, ask.max_tokens),
+        (Some(0x5c), 5120.0, 800.0)
+    );
     assert!(names::is_name("9b1f-03_a.5~") && !names::is_name("..") && !names::is_name("a b"));
 }
 
@@ -101,7 +121,13 @@
     let list = discovery::parse(text.as_bytes()).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let event = discovery::members(&mut site(), &list, &log);
-    let quartzhall::dispatch::Event::Members { complete: true, members } = event else { panic!("{event:?}") };
+    let quartzhall::dispatch::Event::Members {
+        complete: true,
+        members,
+    } = event
+    else {
+        panic!("{event:?}")
+    };
     assert_eq!(members.len(), 1);
 }
 
@@ -129,10 +155,17 @@
             );
             let list = discovery::parse(text.as_bytes()).unwrap();
             let event = discovery::members(&mut site(), &list, &log);
-            let quartzhall::dispatch::Event::Members { complete: false, members } = event else {
+            let quartzhall::dispatch::Event::Members {
+                complete: false,
+                members,
+            } = event
+            else {
                 panic!("{event:?}")
             };
-            let told: Vec<_> = members.iter().map(|it| (&*it.name, it.entry.state)).collect();
+            let told: Vec<_> = members
+                .iter()
+                .map(|it| (&*it.name, it.entry.state))
+                .collect();
             assert_eq!(told, [("s-2", state), ("s-1", State::Ready)], "{odd}");
         }
     }
@@ -142,16 +175,20 @@
 /// where the event would end, and garbage never comes out as one.
 #[test]
 fn a_stream_is_cut_into_its_events() {
-    let stream =
-        format!(": hello\n\ndata: {{\"n\":\"ä\"}}\r\n\r\nevent: x\nid: 7\ndata: 2\n\n{TAIL}: the end");
+    let stream = format!(
+        ": hello\n\ndata: {{\"n\":\"ä\"}}\r\n\r\nevent: x\nid: 7\ndata: 2\n\n{TAIL}: the end"
+    );
     let mut random = Gen::from_size_and_seed(40, 5);
     for _ in 0..500 {
-        let (mut events, mut rest, mut out) = (events::Events::default(), stream.as_bytes(), Vec::new());
+        let (mut events, mut rest, mut out) =
+            (events::Events::default(), stream.as_bytes(), Vec::new());
         while !rest.is_empty() {
             let (some, later) = rest.split_at(1 + usize::arbitrary(&mut random) % rest.len());
             let whole = events.take(some).unwrap();
             assert!(whole.is_empty() || whole.ends_with(b"\n\n") || whole.ends_with(b"\n\r\n"));
-            assert!(!out.is_empty() || whole.is_empty() || whole.windows(5).any(|it| it == b"data:"));
+            assert!(
+                !out.is_empty() || whole.is_empty() || whole.windows(5).any(|it| it == b"data:")
+            );
             out.extend_from_slice(&whole);
             rest = later;
         }
@@ -165,14 +202,20 @@
         assert_eq!(events.take(&garbage), Err(events::Spoilt));
     }
     let mut events = events::Events::default();
-    let took = (0..70).map(|_| events.take(&[b':'; 1024])).take_while(Result::is_ok).count();
+    let took = (0..70)
+        .map(|_| events.take(&[b':'; 1024]))
+        .take_while(Result::is_ok)
+        .count();
     assert_eq!(took, 64, "an event without an end is not kept for ever");
 }
 
 #[test]
 fn descriptors_are_shared_out_and_some_are_spare() {
     for sockets in [64, 256, 512, 768, 1024] {
-        let config = config().replace(r#""limits":{}"#, &format!(r#""limits":{{"sockets":{sockets}}}"#));
+        let config = config().replace(
+            r#""limits":{}"#,
+            &format!(r#""limits":{{"sockets":{sockets}}}"#),
+        );
         let (clients, nodes) = Config::parse(&config).unwrap().limits.shares();
         assert_eq!(clients + nodes + 32, sockets);
         // Sessions fit into the clients' part and a small memory.
@@ -180,6 +223,9 @@
         assert!(sessions.most_sessions > 0 && sessions.most_sessions + shaking <= clients / 2);
         assert!(sessions.most_sessions * sessions.most_message + sessions.record_bytes <= 12 << 20);
         // A third is open requests: as many connections to nodes, and as many idle ones beside.
-        assert!(sockets < 256 || nodes >= sockets / 3 - 2 && clients >= sockets / 2, "{clients}, {nodes}");
+        assert!(
+            sockets < 256 || nodes >= sockets / 3 - 2 && clients >= sockets / 2,
+            "{clients}, {nodes}"
+        );
     }
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -29,7 +29,8 @@
 #[tokio::test]
 async fn messages_are_carried_from_known_dispatchers_only() {
     let log = Logger::root(Discard, o!());
-    let ((known, known_at), (stranger, _), (all, all_at)) = (socket().await, socket().await, socket().await);
+    let ((known, known_at), (stranger, _), (all, all_at)) =
+        (socket().await, socket().await, socket().await);
     let (taken, listen) = socket().await;
     let config = config(&listen, &["127.0.0.1:9", &known_at], &all_at);
     let peers = Peers::new(&config).expect("it may listen");
@@ -55,7 +56,10 @@
         received = all.recv_from(&mut buffer) => received.unwrap(),
         () = news => unreachable!(),
     };
-    assert_eq!((&buffer[..length], from.to_string()), (&b"to all"[..], listen.clone()));
+    assert_eq!(
+        (&buffer[..length], from.to_string()),
+        (&b"to all"[..], listen.clone())
+    );
 
     stranger.send_to(b"nonsense", &listen).await.unwrap();
     known.send_to(b"news", &listen).await.unwrap();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -18,7 +18,10 @@
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: NAME\r\nX-Qos: return-request\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 2000\r\nX-Props: prefix=5c0f,prompt_len=500,prefix_len=200,max_out=100\r\n";
 
 fn request(name: &str) -> String {
-    format!("{}Content-Length: 2\r\n\r\n{{}}", HEAD.replace("NAME", name))
+    format!(
+        "{}Content-Length: 2\r\n\r\n{{}}",
+        HEAD.replace("NAME", name)
+    )
 }
 
 struct Client(TcpStream);
@@ -45,14 +48,20 @@
             }
         };
         let whole = tokio::time::timeout(Duration::from_secs(10), reads).await;
-        assert!(whole.is_ok(), "it does not end: {:?}", String::from_utf8_lossy(&all));
+        assert!(
+            whole.is_ok(),
+            "it does not end: {:?}",
+            String::from_utf8_lossy(&all)
+        );
         String::from_utf8_lossy(&all).into_owned()
     }
 
     /// One exchange on a connection of its own.
     async fn exchange(fleet: &Fleet, text: &str) -> String {
         let mut client = Client::connect(fleet).await;
-        client.write(&text.replacen("Host: x\r\n", "Host: x\r\nConnection: close\r\n", 1)).await;
+        client
+            .write(&text.replacen("Host: x\r\n", "Host: x\r\nConnection: close\r\n", 1))
+            .await;
         client.read_until("").await
     }
 }
@@ -65,7 +74,10 @@
         for name in ["a1", "a2"] {
             client.write(&request(name)).await;
             let text = client.read_until("0\r\n\r\n").await;
-            assert!(text.starts_with("HTTP/1.1 200") && text.contains("text/event-stream"), "{text}");
+            assert!(
+                text.starts_with("HTTP/1.1 200") && text.contains("text/event-stream"),
+                "{text}"
+            );
             let body = text.split("\r\n\r\n").nth(1).unwrap().to_owned();
             assert!(ANSWER.iter().all(|event| text.contains(event)), "{body}");
         }
@@ -86,18 +98,32 @@
         ("X-Expires-In-Ms: 2000", "X-Expires-In-Ms: soon", "400"),
         ("prompt_len=500", "prompt_len=-5", "400"),
         (",max_out=100", "", "400"),
-        ("Content-Length: 2\r\n\r\n{}", "Content-Length: 300000\r\n\r\n", "413"),
+        (
+            "Content-Length: 2\r\n\r\n{}",
+            "Content-Length: 300000\r\n\r\n",
+            "413",
+        ),
         ("POST /v1/chat/completions", "POST /v2/other", "404"),
-        ("POST /v1/chat/completions", "PUT /v1/chat/completions", "405"),
+        (
+            "POST /v1/chat/completions",
+            "PUT /v1/chat/completions",
+            "405",
+        ),
     ] {
         assert!(good.contains(from), "{from}");
         let text = Client::exchange(&fleet, &good.replacen(from, to, 1)).await;
-        assert!(text.starts_with(&format!("HTTP/1.1 {code}")), "{from:?}, {to:?}: {text}");
+        assert!(
+            text.starts_with(&format!("HTTP/1.1 {code}")),
+            "{from:?}, {to:?}: {text}"
+        );
     }
     // One that names no length is read no further than a body may be long.
     let chunk = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
-    let chunked =
-        format!("{}Transfer-Encoding: chunked\r\n\r\n{}", HEAD.replace("NAME", "c"), chunk.repeat(3));
+    let chunked = format!(
+        "{}Transfer-Encoding: chunked\r\n\r\n{}",
+        HEAD.replace("NAME", "c"),
+        chunk.repeat(3)
+    );
     let text = Client::exchange(&fleet, &chunked).await;
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
     assert!(fleet.ledger.lock().unwrap().sent.is_empty());
@@ -113,7 +139,10 @@
         HEAD.replace("NAME", "c")
     );
     let text = Client::exchange(&fleet, &chunked).await;
-    assert!(text.starts_with("HTTP/1.1 200") && ANSWER.iter().all(|event| text.contains(event)), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 200") && ANSWER.iter().all(|event| text.contains(event)),
+        "{text}"
+    );
     fleet.nothing_left().await;
 }
 
@@ -138,10 +167,16 @@
 async fn a_client_that_asks_for_the_rest_is_served_as_any() {
     let fleet = Fleet::start(false).await;
     for (name, mark) in [("b1", "1"), ("b2", "again")] {
-        let marked =
-            request(name).replacen("Host: x\r\n", &format!("Host: x\r\nX-Second-Try: {mark}\r\n"), 1);
+        let marked = request(name).replacen(
+            "Host: x\r\n",
+            &format!("Host: x\r\nX-Second-Try: {mark}\r\n"),
+            1,
+        );
         let text = Client::exchange(&fleet, &marked).await;
-        assert!(text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n"), "{text}");
+        assert!(
+            text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n"),
+            "{text}"
+        );
         assert!(ANSWER.iter().all(|event| text.contains(event)), "{text}");
     }
     fleet.nothing_left().await;
@@ -156,7 +191,11 @@
     fleet.way(2, Way::Pause);
     let mut first = Client::connect(&fleet).await;
     first.write(&request("same")).await;
-    fleet.until("it streams", |ledger| ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 2).await;
+    fleet
+        .until("it streams", |ledger| {
+            ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 2
+        })
+        .await;
     let text = Client::exchange(&fleet, &request("same")).await;
     assert!(text.starts_with("HTTP/1.1 409"), "{text}");
     fleet.go.notify_one();
@@ -164,7 +203,10 @@
     fleet.way(0, Way::Full);
     fleet.way(1, Way::Full);
     let text = Client::exchange(&fleet, &request("r")).await;
-    assert!(text.starts_with("HTTP/1.1 503") && text.to_lowercase().contains("retry-after: 0.5"), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 503") && text.to_lowercase().contains("retry-after: 0.5"),
+        "{text}"
+    );
     fleet.nothing_left().await;
 }
 
@@ -179,7 +221,9 @@
             if way == Way::Pause {
                 client.read_until("\n\n\r\n").await;
             }
-            fleet.until("it is at the writer", |ledger| ledger.sent.len() == 2).await;
+            fleet
+                .until("it is at the writer", |ledger| ledger.sent.len() == 2)
+                .await;
             drop(client);
             fleet.nothing_left().await;
         }
@@ -190,18 +234,42 @@
 async fn readiness_and_health_render_the_core() {
     let fleet = Fleet::start(false).await;
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(Client::exchange(&fleet, &get("/ready")).await.starts_with("HTTP/1.1 200"));
-    fleet.door.tell(quartzhall::dispatch::Event::Drain(std::time::Duration::from_secs(3))).await;
-    fleet.door.becomes(quartzhall::dispatch::Readiness::Draining).await;
-    assert!(Client::exchange(&fleet, &get("/ready")).await.starts_with("HTTP/1.1 503"));
+    assert!(Client::exchange(&fleet, &get("/ready"))
+        .await
+        .starts_with("HTTP/1.1 200"));
+    fleet
+        .door
+        .tell(quartzhall::dispatch::Event::Drain(
+            std::time::Duration::from_secs(3),
+        ))
+        .await;
+    fleet
+        .door
+        .becomes(quartzhall::dispatch::Readiness::Draining)
+        .await;
+    assert!(Client::exchange(&fleet, &get("/ready"))
+        .await
+        .starts_with("HTTP/1.1 503"));
     // While it drains, what still comes on new connections is served.
-    assert!(Client::exchange(&fleet, &request("late")).await.starts_with("HTTP/1.1 200"));
+    assert!(Client::exchange(&fleet, &request("late"))
+        .await
+        .starts_with("HTTP/1.1 200"));
     let mut idle = Client::connect(&fleet).await;
     idle.write(&get("/ready")).await;
-    assert!(idle.read_until("draining\n").await.starts_with("HTTP/1.1 503"));
+    assert!(idle
+        .read_until("draining\n")
+        .await
+        .starts_with("HTTP/1.1 503"));
     fleet.stop.send(quartzhall::fronts::Course::Ending).unwrap();
-    assert_eq!(idle.read_until("").await, "", "an idle connection is closed");
-    tokio::time::timeout(Duration::from_secs(5), fleet.over).await.expect("the fronts end").unwrap();
+    assert_eq!(
+        idle.read_until("").await,
+        "",
+        "an idle connection is closed"
+    );
+    tokio::time::timeout(Duration::from_secs(5), fleet.over)
+        .await
+        .expect("the fronts end")
+        .unwrap();
 }
 
 /// A body keeps its room until nobody holds it any more, and no longer.
@@ -218,7 +286,10 @@
     assert_eq!(&held[..], text.as_bytes());
     drop(held);
     // What was set aside for a longer one than came is free at once.
-    let _short = rooms.at_once(200 * 1024).expect("room for one body").keep("text".into());
+    let _short = rooms
+        .at_once(200 * 1024)
+        .expect("room for one body")
+        .keep("text".into());
     assert!(rooms.at_once(200 * 1024).is_some());
 }
 
@@ -257,16 +328,28 @@
     let address = taken.local_addr().unwrap();
     let (_serving, course) = watch::channel(Course::Serving);
     let routes = platform::routes(door, Rooms::new(1_000), log.clone());
-    tokio::spawn(listener::serve(taken, routes, Places::new(4), course, None, log));
+    tokio::spawn(listener::serve(
+        taken,
+        routes,
+        Places::new(4),
+        course,
+        None,
+        log,
+    ));
     let mut client = Client(TcpStream::connect(address).await.unwrap());
     client.write(&request("b")).await;
     // The test is in the core's place.
-    let Some(Event::Request { answer, .. }) = inbox.next().await else { panic!("no request") };
+    let Some(Event::Request { answer, .. }) = inbox.next().await else {
+        panic!("no request")
+    };
     let (pieces, stream) = mpsc::channel(4);
     pieces.try_send(Piece::Data(ANSWER[0].into())).unwrap();
     drop(pieces);
     answer.send(Answer::Served(stream)).unwrap();
     let text = client.read_until("").await;
-    assert!(text.starts_with("HTTP/1.1 200") && text.contains(ANSWER[0]), "{text:?}");
+    assert!(
+        text.starts_with("HTTP/1.1 200") && text.contains(ANSWER[0]),
+        "{text:?}"
+    );
     assert!(!text.ends_with("0\r\n\r\n"), "{text:?}");
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -21,7 +21,8 @@
 
 impl File {
     fn new(name: &str, text: &str) -> File {
-        let path = std::env::temp_dir().join(format!("quartzhall-{}-{name}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("quartzhall-{}-{name}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
         File(path)
     }
@@ -68,18 +69,36 @@
     let good = config("127.0.0.1:0", "127.0.0.1:1", "null");
     let cases = [
         ("cut", good[..good.len() / 2].to_owned(), "{}".to_owned()),
-        ("word", good.replace("single_shot", "sometimes"), "{}".into()),
-        ("listen", good.replace("127.0.0.1:0", "nowhere"), "{}".into()),
+        (
+            "word",
+            good.replace("single_shot", "sometimes"),
+            "{}".into(),
+        ),
+        (
+            "listen",
+            good.replace("127.0.0.1:0", "nowhere"),
+            "{}".into(),
+        ),
         ("seed", good.replace("8c1f30d27a5be964", "xyz"), "{}".into()),
         ("sessions", good.clone(), "{\"listen\":7}".into()),
         ("bounds", good, "{\"most_requests\":0}".into()),
     ];
     for (name, text, sessions) in cases {
-        let (config, sessions) = (File::new(name, &text), File::new(&format!("{name}-ws"), &sessions));
-        let output = serve(&config).arg("--websocket").arg(&sessions.0).output().unwrap();
+        let (config, sessions) = (
+            File::new(name, &text),
+            File::new(&format!("{name}-ws"), &sessions),
+        );
+        let output = serve(&config)
+            .arg("--websocket")
+            .arg(&sessions.0)
+            .output()
+            .unwrap();
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{name}");
-        let lines = error.lines().filter(|line| line.starts_with("quartzhall: ")).count();
+        let lines = error
+            .lines()
+            .filter(|line| line.starts_with("quartzhall: "))
+            .count();
         assert!(lines == 1 && !error.contains("panicked"), "{name}: {error}");
     }
 }
@@ -92,7 +111,11 @@
         concat!("quartzhall ", env!("CARGO_PKG_VERSION"), "\n")
     );
     let file = File::new("check", &config("127.0.0.1:0", "127.0.0.1:1", "null"));
-    let check = Command::new(PROGRAM).args(["check", "--config"]).arg(&file.0).output().unwrap();
+    let check = Command::new(PROGRAM)
+        .args(["check", "--config"])
+        .arg(&file.0)
+        .output()
+        .unwrap();
     assert!(check.status.success());
     assert!(String::from_utf8_lossy(&check.stdout).contains("2 classes, 1 tenants"));
 }
@@ -117,21 +140,33 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), asks).await.expect("an answer")
+    tokio::time::timeout(Duration::from_secs(20), asks)
+        .await
+        .expect("an answer")
 }
 
 async fn until_ready(address: &str, code: &str) {
-    while !ask(address, "/ready").await.starts_with(&format!("HTTP/1.1 {code}")) {}
+    while !ask(address, "/ready")
+        .await
+        .starts_with(&format!("HTTP/1.1 {code}"))
+    {}
 }
 
 fn signal(running: &Running, name: &str) {
-    let kill = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", running.0.id())).status().unwrap();
+    let kill = Command::new("sh")
+        .arg("-c")
+        .arg(format!("kill -{name} {}", running.0.id()))
+        .status()
+        .unwrap();
     assert!(kill.success());
 }
 
 async fn end(mut running: Running) -> ExitStatus {
     let waits = tokio::task::spawn_blocking(move || running.0.wait().unwrap());
-    tokio::time::timeout(Duration::from_secs(20), waits).await.expect("it ends").unwrap()
+    tokio::time::timeout(Duration::from_secs(20), waits)
+        .await
+        .expect("it ends")
+        .unwrap()
 }
 
 /// Discovery talks nonsense first, then tells of a fleet; the program is ready only then, and ends with 0.
@@ -148,19 +183,41 @@
             _ => std::future::pending().await,
         }
     };
-    let routes = Router::new().route("/v1/endpoints", get(list)).with_state(calls.clone());
+    let routes = Router::new()
+        .route("/v1/endpoints", get(list))
+        .with_state(calls.clone());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let discovery = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move { axum::serve(listener, routes).await });
-    let (listen, sessions, agent) = (free_address().await, free_address().await, free_address().await);
+    let (listen, sessions, agent) = (
+        free_address().await,
+        free_address().await,
+        free_address().await,
+    );
     let file = File::new("run", &config(&listen, &discovery, "null"));
-    let second = File::new("run-ws", &format!(r#"{{"listen":"{sessions}","agent_check":"{agent}"}}"#));
-    let running = Running::start(serve(&file).arg("--websocket").arg(&second.0).stderr(Stdio::null()));
+    let second = File::new(
+        "run-ws",
+        &format!(r#"{{"listen":"{sessions}","agent_check":"{agent}"}}"#),
+    );
+    let running = Running::start(
+        serve(&file)
+            .arg("--websocket")
+            .arg(&second.0)
+            .stderr(Stdio::null()),
+    );
     until_ready(&listen, "200").await;
-    assert!(calls.load(Ordering::SeqCst) >= 2, "nonsense was tried again");
+    assert!(
+        calls.load(Ordering::SeqCst) >= 2,
+        "nonsense was tried again"
+    );
     assert!(ask(&sessions, "/health").await.starts_with("HTTP/1.1 200"));
     let mut line = String::new();
-    TcpStream::connect(&agent).await.unwrap().read_to_string(&mut line).await.unwrap();
+    TcpStream::connect(&agent)
+        .await
+        .unwrap()
+        .read_to_string(&mut line)
+        .await
+        .unwrap();
     assert_eq!(line, "up ready\n");
     signal(&running, "TERM");
     assert_eq!(end(running).await.code(), Some(0));
@@ -190,8 +247,7 @@
 /// discovery is followed from a full list, though its revisions are older. Repeats, and SIGTERM after, work.
 #[tokio::test]
 async fn it_follows_a_new_discovery_at_sighup() {
-    let reader =
-        r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"}"#;
+    let reader = r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"}"#;
     let both = r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"},
         {"id":"w","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","phase":"Ready"}"#;
     let (first, _) = discovery_with(900, reader).await;
@@ -209,7 +265,10 @@
         let told = lines.any(|line| line.unwrap().contains("can't be used"));
         (told, lines)
     });
-    let (told, lines) = tokio::time::timeout(Duration::from_secs(20), told).await.unwrap().unwrap();
+    let (told, lines) = tokio::time::timeout(Duration::from_secs(20), told)
+        .await
+        .unwrap()
+        .unwrap();
     assert!(told);
     assert!(ask(&listen, "/ready").await.starts_with("HTTP/1.1 503"));
     std::fs::write(&file.0, &new).unwrap();
@@ -240,7 +299,10 @@
     while asked.lock().unwrap().is_empty() {
         tokio::task::yield_now().await;
     }
-    assert!(asked.lock().unwrap()[0].starts_with("/v1/endpoints?from=41&"), "{asked:?}");
+    assert!(
+        asked.lock().unwrap()[0].starts_with("/v1/endpoints?from=41&"),
+        "{asked:?}"
+    );
     signal(&running, "TERM");
     assert_eq!(end(running).await.code(), Some(0));
 }
@@ -270,7 +332,11 @@
             let began = std::time::Instant::now();
             let running = Running::start(serve(&file).stderr(Stdio::null()));
             until_ready(&listen, "200").await;
-            assert!(began.elapsed() < Duration::from_secs(10), "{discovery}, {mode}: {:?}", began.elapsed());
+            assert!(
+                began.elapsed() < Duration::from_secs(10),
+                "{discovery}, {mode}: {:?}",
+                began.elapsed()
+            );
             signal(&running, "TERM");
             assert_eq!(end(running).await.code(), Some(0));
         }
@@ -306,7 +372,10 @@
         next.replace("\"aim\":2500.0", "\"aim\":\"soon\""),
         next.replace("\"fall\":1500.0,", ""),
         next.replace("\"tick\":4.0,", ""),
-        next.replace("\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":256},", ""),
+        next.replace(
+            "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":256},",
+            "",
+        ),
         next.replace("balance-query", "return-request"),
         next.replace("\"single_shot\"", "\"sometimes\""),
     ];
@@ -318,12 +387,18 @@
             let told = lines.any(|line| line.unwrap().contains("can't be used"));
             (told, lines)
         });
-        let told = tokio::time::timeout(Duration::from_secs(20), told).await.unwrap().unwrap();
+        let told = tokio::time::timeout(Duration::from_secs(20), told)
+            .await
+            .unwrap()
+            .unwrap();
         assert!(told.0, "{number}");
         lines = told.1;
         assert!(ask(&listen, "/ready").await.starts_with("HTTP/1.1 200"));
     }
-    assert!(asked.lock().unwrap().is_empty(), "nothing of a broken file is taken");
+    assert!(
+        asked.lock().unwrap().is_empty(),
+        "nothing of a broken file is taken"
+    );
     // The next good one is, however many bad ones came before.
     std::fs::write(&file.0, &next).unwrap();
     signal(&running, "HUP");
@@ -332,6 +407,8 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(Duration::from_millis(1200), followed).await.expect("in force at once");
+    tokio::time::timeout(Duration::from_millis(1200), followed)
+        .await
+        .expect("in force at once");
     drop(lines);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,14 @@
 
 /// Two mixed servers in different zones and cells.
 fn mixed() -> Vec<Entry> {
-    vec![server(1, Role::Both), Entry { zone: 1, cell: 1, ..server(2, Role::Both) }]
+    vec![
+        server(1, Role::Both),
+        Entry {
+            zone: 1,
+            cell: 1,
+            ..server(2, Role::Both)
+        },
+    ]
 }
 
 #[test]
@@ -37,7 +44,10 @@
     actions.extend(desk.pass(10 * MS));
     assert_eq!(finals(&actions, 1), 1);
     let late = desk.outcome(1, 0, 1, Status::Read);
-    assert!(late.contains(&Action::Release { id: 1 }), "a late 'read' is let go: {late:?}");
+    assert!(
+        late.contains(&Action::Release { id: 1 }),
+        "a late 'read' is let go: {late:?}"
+    );
     assert_eq!(sent_to(&late, 1), None);
 }
 
@@ -50,7 +60,12 @@
     let mut actions = desk.outcome(1, 0, 1, Status::Read);
     let read_at = desk.now;
     for attempt in 1..4 {
-        assert_eq!(sent_to(&actions, 1), Some(2), "after {} us", desk.now - read_at);
+        assert_eq!(
+            sent_to(&actions, 1),
+            Some(2),
+            "after {} us",
+            desk.now - read_at
+        );
         desk.pass(150 * MS);
         actions = desk.outcome(1, attempt, 2, Status::ConnectFailed);
     }
@@ -61,7 +76,10 @@
 #[test]
 fn expires_in_counts_and_not_the_class() {
     let mut desk = desk(Effect::Safe, pair());
-    let mut actions = desk.ask(Ask { expires_in: 300 * MS, ..ask(1, 1) });
+    let mut actions = desk.ask(Ask {
+        expires_in: 300 * MS,
+        ..ask(1, 1)
+    });
     actions.extend(desk.pass(300 * MS));
     assert_eq!(finals(&actions, 1), 1);
 }
@@ -80,13 +98,22 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_never_sent_again() {
-    for status in [Status::Error, Status::Reset, Status::Stale, Status::Timeout, Status::Cancelled] {
+    for status in [
+        Status::Error,
+        Status::Reset,
+        Status::Stale,
+        Status::Timeout,
+        Status::Cancelled,
+    ] {
         let mut desk = desk(Effect::Unsafe, mixed());
         let sent = sent_to(&desk.ask(ask(1, 1)), 1).expect("sent");
         let mut actions = desk.outcome(1, 0, sent, status);
         actions.extend(desk.pass(4 * SECOND));
         assert_eq!(sent_to(&actions, 1), None, "{status:?}");
-        let failed = Action::Fail { id: 1, why: GiveUp::MustNotRepeat };
+        let failed = Action::Fail {
+            id: 1,
+            why: GiveUp::MustNotRepeat,
+        };
         assert!(actions.contains(&failed), "{status:?}: {actions:?}");
     }
 }
@@ -114,15 +141,28 @@
         let sent = sent_to(&desk.ask(ask(1, 1)), 1).expect("sent");
         desk.pass(wait);
         // The first server is gone, so only the other one could take the repeat.
-        let gone = Entry { state: State::Gone, ..server(sent, Role::Both) };
+        let gone = Entry {
+            state: State::Gone,
+            ..server(sent, Role::Both)
+        };
         desk.hear(Event::Members {
             complete: false,
-            entries: vec![Entry { zone: sent - 1, cell: sent - 1, ..gone }],
+            entries: vec![Entry {
+                zone: sent - 1,
+                cell: sent - 1,
+                ..gone
+            }],
         });
         let mut actions = desk.outcome(1, 0, sent, Status::Error);
         actions.extend(desk.pass(4 * SECOND));
-        assert_eq!(sent_to(&actions, 1).is_some(), may, "{group:?} after {wait}");
-        let refused = actions.iter().any(|action| matches!(action, Action::Refuse { .. }));
+        assert_eq!(
+            sent_to(&actions, 1).is_some(),
+            may,
+            "{group:?} after {wait}"
+        );
+        let refused = actions
+            .iter()
+            .any(|action| matches!(action, Action::Refuse { .. }));
         assert!(
             !refused,
             "all of this ends when repeats are not dropped any more: trying again would do harm"
@@ -140,27 +180,52 @@
         (Group::Zone, 500 * MS, false),
         (Group::Cell, 500 * MS, false),
     ] {
-        let mut desk = desk(Effect::Keyed { group, window: SECOND }, mixed());
+        let mut desk = desk(
+            Effect::Keyed {
+                group,
+                window: SECOND,
+            },
+            mixed(),
+        );
         sent_to(&desk.ask(ask(1, 1)), 1).expect("sent");
         let end = desk.now + ends_in;
         let mut actions = desk.hear(Event::EndBy(end));
         actions.extend(desk.pass(ends_in + 10 * MS));
-        let refusals = actions.iter().filter(|it| matches!(it, Action::Refuse { .. })).count();
-        assert_eq!((finals(&actions, 1), refusals == 1), (1, refused), "{group:?} after {ends_in}");
+        let refusals = actions
+            .iter()
+            .filter(|it| matches!(it, Action::Refuse { .. }))
+            .count();
+        assert_eq!(
+            (finals(&actions, 1), refusals == 1),
+            (1, refused),
+            "{group:?} after {ends_in}"
+        );
     }
 }
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let rules = Settings { second_copies: false, ..settings(vec![class(1.0, Effect::Safe)]) };
-    let mut desk =
-        Desk::new(rules, vec![server(1, Role::Reader), server(3, Role::Reader), server(2, Role::Writer)]);
+    let rules = Settings {
+        second_copies: false,
+        ..settings(vec![class(1.0, Effect::Safe)])
+    };
+    let mut desk = Desk::new(
+        rules,
+        vec![
+            server(1, Role::Reader),
+            server(3, Role::Reader),
+            server(2, Role::Writer),
+        ],
+    );
     for id in 0..60 {
         desk.serve(ask(id, id), 20 * MS, 20 * MS, 20 * MS);
     }
     let mut actions = desk.ask(ask(100, 100));
     actions.extend(desk.pass(3 * SECOND));
-    let sends = actions.iter().filter(|action| matches!(action, Action::Send { id: 100, .. })).count();
+    let sends = actions
+        .iter()
+        .filter(|action| matches!(action, Action::Send { id: 100, .. }))
+        .count();
     assert_eq!(sends, 1);
 }
 
@@ -170,15 +235,25 @@
         let mut desk = desk(Effect::Safe, pair());
         desk.hear(Event::Members {
             complete: false,
-            entries: vec![Entry { state, ..server(1, Role::Reader) }],
+            entries: vec![Entry {
+                state,
+                ..server(1, Role::Reader)
+            }],
         });
         let mut actions = desk.ask(ask(1, 1));
         actions.extend(desk.pass(4 * SECOND));
         assert_eq!(sent_to(&actions, 1), None, "{state:?}");
     }
     let mut desk = desk(Effect::Safe, pair());
-    desk.hear(Event::Members { complete: true, entries: vec![server(2, Role::Writer)] });
-    assert_eq!(sent_to(&desk.ask(ask(1, 1)), 1), None, "absent from a complete list");
+    desk.hear(Event::Members {
+        complete: true,
+        entries: vec![server(2, Role::Writer)],
+    });
+    assert_eq!(
+        sent_to(&desk.ask(ask(1, 1)), 1),
+        None,
+        "absent from a complete list"
+    );
 }
 
 #[test]
@@ -187,11 +262,22 @@
     for id in 0..40 {
         desk.serve(ask(id, id), 20 * MS, 20 * MS, 20 * MS);
     }
-    let cold = Entry { started: Some(desk.now), ..server(1, Role::Reader) };
-    desk.hear(Event::Members { complete: false, entries: vec![cold] });
-    let sends = (100..150).filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id).is_some()).count();
+    let cold = Entry {
+        started: Some(desk.now),
+        ..server(1, Role::Reader)
+    };
+    desk.hear(Event::Members {
+        complete: false,
+        entries: vec![cold],
+    });
+    let sends = (100..150)
+        .filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id).is_some())
+        .count();
     // The warm reader had about 16 reads a second; a cold one may get 0.3 x 2.5 of that in a second.
-    assert!((1..=12).contains(&sends), "{sends} sent to a cold server at once");
+    assert!(
+        (1..=12).contains(&sends),
+        "{sends} sent to a cold server at once"
+    );
 }
 
 /// What a cold server may get is told by those that bear the load: with leaving ones counted too, its successors
@@ -199,14 +285,31 @@
 #[test]
 fn leaving_servers_do_not_cut_what_a_cold_one_may_get() {
     let readers = (1..=6).map(|id| server(id, Role::Reader));
-    let mut desk = desk(Effect::Safe, readers.chain([server(12, Role::Writer)]).collect());
-    let leaving = (2..=6).map(|id| Entry { state: State::Draining, ..server(id, Role::Reader) }).collect();
-    desk.hear(Event::Members { complete: false, entries: leaving });
+    let mut desk = desk(
+        Effect::Safe,
+        readers.chain([server(12, Role::Writer)]).collect(),
+    );
+    let leaving = (2..=6)
+        .map(|id| Entry {
+            state: State::Draining,
+            ..server(id, Role::Reader)
+        })
+        .collect();
+    desk.hear(Event::Members {
+        complete: false,
+        entries: leaving,
+    });
     for id in 0..300 {
         desk.serve(ask(id, id), 20 * MS, 20 * MS, 20 * MS);
     }
-    let cold = Entry { started: Some(desk.now), ..server(7, Role::Reader) };
-    desk.hear(Event::Members { complete: false, entries: vec![cold] });
+    let cold = Entry {
+        started: Some(desk.now),
+        ..server(7, Role::Reader)
+    };
+    desk.hear(Event::Members {
+        complete: false,
+        entries: vec![cold],
+    });
     let sent = (1_000..1_100).filter(|id| {
         let reader = sent_to(&desk.ask(ask(*id, *id)), *id).expect("sent");
         desk.hear(Event::Gone { id: *id });
@@ -230,8 +333,14 @@
 
 #[test]
 fn a_second_copy_read_after_the_first_is_let_go() {
-    let mut desk =
-        desk(Effect::Safe, vec![server(1, Role::Reader), server(3, Role::Reader), server(2, Role::Writer)]);
+    let mut desk = desk(
+        Effect::Safe,
+        vec![
+            server(1, Role::Reader),
+            server(3, Role::Reader),
+            server(2, Role::Writer),
+        ],
+    );
     for id in 0..60 {
         desk.serve(ask(id, id), 20 * MS, 20 * MS, 20 * MS);
     }
@@ -239,22 +348,38 @@
     let second = sent_to(&desk.pass(SECOND), 100).expect("an overdue read gets a second copy");
     assert_ne!(first, second);
     let taken = desk.outcome(100, 1, second, Status::Read);
-    assert!(taken.contains(&Action::Cancel { id: 100, attempt: 0 }));
-    desk.hear(Event::First { id: 100, attempt: 2 });
-    assert!(desk.outcome(100, 0, first, Status::Read).contains(&Action::Release { id: 100 }));
+    assert!(taken.contains(&Action::Cancel {
+        id: 100,
+        attempt: 0
+    }));
+    desk.hear(Event::First {
+        id: 100,
+        attempt: 2,
+    });
+    assert!(desk
+        .outcome(100, 0, first, Status::Read)
+        .contains(&Action::Release { id: 100 }));
 }
 
 /// Requests of a whole fleet of routers, a hundred a second in turn, with half of eight readers started anew after 20 s.
 /// Tells what each of the cold ones got in each second from then on.
 fn sends_to_cold_readers(balancers: u32) -> Vec<[usize; 4]> {
-    let rules = Settings { balancers, ..settings(vec![class(1.0, Effect::Safe)]) };
-    let fleet: Vec<_> =
-        (1..=8).map(|id| server(id, Role::Reader)).chain([server(12, Role::Writer)]).collect();
+    let rules = Settings {
+        balancers,
+        ..settings(vec![class(1.0, Effect::Safe)])
+    };
+    let fleet: Vec<_> = (1..=8)
+        .map(|id| server(id, Role::Reader))
+        .chain([server(12, Role::Writer)])
+        .collect();
     let router = |seed| {
         let mut desk = Desk::new(rules.clone(), fleet.clone());
         desk.router = Router::new(rules.clone(), u64::from(seed), 0);
         desk.hear(Event::Wake);
-        desk.hear(Event::Members { complete: true, entries: fleet.clone() });
+        desk.hear(Event::Members {
+            complete: true,
+            entries: fleet.clone(),
+        });
         desk
     };
     let mut desks: Vec<Desk> = (0..balancers).map(router).collect();
@@ -263,16 +388,25 @@
         let now = id * 10 * MS;
         let turn = (quartzhall::settings::hash(&id.to_string()) % u64::from(balancers)) as usize;
         if now == 20 * SECOND {
-            let cold = |id| Entry { started: Some(now), ..server(id, Role::Reader) };
+            let cold = |id| Entry {
+                started: Some(now),
+                ..server(id, Role::Reader)
+            };
             let entries: Vec<_> = (1..=4).map(cold).collect();
             desks.iter_mut().for_each(|desk| {
                 desk.now = desk.now.max(now);
-                desk.hear(Event::Members { complete: false, entries: entries.clone() });
+                desk.hear(Event::Members {
+                    complete: false,
+                    entries: entries.clone(),
+                });
             });
         }
         let desk = &mut desks[turn];
         desk.pass(now.saturating_sub(desk.now));
-        let textless = Ask { session: None, ..ask(id, id) };
+        let textless = Ask {
+            session: None,
+            ..ask(id, id)
+        };
         let reader = desk.serve(textless, 4 * MS, 4 * MS, 4 * MS)[0];
         if now >= 20 * SECOND && reader <= 4 {
             sent[((now - 20 * SECOND) / SECOND) as usize][reader as usize - 1] += 1;
@@ -289,9 +423,15 @@
         let sent = sends_to_cold_readers(balancers);
         // A warm reader had 12 to 13 reads a second; a cold one may get 0.3 x 2.5 of what it could do warm.
         let most = sent.iter().flatten().max();
-        assert!(most <= Some(&16), "{balancers} routers: {sent:?} in a second each");
+        assert!(
+            most <= Some(&16),
+            "{balancers} routers: {sent:?} in a second each"
+        );
         let all: usize = sent.iter().flatten().sum();
-        assert!(all >= 100, "{balancers} routers sent {all} requests to cold readers in 8 s: {sent:?}");
+        assert!(
+            all >= 100,
+            "{balancers} routers sent {all} requests to cold readers in 8 s: {sent:?}"
+        );
     }
 }
 
@@ -300,21 +440,36 @@
 /// moment in which the readers are. Tells the most by which sends of those that had heard exceeded `N + 2 sqrt(N) + 2` in
 /// any span of the rule, `N` being the multiple of what the reader can bear then.
 fn excess_at_cold_readers(balancers: u32, seed: u64) -> f64 {
-    let rules = Settings { balancers, ..settings(vec![class(1.0, Effect::Safe)]) };
+    let rules = Settings {
+        balancers,
+        ..settings(vec![class(1.0, Effect::Safe)])
+    };
     let mixed = |it: u64| quartzhall::settings::hash(&format!("{seed}, {it}"));
-    let fleet: Vec<_> =
-        (1..=8).map(|id| server(id, Role::Reader)).chain([server(12, Role::Writer)]).collect();
+    let fleet: Vec<_> = (1..=8)
+        .map(|id| server(id, Role::Reader))
+        .chain([server(12, Role::Writer)])
+        .collect();
     let start = 20 * SECOND;
-    let cold: Vec<_> = (1..=4).map(|id| Entry { started: Some(start), ..server(id, Role::Reader) }).collect();
+    let cold: Vec<_> = (1..=4)
+        .map(|id| Entry {
+            started: Some(start),
+            ..server(id, Role::Reader)
+        })
+        .collect();
     let router = |now: Time, number: u32| {
         let mut desk = Desk::new(rules.clone(), Vec::new());
         desk.now = now;
         desk.router = Router::new(rules.clone(), mixed(u64::from(number) + now), now);
         desk.hear(Event::Wake);
-        desk.hear(Event::Members { complete: true, entries: fleet.clone() });
+        desk.hear(Event::Members {
+            complete: true,
+            entries: fleet.clone(),
+        });
         desk
     };
-    let mut desks: Vec<(Desk, bool)> = (0..balancers).map(|number| (router(0, number), false)).collect();
+    let mut desks: Vec<(Desk, bool)> = (0..balancers)
+        .map(|number| (router(0, number), false))
+        .collect();
     let mut sent: Vec<Vec<Time>> = vec![Vec::new(); 4];
     for id in 0..3_000 {
         let now = id * 10 * MS;
@@ -325,16 +480,36 @@
         }
         let draw = mixed(1_000_000 + id);
         let all = u64::from(balancers);
-        let turn = if draw % 3 < 2 { draw / 3 % all.div_ceil(4) } else { draw / 3 % all } as usize;
+        let turn = if draw % 3 < 2 {
+            draw / 3 % all.div_ceil(4)
+        } else {
+            draw / 3 % all
+        } as usize;
         let (desk, told) = &mut desks[turn];
         desk.pass(now.saturating_sub(desk.now));
-        let hears = start + if mixed(2_000_000 + turn as u64).is_multiple_of(3) { SECOND } else { 0 };
+        let hears = start
+            + if mixed(2_000_000 + turn as u64).is_multiple_of(3) {
+                SECOND
+            } else {
+                0
+            };
         if now >= hears && !*told {
             *told = true;
-            desk.hear(Event::Members { complete: false, entries: cold.clone() });
+            desk.hear(Event::Members {
+                complete: false,
+                entries: cold.clone(),
+            });
         }
         let told = *told;
-        let reader = desk.serve(Ask { session: None, ..ask(id, id) }, 4 * MS, 4 * MS, 4 * MS)[0];
+        let reader = desk.serve(
+            Ask {
+                session: None,
+                ..ask(id, id)
+            },
+            4 * MS,
+            4 * MS,
+            4 * MS,
+        )[0];
         if told && reader <= 4 {
             sent[reader as usize - 1].push(now);
         }
@@ -342,7 +517,10 @@
     let mut worst = f64::MIN;
     for times in sent {
         for (at, from) in times.iter().enumerate() {
-            let in_span = times[at..].iter().take_while(|time| **time < from + rules.fall).count() as f64;
+            let in_span = times[at..]
+                .iter()
+                .take_while(|time| **time < from + rules.fall)
+                .count() as f64;
             let age = ((from - start) as f64 / rules.warm_within as f64).min(1.0);
             // Eight warm readers bear a hundred requests a second between them.
             let able = 100.0 / 8.0 * (rules.cold_from + (1.0 - rules.cold_from) * age);
@@ -359,7 +537,10 @@
     for (balancers, seeds) in [(2, 12), (5, 12), (30, 4), (300, 1)] {
         for seed in 0..seeds {
             let worst = excess_at_cold_readers(balancers, seed);
-            assert!(worst <= 0.0, "{balancers} routers, seed {seed}: {worst} requests too many");
+            assert!(
+                worst <= 0.0,
+                "{balancers} routers, seed {seed}: {worst} requests too many"
+            );
         }
     }
 }
@@ -369,11 +550,18 @@
 #[test]
 fn no_second_read_of_an_unsafe_request_while_the_first_is_out() {
     for (effect, copies) in [(Effect::Safe, 1), (Effect::Unsafe, 0)] {
-        let servers = vec![server(1, Role::Reader), server(3, Role::Reader), server(2, Role::Writer)];
+        let servers = vec![
+            server(1, Role::Reader),
+            server(3, Role::Reader),
+            server(2, Role::Writer),
+        ];
         let mut desk = desk(effect, servers);
         assert!(sent_to(&desk.ask(ask(1, 1)), 1).is_some());
         let later = desk.pass(3_900 * MS);
-        let sends = later.iter().filter(|action| matches!(action, Action::Send { id: 1, .. })).count();
+        let sends = later
+            .iter()
+            .filter(|action| matches!(action, Action::Send { id: 1, .. }))
+            .count();
         assert_eq!(sends, copies, "{effect:?}: {later:?}");
     }
 }
@@ -382,7 +570,11 @@
 /// both, and the writer would find none. What is left goes with the first token.
 #[test]
 fn a_second_read_that_ends_takes_no_state_from_the_writer() {
-    let servers = vec![server(1, Role::Reader), server(3, Role::Reader), server(2, Role::Writer)];
+    let servers = vec![
+        server(1, Role::Reader),
+        server(3, Role::Reader),
+        server(2, Role::Writer),
+    ];
     let mut desk = desk(Effect::Safe, servers);
     let first = sent_to(&desk.ask(ask(1, 1)), 1).expect("a read");
     let second = sent_to(&desk.pass(3_000 * MS), 1).expect("a second read");
@@ -395,14 +587,29 @@
 /// Nothing more can be done for it, and its client can act on that now, not when its time is nearly up.
 #[test]
 fn what_may_have_run_and_must_not_again_is_failed_at_once() {
-    for status in [Status::Error, Status::Reset, Status::Stale, Status::Timeout, Status::Cancelled] {
-        let mut desk = desk(Effect::Unsafe, [pair(), vec![server(3, Role::Writer)]].concat());
+    for status in [
+        Status::Error,
+        Status::Reset,
+        Status::Stale,
+        Status::Timeout,
+        Status::Cancelled,
+    ] {
+        let mut desk = desk(
+            Effect::Unsafe,
+            [pair(), vec![server(3, Role::Writer)]].concat(),
+        );
         desk.ask(ask(1, 1));
         let writer = sent_to(&desk.outcome(1, 0, 1, Status::Read), 1).expect("a writer");
         let actions = desk.outcome(1, 1, writer, status);
-        let failed = Action::Fail { id: 1, why: GiveUp::MustNotRepeat };
+        let failed = Action::Fail {
+            id: 1,
+            why: GiveUp::MustNotRepeat,
+        };
         assert!(actions.contains(&failed), "{status:?}: {actions:?}");
-        assert!(actions.contains(&Action::Release { id: 1 }), "{status:?}: {actions:?}");
+        assert!(
+            actions.contains(&Action::Release { id: 1 }),
+            "{status:?}: {actions:?}"
+        );
         assert_eq!(finals(&desk.pass(5 * SECOND), 1), 0);
     }
 }
@@ -412,8 +619,15 @@
 #[test]
 fn the_last_two_attempts_read_anew_and_write() {
     for (most, again) in [(5, Role::Writer), (4, Role::Reader)] {
-        let tight = Settings { max_attempts: most, ..settings(vec![class(1.0, Effect::Safe)]) };
-        let servers = [pair(), vec![server(3, Role::Writer), server(4, Role::Reader)]].concat();
+        let tight = Settings {
+            max_attempts: most,
+            ..settings(vec![class(1.0, Effect::Safe)])
+        };
+        let servers = [
+            pair(),
+            vec![server(3, Role::Writer), server(4, Role::Reader)],
+        ]
+        .concat();
         let mut desk = Desk::new(tight, servers);
         let reader = sent_to(&desk.ask(ask(1, 1)), 1).expect("a reader");
         let writer = sent_to(&desk.outcome(1, 0, reader, Status::Read), 1).expect("a writer");
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -16,11 +16,18 @@
         let mut terminal = Terminal::connect(&fleet).await;
         for (id, class) in [("a", "status-query"), ("b", "return-request")] {
             terminal.ask(id, class, 5000).await;
-            assert_eq!(terminal.hear_final(id).await, ("served".into(), ANSWER.concat()));
+            assert_eq!(
+                terminal.hear_final(id).await,
+                ("served".into(), ANSWER.concat())
+            );
         }
         fleet.nothing_left().await;
         assert_eq!(fleet.sent_to(2), 2);
-        assert_eq!(fleet.ledger.lock().unwrap().released, 0, "what a writer took needs no release");
+        assert_eq!(
+            fleet.ledger.lock().unwrap().released,
+            0,
+            "what a writer took needs no release"
+        );
     }
 }
 
@@ -38,7 +45,10 @@
             continue;
         }
         assert_eq!(kind, "served", "{text}");
-        let at = open.iter().position(|id| text.contains(&format!("\"{id}\""))).expect("one that is open");
+        let at = open
+            .iter()
+            .position(|id| text.contains(&format!("\"{id}\"")))
+            .expect("one that is open");
         open.remove(at);
     }
     fleet.nothing_left().await;
@@ -55,7 +65,10 @@
         terminal.ask("late", "return-request", 400).await;
         // It may have run at the writer: no refusal, which would say that trying again is harmless.
         assert_eq!(terminal.hear_final("late").await.0, "failed");
-        assert!(start.elapsed() >= Duration::from_millis(300) && start.elapsed() < Duration::from_secs(2));
+        assert!(
+            start.elapsed() >= Duration::from_millis(300)
+                && start.elapsed() < Duration::from_secs(2)
+        );
         fleet.nothing_left().await;
     }
 }
@@ -70,8 +83,11 @@
         terminal.ask("no", "return-request", 1000).await;
         let (kind, text) = terminal.hear().await;
         assert_eq!(kind, "refused");
-        let after =
-            text.split("\"retry_after_ms\":").nth(1).expect("when to come back").trim_end_matches('}');
+        let after = text
+            .split("\"retry_after_ms\":")
+            .nth(1)
+            .expect("when to come back")
+            .trim_end_matches('}');
         let after: u64 = after.parse().expect("milliseconds");
         assert!((1..=500).contains(&after), "{text}");
         fleet.nothing_left().await;
@@ -115,7 +131,10 @@
     let (kind, _) = terminal.hear_final("x").await;
     assert!(kind == "refused" || kind == "failed", "{kind}");
     fleet.nothing_left().await;
-    assert!(fleet.ledger.lock().unwrap().released > 0, "a state may have been left: it was let go");
+    assert!(
+        fleet.ledger.lock().unwrap().released > 0,
+        "a state may have been left: it was let go"
+    );
 }
 
 #[tokio::test]
@@ -125,7 +144,11 @@
         fleet.way(2, Way::Wait);
         let mut terminal = Terminal::connect(&fleet).await;
         terminal.ask("w", "return-request", 9000).await;
-        fleet.until("it waits for the writer", |ledger| ledger.sent.iter().any(|(node, _)| *node == 2)).await;
+        fleet
+            .until("it waits for the writer", |ledger| {
+                ledger.sent.iter().any(|(node, _)| *node == 2)
+            })
+            .await;
         drop(terminal);
         fleet.nothing_left().await;
         // It may have run: never again, from whatever session it is asked for.
@@ -157,7 +180,10 @@
     // And once more after its end: the recorded outcome, with the answer.
     let mut third = Terminal::connect(&fleet).await;
     third.ask("r", "return-request", 9000).await;
-    assert_eq!(third.hear_final("r").await, ("served".into(), ANSWER.concat()));
+    assert_eq!(
+        third.hear_final("r").await,
+        ("served".into(), ANSWER.concat())
+    );
     fleet.nothing_left().await;
     assert_eq!(fleet.sent_to(2), 1);
 }
@@ -169,14 +195,21 @@
     let mut terminal = Terminal::connect(&fleet).await;
     let start = Instant::now();
     terminal.ask("s", "status-query", 1500).await;
-    fleet.until("it waits for the writer", |ledger| ledger.sent.iter().any(|(node, _)| *node == 2)).await;
+    fleet
+        .until("it waits for the writer", |ledger| {
+            ledger.sent.iter().any(|(node, _)| *node == 2)
+        })
+        .await;
     drop(terminal);
     fleet.nothing_left().await;
     let mut again = Terminal::connect(&fleet).await;
     again.ask("s", "status-query", 60_000).await;
     let (kind, _) = again.hear_final("s").await;
     assert!(kind == "refused" || kind == "failed", "{kind}");
-    assert!(start.elapsed() < Duration::from_secs(4), "the first deadline holds, not the second");
+    assert!(
+        start.elapsed() < Duration::from_secs(4),
+        "the first deadline holds, not the second"
+    );
     fleet.nothing_left().await;
 }
 
@@ -196,7 +229,10 @@
         }
         assert_eq!((fleet.sent_to(2), fleet.sent_to(3)), (1, 4));
         fleet.go.notify_one();
-        assert_eq!(terminal.hear_final("old").await, ("served".into(), ANSWER[1..].concat()));
+        assert_eq!(
+            terminal.hear_final("old").await,
+            ("served".into(), ANSWER[1..].concat())
+        );
         fleet.nothing_left().await;
     }
 }
@@ -207,7 +243,11 @@
     fleet.way(2, Way::Wait);
     let mut terminal = Terminal::connect(&fleet).await;
     terminal.ask("w", "return-request", 700).await;
-    fleet.until("it waits for the writer", |ledger| ledger.sent.iter().any(|(node, _)| *node == 2)).await;
+    fleet
+        .until("it waits for the writer", |ledger| {
+            ledger.sent.iter().any(|(node, _)| *node == 2)
+        })
+        .await;
     fleet.tell(&[(2, "Gone"), (3, "Ready")]).await;
     assert_eq!(terminal.hear_final("w").await.0, "failed");
     assert_eq!(fleet.sent_to(3), 0, "it may have run at the first");
@@ -218,17 +258,36 @@
 async fn bad_messages_are_answered_and_bad_frames_end_the_session_with_their_code() {
     let fleet = Fleet::start(true).await;
     let mut terminal = Terminal::connect(&fleet).await;
-    for bad in ["", "[]", "{\"type\":\"request\"}", "{\"type\":\"request\",\"id\":\"a/b\"}"] {
+    for bad in [
+        "",
+        "[]",
+        "{\"type\":\"request\"}",
+        "{\"type\":\"request\",\"id\":\"a/b\"}",
+    ] {
         terminal.say(bad).await;
         assert_eq!(terminal.hear().await.0, "error", "{bad}");
     }
-    for (from, to) in [("acme", "nobody"), ("return-request", "no-class"), ("prompt_len", "prompt")] {
-        terminal.say(&ask("bad", "return-request", 500).replace(from, to)).await;
+    for (from, to) in [
+        ("acme", "nobody"),
+        ("return-request", "no-class"),
+        ("prompt_len", "prompt"),
+    ] {
+        terminal
+            .say(&ask("bad", "return-request", 500).replace(from, to))
+            .await;
         assert_eq!(terminal.hear().await.0, "failed", "{to}");
     }
     terminal.ask("good", "status-query", 5000).await;
-    assert_eq!(terminal.hear_final("good").await.0, "served", "the session goes on");
-    terminal.0.send(Message::Binary(vec![1].into())).await.unwrap();
+    assert_eq!(
+        terminal.hear_final("good").await.0,
+        "served",
+        "the session goes on"
+    );
+    terminal
+        .0
+        .send(Message::Binary(vec![1].into()))
+        .await
+        .unwrap();
     assert_eq!(terminal.hear().await, ("close".into(), "1003".into()));
 
     let mut big = Terminal::connect(&fleet).await;
@@ -236,15 +295,27 @@
     assert_eq!(big.hear().await, ("close".into(), "1009".into()));
 
     // A frame that is not masked breaks the protocol.
-    let mut raw = tokio::net::TcpStream::connect(&fleet.sessions).await.unwrap();
+    let mut raw = tokio::net::TcpStream::connect(&fleet.sessions)
+        .await
+        .unwrap();
     let head = "GET /v1/sessions HTTP/1.1\r\nHost: x\r\nConnection: upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
     raw.write_all(head.as_bytes()).await.unwrap();
     raw.write_all(b"\x81\x02hi").await.unwrap();
     let mut all = Vec::new();
-    tokio::time::timeout(Duration::from_secs(5), raw.read_to_end(&mut all)).await.unwrap().unwrap();
+    tokio::time::timeout(Duration::from_secs(5), raw.read_to_end(&mut all))
+        .await
+        .unwrap()
+        .unwrap();
     let close: &[u8] = &[0x88];
-    let at = all.windows(4).position(|it| it == b"\r\n\r\n").expect("a head") + 4;
-    assert!(all[at..].starts_with(close) && all[at + 2..at + 4] == 1002u16.to_be_bytes(), "{all:?}");
+    let at = all
+        .windows(4)
+        .position(|it| it == b"\r\n\r\n")
+        .expect("a head")
+        + 4;
+    assert!(
+        all[at..].starts_with(close) && all[at + 2..at + 4] == 1002u16.to_be_bytes(),
+        "{all:?}"
+    );
     fleet.nothing_left().await;
 }
 
@@ -254,7 +325,11 @@
     fleet.way(2, Way::Wait);
     let mut terminal = Terminal::connect(&fleet).await;
     terminal.ask("c", "status-query", 9000).await;
-    fleet.until("it waits for the writer", |ledger| ledger.sent.iter().any(|(node, _)| *node == 2)).await;
+    fleet
+        .until("it waits for the writer", |ledger| {
+            ledger.sent.iter().any(|(node, _)| *node == 2)
+        })
+        .await;
     terminal.say(r#"{"type":"cancel","id":"c"}"#).await;
     assert_eq!(terminal.hear_final("c").await.0, "failed");
     fleet.nothing_left().await;
@@ -274,10 +349,16 @@
     let (kind, text) = terminal.hear().await;
     assert_eq!(kind, "refused", "{text}");
     fleet.go.notify_one();
-    assert_eq!(terminal.hear_final("last").await, ("served".into(), ANSWER[1..].concat()));
+    assert_eq!(
+        terminal.hear_final("last").await,
+        ("served".into(), ANSWER[1..].concat())
+    );
     assert_eq!(terminal.hear().await, ("close".into(), "1001".into()));
     fleet.nothing_left().await;
-    tokio::time::timeout(Duration::from_secs(5), fleet.over).await.expect("the fronts end").unwrap();
+    tokio::time::timeout(Duration::from_secs(5), fleet.over)
+        .await
+        .expect("the fronts end")
+        .unwrap();
 }
 
 #[tokio::test]
@@ -286,17 +367,27 @@
     fleet.way(2, Way::Wait);
     let mut terminal = Terminal::connect(&fleet).await;
     for number in 0..8 {
-        terminal.ask(&format!("w{number}"), "return-request", 9000).await;
+        terminal
+            .ask(&format!("w{number}"), "return-request", 9000)
+            .await;
     }
     terminal.ask("over", "return-request", 9000).await;
     let (kind, text) = terminal.hear().await;
     assert!(kind == "refused" && text.contains("\"over\""), "{text}");
-    fleet.until("all wait", |ledger| ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 8).await;
+    fleet
+        .until("all wait", |ledger| {
+            ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 8
+        })
+        .await;
     terminal.say(r#"{"type":"cancel","id":"w0"}"#).await;
     assert_eq!(terminal.hear_final("w0").await.0, "failed");
     fleet.way(2, Way::Serve);
     terminal.ask("over", "return-request", 9000).await;
-    assert_eq!(terminal.hear_final("over").await.0, "served", "nothing was done before");
+    assert_eq!(
+        terminal.hear_final("over").await.0,
+        "served",
+        "nothing was done before"
+    );
     drop(terminal);
     fleet.nothing_left().await;
 }
@@ -312,7 +403,10 @@
     terminal.ask("twice", "return-request", 9000).await;
     assert_eq!(terminal.hear().await.0, "event", "what came so far, again");
     fleet.go.notify_one();
-    assert_eq!(terminal.hear_final("twice").await, ("served".into(), ANSWER[1..].concat()));
+    assert_eq!(
+        terminal.hear_final("twice").await,
+        ("served".into(), ANSWER[1..].concat())
+    );
     fleet.nothing_left().await;
     assert_eq!(fleet.sent_to(2), 1);
 }
@@ -325,14 +419,19 @@
     fleet.way(2, Way::Wait);
     let mut busy = Terminal::connect(&fleet).await;
     busy.ask("b1", "status-query", 60_000).await;
-    fleet.until("it waits at the writer", |ledger| ledger.sent.len() == 2).await;
+    fleet
+        .until("it waits at the writer", |ledger| ledger.sent.len() == 2)
+        .await;
     fleet.way(2, Way::Serve);
     let mut silent = Vec::new();
     for _ in 0..3 {
         silent.push(Terminal::connect(&fleet).await);
     }
     let url = format!("ws://{}/v1/sessions", fleet.sessions);
-    assert!(tokio_tungstenite::connect_async(&url).await.is_err(), "none has been silent for long enough");
+    assert!(
+        tokio_tungstenite::connect_async(&url).await.is_err(),
+        "none has been silent for long enough"
+    );
     tokio::time::pause();
     tokio::time::advance(Duration::from_secs(2)).await;
     tokio::time::resume();
@@ -342,5 +441,9 @@
     assert_eq!(new.hear_final("n1").await.0, "served");
 
     busy.say(r#"{"type":"cancel","id":"b1"}"#).await;
-    assert_eq!(busy.hear_final("b1").await.0, "failed", "it was open all the time");
+    assert_eq!(
+        busy.hear_final("b1").await.0,
+        "failed",
+        "it was open all the time"
+    );
 }
--- a/tests/spoilt.rs
+++ b/tests/spoilt.rs
@@ -12,7 +12,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 const EVENT: &str = "data: {\"n\":1}\n\n";
 
 fn chunk(text: &str) -> String {
@@ -36,9 +37,23 @@
 
     fn send(&self, id: u64) -> Command {
         let name = format!("s{id}").as_str().into();
-        let work = Work { name, target: "/v1/chat/completions".into(), body: "{}".into() };
-        let (address, timeout) = (self.0.local_addr().unwrap().to_string(), Duration::from_secs(60));
-        Command::Send { id, attempt: 0, address: address.as_str().into(), work, timeout, alone: false }
+        let work = Work {
+            name,
+            target: "/v1/chat/completions".into(),
+            body: "{}".into(),
+        };
+        let (address, timeout) = (
+            self.0.local_addr().unwrap().to_string(),
+            Duration::from_secs(60),
+        );
+        Command::Send {
+            id,
+            attempt: 0,
+            address: address.as_str().into(),
+            work,
+            timeout,
+            alone: false,
+        }
     }
 }
 
@@ -84,9 +99,15 @@
     for (said, passed) in [
         ("\u{1}\u{2}\u{3} what?\r\n\r\n".to_owned(), ""),
         ("HTTP/1.1 what\r\n\r\n".to_owned(), ""),
-        (format!("HTTP/1.1 200 OK\r\nX-More: {}", "x".repeat(100_000)), ""),
+        (
+            format!("HTTP/1.1 200 OK\r\nX-More: {}", "x".repeat(100_000)),
+            "",
+        ),
         (format!("{HEAD}{}", chunk("\u{1}\u{2}\u{3}")), ""),
-        (format!("{HEAD}{}", chunk(": only a comment\n\n\nwhat\n")), ""),
+        (
+            format!("{HEAD}{}", chunk(": only a comment\n\n\nwhat\n")),
+            "",
+        ),
         (format!("{HEAD}zz\r\n{EVENT}\r\n"), ""),
         (format!("{HEAD}0\r\n\r\n"), ""),
         (format!("{HEAD}{event}zz\r\n{EVENT}\r\n"), EVENT),
@@ -101,8 +122,15 @@
         let began = Instant::now();
         let (status, text, whole) = outcome(&mut inbox).await;
         assert_eq!(status, Status::Error, "{said:.200}");
-        assert!(text == passed || !passed.is_empty() && text == EVENT.repeat(2), "{said:.200}: {text}");
-        assert!(!whole && began.elapsed() < Duration::from_secs(5), "{said:.200}: {:?}", began.elapsed());
+        assert!(
+            text == passed || !passed.is_empty() && text == EVENT.repeat(2),
+            "{said:.200}: {text}"
+        );
+        assert!(
+            !whole && began.elapsed() < Duration::from_secs(5),
+            "{said:.200}: {:?}",
+            began.elapsed()
+        );
         drop(stream);
     }
 }
@@ -126,7 +154,11 @@
         () = drips => unreachable!(),
     };
     assert_eq!(ended, (Status::Reset, EVENT.to_owned(), false));
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// A node that has much to do is silent for seconds and then goes on: its stream is not cut, over and over.
@@ -134,7 +166,9 @@
 async fn a_stream_that_goes_on_after_4_6_s_is_not_cut() {
     let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
     commands.send(node.send(1)).await.unwrap();
-    let mut stream = node.says(format!("{HEAD}{}", chunk(EVENT)).as_bytes()).await;
+    let mut stream = node
+        .says(format!("{HEAD}{}", chunk(EVENT)).as_bytes())
+        .await;
     let goes_on = async {
         for _ in 0..2 {
             tokio::time::sleep(Duration::from_millis(4_600)).await;
@@ -152,11 +186,18 @@
 async fn a_good_stream_with_more_than_belongs_to_it_is_good() {
     let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
     let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-    let head = HEAD.replacen("\r\n", "\r\nEndpoint-Load-Metrics: TEXT inflight=\u{ff}, ?\r\n", 1);
+    let head = HEAD.replacen(
+        "\r\n",
+        "\r\nEndpoint-Load-Metrics: TEXT inflight=\u{ff}, ?\r\n",
+        1,
+    );
     let body = format!("{EVENT}: Endpoint-Load-Metrics: \u{1}TEXT x0=much\n\n");
     let good = format!("{early}{head}{}0\r\n\r\n", chunk(&body));
     let mut held = Vec::new();
-    for (id, behind) in [(1, format!("{HEAD}{}0\r\n\r\n", chunk("data: other\n\n"))), (2, String::new())] {
+    for (id, behind) in [
+        (1, format!("{HEAD}{}0\r\n\r\n", chunk("data: other\n\n"))),
+        (2, String::new()),
+    ] {
         commands.send(node.send(id)).await.unwrap();
         held.push(node.says(format!("{good}{behind}").as_bytes()).await);
         assert_eq!(outcome(&mut inbox).await, (Status::Ok, body.clone(), true));
@@ -169,12 +210,16 @@
 
 #[tokio::test]
 async fn a_bad_request_is_told_from_an_error_of_the_node() {
-    for (code, wanted) in
-        [("400 Bad Request", Status::Rejected), ("500 Oh", Status::Error), ("302 Found", Status::Error)]
-    {
+    for (code, wanted) in [
+        ("400 Bad Request", Status::Rejected),
+        ("500 Oh", Status::Error),
+        ("302 Found", Status::Error),
+    ] {
         let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
         commands.send(node.send(1)).await.unwrap();
-        let _stream = node.says(format!("HTTP/1.1 {code}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await;
+        let _stream = node
+            .says(format!("HTTP/1.1 {code}\r\nContent-Length: 0\r\n\r\n").as_bytes())
+            .await;
         assert_eq!(outcome(&mut inbox).await.0, wanted, "{code}");
     }
 }
@@ -189,17 +234,30 @@
         let address: std::sync::Arc<str> = node.0.local_addr().unwrap().to_string().into();
         commands.send(node.send(1)).await.unwrap();
         let mut stream = node.says(text.as_bytes()).await;
-        assert_eq!(outcome(&mut inbox).await, (Status::Ok, EVENT.repeat(2), true));
+        assert_eq!(
+            outcome(&mut inbox).await,
+            (Status::Ok, EVENT.repeat(2), true)
+        );
         // The second answer comes on the connection that was kept.
         commands.send(node.send(2)).await.unwrap();
         let (before, after) = text.as_bytes().split_at(cut);
         answer(&mut stream, before).await;
         tokio::time::sleep(Duration::from_millis(1)).await;
-        commands.send(Command::Bar { address, barred: true }).await.unwrap();
+        commands
+            .send(Command::Bar {
+                address,
+                barred: true,
+            })
+            .await
+            .unwrap();
         tokio::time::sleep(Duration::from_millis(1)).await;
         stream.write_all(after).await.unwrap();
         drop(stream);
-        assert_eq!(outcome(&mut inbox).await, (Status::Ok, EVENT.repeat(2), true), "cut at byte {cut}");
+        assert_eq!(
+            outcome(&mut inbox).await,
+            (Status::Ok, EVENT.repeat(2), true),
+            "cut at byte {cut}"
+        );
     }
 }
 
@@ -215,9 +273,17 @@
     tokio::time::sleep(Duration::from_millis(20_500)).await;
     commands.send(node.send(2)).await.unwrap();
     answer(&mut first, good.as_bytes()).await;
-    assert_eq!(outcome(&mut inbox).await.0, Status::Ok, "the same connection");
+    assert_eq!(
+        outcome(&mut inbox).await.0,
+        Status::Ok,
+        "the same connection"
+    );
     tokio::time::sleep(Duration::from_millis(21_500)).await;
     commands.send(node.send(3)).await.unwrap();
     let _second = node.says(good.as_bytes()).await;
-    assert_eq!(outcome(&mut inbox).await.0, Status::Ok, "a connection of its own");
+    assert_eq!(
+        outcome(&mut inbox).await.0,
+        Status::Ok,
+        "a connection of its own"
+    );
 }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -32,7 +32,11 @@
 
 pub use profile::PROFILE;
 
-pub const ANSWER: [&str; 3] = ["data: {\"n\":1}\n\n", "data: {\"n\":\"ä\"}\n\n", "data: [DONE]\n\n"];
+pub const ANSWER: [&str; 3] = [
+    "data: {\"n\":1}\n\n",
+    "data: {\"n\":\"ä\"}\n\n",
+    "data: [DONE]\n\n",
+];
 
 /// How a node behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -94,7 +98,11 @@
     async fn run(self: Arc<Self>, name: String, say: mpsc::Sender<Say>) {
         self.ledger.lock().unwrap().places += 1;
         let _place = Place(self.ledger.clone());
-        self.ledger.lock().unwrap().sent.push((self.number, name.clone()));
+        self.ledger
+            .lock()
+            .unwrap()
+            .sent
+            .push((self.number, name.clone()));
         let way = *self.way.lock().unwrap();
         let work = async {
             match way {
@@ -142,28 +150,39 @@
 
 async fn http(State(node): State<Arc<Node>>, request: Request) -> Response {
     let name = request.headers()["x-trace-id"].to_str().unwrap().to_owned();
-    axum::body::to_bytes(request.into_body(), 1 << 20).await.unwrap();
+    axum::body::to_bytes(request.into_body(), 1 << 20)
+        .await
+        .unwrap();
     let (say, mut said) = mpsc::channel(1);
     tokio::spawn(node.run(name, say));
     match said.recv().await {
         Some(Say::Read) => (StatusCode::ACCEPTED, r#"{"cached_tokens":7}"#).into_response(),
         Some(Say::Full(gone)) => {
-            let code = if gone { StatusCode::GONE } else { StatusCode::SERVICE_UNAVAILABLE };
+            let code = if gone {
+                StatusCode::GONE
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            };
             (code, [("x-never-ran", "1")]).into_response()
         }
         Some(Say::Event(first)) => {
-            let stream = futures_util::stream::unfold((Some(first), said), |(first, mut said)| async move {
-                let next = match first {
-                    Some(first) => Some(Say::Event(first)),
-                    None => said.recv().await,
-                };
-                match next {
-                    Some(Say::Event(data)) => Some((Ok(Bytes::from(data)), (None, said))),
-                    Some(_) => None,
-                    None => Some((Err(io::Error::other("broken")), (None, said))),
-                }
-            });
-            ([("content-type", "text/event-stream")], Body::from_stream(stream)).into_response()
+            let stream =
+                futures_util::stream::unfold((Some(first), said), |(first, mut said)| async move {
+                    let next = match first {
+                        Some(first) => Some(Say::Event(first)),
+                        None => said.recv().await,
+                    };
+                    match next {
+                        Some(Say::Event(data)) => Some((Ok(Bytes::from(data)), (None, said))),
+                        Some(_) => None,
+                        None => Some((Err(io::Error::other("broken")), (None, said))),
+                    }
+                });
+            (
+                [("content-type", "text/event-stream")],
+                Body::from_stream(stream),
+            )
+                .into_response()
         }
         Some(Say::Garbage) => (StatusCode::OK, "\u{1}what?").into_response(),
         Some(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
@@ -176,14 +195,18 @@
 
 async fn session(node: Arc<Node>, mut socket: WebSocket) {
     while let Some(Ok(message)) = socket.recv().await {
-        let Message::Text(text) = message else { continue };
+        let Message::Text(text) = message else {
+            continue;
+        };
         let told: BTreeMap<String, json::Value> = json::from_str(&text).unwrap();
         let word = |key: &str| match told.get(key) {
             Some(json::Value::String(word)) => word.clone(),
             _ => String::new(),
         };
         let id = word("id");
-        let put = |rest: &str| Message::Text(format!("{{\"id\":{},{rest}}}", json::to_string(&id)).into());
+        let put = |rest: &str| {
+            Message::Text(format!("{{\"id\":{},{rest}}}", json::to_string(&id)).into())
+        };
         if word("type") == "release" {
             node.release(&id);
             socket.send(put(r#""type":"released""#)).await.ok();
@@ -199,14 +222,24 @@
             };
             let (message, over) = match say {
                 None => return,
-                Some(Say::Event(data)) => {
-                    (put(&format!(r#""type":"event","data":{}"#, json::to_string(data))), false)
-                }
-                Some(Say::Read) => (put(r#""type":"read","cached_tokens":7,"load":"TEXT inflight=1""#), true),
+                Some(Say::Event(data)) => (
+                    put(&format!(
+                        r#""type":"event","data":{}"#,
+                        json::to_string(data)
+                    )),
+                    false,
+                ),
+                Some(Say::Read) => (
+                    put(r#""type":"read","cached_tokens":7,"load":"TEXT inflight=1""#),
+                    true,
+                ),
                 Some(Say::End) => (put(r#""type":"served""#), true),
-                Some(Say::Full(gone)) => {
-                    (put(&format!(r#""type":"refused","never_ran":true,"state_gone":{gone}"#)), true)
-                }
+                Some(Say::Full(gone)) => (
+                    put(&format!(
+                        r#""type":"refused","never_ran":true,"state_gone":{gone}"#
+                    )),
+                    true,
+                ),
                 Some(Say::Failed) => (put(r#""type":"failed""#), true),
                 Some(Say::Garbage) => (Message::Text("[what".into()), true),
             };
@@ -227,7 +260,8 @@
 
 /// The same, and so many commands may wait for it.
 pub fn node_side_for(
-    waiting: usize, over_sessions: &[String],
+    waiting: usize,
+    over_sessions: &[String],
 ) -> (mpsc::Sender<dispatch::Command>, dispatch::Inbox) {
     let profile: Profile = json::from_str(PROFILE).unwrap();
     let site = Arc::new(Site::new(&profile).unwrap());
@@ -273,12 +307,21 @@
     /// Two readers (0, 1) and two writers (2, 3), over HTTP/1.1 or sessions. Writer 3 is not told of at first.
     pub async fn start(over_sessions: bool) -> Fleet {
         let log = Logger::root(Discard, o!());
-        let (ledger, go) = (Arc::new(Mutex::new(Ledger::default())), Arc::new(Notify::new()));
+        let (ledger, go) = (
+            Arc::new(Mutex::new(Ledger::default())),
+            Arc::new(Notify::new()),
+        );
         let (mut standing, mut addresses) = (Vec::new(), Vec::new());
         for number in 0..4 {
             let way = Mutex::new(Way::Serve);
             let (ledger, go) = (ledger.clone(), go.clone());
-            let node = Arc::new(Node { number, reads: number < 2, way, ledger, go });
+            let node = Arc::new(Node {
+                number,
+                reads: number < 2,
+                way,
+                ledger,
+                go,
+            });
             let lease = |State(node): State<Arc<Node>>, Path(name): Path<String>| async move {
                 node.release(&name);
                 StatusCode::NO_CONTENT
@@ -303,7 +346,11 @@
         let (door, inbox) = dispatch::door(site.clone());
         let core = Core::new(site.clone(), 100, 7, clock.now(), log.clone());
         let (commands, commanded) = mpsc::channel(64);
-        let speak = if over_sessions { addresses.iter().cloned().collect() } else { Default::default() };
+        let speak = if over_sessions {
+            addresses.iter().cloned().collect()
+        } else {
+            Default::default()
+        };
         tokio::spawn(nodes::run(
             commanded,
             door.clone(),
@@ -319,15 +366,35 @@
         let options = Arc::new(Sessions::parse(options).unwrap());
         let (listener, sessions) = bind().await;
         let rooms = Rooms::new(10_000);
-        let shared =
-            websocket::Shared::new(door.clone(), options, rooms.clone(), 1, stopped.clone(), log.clone());
+        let shared = websocket::Shared::new(
+            door.clone(),
+            options,
+            rooms.clone(),
+            1,
+            stopped.clone(),
+            log.clone(),
+        );
         let routes = websocket::routes(shared.clone()).merge(health::routes(door.clone()));
-        let front = listener::serve(listener, routes, Places::new(50), stopped.clone(), None, log.clone());
+        let front = listener::serve(
+            listener,
+            routes,
+            Places::new(50),
+            stopped.clone(),
+            None,
+            log.clone(),
+        );
         let (calls, management) = bind().await;
         tokio::spawn(management::serve(calls, door.clone(), log.clone()));
         let (listener, platform) = bind().await;
         let routes = platform::routes(door.clone(), rooms, log.clone());
-        let thin = listener::serve(listener, routes, Places::new(50), stopped, None, log.clone());
+        let thin = listener::serve(
+            listener,
+            routes,
+            Places::new(50),
+            stopped,
+            None,
+            log.clone(),
+        );
         let over = tokio::spawn(async move {
             tokio::join!(front, thin);
             shared.over().await;
@@ -348,7 +415,9 @@
             site,
             log,
         };
-        fleet.tell(&[(0, "Ready"), (1, "Ready"), (2, "Ready")]).await;
+        fleet
+            .tell(&[(0, "Ready"), (1, "Ready"), (2, "Ready")])
+            .await;
         fleet.door.becomes(dispatch::Readiness::Ready).await;
         fleet
     }
@@ -367,14 +436,23 @@
             )
         };
         let lines: Vec<String> = phases.iter().map(line).collect();
-        let text = format!(r#"{{"revision":1,"complete":false,"members":[{}]}}"#, lines.join(","));
+        let text = format!(
+            r#"{{"revision":1,"complete":false,"members":[{}]}}"#,
+            lines.join(",")
+        );
         let list: MemberList = discovery::parse(text.as_bytes()).unwrap();
         let event = discovery::members(&mut self.site.lock().unwrap(), &list, &self.log);
         self.door.tell(event).await;
     }
 
     pub fn sent_to(&self, number: usize) -> usize {
-        self.ledger.lock().unwrap().sent.iter().filter(|(node, _)| *node == number).count()
+        self.ledger
+            .lock()
+            .unwrap()
+            .sent
+            .iter()
+            .filter(|(node, _)| *node == number)
+            .count()
     }
 
     /// Waits until something holds at the nodes.
@@ -393,11 +471,19 @@
     pub async fn nothing_left(&self) {
         let waits = async {
             self.door.empty().await;
-            self.until("nothing held", |ledger| ledger.states.is_empty() && ledger.places == 0).await;
+            self.until("nothing held", |ledger| {
+                ledger.states.is_empty() && ledger.places == 0
+            })
+            .await;
         };
         let left = || {
             let ledger = self.ledger.lock().unwrap();
-            format!("{:?}, {} places, {} open", ledger.states, ledger.places, self.door.open())
+            format!(
+                "{:?}, {} places, {} open",
+                ledger.states,
+                ledger.places,
+                self.door.open()
+            )
         };
         tokio::time::timeout(Duration::from_secs(1), waits)
             .await
@@ -405,7 +491,9 @@
     }
 
     pub async fn drain(&self) {
-        self.door.tell(Event::Drain(std::time::Duration::from_secs(3))).await;
+        self.door
+            .tell(Event::Drain(std::time::Duration::from_secs(3)))
+            .await;
         self.door.becomes(dispatch::Readiness::Draining).await;
         self.stop.send(Course::Ending).unwrap();
     }
@@ -431,15 +519,22 @@
     /// The next message: its type, and the whole of it.
     pub async fn hear(&mut self) -> (String, String) {
         loop {
-            let next = tokio::time::timeout(Duration::from_secs(10), self.0.next()).await.expect("a message");
+            let next = tokio::time::timeout(Duration::from_secs(10), self.0.next())
+                .await
+                .expect("a message");
             match next {
                 Some(Ok(Frame::Text(text))) => {
                     let said: BTreeMap<String, json::Value> = json::from_str(&text).unwrap();
-                    let Some(json::Value::String(kind)) = said.get("type") else { panic!("{text}") };
+                    let Some(json::Value::String(kind)) = said.get("type") else {
+                        panic!("{text}")
+                    };
                     return (kind.clone(), text.to_string());
                 }
                 Some(Ok(Frame::Close(frame))) => {
-                    return ("close".into(), frame.map_or(0, |frame| frame.code.into()).to_string());
+                    return (
+                        "close".into(),
+                        frame.map_or(0, |frame| frame.code.into()).to_string(),
+                    );
                 }
                 Some(Ok(_)) => {}
                 other => return ("end".into(), format!("{other:?}")),
@@ -457,7 +552,9 @@
                 return (kind, text);
             }
             let said: BTreeMap<String, json::Value> = json::from_str(&whole).unwrap();
-            let Some(json::Value::String(data)) = said.get("data") else { panic!("{whole}") };
+            let Some(json::Value::String(data)) = said.get("data") else {
+                panic!("{whole}")
+            };
             text.push_str(data);
         }
     }
--- a/tests/unit/backoff.rs
+++ b/tests/unit/backoff.rs
@@ -3,9 +3,15 @@
 
 /// A service that takes one call after another, 50 ms each, and turns those away that have waited for 2 s when their
 /// turn comes; the work on them was done for nothing. Tells how many of the callers were served by then.
-fn served(callers: u32, until: Duration, mut pause: impl FnMut(u32, &mut Backoff) -> Duration) -> usize {
+fn served(
+    callers: u32,
+    until: Duration,
+    mut pause: impl FnMut(u32, &mut Backoff) -> Duration,
+) -> usize {
     let (work, patience) = (Duration::from_millis(50), Duration::from_secs(2));
-    let mut all: Vec<Backoff> = (0..callers).map(|it| Backoff::new(callers, it.into())).collect();
+    let mut all: Vec<Backoff> = (0..callers)
+        .map(|it| Backoff::new(callers, it.into()))
+        .collect();
     let first = |(it, backoff): (usize, &mut Backoff)| std::cmp::Reverse((backoff.first(), it));
     let mut calls: BinaryHeap<_> = all.iter_mut().enumerate().map(first).collect();
     let (mut free, mut served) = (Duration::ZERO, VecDeque::new());
@@ -14,7 +20,10 @@
         if free <= at + patience {
             served.push_back(it);
         } else {
-            calls.push(std::cmp::Reverse((at + patience + pause(it as u32, &mut all[it]), it)));
+            calls.push(std::cmp::Reverse((
+                at + patience + pause(it as u32, &mut all[it]),
+                it,
+            )));
         }
     }
     served.len()
@@ -22,14 +31,22 @@
 
 #[test]
 fn a_hundred_callers_that_start_at_once_are_all_served() {
-    assert_eq!(served(100, Duration::from_secs(8), |_, backoff| backoff.pause()), 100);
+    assert_eq!(
+        served(100, Duration::from_secs(8), |_, backoff| backoff.pause()),
+        100
+    );
 }
 
 #[test]
 fn three_hundred_callers_are_served_though_the_first_calls_come_too_fast() {
-    assert_eq!(served(300, Duration::from_secs(40), |_, backoff| backoff.pause()), 300);
+    assert_eq!(
+        served(300, Duration::from_secs(40), |_, backoff| backoff.pause()),
+        300
+    );
     // What it guards against: with short pauses the queue stays as long as the service's patience.
-    let short = served(300, Duration::from_secs(40), |_, _| Duration::from_millis(100));
+    let short = served(300, Duration::from_secs(40), |_, _| {
+        Duration::from_millis(100)
+    });
     assert!(short < 200, "{short} of 300 served");
 }
 
@@ -51,8 +68,16 @@
     for callers in [1, 30, 300] {
         let mut backoff = Backoff::new(callers, 7);
         let pauses: Vec<_> = (0..200).map(|_| backoff.pause_within(most)).collect();
-        assert!(pauses.iter().all(|pause| *pause <= most), "{callers} callers");
-        assert!(pauses.iter().max() > pauses.iter().min().map(|it| *it * 2).as_ref(), "{callers} callers");
-        assert!(Backoff::new(callers, 8).first() + Duration::from_secs(2) <= Duration::from_secs(6));
+        assert!(
+            pauses.iter().all(|pause| *pause <= most),
+            "{callers} callers"
+        );
+        assert!(
+            pauses.iter().max() > pauses.iter().min().map(|it| *it * 2).as_ref(),
+            "{callers} callers"
+        );
+        assert!(
+            Backoff::new(callers, 8).first() + Duration::from_secs(2) <= Duration::from_secs(6)
+        );
     }
 }
--- a/tests/unit/bans.rs
+++ b/tests/unit/bans.rs
@@ -18,20 +18,39 @@
 #[test]
 fn only_an_id_that_was_listed_is_known_and_what_is_remembered_is_bounded() {
     let mut bans = Bans::default();
-    assert_eq!(bans.call(1, &id("never"), true, false), Err(Refusal::Unknown));
-    assert_eq!(bans.call(1, &id("never"), false, false), Err(Refusal::Unknown));
+    assert_eq!(
+        bans.call(1, &id("never"), true, false),
+        Err(Refusal::Unknown)
+    );
+    assert_eq!(
+        bans.call(1, &id("never"), false, false),
+        Err(Refusal::Unknown)
+    );
     for number in 0..2 * MOST_LEFT {
         bans.has_left(id(&format!("r{number}")));
         bans.has_left(id(&format!("r{number}")));
     }
-    assert_eq!((bans.left.len(), bans.left_set.len()), (MOST_LEFT, MOST_LEFT));
+    assert_eq!(
+        (bans.left.len(), bans.left_set.len()),
+        (MOST_LEFT, MOST_LEFT)
+    );
     assert_eq!(bans.call(1, &id("r0"), true, false), Err(Refusal::Unknown));
-    assert_eq!(bans.call(1, &id(&format!("r{}", 2 * MOST_LEFT - 1)), true, false), Ok(true));
+    assert_eq!(
+        bans.call(1, &id(&format!("r{}", 2 * MOST_LEFT - 1)), true, false),
+        Ok(true)
+    );
     for number in 1..MOST_BANS {
-        assert_eq!(bans.call(2, &id(&format!("b{number}")), true, true), Ok(true));
+        assert_eq!(
+            bans.call(2, &id(&format!("b{number}")), true, true),
+            Ok(true)
+        );
     }
     assert_eq!(bans.call(3, &id("more"), true, true), Err(Refusal::TooMany));
-    assert_eq!(bans.call(ENDED_KEPT * 9, &id("b1"), false, false), Ok(true), "no ban is ever forgotten");
+    assert_eq!(
+        bans.call(ENDED_KEPT * 9, &id("b1"), false, false),
+        Ok(true),
+        "no ban is ever forgotten"
+    );
 }
 
 #[test]
@@ -73,9 +92,17 @@
         one.call(here, &id("a"), true, true).unwrap();
         assert_eq!(two.merge(there, one.marks()), [id("a")]);
         two.call(there + 1, &id("a"), false, true).unwrap();
-        assert_eq!(one.merge(here + 2 * ENDED_KEPT, two.marks()), [id("a")], "{here} {there}");
+        assert_eq!(
+            one.merge(here + 2 * ENDED_KEPT, two.marks()),
+            [id("a")],
+            "{here} {there}"
+        );
         assert!(!one.is_banned("a"));
-        assert_eq!(one.ended("a"), Some(here + 2 * ENDED_KEPT), "by the clock of who hears it");
+        assert_eq!(
+            one.ended("a"),
+            Some(here + 2 * ENDED_KEPT),
+            "by the clock of who hears it"
+        );
         one.merge(here + 4 * ENDED_KEPT, &Marks::new());
         assert!(one.marks().is_empty(), "forgotten in time");
     }
--- a/tests/unit/candidates.rs
+++ b/tests/unit/candidates.rs
@@ -14,7 +14,11 @@
 
 impl Plain {
     fn of(&self, side: Side) -> Vec<(ServerId, &Listing)> {
-        self.listings.iter().filter(|(_, it)| it.is_of(side)).map(|(server, it)| (*server, it)).collect()
+        self.listings
+            .iter()
+            .filter(|(_, it)| it.is_of(side))
+            .map(|(server, it)| (*server, it))
+            .collect()
     }
 }
 
@@ -24,7 +28,11 @@
         zone: rng.gen_range(0..ZONES),
         cell: rng.gen_range(0..40),
         key: u64::from(server) * 7919,
-        warm_at: if rng.gen_bool(0.3) { now + rng.gen_range(0..50) } else { 0 },
+        warm_at: if rng.gen_bool(0.3) {
+            now + rng.gen_range(0..50)
+        } else {
+            0
+        },
     }
 }
 
@@ -87,19 +95,33 @@
             assert_eq!(index.bearing(side), (bears as f64, warm > 0));
         }
         for seed in 0..20 {
-            let look = Look { zone: 1, seed, widened: seed as u32 % 4 };
+            let look = Look {
+                zone: 1,
+                seed,
+                widened: seed as u32 % 4,
+            };
             for server in index.writers(&look, &BTreeSet::from([1, 2, 77])) {
-                assert!(plain.listings.get(&server).is_some_and(|it| it.is_of(Side::Write)));
+                assert!(plain
+                    .listings
+                    .get(&server)
+                    .is_some_and(|it| it.is_of(Side::Write)));
             }
             let (homes, home) = index.homes(&look, Some(seed), Some(7), 0.1, |_| 1.0);
             for server in homes.iter().chain(&home) {
-                assert!(plain.listings.get(server).is_some_and(|it| it.is_of(Side::Read)));
+                assert!(plain
+                    .listings
+                    .get(server)
+                    .is_some_and(|it| it.is_of(Side::Read)));
             }
             // Likely ones that have left are the caller's to find out: it has the list. All others are listed.
             let likely = BTreeSet::from([1, 2, 1_000]);
-            let found: BTreeSet<ServerId> = index.readers(&look, likely.clone()).into_iter().collect();
+            let found: BTreeSet<ServerId> =
+                index.readers(&look, likely.clone()).into_iter().collect();
             for server in found.difference(&likely) {
-                assert!(plain.listings.get(server).is_some_and(|it| it.is_of(Side::Read)));
+                assert!(plain
+                    .listings
+                    .get(server)
+                    .is_some_and(|it| it.is_of(Side::Read)));
             }
         }
     }
@@ -108,10 +130,24 @@
 fn large(servers: ServerId, cold: bool) -> Candidates {
     let mut index = Candidates::default();
     for server in 0..servers {
-        let role = if server % 4 == 0 { Role::Reader } else { Role::Writer };
+        let role = if server % 4 == 0 {
+            Role::Reader
+        } else {
+            Role::Writer
+        };
         let (zone, cell, key) = (server / 8 % ZONES, server / 8, u64::from(server) * 7919);
         let warm_at = if cold { 100 } else { 0 };
-        index.set(0, server, Some(Listing { role, zone, cell, key, warm_at }));
+        index.set(
+            0,
+            server,
+            Some(Listing {
+                role,
+                zone,
+                cell,
+                key,
+                warm_at,
+            }),
+        );
     }
     index
 }
@@ -124,12 +160,19 @@
         let mut widened = 0;
         let mut most = 0;
         loop {
-            let look = Look { zone: 2, seed: 99, widened };
+            let look = Look {
+                zone: 2,
+                seed: 99,
+                widened,
+            };
             let found = index.writers(&look, &BTreeSet::from([2]));
             assert!(found.len() >= most, "a wider look holds no fewer");
             most = found.len();
             if widened == 0 {
-                assert!(most <= WRITERS_IN_CELL + WRITERS_NEAR + WRITERS_ANYWHERE, "{most} of {servers}");
+                assert!(
+                    most <= WRITERS_IN_CELL + WRITERS_NEAR + WRITERS_ANYWHERE,
+                    "{most} of {servers}"
+                );
             }
             if index.is_whole(Side::Write, &look) {
                 break;
@@ -137,7 +180,14 @@
             widened += 1;
         }
         assert!(widened <= 6, "{widened} steps for {servers}");
-        assert!(index.is_whole(Side::Read, &Look { zone: 2, seed: 99, widened: u32::MAX }));
+        assert!(index.is_whole(
+            Side::Read,
+            &Look {
+                zone: 2,
+                seed: 99,
+                widened: u32::MAX
+            }
+        ));
     }
 }
 
@@ -150,9 +200,14 @@
     for (server, listing) in index.listings.iter().rev() {
         other.set(0, *server, Some(listing.clone()));
     }
-    let look = |seed| Look { zone: 1, seed, widened: 0 };
-    let home =
-        |index: &Candidates, text, seed| index.homes(&look(seed), Some(text), Some(text), 0.0, |_| 1.0);
+    let look = |seed| Look {
+        zone: 1,
+        seed,
+        widened: 0,
+    };
+    let home = |index: &Candidates, text, seed| {
+        index.homes(&look(seed), Some(text), Some(text), 0.0, |_| 1.0)
+    };
     let texts = 0..1_000_u64;
     for text in texts.clone() {
         assert_eq!(home(&index, text, 1), home(&other, text, 2));
@@ -164,7 +219,10 @@
         !before.contains(&gone) && before != after
     };
     let moved = texts.filter(changed).count();
-    assert!(moved <= 20, "{moved} of 1,000 texts moved that had no home there");
+    assert!(
+        moved <= 20,
+        "{moved} of 1,000 texts moved that had no home there"
+    );
 }
 
 /// Texts are spread evenly: no reader is home to many times as much as the others.
@@ -174,7 +232,11 @@
     let mut homes: BTreeMap<ServerId, usize> = BTreeMap::new();
     let texts = 50_000_u64;
     for text in 0..texts {
-        let look = Look { zone: 3, seed: text, widened: 0 };
+        let look = Look {
+            zone: 3,
+            seed: text,
+            widened: 0,
+        };
         for server in index.homes(&look, Some(mix(text, 1)), None, 0.0, |_| 1.0).0 {
             *homes.entry(server).or_default() += 1;
         }
@@ -196,7 +258,11 @@
     let mut won: BTreeMap<ServerId, f64> = BTreeMap::new();
     let requests = 200_000_u64;
     for seed in 0..requests {
-        let look = Look { zone: 0, seed: mix(seed, 5), widened: 0 };
+        let look = Look {
+            zone: 0,
+            seed: mix(seed, 5),
+            widened: 0,
+        };
         for server in index.drawn(Side::Write, &look, 0, 0) {
             let lot = mix(mix(seed, 6), server.into()) as f64 / u64::MAX as f64;
             if lot * index.lot_factor(Side::Write, &look, server) < chance {
@@ -207,8 +273,15 @@
     let mean = requests as f64 * chance;
     let writers = index.write.all.len() as f64;
     let sum: f64 = won.values().sum();
-    assert!((sum / writers / mean - 1.0).abs() < 0.02, "{} where {mean} are due", sum / writers);
+    assert!(
+        (sum / writers / mean - 1.0).abs() < 0.02,
+        "{} where {mean} are due",
+        sum / writers
+    );
     // Six standard deviations of a count.
     let most = won.values().copied().fold(0.0, f64::max);
-    assert!(most < mean + 6.0 * mean.sqrt(), "{most} where {mean} are due");
+    assert!(
+        most < mean + 6.0 * mean.sqrt(),
+        "{most} where {mean} are due"
+    );
 }
--- a/tests/unit/dispatch_nodes.rs
+++ b/tests/unit/dispatch_nodes.rs
@@ -4,7 +4,11 @@
 use slog::{o, Discard};
 
 fn member(name: &str, key: u64, state: State) -> Member {
-    let entry = Entry { key, state, ..Entry::default() };
+    let entry = Entry {
+        key,
+        state,
+        ..Entry::default()
+    };
     Member {
         name: name.into(),
         address: format!("127.0.0.1:{}", 7_000 + name.len()).into(),
@@ -20,19 +24,32 @@
     let log = Logger::root(Discard, o!());
     let mut nodes = Nodes::default();
     let list = |nodes: &mut Nodes, named: &[(&str, u64)]| {
-        let members = named.iter().map(|(name, key)| member(name, *key, State::Ready)).collect();
+        let members = named
+            .iter()
+            .map(|(name, key)| member(name, *key, State::Ready))
+            .collect();
         nodes.list(0, true, members, &log);
         nodes.forget_gone(&HashSet::new());
     };
-    let name =
-        |nodes: &Nodes, hash| nodes.by_hash(hash).and_then(|it| nodes.get(it)).map(|it| it.name.to_string());
+    let name = |nodes: &Nodes, hash| {
+        nodes
+            .by_hash(hash)
+            .and_then(|it| nodes.get(it))
+            .map(|it| it.name.to_string())
+    };
     // The upper part of a key is not told.
     let same = 7 + (1 << 40);
     list(&mut nodes, &[("a", 7), ("bb", 9)]);
-    assert_eq!((name(&nodes, 7).as_deref(), name(&nodes, 9).as_deref()), (Some("a"), Some("bb")));
+    assert_eq!(
+        (name(&nodes, 7).as_deref(), name(&nodes, 9).as_deref()),
+        (Some("a"), Some("bb"))
+    );
     assert_eq!(name(&nodes, 8), None);
     list(&mut nodes, &[("a", 7), ("bb", 9), ("ccc", same)]);
-    assert_eq!((name(&nodes, 7), name(&nodes, 9).as_deref()), (None, Some("bb")));
+    assert_eq!(
+        (name(&nodes, 7), name(&nodes, 9).as_deref()),
+        (None, Some("bb"))
+    );
     list(&mut nodes, &[("bb", 9), ("ccc", same)]);
     assert_eq!(name(&nodes, 7).as_deref(), Some("ccc"));
     list(&mut nodes, &[("bb", 9)]);
@@ -61,7 +78,10 @@
     for told in [99 * HOUR + 7, 101 * HOUR + 7] {
         let heard = now + 10 * SECOND;
         list(&mut nodes, heard, told);
-        assert!((heard - 6 * SECOND..=heard).contains(&started(&nodes).unwrap()), "{told}");
+        assert!(
+            (heard - 6 * SECOND..=heard).contains(&started(&nodes).unwrap()),
+            "{told}"
+        );
         // It ages by this process's clock, however often the list tells of it.
         let before = started(&nodes);
         list(&mut nodes, heard + 5 * SECOND, told);
--- a/tests/unit/dispatch_report.rs
+++ b/tests/unit/dispatch_report.rs
@@ -13,7 +13,9 @@
     assert!(report.count(0, Kind::ReleaseFailed));
     let later = (0..100).filter(|_| report.count(3 * SECOND, kind)).count();
     assert_eq!(later, 3);
-    let much_later = (0..100).filter(|_| report.count(900 * SECOND, kind)).count();
+    let much_later = (0..100)
+        .filter(|_| report.count(900 * SECOND, kind))
+        .count();
     assert_eq!(much_later, BURST as usize);
     assert_eq!(report.counts[&kind], 300);
     assert_eq!(report.held_back, 300 - 2 * u64::from(BURST) - 3);
@@ -26,7 +28,11 @@
     report.count(0, Kind::Violation(Rule::Drain));
     report.count(0, Kind::Release(ReleaseReason::NotNeeded));
     assert_eq!(report.violations(), 2);
-    assert!(text(&report.counts).contains("Violation(HeldState)=1"), "{}", text(&report.counts));
+    assert!(
+        text(&report.counts).contains("Violation(HeldState)=1"),
+        "{}",
+        text(&report.counts)
+    );
 }
 
 #[test]
--- a/tests/unit/framing.rs
+++ b/tests/unit/framing.rs
@@ -7,7 +7,10 @@
         let ended = requests.ended();
         let read = requests.feed(bytes);
         assert!(read > 0 && requests.ended() <= ended + 1);
-        assert!(read == bytes.len() || requests.ended() == ended + 1, "it stops at a request's end only");
+        assert!(
+            read == bytes.len() || requests.ended() == ended + 1,
+            "it stops at a request's end only"
+        );
         bytes = &bytes[read..];
     }
 }
@@ -15,7 +18,11 @@
 fn heads(bytes: &[u8], cuts: &[usize]) -> Vec<Stated> {
     let mut requests = Requests::default();
     let mut from = 0;
-    for cut in cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect::<std::collections::BTreeSet<_>>() {
+    for cut in cuts
+        .iter()
+        .map(|cut| cut % (bytes.len() + 1))
+        .collect::<std::collections::BTreeSet<_>>()
+    {
         feed_all(&mut requests, &bytes[from..cut]);
         from = cut;
     }
@@ -30,12 +37,33 @@
 #[test]
 fn heads_are_told_in_order_whatever_the_cuts() {
     let whole = heads(MANY.as_bytes(), &[]);
-    let chunked = Stated { chunked: true, length: None, coded: true };
+    let chunked = Stated {
+        chunked: true,
+        length: None,
+        coded: true,
+    };
     let plain = Stated::default();
-    let length = Stated { length: Some(7), ..plain };
-    assert_eq!(whole, [chunked, plain, length, Stated { length: Some(4), ..chunked }]);
+    let length = Stated {
+        length: Some(7),
+        ..plain
+    };
+    assert_eq!(
+        whole,
+        [
+            chunked,
+            plain,
+            length,
+            Stated {
+                length: Some(4),
+                ..chunked
+            }
+        ]
+    );
     let cut = |cuts: Vec<usize>| heads(MANY.as_bytes(), &cuts) == heads(MANY.as_bytes(), &[]);
-    QuickCheck::new().rng(Gen::from_size_and_seed(40, 11)).tests(300).quickcheck(cut as fn(_) -> _);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 11))
+        .tests(300)
+        .quickcheck(cut as fn(_) -> _);
 }
 
 #[test]
@@ -49,17 +77,27 @@
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
         "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
     ] {
-        assert!(heads(format!("{bad}{after}").as_bytes(), &[]).is_empty(), "{bad}");
+        assert!(
+            heads(format!("{bad}{after}").as_bytes(), &[]).is_empty(),
+            "{bad}"
+        );
     }
     let broken = format!("{after}zz\r\n{after}");
-    assert_eq!(heads(broken.as_bytes(), &[]).len(), 1, "the head before is told");
+    assert_eq!(
+        heads(broken.as_bytes(), &[]).len(),
+        1,
+        "the head before is told"
+    );
     assert!(heads(&[b'x'; 3 * LONGEST_LINE], &[]).is_empty());
 }
 
 #[test]
 fn garbage_is_read_to_its_end() {
     let garbage = |bytes: Vec<u8>, cuts: Vec<usize>| heads(&bytes, &cuts) == heads(&bytes, &[]);
-    QuickCheck::new().rng(Gen::from_size_and_seed(200, 12)).tests(500).quickcheck(garbage as fn(_, _) -> _);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(200, 12))
+        .tests(500)
+        .quickcheck(garbage as fn(_, _) -> _);
 }
 
 /// Two that read the two parts of an answer, the second one from what the first one told, read all of it.
@@ -77,10 +115,17 @@
         };
         let mut second = Chunks::from_bytes(&body.to_bytes()).unwrap();
         let mut rest = 0;
-        assert_eq!(second.feed(&text[cut..], |piece| rest += piece.len() as u64), Ok(text.len() - cut));
+        assert_eq!(
+            second.feed(&text[cut..], |piece| rest += piece.len() as u64),
+            Ok(text.len() - cut)
+        );
         assert_eq!((data + rest, second.ended()), (36, true));
     }
-    for bad in ["HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n", "x\r\n"] {
+    for bad in [
+        "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "x\r\n",
+    ] {
         let mut answer = Answer::default();
         answer.feed(bad.as_bytes());
         assert_eq!(answer.body(), None);
@@ -117,14 +162,27 @@
     for cut in 0..text.len() {
         let (mut chunks, mut data, mut read) = (Chunks::default(), Vec::new(), 0);
         for part in [&text[..cut], &text[cut..]] {
-            read += chunks.feed(part, |piece| data.extend_from_slice(piece)).unwrap();
+            read += chunks
+                .feed(part, |piece| data.extend_from_slice(piece))
+                .unwrap();
         }
         assert_eq!(
             (data.as_slice(), read, chunks.ended()),
             (b"abc0123456789".as_slice(), text.len() - 4, true)
         );
     }
-    for bad in ["\r\n", "x\r\n", "3\r\nabcd", "3\n", "10000000000000000\r\n", "3;\n"] {
-        assert_eq!(Chunks::default().feed(bad.as_bytes(), |_| {}), Err(Lost), "{bad:?}");
+    for bad in [
+        "\r\n",
+        "x\r\n",
+        "3\r\nabcd",
+        "3\n",
+        "10000000000000000\r\n",
+        "3;\n",
+    ] {
+        assert_eq!(
+            Chunks::default().feed(bad.as_bytes(), |_| {}),
+            Err(Lost),
+            "{bad:?}"
+        );
     }
 }
--- a/tests/unit/gossip.rs
+++ b/tests/unit/gossip.rs
@@ -4,7 +4,11 @@
 const START: Time = 1_700_000_000_000_000;
 
 fn load(in_flight: f64) -> Load {
-    Load { in_flight: Some(in_flight), memory: Some(0.5), ..Load::default() }
+    Load {
+        in_flight: Some(in_flight),
+        memory: Some(0.5),
+        ..Load::default()
+    }
 }
 
 fn gossip() -> Gossip {
@@ -24,12 +28,22 @@
     one.report(START, 7, 0xabcdef12, &load(30.0));
     let message = told(&mut one, START);
     let observations = other.hear(START + 30_000, 4, &message).unwrap();
-    assert_eq!(observations, [Observation { key: 0xcdef12, load: Some(load(30.0)) }]);
+    assert_eq!(
+        observations,
+        [Observation {
+            key: 0xcdef12,
+            load: Some(load(30.0))
+        }]
+    );
     other.heard(START + 30_000, 3, &observations[0]);
     other.report(START + 40_000, 3, 0xabcdef12, &load(29.0));
     assert_eq!(told(&mut other, START + 40_000), [], "all have heard that");
     one.report(START + BELIEVED + 1, 7, 0xabcdef12, &load(30.0));
-    assert_ne!(told(&mut one, START + BELIEVED + 1), [], "what was told long ago is told again");
+    assert_ne!(
+        told(&mut one, START + BELIEVED + 1),
+        [],
+        "what was told long ago is told again"
+    );
 }
 
 #[test]
@@ -40,13 +54,23 @@
     (0..4).for_each(|_| one.request());
     let observations = other.hear(START, 0, &one.message(START).unwrap()).unwrap();
     assert!(
-        observations.len() < 10 && observations[0] == Observation { key: 99, load: None },
+        observations.len() < 10
+            && observations[0]
+                == Observation {
+                    key: 99,
+                    load: None
+                },
         "{observations:?}"
     );
     (0..60).for_each(|server| one.failure(server));
-    let observations = other.hear(START + 20_000, 0, &one.message(START + 20_000).unwrap()).unwrap();
+    let observations = other
+        .hear(START + 20_000, 0, &one.message(START + 20_000).unwrap())
+        .unwrap();
     assert!(
-        observations.len() < 10 && observations.iter().all(|observation| observation.load.is_none()),
+        observations.len() < 10
+            && observations
+                .iter()
+                .all(|observation| observation.load.is_none()),
         "{observations:?}"
     );
     one.failure(99);
@@ -61,13 +85,25 @@
         for request in 0..1000 {
             one.request();
             (0..50).for_each(|server| {
-                one.report(START + request, server, server.into(), &load((request % 2 * 80) as f64))
+                one.report(
+                    START + request,
+                    server,
+                    server.into(),
+                    &load((request % 2 * 80) as f64),
+                )
             });
-            (0..50).filter(|_| failures).for_each(|server| one.failure(server));
-            bytes += one.message(START + request).map_or(0, |message| message.len());
+            (0..50)
+                .filter(|_| failures)
+                .for_each(|server| one.failure(server));
+            bytes += one
+                .message(START + request)
+                .map_or(0, |message| message.len());
         }
         let cost = bytes as f64 * 99.0 / 256.0 * 0.0028 / 1000.0;
-        assert!((least..=most).contains(&cost), "{cost} a request, failures {failures}");
+        assert!(
+            (least..=most).contains(&cost),
+            "{cost} a request, failures {failures}"
+        );
     }
 }
 
@@ -76,12 +112,28 @@
     let (mut one, mut other) = (gossip(), gossip());
     one.failure(5);
     let message = told(&mut one, START);
-    assert_eq!(other.hear(START + 3_000_000, 1, &message), Err(Dropped::Stale));
-    assert_eq!(other.hear(START - 1_000_000, 1, &message), Err(Dropped::Stale));
+    assert_eq!(
+        other.hear(START + 3_000_000, 1, &message),
+        Err(Dropped::Stale)
+    );
+    assert_eq!(
+        other.hear(START - 1_000_000, 1, &message),
+        Err(Dropped::Stale)
+    );
     assert!(other.hear(START + 1_000_000, 1, &message).is_ok());
-    assert_eq!(other.hear(START + 1_100_000, 1, &message), Err(Dropped::Repeated));
-    assert!(other.hear(START + 1_100_000, 2, &message).is_ok(), "another has the same time");
-    assert_eq!(other.hear(START, 100, &message), Err(Dropped::Spoilt), "an unknown sender");
+    assert_eq!(
+        other.hear(START + 1_100_000, 1, &message),
+        Err(Dropped::Repeated)
+    );
+    assert!(
+        other.hear(START + 1_100_000, 2, &message).is_ok(),
+        "another has the same time"
+    );
+    assert_eq!(
+        other.hear(START, 100, &message),
+        Err(Dropped::Spoilt),
+        "an unknown sender"
+    );
     for cut in 0..message.len() {
         assert_eq!(other.hear(START, 3, &message[..cut]), Err(Dropped::Spoilt));
     }
@@ -95,12 +147,16 @@
         message.extend(stamp.to_be_bytes());
         message.extend(&bytes);
         let all = |message: &[u8]| {
-            gossip().hear(START, 1, message).into_iter().flatten().all(|observation| {
-                let load = observation.load.unwrap_or_default();
-                observation.key <= 0x00ff_ffff
-                    && load.in_flight.unwrap_or(0.0) <= MOST_IN_FLIGHT
-                    && load.memory.unwrap_or(0.0) <= 1.0
-            })
+            gossip()
+                .hear(START, 1, message)
+                .into_iter()
+                .flatten()
+                .all(|observation| {
+                    let load = observation.load.unwrap_or_default();
+                    observation.key <= 0x00ff_ffff
+                        && load.in_flight.unwrap_or(0.0) <= MOST_IN_FLIGHT
+                        && load.memory.unwrap_or(0.0) <= 1.0
+                })
         };
         all(&message) && all(&bytes)
     }
--- a/tests/unit/handover.rs
+++ b/tests/unit/handover.rs
@@ -11,7 +11,8 @@
 }
 
 fn folder(name: &str) -> Folder {
-    let path = std::env::temp_dir().join(format!("quartzhall-handover-{}-{name}", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("quartzhall-handover-{}-{name}", std::process::id()));
     fs::create_dir_all(&path).unwrap();
     Folder(path)
 }
@@ -52,42 +53,92 @@
             }
         }
     };
-    assert_eq!(tokio::time::timeout(Duration::from_secs(5), heard).await.expect("heard"), marks(5));
+    assert_eq!(
+        tokio::time::timeout(Duration::from_secs(5), heard)
+            .await
+            .expect("heard"),
+        marks(5)
+    );
 }
 
 #[test]
 fn processes_see_each_other_and_not_the_dead() {
     let folder = folder("see");
     let mut old = post(&folder, 1);
-    assert_eq!(old.view(), View { part: 1, processes: 1, predecessor: false, successor: None });
+    assert_eq!(
+        old.view(),
+        View {
+            part: 1,
+            processes: 1,
+            predecessor: false,
+            successor: None
+        }
+    );
     let new = post(&folder, 2);
     assert!(new.view().predecessor);
     assert!(old.is_new());
     old.look().unwrap();
     assert_eq!(old.view().successor, Some(2));
     drop(new);
-    fs::write(folder.0.join(format!("{}-{:020}-7.notice", old.name, 3)), "1 2 3").unwrap();
+    fs::write(
+        folder.0.join(format!("{}-{:020}-7.notice", old.name, 3)),
+        "1 2 3",
+    )
+    .unwrap();
     old.look().unwrap();
-    assert_eq!(old.view().processes, 1, "a notice that nobody holds is a dead one's");
+    assert_eq!(
+        old.view().processes,
+        1,
+        "a notice that nobody holds is a dead one's"
+    );
     assert_eq!(fs::read_dir(&folder.0).unwrap().count(), 1);
 }
 
 #[test]
 fn the_file_of_bans_is_read_as_written_and_nothing_is_lifted_by_another() {
     let both = Marks::from([
-        (Arc::from("a"), Mark { at: 5, banned: true }),
-        (Arc::from("b \"x\""), Mark { at: 6, banned: false }),
+        (
+            Arc::from("a"),
+            Mark {
+                at: 5,
+                banned: true,
+            },
+        ),
+        (
+            Arc::from("b \"x\""),
+            Mark {
+                at: 6,
+                banned: false,
+            },
+        ),
     ]);
     assert_eq!(parse_marks(&marks_text(&both)), Ok(both.clone()));
-    for bad in ["", "{}", "{\"version\":2,\"marks\":[]}", "{\"version\":1,\"marks\":[{\"id\":7}]}"] {
+    for bad in [
+        "",
+        "{}",
+        "{\"version\":2,\"marks\":[]}",
+        "{\"version\":1,\"marks\":[{\"id\":7}]}",
+    ] {
         assert!(parse_marks(bad).is_err(), "{bad}");
     }
     // Who finds its word missing writes it again; who knows no more than the file says writes nothing.
     assert_eq!(merged(&both, &Marks::new()), Some(both.clone()));
     assert_eq!(merged(&both, &both), None);
     assert_eq!(merged(&Marks::new(), &marks(5)), None);
-    let newer = Marks::from([(Arc::from("a"), Mark { at: 9, banned: false })]);
-    assert_eq!(merged(&both, &newer).unwrap()["a"], Mark { at: 9, banned: false });
+    let newer = Marks::from([(
+        Arc::from("a"),
+        Mark {
+            at: 9,
+            banned: false,
+        },
+    )]);
+    assert_eq!(
+        merged(&both, &newer).unwrap()["a"],
+        Mark {
+            at: 9,
+            banned: false
+        }
+    );
 }
 
 /// The wall clock is set back by an hour between two starts: who comes later is the successor all the same.
@@ -121,7 +172,10 @@
     assert!(path.is_dir());
     fs::remove_dir_all(&path).unwrap();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(parse_marks(&fs::read_to_string(&path).unwrap()), Ok(marks(5)));
+    assert_eq!(
+        parse_marks(&fs::read_to_string(&path).unwrap()),
+        Ok(marks(5))
+    );
 }
 
 /// What can't be read was not read: it is read when it can be.
@@ -141,7 +195,11 @@
     let folder = folder("half");
     let mut handover = post(&folder, 1);
     let left = folder.0.join(format!("{}-1{NEW_BANS}", handover.name));
-    let own = folder.0.join(format!("{}-{}{NEW_BANS}", handover.name, std::process::id()));
+    let own = folder.0.join(format!(
+        "{}-{}{NEW_BANS}",
+        handover.name,
+        std::process::id()
+    ));
     fs::write(&left, "{\"version\":1,\"ma").unwrap();
     fs::write(&own, "").unwrap();
     handover.look().unwrap();
--- a/tests/unit/handover_shares.rs
+++ b/tests/unit/handover_shares.rs
@@ -15,9 +15,13 @@
             assert_eq!(Notice::parse(&line[..cut]), None);
         }
     }
-    for bad in
-        ["2 5 serving 03\n", "1 5 serving 17\n", "1 5 resting 03\n", "1 5 serving 03 04\n", "1 x serving 1\n"]
-    {
+    for bad in [
+        "2 5 serving 03\n",
+        "1 5 serving 17\n",
+        "1 5 resting 03\n",
+        "1 5 serving 03 04\n",
+        "1 x serving 1\n",
+    ] {
         assert_eq!(Notice::parse(bad), None);
     }
 }
@@ -28,7 +32,9 @@
     for seed in 0..500u64 {
         let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
         let mut draw = |below: u64| {
-            state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            state = state
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             (state >> 33) % below
         };
         let mut alive = vec![notice(1, Phase::Serving, PARTS - START)];
@@ -44,7 +50,13 @@
                     }
                 }
                 1 if alive.len() > 1 => drop(alive.remove(0)),
-                2 => alive[0].phase = if alive.len() > 1 { Phase::Leaving } else { Phase::Serving },
+                2 => {
+                    alive[0].phase = if alive.len() > 1 {
+                        Phase::Leaving
+                    } else {
+                        Phase::Serving
+                    }
+                }
                 _ => {
                     let at = draw(alive.len() as u64) as usize;
                     let own = alive.remove(at);
--- a/tests/unit/nodes_connections.rs
+++ b/tests/unit/nodes_connections.rs
@@ -28,7 +28,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_shortage_of_this_machine_is_waited_for_and_tells_nothing_of_the_server() {
-    for errno in [Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NOBUFS, Errno::MFILE, Errno::NFILE] {
+    for errno in [
+        Errno::ADDRNOTAVAIL,
+        Errno::NETUNREACH,
+        Errno::NOBUFS,
+        Errno::MFILE,
+        Errno::NFILE,
+    ] {
         assert!(matches!(connect(3, errno).await, (Ok(()), 4)), "{errno:?}");
         let lasts = connect(u32::MAX, errno).await.0.unwrap_err();
         assert_eq!(lasts.kind(), CROWDED, "{errno:?}");
@@ -37,8 +43,16 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_the_server_says_is_told_at_once() {
-    for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::CONNRESET] {
+    for errno in [
+        Errno::CONNREFUSED,
+        Errno::HOSTUNREACH,
+        Errno::TIMEDOUT,
+        Errno::CONNRESET,
+    ] {
         let (connected, tries) = connect(1, errno).await;
-        assert_eq!((connected.unwrap_err().raw_os_error(), tries), (Some(errno.raw_os_error()), 1));
+        assert_eq!(
+            (connected.unwrap_err().raw_os_error(), tries),
+            (Some(errno.raw_os_error()), 1)
+        );
     }
 }
--- a/tests/unit/prefixes.rs
+++ b/tests/unit/prefixes.rs
@@ -37,11 +37,17 @@
     // There is room for the tokens of one conversation that are in no shared text, and the oldest goes.
     table.note(20, 9, 1_100.0, &ask(30, 77));
     table.note(21, 9, 1_100.0, &ask(31, 77));
-    assert_eq!((table.kept(&ask(30, 0), 9), table.kept(&ask(31, 0), 9)), (0.0, 1_000.0));
+    assert_eq!(
+        (table.kept(&ask(30, 0), 9), table.kept(&ask(31, 0), 9)),
+        (0.0, 1_000.0)
+    );
     assert!(table.holders(&ask(30, 0), 0).is_empty());
 
     table.forget(100);
-    assert!(table.by_server.is_empty() && table.by_text.is_empty(), "nothing is left behind");
+    assert!(
+        table.by_server.is_empty() && table.by_text.is_empty(),
+        "nothing is left behind"
+    );
 }
 
 /// A shared text's part of the traffic is told from the last requests only.
@@ -49,7 +55,13 @@
 fn the_part_of_the_traffic_is_that_of_recent_requests() {
     let mut table = Prefixes::default();
     (0..100).for_each(|_| table.arrived(&ask(1, 7)));
-    assert_eq!((table.share(&ask(2, 7)), table.share(&ask(2, 8))), (1.0, 0.0));
+    assert_eq!(
+        (table.share(&ask(2, 7)), table.share(&ask(2, 8))),
+        (1.0, 0.0)
+    );
     (0..15).for_each(|_| table.arrived(&ask(1, 8)));
-    assert_eq!((table.share(&ask(2, 7)), table.share(&ask(2, 8))), (0.5, 0.5));
+    assert_eq!(
+        (table.share(&ask(2, 7)), table.share(&ask(2, 8))),
+        (0.5, 0.5)
+    );
 }
--- a/tests/unit/watch.rs
+++ b/tests/unit/watch.rs
@@ -16,13 +16,21 @@
 /// half a second late, and requests went to nodes that drained.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
-    for (revision, pushed) in [(None, false), (Some(41), false), (None, true), (Some(41), true)] {
+    for (revision, pushed) in [
+        (None, false),
+        (Some(41), false),
+        (None, true),
+        (Some(41), true),
+    ] {
         let mut watch = Watch::from(revision, pushed);
         let call = watch.call();
         // The new call may find nobody at first, and is on its way for a while.
         let noticed = call.patience + watch.unanswered() * 2 + ROUND_TRIP;
         for silent in (0..3_000).step_by(50).map(Duration::from_millis) {
-            assert!(noticed <= told(silent, hold(&call)), "{call:?}: {noticed:?}, silent at {silent:?}");
+            assert!(
+                noticed <= told(silent, hold(&call)),
+                "{call:?}: {noticed:?}, silent at {silent:?}"
+            );
         }
     }
 }
@@ -52,10 +60,18 @@
     for (down, up) in (0..60).map(|it| (100 * it, 100 * it + 4_000 + 37 * it)) {
         let (down, up) = (Duration::from_millis(down), Duration::from_millis(up));
         let after = heard_after(true, down, up);
-        assert!(after <= Duration::from_millis(250), "{after:?} after {up:?}, silent from {down:?}");
+        assert!(
+            after <= Duration::from_millis(250),
+            "{after:?} after {up:?}, silent from {down:?}"
+        );
     }
-    let distant =
-        (0..60).map(|it| heard_after(false, Duration::ZERO, Duration::from_millis(4_000 + 37 * it)));
+    let distant = (0..60).map(|it| {
+        heard_after(
+            false,
+            Duration::ZERO,
+            Duration::from_millis(4_000 + 37 * it),
+        )
+    });
     assert!(distant.max() > Some(Duration::from_secs(1)));
 }
 
@@ -76,7 +92,10 @@
         assert_eq!(watch.call().target, "/v1/endpoints");
         assert!(watch.answered(7) && !watch.answered(7) && watch.answered(8));
         let hold = if pushed { HOLD_HERE } else { HOLD };
-        assert_eq!(watch.call().target, format!("/v1/endpoints?from=8&hold_ms={}", hold.as_millis()));
+        assert_eq!(
+            watch.call().target,
+            format!("/v1/endpoints?from=8&hold_ms={}", hold.as_millis())
+        );
     }
 }
 
@@ -87,7 +106,10 @@
     let mut watch = Watch::from(Some(41), false);
     let call = watch.call();
     let noticed = call.patience + watch.unanswered();
-    assert!(noticed + LATE <= told(Duration::ZERO, hold(&call)), "{call:?}");
+    assert!(
+        noticed + LATE <= told(Duration::ZERO, hold(&call)),
+        "{call:?}"
+    );
 }
 
 /// Whatever was answered that is no list: the next call is made, and has waited its turn, before a change counts as told.
@@ -95,8 +117,14 @@
 fn a_call_that_was_turned_away_is_made_again_in_time() {
     let told = Duration::from_secs(6);
     let watch = Watch::from(Some(41), false);
-    for after in (0..QUEUED.as_millis() as u64).step_by(50).map(Duration::from_millis) {
-        assert!(watch.longest_pause(after) + LATE + ROUND_TRIP <= told, "{after:?}");
+    for after in (0..QUEUED.as_millis() as u64)
+        .step_by(50)
+        .map(Duration::from_millis)
+    {
+        assert!(
+            watch.longest_pause(after) + LATE + ROUND_TRIP <= told,
+            "{after:?}"
+        );
     }
     // What waited its turn only to be turned away leaves the others room: discovery can't be reached then.
     assert_eq!(watch.longest_pause(QUEUED), Duration::MAX);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -60,7 +60,10 @@
             )
         };
         let lines: Vec<String> = fleet.addresses.iter().enumerate().map(line).collect();
-        let list = format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, lines.join(","));
+        let list = format!(
+            r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
+            lines.join(",")
+        );
         let tell = move |uri: Uri| async move {
             if uri.query().is_some() {
                 std::future::pending::<()>().await;
@@ -75,7 +78,14 @@
         let address = socket.local_addr().unwrap().to_string();
         let folder = std::env::temp_dir().join(format!("quartzhall-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        House { fleet, socket, address, folder, discovery, arguments: Vec::new() }
+        House {
+            fleet,
+            socket,
+            address,
+            folder,
+            discovery,
+            arguments: Vec::new(),
+        }
     }
 
     fn command(&self, descriptor: &str, socket: OwnedFd, management: &str) -> Command {
@@ -88,24 +98,42 @@
         std::fs::write(&config, text).unwrap();
         // The shell puts the inherited socket where the platform does.
         let mut command = Command::new("sh");
-        command.args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""]).arg(PROGRAM);
+        command
+            .args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""])
+            .arg(PROGRAM);
         command.args(&self.arguments);
-        command.env("GW_CONFIG", config).env("GW_SOCKET_FD", descriptor).env("TMPDIR", &self.folder);
-        command.env("GW_MANAGEMENT", management).stdin(Stdio::from(socket)).stderr(Stdio::null());
+        command
+            .env("GW_CONFIG", config)
+            .env("GW_SOCKET_FD", descriptor)
+            .env("TMPDIR", &self.folder);
+        command
+            .env("GW_MANAGEMENT", management)
+            .stdin(Stdio::from(socket))
+            .stderr(Stdio::null());
         command
     }
 
     /// Starts one more process and waits until it says that it takes clients.
     async fn start(&self) -> Process {
-        let management = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string();
+        let management = TcpListener::bind("127.0.0.1:0")
+            .await
+            .unwrap()
+            .local_addr()
+            .unwrap()
+            .to_string();
         let socket = self.socket.try_clone().unwrap().into();
-        let process = Process { child: self.command("5", socket, &management).spawn().unwrap(), management };
+        let process = Process {
+            child: self.command("5", socket, &management).spawn().unwrap(),
+            management,
+        };
         let says = async {
             while process.call("ready").await.as_deref() != Some("ACK\n") {
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(20), says).await.expect("ready");
+        tokio::time::timeout(Duration::from_secs(20), says)
+            .await
+            .expect("ready");
         process
     }
 
@@ -125,7 +153,10 @@
                 status = rest.get(..3).and_then(|code| code.parse().ok());
             }
             goes_on &= line != "connection: close";
-            length = line.strip_prefix("content-length: ").map(|it| it.parse::<usize>().unwrap()).or(length);
+            length = line
+                .strip_prefix("content-length: ")
+                .map(|it| it.parse::<usize>().unwrap())
+                .or(length);
             if line.is_empty() {
                 break;
             }
@@ -156,7 +187,10 @@
 impl Process {
     async fn call(&self, line: &str) -> Option<String> {
         let mut stream = TcpStream::connect(&self.management).await.ok()?;
-        stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
+        stream
+            .write_all(format!("{line}\n").as_bytes())
+            .await
+            .ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.ok()?;
         Some(answer)
@@ -164,12 +198,20 @@
 
     fn terminate(&self) {
         let line = format!("kill -TERM {}", self.child.id());
-        assert!(Command::new("sh").arg("-c").arg(line).status().unwrap().success());
+        assert!(Command::new("sh")
+            .arg("-c")
+            .arg(line)
+            .status()
+            .unwrap()
+            .success());
     }
 
     async fn ends(mut self) -> Option<i32> {
         let waits = tokio::task::spawn_blocking(move || self.child.wait().unwrap().code());
-        tokio::time::timeout(Duration::from_secs(20), waits).await.expect("it ends").unwrap()
+        tokio::time::timeout(Duration::from_secs(20), waits)
+            .await
+            .expect("it ends")
+            .unwrap()
     }
 }
 
@@ -178,7 +220,10 @@
 async fn no_request_ends_at_the_door_while_versions_change() {
     let house = Arc::new(House::new("door").await);
     let mut old = house.start().await;
-    let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (stop, served) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let mut clients = tokio::task::JoinSet::new();
     for client in 0..6 {
         let (house, stop, served) = (house.clone(), stop.clone(), served.clone());
@@ -225,9 +270,15 @@
 async fn bans_hold_in_both_processes_and_across_the_upgrade() {
     let house = House::new("bans").await;
     let old = house.start().await;
-    assert_eq!(old.call("disable-server n2").await.as_deref(), Some("ACK\n"));
+    assert_eq!(
+        old.call("disable-server n2").await.as_deref(),
+        Some("ACK\n")
+    );
     let new = house.start().await;
-    assert_eq!(new.call("disable-server n0").await.as_deref(), Some("ACK\n"));
+    assert_eq!(
+        new.call("disable-server n0").await.as_deref(),
+        Some("ACK\n")
+    );
     // All writers and readers but n1 and n3 are out at both, however soon; whoever accepts must know.
     let until_told = async {
         loop {
@@ -240,12 +291,18 @@
                 all_kept &= answer.is_some_and(|(status, _)| status == 200);
             }
             let ledger = house.fleet.ledger.lock().unwrap();
-            if all_kept && ledger.sent[before..].iter().all(|(node, _)| [1, 3].contains(node)) {
+            if all_kept
+                && ledger.sent[before..]
+                    .iter()
+                    .all(|(node, _)| [1, 3].contains(node))
+            {
                 break;
             }
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), until_told).await.expect("both know");
+    tokio::time::timeout(Duration::from_secs(20), until_told)
+        .await
+        .expect("both know");
     old.terminate();
     assert_eq!(old.ends().await, Some(0));
     // Now one after another, with a file that can't be read in between: it lifts nothing.
@@ -261,10 +318,26 @@
     house.fleet.ledger.lock().unwrap().sent.clear();
     for number in 0..20 {
         let mut stream = house.connect().await;
-        assert_eq!(house.ask(&mut stream, &format!("d{number}")).await.map(|it| it.0), Some(200));
+        assert_eq!(
+            house
+                .ask(&mut stream, &format!("d{number}"))
+                .await
+                .map(|it| it.0),
+            Some(200)
+        );
     }
-    assert!(house.fleet.ledger.lock().unwrap().sent.iter().all(|(node, _)| [1, 3].contains(node)));
-    assert_eq!(third.call("enable-server n2").await.as_deref(), Some("ACK\n"));
+    assert!(house
+        .fleet
+        .ledger
+        .lock()
+        .unwrap()
+        .sent
+        .iter()
+        .all(|(node, _)| [1, 3].contains(node)));
+    assert_eq!(
+        third.call("enable-server n2").await.as_deref(),
+        Some("ACK\n")
+    );
     house.fleet.way(3, Way::Full);
     let mut stream = house.connect().await;
     assert_eq!(house.ask(&mut stream, "e").await.map(|it| it.0), Some(200));
@@ -285,7 +358,10 @@
             let (house, begun) = (house.clone(), begun.clone());
             clients.spawn(async move {
                 let mut stream = house.connect().await;
-                stream.write_all(request(&format!("s{client}")).as_bytes()).await.unwrap();
+                stream
+                    .write_all(request(&format!("s{client}")).as_bytes())
+                    .await
+                    .unwrap();
                 let mut text = Vec::new();
                 while !String::from_utf8_lossy(&text).contains(stand::ANSWER[0]) {
                     assert_ne!(stream.read_buf(&mut text).await.unwrap(), 0);
@@ -306,7 +382,9 @@
         while let Some(text) = clients.join_next().await {
             let text = text.unwrap();
             assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-            let whole = stand::ANSWER.iter().all(|event| text.matches(event).count() == 1);
+            let whole = stand::ANSWER
+                .iter()
+                .all(|event| text.matches(event).count() == 1);
             assert_eq!(
                 (whole, text.ends_with("0\r\n\r\n")),
                 (way == Way::Pause, way == Way::Pause),
@@ -325,7 +403,10 @@
     let mut crowd = Vec::new();
     for _ in 0..400 {
         let mut stream = house.connect().await;
-        stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: half").await.unwrap();
+        stream
+            .write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: half")
+            .await
+            .unwrap();
         crowd.push(stream);
     }
     for _ in 0..30 {
@@ -333,10 +414,17 @@
         caller.write_all(b"disable-server n").await.unwrap();
         crowd.push(caller);
     }
-    for (line, answer) in [("ready", "ACK\n"), ("disable-server n2", "ACK\n"), ("enable-server n2", "ACK\n")]
-    {
+    for (line, answer) in [
+        ("ready", "ACK\n"),
+        ("disable-server n2", "ACK\n"),
+        ("enable-server n2", "ACK\n"),
+    ] {
         let called = tokio::time::timeout(Duration::from_secs(1), process.call(line)).await;
-        assert_eq!(called.expect("within 1 s").as_deref(), Some(answer), "{line}");
+        assert_eq!(
+            called.expect("within 1 s").as_deref(),
+            Some(answer),
+            "{line}"
+        );
     }
 }
 
@@ -349,7 +437,13 @@
     let process = house.start().await;
     let mut stream = house.connect().await;
     for number in 0..20 {
-        assert_eq!(house.ask(&mut stream, &format!("r{number}")).await.map(|it| it.0), Some(200));
+        assert_eq!(
+            house
+                .ask(&mut stream, &format!("r{number}"))
+                .await
+                .map(|it| it.0),
+            Some(200)
+        );
     }
     drop(stream);
     process.terminate();
@@ -359,17 +453,34 @@
     assert!(!reader.was_cut());
     let count = |holds: fn(&Record) -> bool| records.iter().filter(|record| holds(record)).count();
     assert_eq!(count(|record| matches!(record, Record::Arrival { .. })), 20);
-    assert_eq!(count(|record| matches!(record, Record::Final { answer: Answer::Served, .. })), 20);
+    assert_eq!(
+        count(|record| matches!(
+            record,
+            Record::Final {
+                answer: Answer::Served,
+                ..
+            }
+        )),
+        20
+    );
     let again = house.command("5", house.socket.try_clone().unwrap().into(), "127.0.0.1:0");
     let output = { again }.stderr(Stdio::piped()).output().unwrap();
-    assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("the recording"));
+    assert!(
+        !output.status.success()
+            && String::from_utf8_lossy(&output.stderr).contains("the recording")
+    );
 }
 
 /// Addresses that are not inherited go from one to the other: the successor waits for them and does not fail.
 #[tokio::test]
 async fn a_successor_takes_over_addresses_of_its_own_when_they_are_free() {
     let mut house = House::new("late").await;
-    let agent = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string();
+    let agent = TcpListener::bind("127.0.0.1:0")
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let file = house.folder.join("websocket.json");
     std::fs::write(&file, format!(r#"{{"agent_check":"{agent}"}}"#)).unwrap();
     house.arguments = vec!["--websocket".into(), file.to_str().unwrap().into()];
@@ -387,7 +498,11 @@
                 tokio::task::yield_now().await;
             }
         };
-        async { tokio::time::timeout(Duration::from_secs(20), asks).await.expect("the line") }
+        async {
+            tokio::time::timeout(Duration::from_secs(20), asks)
+                .await
+                .expect("the line")
+        }
     };
     let old = house.start().await;
     line("up ready\n").await;
@@ -406,8 +521,12 @@
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
     let notices = || {
-        let names = std::fs::read_dir(&house.folder).unwrap().map(|it| it.unwrap().path());
-        names.filter(|it| it.extension().is_some_and(|it| it == "notice")).count()
+        let names = std::fs::read_dir(&house.folder)
+            .unwrap()
+            .map(|it| it.unwrap().path());
+        names
+            .filter(|it| it.extension().is_some_and(|it| it == "notice"))
+            .count()
     };
     assert_eq!(notices(), 1);
     std::fs::write(house.folder.join("quartzhall-nonsense.notice"), "1 2 3").unwrap();
@@ -425,10 +544,23 @@
         ("-1", listening.into()),
     ];
     for (descriptor, socket) in cases {
-        let output =
-            house.command(descriptor, socket, "127.0.0.1:0").stderr(Stdio::piped()).output().unwrap();
+        let output = house
+            .command(descriptor, socket, "127.0.0.1:0")
+            .stderr(Stdio::piped())
+            .output()
+            .unwrap();
         let error = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && !error.contains("panicked"), "{error}");
-        assert_eq!(error.lines().filter(|line| line.contains("the inherited socket")).count(), 1, "{error}");
+        assert!(
+            !output.status.success() && !error.contains("panicked"),
+            "{error}"
+        );
+        assert_eq!(
+            error
+                .lines()
+                .filter(|line| line.contains("the inherited socket"))
+                .count(),
+            1,
+            "{error}"
+        );
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -28,13 +28,21 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may end at a bad line before it has read the rest: a broken pipe is no fault of the test.
-    let _ = host.stdin.take().expect("its input").write_all(input.as_bytes());
+    let _ = host
+        .stdin
+        .take()
+        .expect("its input")
+        .write_all(input.as_bytes());
     host.wait_with_output().expect("the adapter ends")
 }
 
 fn replies(input: &str) -> String {
     let output = run(input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout).expect("UTF-8")
 }
 
@@ -43,22 +51,35 @@
     let text = replies(&format!("{BORN}{REQUEST}{READ}"));
     let batches: Vec<&str> = text.split_inclusive("}\n").collect();
     let at = |needle: &str| {
-        batches.iter().position(|line| line.contains(needle)).unwrap_or_else(|| panic!("{needle} in {text}"))
+        batches
+            .iter()
+            .position(|line| line.contains(needle))
+            .unwrap_or_else(|| panic!("{needle} in {text}"))
     };
     let read = at(r#""worker":"10.0.0.1:9000""#);
     let write = at(r#""worker":"10.0.0.2:9000""#);
-    assert!(batches[read].starts_with(r#"{"type":"relay","who":"router_0","rid":41,"limit":"#), "{text}");
+    assert!(
+        batches[read].starts_with(r#"{"type":"relay","who":"router_0","rid":41,"limit":"#),
+        "{text}"
+    );
     assert!(at(r#"{"type":"ok","n":1}"#) < read && read < at(r#"{"type":"ok","n":2}"#));
     assert!(at(r#"{"type":"ok","n":2}"#) < write && write < at(r#"{"type":"ok","n":3}"#));
 }
 
 #[test]
 fn instances_share_nothing() {
-    let two = format!("{BORN}{}", BORN.replace("router_0", "router_1").replace("\"n\":1", "\"n\":9"));
+    let two = format!(
+        "{BORN}{}",
+        BORN.replace("router_0", "router_1")
+            .replace("\"n\":1", "\"n\":9")
+    );
     let alone = replies(&format!("{BORN}{REQUEST}"));
     let both = replies(&format!("{two}{REQUEST}"));
     let of = |text: &str| {
-        text.lines().filter(|line| line.contains("router_0")).map(str::to_owned).collect::<Vec<_>>()
+        text.lines()
+            .filter(|line| line.contains("router_0"))
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
     };
     assert_eq!(of(&alone), of(&both));
 }
@@ -77,8 +98,14 @@
         ("not json", "line 1"),
         ("{\"type\":\"nonsense\"}", "nonsense"),
         ("{\"type\":\"frame\",\"n\":4}", "missing field `t`"),
-        ("{\"type\":\"frame\",\"t\":\"x\",\"n\":4}", "not a message of the wire"),
-        ("{\"type\":\"tick_due\",\"who\":\"router_5\",\"key_back\":\"\"}", "unknown instance"),
+        (
+            "{\"type\":\"frame\",\"t\":\"x\",\"n\":4}",
+            "not a message of the wire",
+        ),
+        (
+            "{\"type\":\"tick_due\",\"who\":\"router_5\",\"key_back\":\"\"}",
+            "unknown instance",
+        ),
         ("{\"type\":\"frame\",\"t\":1e999,\"n\":4}", "line 1"),
     ];
     for (line, says) in cases {
@@ -93,5 +120,8 @@
     }
     let bad = REQUEST.replace("\"kind\":\"chat\"", "\"kind\":\"other\"");
     let error = String::from_utf8_lossy(&run(&format!("{BORN}{bad}")).stderr).into_owned();
-    assert!(error.contains("line 7") && error.contains("unknown kind"), "{error}");
+    assert!(
+        error.contains("line 7") && error.contains("unknown kind"),
+        "{error}"
+    );
 }
