--- a/crates/model/src/main.rs
+++ b/crates/calibration/src/main.rs
@@ -1,8 +1,8 @@
 //! The model's command line.
 
 use clap::{Parser, Subcommand};
-use quartzhall_model::calibrate::calibrate;
-use quartzhall_model::estimate::Figure;
+use quartzhall_calibration::calibrate::calibrate;
+use quartzhall_calibration::estimate::Figure;
 use quartzhall_recording::Reader;
 use std::fs::File;
 use std::io::BufReader;
@@ -11,7 +11,7 @@
 
 /// A model of the fleet, fed with recorded traffic.
 #[derive(Parser)]
-#[command(name = "quartzhall-model", version)]
+#[command(name = "quartzhall-calibration", version)]
 struct Arguments {
     #[command(subcommand)]
     task: Task,
@@ -89,7 +89,7 @@
     let Task::Calibrate { recordings, seed } = Arguments::parse().task;
     for recording in recordings {
         if let Err(message) = show(&recording, seed) {
-            eprintln!("quartzhall-model: {message}");
+            eprintln!("quartzhall-calibration: {message}");
             return ExitCode::FAILURE;
         }
     }
--- a/crates/model/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -1,7 +1,7 @@
 //! Recordings of a fleet whose figures are known: the calibration finds them, or says that it can't.
 
-use quartzhall_model::calibrate::{calibrate, Calibration};
-use quartzhall_model::estimate::Figure;
+use quartzhall_calibration::calibrate::{calibrate, Calibration};
+use quartzhall_calibration::estimate::Figure;
 use quartzhall_recording::{Answer, Record, Role, Status, Writer};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -163,7 +163,7 @@
         .for_each(|record| writer.write(record).unwrap());
     let run = |bytes: &[u8]| {
         std::fs::write(&path, bytes).unwrap();
-        let program = env!("CARGO_BIN_EXE_quartzhall-model");
+        let program = env!("CARGO_BIN_EXE_quartzhall-calibration");
         let output = Command::new(program)
             .arg("calibrate")
             .arg(&path)
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of replicas as it is drawn for a measurement: roles, zones, racks.
 
-use quartzhall::api::{Entry, Role, ServerId, State, Time};
+use quartzhall::routing::api::{Entry, Role, ServerId, State, Time};
 use rand::Rng;
 use rand_pcg::Pcg32;
 
@@ -56,7 +56,7 @@
             let cold = rng.gen_bool(shape.cold);
             entries.push(Entry {
                 server,
-                key: quartzhall::settings::hash(&format!("replica-{server}")),
+                key: quartzhall::config::hash(&format!("replica-{server}")),
                 role,
                 memory: if role == Role::Reader {
                     READER_MEMORY
--- a/crates/scale/src/hollow/discovery.rs
+++ b/crates/scale/src/hollow/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! Each dispatcher calls an address of its own, so that it is known to whom a change was written, and when.
 
-use quartzhall::api::{Entry, Role, State};
+use quartzhall::routing::api::{Entry, Role, State};
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/scale/src/hollow/peers.rs
+++ b/crates/scale/src/hollow/peers.rs
@@ -2,10 +2,10 @@
 //! discovery. They have no clients and choose no servers.
 
 use crate::hollow::discovery::FIRST_REVISION;
-use quartzhall::api::{Load, Time};
-use quartzhall::backoff::Backoff;
+use quartzhall::discovery::backoff::Backoff;
+use quartzhall::discovery::watch_state::Watch;
 use quartzhall::gossip::Gossip;
-use quartzhall::watch::Watch;
+use quartzhall::routing::api::{Load, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
--- a/crates/scale/src/hollow/replica.rs
+++ b/crates/scale/src/hollow/replica.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use quartzhall::api::Role;
+use quartzhall::routing::api::Role;
 use std::collections::{HashMap, VecDeque};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -11,7 +11,7 @@
 use crate::results::{Answers, ScaleRun, Times, Usage};
 use crate::scenario::{Event, EventKind, Scenario};
 use hdrhistogram::Histogram;
-use quartzhall::api::{Entry, State};
+use quartzhall::routing::api::{Entry, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use slog::{info, Logger};
@@ -176,8 +176,7 @@
     ) -> Result<Peers, String> {
         let agent = self.agent(Arc::default()).await?;
         let count = self.replicas.len();
-        let keys =
-            (0..count).map(|number| quartzhall::settings::hash(&format!("replica-{number}")));
+        let keys = (0..count).map(|number| quartzhall::config::hash(&format!("replica-{number}")));
         let peers = Peers {
             told: scenario.dispatchers.told,
             price: config::PEER_PRICE,
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -6,8 +6,8 @@
 
 use crate::fleet::{self, Shape};
 use hdrhistogram::Histogram;
-use quartzhall::api::*;
-use quartzhall::Router;
+use quartzhall::routing::api::*;
+use quartzhall::routing::Router;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::schedule::{self, Fault, Planned, Shape};
 use crate::server::{DrainTold, Server};
 use crate::wire;
-use quartzhall::api::{Entry, Role, State};
+use quartzhall::routing::api::{Entry, Role, State};
 use quartzhall_scale::hollow::discovery::{Discovery, Member, Written};
 use quartzhall_scale::process::Dispatcher;
 use rand::{Rng, SeedableRng};
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -3,7 +3,7 @@
 
 use crate::oracle::{Oracle, Outcome};
 use crate::wire::{self, Message};
-use quartzhall::api::Role;
+use quartzhall::routing::api::Role;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::future::Future;
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -5,10 +5,10 @@
 //! Each request goes through both stages to its good end. Printed are microseconds a request for each round and mode,
 //! then the medians and what recording adds.
 
-use quartzhall::api::{Ask, Entry, Role, State, Time};
-use quartzhall::dispatch::{Core, EndReason, Event, Member, Work};
-use quartzhall::notes::Notes;
-use quartzhall::settings::{Profile, Site};
+use quartzhall::config::{Profile, Site};
+use quartzhall::dispatcher::{Core, EndReason, Event, Member, Work};
+use quartzhall::recording::Notes;
+use quartzhall::routing::api::{Ask, Entry, Role, State, Time};
 use quartzhall_recording::{Key, Recorder};
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
--- a/src/nodes/attempt.rs
+++ b/src/backend/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt at a node, whatever its wire: what is sent, how it ended, and the passing on of its stream.
 
-use super::events::{Events, Spoilt};
-use crate::api::{Load, RequestId};
-use crate::dispatch::{Door, EndReason, Event, Piece, Work};
-use crate::framing::Chunks;
-use crate::moving::{Half, Signal};
+use super::event_stream::{Events, Spoilt};
+use crate::dispatcher::{Door, EndReason, Event, Piece, Work};
+use crate::net::message_framing::Chunks;
+use crate::routing::api::{Load, RequestId};
+use crate::upgrade::stream_migration::{Half, Signal};
 use bytes::Bytes;
 use slog::{info, Logger};
 use std::future::Future;
--- a/src/nodes/connections.rs
+++ b/src/backend/connector.rs
@@ -1,8 +1,8 @@
 //! Connections to nodes: opened within the dial time and the descriptors allowed.
 
-use crate::framing::{Answer, Chunks};
-use crate::places::{Place, Places};
-use crate::system_errors::is_local_shortage;
+use crate::net::connection_limit::{Place, Places};
+use crate::net::message_framing::{Answer, Chunks};
+use crate::net::system_errors::is_local_shortage;
 use hyper::Uri;
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use hyper_util::rt::TokioIo;
@@ -475,5 +475,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/nodes_connections.rs"]
+#[path = "../../tests/unit/backend/connector.rs"]
 mod tests;
--- a/src/nodes/http.rs
+++ b/src/backend/http.rs
@@ -4,9 +4,9 @@
 //! last byte was never written to a connection.
 
 use super::attempt::{parse_load, End, Passing, Trial};
-use super::connections::{CameLate, Carried, Dialer, CROWDED};
-use crate::api::Load;
-use crate::dispatch::EndReason;
+use super::connector::{CameLate, Carried, Dialer, CROWDED};
+use crate::dispatcher::EndReason;
+use crate::routing::api::Load;
 use crate::variants::{breaks, Variant};
 use bytes::Bytes;
 use http_body::Frame;
--- a/src/nodes/mod.rs
+++ b/src/backend/mod.rs
@@ -4,21 +4,20 @@
 //! sessions where the session file names them.
 
 pub mod attempt;
-mod connections;
-pub mod events;
+mod connector;
+pub mod event_stream;
 pub mod http;
-pub mod sessions;
+pub mod websocket;
 
-use crate::api::{RequestId, ServerId};
-use crate::dispatch::{Command, Door, EndReason, Event};
-use crate::moving::Signal;
-use crate::places::Places;
-use crate::settings::Bounds;
+use crate::config::Bounds;
+use crate::dispatcher::{Command, Door, EndReason, Event};
+use crate::net::connection_limit::Places;
+use crate::routing::api::{RequestId, ServerId};
+use crate::upgrade::stream_migration::Signal;
 use attempt::{End, Passing, Trial};
-use connections::Dialer;
+use connector::Dialer;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::Http;
-use sessions::Sessions;
 use slog::{error, warn, Logger};
 use std::collections::{HashMap, HashSet};
 use std::future::Future;
@@ -29,6 +28,7 @@
 use tokio::task::JoinSet;
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
+use websocket::Sessions;
 
 /// A release call waits so long for one server's answer ...
 const RELEASE_CALL: Duration = Duration::from_millis(250);
--- a/src/nodes/sessions.rs
+++ b/src/backend/websocket.rs
@@ -4,9 +4,9 @@
 //! looked at before it is used again, and none goes to a node that drains.
 
 use super::attempt::{parse_load, End, Passing, Trial};
-use super::connections::{Dialer, Wire, CROWDED};
-use crate::api::Status;
-use crate::dispatch::EndReason;
+use super::connector::{Dialer, Wire, CROWDED};
+use crate::dispatcher::EndReason;
+use crate::routing::api::Status;
 use bytes::Bytes;
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use miniserde::{json, Deserialize};
--- a/src/bin/quartzhall-simhost.rs
+++ b/src/bin/quartzhall-simhost.rs
@@ -3,9 +3,9 @@
 //! It translates and decides nothing. Bad input ends it with one line on standard error.
 
 use miniserde::{json, Deserialize};
-use quartzhall::api::*;
-use quartzhall::settings::{micros, Names, Profile, Site};
-use quartzhall::Router;
+use quartzhall::config::{micros, Names, Profile, Site};
+use quartzhall::routing::api::*;
+use quartzhall::routing::Router;
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
--- a/src/reload.rs
+++ b/src/config/reload.rs
@@ -3,8 +3,8 @@
 //! A file is taken whole or not at all: it has to have all that the running one has. Its `settings` go to the core,
 //! and `discovery` is followed. Listeners, limits, zone and kinds of machines hold until a restart.
 
-use crate::dispatch::Door;
-use crate::settings::{Config, Site};
+use crate::config::{Config, Site};
+use crate::dispatcher::Door;
 use slog::{info, warn, Logger};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -3,8 +3,8 @@
 //! The adapter and the dispatcher share all of it. A field that is absent has its zero; a word that is not
 //! known is an error, for a guess would decide something.
 
-use crate::api::*;
-use crate::strict;
+use super::validation;
+use crate::routing::api::*;
 use miniserde::json::{self, Value};
 use miniserde::Deserialize;
 use std::collections::{HashMap, HashSet};
@@ -433,7 +433,7 @@
             _ => None,
         };
         let number = |field: &str| match line.get(field) {
-            Some(Value::Number(number)) => Some(strict::number(number)),
+            Some(Value::Number(number)) => Some(validation::number(number)),
             _ => None,
         };
         MemberLine {
@@ -519,7 +519,7 @@
         let wrong = |_| "the configuration is not the JSON object that is expected".to_owned();
         let config: Config = json::from_str(text).map_err(wrong)?;
         let value: Value = json::from_str(text).map_err(wrong)?;
-        strict::check_values("the configuration", &value)?;
+        validation::check_values("the configuration", &value)?;
         let classes = config.settings.classes.as_deref().unwrap_or_default();
         let limits = config.settings.limits.as_ref();
         if classes.is_empty() || classes.iter().any(|class| class.aim.is_none()) {
@@ -541,7 +541,7 @@
     pub fn parse_next(running: &str, text: &str) -> Result<Config, String> {
         let config = Config::parse(text)?;
         let value = |text| json::from_str::<Value>(text).map_err(|_| "not JSON".to_owned());
-        strict::complete("the configuration", &value(running)?, &value(text)?)?;
+        validation::complete("the configuration", &value(running)?, &value(text)?)?;
         Ok(config)
     }
 }
--- a/src/strict.rs
+++ b/src/config/validation.rs
@@ -106,5 +106,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/strict.rs"]
+#[path = "../../tests/unit/config/validation.rs"]
 mod tests;
--- a/src/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -12,7 +12,7 @@
 /// The first pause of the only caller, and the longest on the mean.
 const ALONE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 /// The first call of any caller comes within this ...
-const FIRST_MOST: Duration = crate::watch::PAUSE_MOST;
+const FIRST_MOST: Duration = crate::discovery::watch_state::PAUSE_MOST;
 /// ... and no mean pause is longer than this.
 const MEAN_MOST: Duration = Duration::from_secs(16);
 /// Pauses are drawn from this part of their mean up to that.
@@ -74,5 +74,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/backoff.rs"]
+#[path = "../../tests/unit/discovery/backoff.rs"]
 mod tests;
--- a/src/discovery.rs
+++ b/src/discovery/client.rs
@@ -2,11 +2,11 @@
 //!
 //! The agent may be silent or talk nonsense; both are logged and tried again, and the list held stays valid.
 
-use crate::api::{Entry, State};
-use crate::backoff::Backoff;
-use crate::dispatch::{Door, Event, Member};
-use crate::settings::{MemberLine, MemberList, Site};
-use crate::watch::Watch;
+use crate::config::{MemberLine, MemberList, Site};
+use crate::discovery::backoff::Backoff;
+use crate::discovery::watch_state::Watch;
+use crate::dispatcher::{Door, Event, Member};
+use crate::routing::api::{Entry, State};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
--- /dev/null
+++ b/src/discovery/mod.rs
@@ -0,0 +1,7 @@
+//! Discovery: the list of endpoints, and the watch on it.
+
+pub mod backoff;
+mod client;
+pub mod watch_state;
+
+pub use client::{member, members, parse, run};
--- a/src/watch.rs
+++ b/src/discovery/watch_state.rs
@@ -116,5 +116,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/watch.rs"]
+#[path = "../../tests/unit/discovery/watch_state.rs"]
 mod tests;
--- a/src/bans.rs
+++ b/src/dispatcher/bans.rs
@@ -3,7 +3,7 @@
 //! What was said last of an id counts, whoever said it and whatever discovery tells meanwhile. What is said here of
 //! ids that are listed no more is bounded; a ban is never forgotten to make room.
 
-use crate::api::Time;
+use crate::routing::api::Time;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
@@ -136,5 +136,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/bans.rs"]
+#[path = "../../tests/unit/dispatcher/bans.rs"]
 mod tests;
--- a/src/dispatch/clock.rs
+++ b/src/dispatcher/clock.rs
@@ -1,6 +1,6 @@
 //! The dispatcher's clock.
 
-use crate::api::Time;
+use crate::routing::api::Time;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/src/dispatch/core.rs
+++ b/src/dispatcher/core.rs
@@ -1,23 +1,23 @@
 //! The state machine: it joins the module, the request table and the nodes' table, and keeps the rules.
 
+use super::endpoint_table::{News, Nodes};
 use super::guard::Guard;
 use super::messages::{Answer, Command, Event, Member, Piece, Readiness, Work};
-use super::nodes::{News, Nodes};
 use super::reasons::{CloseReason, EndReason, ReleaseReason};
 use super::report::{Kind, Report};
 use super::request::{Attempt, Ended, Request};
+use super::request_table::Table;
 use super::rules::Rule;
-use super::table::Table;
-use crate::api::{
+use crate::config::Site;
+use crate::dispatcher::bans::Marks;
+use crate::gossip::Gossip;
+use crate::net::connection_limit::PARTS;
+use crate::recording::Notes;
+use crate::routing::api::{
     self, Action, Ask, Effect, GiveUp, Load, RequestId, Role, ServerId, Settings, Status, Time,
 };
-use crate::bans::Marks;
-use crate::gossip::Gossip;
-use crate::notes::Notes;
-use crate::places::PARTS;
-use crate::settings::Site;
+use crate::routing::Router;
 use crate::variants::{breaks, Variant};
-use crate::Router;
 use bytes::Bytes;
 use quartzhall_recording::{Answer as Noted, Record};
 use slog::{debug, info, warn, Logger};
--- a/src/dispatch/nodes.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -3,9 +3,9 @@
 
 use super::guard::Target;
 use super::messages::{Command, Member};
-use crate::api::{Entry, Role, ServerId, State, Time};
-use crate::bans::{Bans, Marks, Refusal};
+use crate::dispatcher::bans::{Bans, Marks, Refusal};
 use crate::gossip;
+use crate::routing::api::{Entry, Role, ServerId, State, Time};
 use crate::variants::{breaks, Variant};
 use slog::{debug, info, Logger};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -377,5 +377,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/dispatch_nodes.rs"]
+#[path = "../../tests/unit/dispatcher/endpoint_table.rs"]
 mod tests;
--- a/src/dispatch/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -1,10 +1,10 @@
 //! The one place that every send, refusal and start of a stream passes. It is told what is known of the request and of the
 //! server, and says which rule forbids the step, whatever the decision module wants. Pure: no I/O, no clock.
 
-use super::lease::CLOSE_ARRIVES;
 use super::request::{Attempt, Request};
+use super::reservation::CLOSE_ARRIVES;
 use super::rules::Rule;
-use crate::api::{Effect, Group, Role, ServerId, Settings, State, Time};
+use crate::routing::api::{Effect, Group, Role, ServerId, Settings, State, Time};
 
 /// What the rules ask of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -119,5 +119,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/dispatch_guard.rs"]
+#[path = "../../tests/unit/dispatcher/guard.rs"]
 mod tests;
--- a/src/dispatch/door.rs
+++ b/src/dispatcher/handle.rs
@@ -1,9 +1,9 @@
 //! The bounded queue before the core: [`Door`] is the way in for socket code, [`Inbox`] what it leads to.
 
 use super::messages::{Answer, Event, Readiness, Work};
-use crate::api::{Ask, RequestId};
-use crate::bans::{Marks, Refusal};
-use crate::settings::Site;
+use crate::config::Site;
+use crate::dispatcher::bans::{Marks, Refusal};
+use crate::routing::api::{Ask, RequestId};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/src/dispatch/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -1,10 +1,10 @@
 //! What goes in and out of the core: requests, answers, events and commands. No wire, no socket.
 
 use super::reasons::EndReason;
-use crate::api::{Ask, Entry, Load, RequestId, ServerId};
-use crate::bans::{Marks, Refusal};
-use crate::moving::Half;
-use crate::settings::Site;
+use crate::config::Site;
+use crate::dispatcher::bans::{Marks, Refusal};
+use crate::routing::api::{Ask, Entry, Load, RequestId, ServerId};
+use crate::upgrade::stream_migration::Half;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/dispatch/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -1,25 +1,26 @@
-//! The core: it owns the [`Router`](crate::Router), the request table, the clock and the timers, and knows no wire.
+//! The core: it owns the [`Router`](crate::routing::Router), the request table, the clock and the timers, and knows no wire.
 //!
 //! [`Core`] is a plain state machine: events in, commands out. [`run`] is the one task that owns it; all else
 //! reaches it through the bounded queue behind a [`Door`]. Here the rules are kept whatever the module says:
 //! one final answer for each request, deadlines, attempt numbers, and the release of what is held.
 
+pub mod bans;
 mod clock;
 mod core;
-mod door;
+mod endpoint_table;
 mod guard;
-mod lease;
+mod handle;
 mod messages;
-mod nodes;
 mod reasons;
 mod report;
 mod request;
+mod request_table;
+mod reservation;
 mod rules;
-mod table;
 
 pub use self::clock::Clock;
 pub use self::core::Core;
-pub use self::door::{door, Door, Inbox, Ticket};
+pub use self::handle::{door, Door, Inbox, Ticket};
 pub use self::messages::{Answer, Command, Event, Member, Piece, Readiness, Work};
 pub use self::reasons::{CloseReason, EndReason, ReleaseReason};
 pub use self::rules::Rule;
--- a/src/dispatch/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -2,7 +2,7 @@
 //!
 //! They are what the log and the counters name, so that the cause of an answer can be read without a second run.
 
-use crate::api::{GiveUp, Status};
+use crate::routing::api::{GiveUp, Status};
 
 /// Why an attempt ended. Each reason belongs to one [`Status`], which is all that the decision module is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/dispatch/report.rs
+++ b/src/dispatcher/report.rs
@@ -5,7 +5,7 @@
 
 use super::reasons::{CloseReason, EndReason, ReleaseReason};
 use super::rules::Rule;
-use crate::api::Time;
+use crate::routing::api::Time;
 use slog::{info, Logger};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -123,5 +123,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/dispatch_report.rs"]
+#[path = "../../tests/unit/dispatcher/report.rs"]
 mod tests;
--- a/src/dispatch/request.rs
+++ b/src/dispatcher/request.rs
@@ -1,10 +1,10 @@
 //! One request in the table: its phase, its attempts, and what servers may hold for it.
 
 use super::guard::Target;
-use super::lease::Lease;
 use super::messages::{Answer, Work};
 use super::reasons::EndReason;
-use crate::api::{Ask, Role, ServerId, Time};
+use super::reservation::Lease;
+use crate::routing::api::{Ask, Role, ServerId, Time};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
--- a/src/dispatch/table.rs
+++ b/src/dispatcher/request_table.rs
@@ -1,7 +1,7 @@
 //! The request table: requests by number and by name, and the names of those that ended of late and may have run.
 
 use super::request::{Attempt, Request};
-use crate::api::{RequestId, ServerId, Time};
+use crate::routing::api::{RequestId, ServerId, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
--- a/src/dispatch/lease.rs
+++ b/src/dispatcher/reservation.rs
@@ -6,7 +6,7 @@
 //! takes the send later finds no state and says so.
 
 use super::reasons::{EndReason, ReleaseReason};
-use crate::api::{Role, Time};
+use crate::routing::api::{Role, Time};
 
 /// What may be left without anybody asking for it is released after this part (in tenths) of the time allowed ...
 const UNCLAIMED_TENTHS: Time = 4;
@@ -137,5 +137,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/dispatch_lease.rs"]
+#[path = "../../tests/unit/dispatcher/reservation.rs"]
 mod tests;
--- a/src/fronts/management.rs
+++ b/src/frontend/admin.rs
@@ -1,9 +1,9 @@
 //! Operators' calls: one line a connection, one line back that begins with `ACK` or `NAK`. It renders what the core
 //! knows and asks the core; it decides nothing.
 
-use crate::bans::Refusal;
-use crate::dispatch::{Door, Readiness};
-use crate::system_errors::AcceptPauses;
+use crate::dispatcher::bans::Refusal;
+use crate::dispatcher::{Door, Readiness};
+use crate::net::system_errors::AcceptPauses;
 use slog::{info, warn, Logger};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -154,5 +154,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/fronts_management.rs"]
+#[path = "../../tests/unit/frontend/admin.rs"]
 mod tests;
--- a/src/fronts/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,8 +1,8 @@
 //! What a client's connection is doing, and for how long it may.
 
 use super::Course;
-use crate::framing::Requests;
-use crate::moving::SharedExit;
+use crate::net::message_framing::Requests;
+use crate::upgrade::stream_migration::SharedExit;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
--- a/src/fronts/health.rs
+++ b/src/frontend/health_check.rs
@@ -1,8 +1,8 @@
 //! Answers for balancers in front: they render the core's state and decide nothing.
 
 use super::Course;
-use crate::dispatch::{Door, Readiness};
-use crate::system_errors::AcceptPauses;
+use crate::dispatcher::{Door, Readiness};
+use crate::net::system_errors::AcceptPauses;
 use axum::extract::State;
 use axum::http::StatusCode;
 use axum::routing::get;
--- a/src/fronts/platform.rs
+++ b/src/frontend/http.rs
@@ -1,12 +1,12 @@
 //! The platform's HTTP/1.1: a thin front on axum.
 
-use crate::api::Ask;
-use crate::dispatch::{Answer, Door, Piece, Ticket, Work};
-use crate::fronts::health::ready;
-use crate::fronts::names::{is_name, key};
-use crate::fronts::room::{Rooms, MOST_BODY};
-use crate::moving::SharedExit;
-use crate::settings::{micros, Site};
+use crate::config::{micros, Site};
+use crate::dispatcher::{Answer, Door, Piece, Ticket, Work};
+use crate::frontend::health_check::ready;
+use crate::frontend::identifiers::{is_name, key};
+use crate::frontend::memory_budget::{Rooms, MOST_BODY};
+use crate::routing::api::Ask;
+use crate::upgrade::stream_migration::SharedExit;
 use crate::variants::{breaks, Variant};
 use axum::body::Body;
 use axum::extract::{Request, State};
--- a/src/fronts/names.rs
+++ b/src/frontend/identifiers.rs
@@ -1,6 +1,6 @@
 //! Names and keys, as clients of every front write them.
 
-use crate::settings::hash;
+use crate::config::hash;
 
 /// A session's or a text's key: 16 hexadecimal digits, and any other word by its hash.
 pub fn key(word: &str) -> u64 {
--- a/src/fronts/listener.rs
+++ b/src/frontend/listener.rs
@@ -5,10 +5,10 @@
 
 use super::connection::{ClientConnection, Phase, MUTE_TIME, REPLACEABLE_TIME};
 use super::Course;
-use crate::framing::Stated;
-use crate::moving::Mover;
-use crate::places::{Place, Places};
-use crate::system_errors::AcceptPauses;
+use crate::net::connection_limit::{Place, Places};
+use crate::net::message_framing::Stated;
+use crate::net::system_errors::AcceptPauses;
+use crate::upgrade::stream_migration::Mover;
 use axum::body::Body;
 use axum::http::{header, HeaderValue, StatusCode};
 use axum::response::{IntoResponse, Response};
--- a/src/fronts/room.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,6 +1,6 @@
 //! The memory that the bodies of requests may take, all fronts together.
 
-use crate::places::{Place, Places};
+use crate::net::connection_limit::{Place, Places};
 use bytes::Bytes;
 
 /// A request's body may have so many bytes.
--- a/src/fronts/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,12 +1,12 @@
 //! The fronts: each turns its wire into core requests and core answers into its wire, and decides nothing.
 
+pub mod admin;
 mod connection;
-pub mod health;
+pub mod health_check;
+pub mod http;
+pub mod identifiers;
 pub mod listener;
-pub mod management;
-pub mod names;
-pub mod platform;
-pub mod room;
+pub mod memory_budget;
 pub mod websocket;
 
 /// How far a dispatcher is on its way to its end.
--- a/src/fronts/websocket.rs
+++ b/src/frontend/websocket.rs
@@ -4,12 +4,12 @@
 //! sent again, keeps the first deadline and is answered from the record. The record is bounded, and it is this
 //! dispatcher's own: another one does not know it. The messages are described in `docs/websocket.md`.
 
-use crate::api::{Ask, Class, Effect};
-use crate::dispatch::{Answer, Door, Piece, Work};
-use crate::fronts::names::{is_name, key};
-use crate::fronts::room::{Rooms, MOST_BODY};
-use crate::fronts::Course;
-use crate::settings::{hash, micros, Sessions, Site};
+use crate::config::{hash, micros, Sessions, Site};
+use crate::dispatcher::{Answer, Door, Piece, Work};
+use crate::frontend::identifiers::{is_name, key};
+use crate::frontend::memory_budget::{Rooms, MOST_BODY};
+use crate::frontend::Course;
+use crate::routing::api::{Ask, Class, Effect};
 use axum::extract::ws::{close_code, CloseFrame, Message, WebSocket, WebSocketUpgrade};
 use axum::extract::State;
 use axum::http::StatusCode;
--- a/src/gossip.rs
+++ b/src/gossip/state.rs
@@ -5,7 +5,7 @@
 //! costs is bounded by the price in the settings and by the own requests. A message is a mark, the time it was sent at, and
 //! five bytes a server; one that is spoilt, late, or no newer than the last of its sender changes nothing and is counted.
 
-use crate::api::{Load, ServerId, Time};
+use crate::routing::api::{Load, ServerId, Time};
 use std::collections::BTreeMap;
 
 /// The first byte of a message: what it is, and its version.
@@ -249,5 +249,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/gossip.rs"]
+#[path = "../../tests/unit/gossip/state.rs"]
 mod tests;
--- a/src/peers.rs
+++ b/src/gossip/transport.rs
@@ -1,8 +1,8 @@
 //! Datagrams between dispatchers. Only carries them: what they mean is [`crate::gossip`]'s, and the core's.
 
-use crate::dispatch::{Door, Event};
+use crate::config::Config;
+use crate::dispatcher::{Door, Event};
 use crate::gossip::LONGEST;
-use crate::settings::Config;
 use bytes::Bytes;
 use slog::{debug, info, Logger};
 use std::collections::HashMap;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,15 @@
-//! A dispatcher: a core that knows no wire ([`dispatch`]), the [`fronts`] that speak with clients, and the
-//! [`nodes`] and [`discovery`] sides. `docs/architecture.md` has the life of a request.
+//! A dispatcher: a core that knows no wire ([`dispatcher`]), the [`frontend`] that speak with clients, and the
+//! [`backend`] and [`discovery`] sides. `docs/architecture.md` has the life of a request.
 //!
-//! Its decisions are the module's, [`Router`], which decides for a router of language-model servers that read
+//! Its decisions are the module's, [`routing::Router`], which decides for a router of language-model servers that read
 //! prompts and write answers in two stages.
 //!
 //! The caller owns clock, network and threads; it tells a [`Router`] what it hears and does what the router
 //! says.
 //!
 //! ```
-//! use quartzhall::api::*;
-//! use quartzhall::Router;
+//! use quartzhall::routing::api::*;
+//! use quartzhall::routing::Router;
 //!
 //! let class = Class {
 //!     aim: 1_000_000,
@@ -76,29 +76,14 @@
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod api;
-pub mod backoff;
-pub mod bans;
-mod candidates;
+pub mod backend;
+pub mod config;
 pub mod discovery;
-pub mod dispatch;
-pub mod framing;
-pub mod fronts;
+pub mod dispatcher;
+pub mod frontend;
 pub mod gossip;
-pub mod handover;
-mod logic;
-pub mod moving;
-pub mod nodes;
-pub mod notes;
-pub mod peers;
-pub mod places;
-mod prefixes;
-mod quota;
-pub mod reload;
-pub mod settings;
-pub mod strict;
-pub mod system_errors;
+pub mod net;
+pub mod recording;
+pub mod routing;
+pub mod upgrade;
 pub mod variants;
-pub mod watch;
-
-pub use logic::Router;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,17 +1,19 @@
 //! The dispatcher: its command line and its signals.
 
 use clap::{Parser, Subcommand};
-use quartzhall::dispatch::{self, Clock, Core, Door, Event, Readiness};
-use quartzhall::fronts::room::Rooms;
-use quartzhall::fronts::{health, listener, management, platform, websocket, Course};
+use quartzhall::config::reload;
+use quartzhall::config::{Config, Sessions, Site};
+use quartzhall::dispatcher::{Clock, Core, Door, Event, Readiness};
+use quartzhall::frontend::memory_budget::Rooms;
+use quartzhall::frontend::{admin, health_check, http, listener, websocket, Course};
+use quartzhall::gossip::transport::Peers;
 use quartzhall::gossip::Gossip;
-use quartzhall::handover::shares::Phase;
-use quartzhall::handover::{self, Handover, Limits, View};
-use quartzhall::notes::Notes;
-use quartzhall::peers::Peers;
-use quartzhall::places::{Places, PARTS};
-use quartzhall::settings::{Config, Sessions, Site};
-use quartzhall::{discovery, moving, nodes, reload};
+use quartzhall::net::connection_limit::{Places, PARTS};
+use quartzhall::recording::Notes;
+use quartzhall::upgrade::resource_shares::Phase;
+use quartzhall::upgrade::stream_migration;
+use quartzhall::upgrade::{Handover, Limits, View};
+use quartzhall::{backend, discovery, dispatcher, upgrade};
 use quartzhall_recording::{Key, Recorder};
 use slog::{info, o, warn, Drain, Level, Logger};
 use std::path::{Path, PathBuf};
@@ -238,7 +240,7 @@
         .filter(|it| !it.is_empty());
     let platform_listener = match &inherited {
         Some(descriptor) => {
-            TcpListener::from_std(handover::inherited(descriptor)?).map_err(|it| it.to_string())?
+            TcpListener::from_std(upgrade::inherited(descriptor)?).map_err(|it| it.to_string())?
         }
         None => listen(&config.listen).await?,
     };
@@ -269,7 +271,7 @@
         .map_or(0, |_| sessions.most_sessions + shaking);
 
     let site = Arc::new(site);
-    let (door, inbox) = dispatch::door(site.clone());
+    let (door, inbox) = dispatcher::door(site.clone());
     let mut core = Core::new(site.clone(), node_sockets, seed, clock.now(), log.clone());
     let mut recorder = None;
     if let Some(path) = &record {
@@ -303,7 +305,7 @@
     }
     info!(log, "start"; "stage" => "the core is made", "members" => core.nodes());
     let (commands, commanded) = mpsc::channel(1024);
-    let (set_moving, moving) = moving::signal();
+    let (set_moving, moving) = stream_migration::signal();
     let speak_sessions = sessions.nodes.iter().cloned().collect();
     let bounds = site.bounds;
     let limits = Shares {
@@ -321,7 +323,7 @@
     } = limits.clone();
     // Without any of these the dispatcher would take requests and answer none: it ends instead.
     let mut vital = JoinSet::new();
-    vital.spawn(nodes::run(
+    vital.spawn(backend::run(
         commanded,
         door.clone(),
         bounds,
@@ -341,7 +343,7 @@
         others = Some(tell);
         tokio::spawn(peers.run(telling, door.clone(), log.clone()));
     }
-    vital.spawn(dispatch::run(
+    vital.spawn(dispatcher::run(
         core, clock, inbox, commands, recorder, others,
     ));
     let (set_discovery, discovery) = watch::channel(config.discovery);
@@ -363,7 +365,7 @@
     ));
     if let Some(at) = management_listener {
         // Operators are answered to the very end.
-        vital.spawn(management::serve(at, door.clone(), log.clone()));
+        vital.spawn(admin::serve(at, door.clone(), log.clone()));
     }
     let (set_phase, phase) = watch::channel(Phase::Starting);
     let (set_view, mut view) = watch::channel(view);
@@ -371,17 +373,20 @@
     if let Some(handover) = handover {
         // Streams come in from a predecessor, and go out to a successor.
         match handover.listen() {
-            Ok(at) => {
-                drop(vital.spawn(moving::take_in(at, clients.clone(), to_nodes, log.clone())))
-            }
+            Ok(at) => drop(vital.spawn(stream_migration::take_in(
+                at,
+                clients.clone(),
+                to_nodes,
+                log.clone(),
+            ))),
             Err(error) => warn!(log, "no streams can be taken in"; "error" => %error),
         }
         let (streams, whole) = mpsc::channel(64);
         let (doors, seen) = (handover.doors(), view.clone());
         let path = move || seen.borrow().successor.map(&doors);
-        vital.spawn(moving::carry(path, whole, log.clone()));
+        vital.spawn(stream_migration::carry(path, whole, log.clone()));
         mover = Some(streams);
-        vital.spawn(handover::run(
+        vital.spawn(upgrade::run(
             handover,
             limits,
             door.clone(),
@@ -392,7 +397,7 @@
 
     info!(log, "start"; "stage" => "tasks run", "tasks" => vital.len());
     let (set_course, course) = watch::channel(Course::Serving);
-    let routes = platform::routes(door.clone(), rooms.clone(), log.clone());
+    let routes = http::routes(door.clone(), rooms.clone(), log.clone());
     let most = clients.whole();
     let mut fronts = JoinSet::new();
     let options = Arc::new(sessions);
@@ -405,7 +410,7 @@
         log.clone(),
     );
     if let Some(late) = session_listener {
-        let routes = websocket::routes(shared.clone()).merge(health::routes(door.clone()));
+        let routes = websocket::routes(shared.clone()).merge(health_check::routes(door.clone()));
         let (course, log) = (course.clone(), log.clone());
         fronts.spawn(async move {
             let Some(at) = late.listener(course.clone()).await else {
@@ -420,7 +425,7 @@
             let Some(at) = late.listener(course.clone()).await else {
                 return;
             };
-            health::serve_agent(at, door, course, log).await;
+            health_check::serve_agent(at, door, course, log).await;
         });
     }
     info!(log, "serving"; "name" => config.name, "listen" => config.listen, "most_held" => site.bounds.most_held.min(node_sockets),
--- a/src/places.rs
+++ b/src/net/connection_limit.rs
@@ -91,5 +91,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/places.rs"]
+#[path = "../../tests/unit/net/connection_limit.rs"]
 mod tests;
--- a/src/framing.rs
+++ b/src/net/message_framing.rs
@@ -414,5 +414,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/framing.rs"]
+#[path = "../../tests/unit/net/message_framing.rs"]
 mod tests;
--- a/src/system_errors.rs
+++ b/src/net/system_errors.rs
@@ -89,5 +89,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/system_errors.rs"]
+#[path = "../../tests/unit/net/system_errors.rs"]
 mod tests;
--- a/src/notes.rs
+++ b/src/recording.rs
@@ -1,7 +1,7 @@
 //! What the core notes for a recording, in the recording's terms. It holds no file: whoever owns the core takes the notes.
 
-use crate::api::{Ask, Entry, Role, ServerId, State, Status, Time};
-use crate::settings::{Names, Site};
+use crate::config::{Names, Site};
+use crate::routing::api::{Ask, Entry, Role, ServerId, State, Status, Time};
 use quartzhall_recording::{Answer, Key, Record, Sort, Table};
 use std::collections::HashSet;
 use std::sync::Arc;
--- a/src/candidates.rs
+++ b/src/routing/candidate_index.rs
@@ -7,7 +7,7 @@
 //!
 //! The index follows each change of the list of servers. `docs/candidates.md` has the reasons and the figures.
 
-use crate::api::{Entry, Role, ServerId, State, Time};
+use crate::routing::api::{Entry, Role, ServerId, State, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -471,5 +471,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/candidates.rs"]
+#[path = "../../tests/unit/routing/candidate_index.rs"]
 mod tests;
--- a/src/prefixes.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -3,7 +3,7 @@
 //! Entries age, and each server has a bounded number of them. The table is held both ways, by server and by text, so that
 //! the servers that keep a text are found without looking at all.
 
-use crate::api::{Ask, ServerId, Time};
+use crate::routing::api::{Ask, ServerId, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// Servers that are told of for one text.
@@ -152,5 +152,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/prefixes.rs"]
+#[path = "../../tests/unit/routing/prefix_cache_index.rs"]
 mod tests;
--- a/src/logic.rs
+++ b/src/routing/router.rs
@@ -2,26 +2,26 @@
 //! A request goes to a reader, waits there as a read state, and goes on to a writer. `place` chooses where,
 //! `act` is the one way out and holds the rules, `outcome` learns. Seconds are `f64`, moments `Time`.
 
-mod choice;
-mod models;
-mod reads;
-mod refusal;
-mod server;
+mod decode;
+mod latency_model;
+mod load_shedding;
+mod prefill;
+mod selection;
 mod slow_start;
-mod writes;
-
-use crate::api::*;
-use crate::candidates::{mix, Candidates, Side};
-use crate::prefixes::Prefixes;
-use crate::quota::Quota;
-use choice::Choice;
-use models::{Inputs, Model, COVARIANCE};
+mod tracked_endpoint;
+
+use crate::routing::api::*;
+use crate::routing::candidate_index::{mix, Candidates, Side};
+use crate::routing::prefix_cache_index::Prefixes;
+use crate::routing::token_bucket::Quota;
+use latency_model::{Inputs, Model, COVARIANCE};
 use nalgebra::SMatrix;
+use prefill::HOME_MATCH;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use reads::HOME_MATCH;
-use server::{add, Counts, Server, REQUESTS};
+use selection::Choice;
 use std::collections::{BTreeMap, BTreeSet};
+use tracked_endpoint::{add, Counts, Server, REQUESTS};
 
 // Tuned values: parts and multiples of aims, rules and observed times, none of them a site's figure.
 const REFIT: Time = 1_000_000; // failures fade, lots are drawn
--- a/src/logic/writes.rs
+++ b/src/routing/router/decode.rs
@@ -1,10 +1,10 @@
 //! Placing a write: which writers may take a read state, and how long its first token takes there.
 
-use super::choice::{Choice, LEAST_SPREAD};
-use super::models::{odds, Inputs, ENOUGH};
-use super::server::{Server, MEMORY, REQUESTS, TO_READ};
+use super::latency_model::{odds, Inputs, ENOUGH};
+use super::selection::{Choice, LEAST_SPREAD};
+use super::tracked_endpoint::{Server, MEMORY, REQUESTS, TO_READ};
 use super::{seconds, Request, Stage, ANSWER_PART, EASY, PACE, WRITE};
-use crate::api::*;
+use crate::routing::api::*;
 use std::collections::BTreeSet;
 
 const MEMORY_SPREAD: f64 = 0.1; // what is known of a writer's memory is off by about this part of it
--- a/src/logic/refusal.rs
+++ b/src/routing/router/load_shedding.rs
@@ -1,10 +1,10 @@
 //! Refusals: what is given up unread under load, and what may still be refused or repeated after an attempt.
 
-use super::choice::Choice;
-use super::models::{ENOUGH, FORGET};
-use super::server::Server;
+use super::latency_model::{ENOUGH, FORGET};
+use super::selection::Choice;
+use super::tracked_endpoint::Server;
 use super::{Attempt, Request, Stage, FIT, READ, TOKENS, WRITE};
-use crate::api::*;
+use crate::routing::api::*;
 
 const ABOVE_USUAL: f64 = 0.1; // load is above usual when the least wait is by this part of the aim
 const HOPELESS: f64 = 0.4; // in overload nothing with a lower chance is worth reading
--- a/src/logic/reads.rs
+++ b/src/routing/router/prefill.rs
@@ -1,10 +1,10 @@
 //! Placing a read: which readers may take a prompt, what they are presumed to keep, and what comes after.
 
-use super::choice::{Choice, EXPLORE};
-use super::models::{Inputs, ENOUGH};
-use super::server::{Server, MEMORY, REQUESTS, TO_READ};
+use super::latency_model::{Inputs, ENOUGH};
+use super::selection::{Choice, EXPLORE};
+use super::tracked_endpoint::{Server, MEMORY, REQUESTS, TO_READ};
 use super::{Request, Stage, EASY, FIT, READ};
-use crate::api::*;
+use crate::routing::api::*;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/logic/choice.rs
+++ b/src/routing/router/selection.rs
@@ -1,10 +1,10 @@
 //! The choice of a server: the candidates that may be sent to, how each is judged, and the weighted draw.
 
-use super::models::{odds, Inputs};
-use super::server::Server;
+use super::latency_model::{odds, Inputs};
+use super::tracked_endpoint::Server;
 use super::{seconds, Attempt, Request, Stage, FIT};
-use crate::api::*;
-use crate::candidates::{Look, Side};
+use crate::routing::api::*;
+use crate::routing::candidate_index::{Look, Side};
 use rand::distributions::{Distribution, WeightedIndex};
 use rand::Rng;
 
--- a/src/logic/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: how much a server that has started of late is sent by this router.
 
-use super::server::Server;
+use super::tracked_endpoint::Server;
 use super::{side, Request, Stage, BORNE, FINISHED, NEWEST, REFIT, STARTED};
-use crate::candidates::mix;
+use crate::routing::candidate_index::mix;
 
 const COLD_PART: f64 = 0.8; // part of a cold server's budget that is used, reckoned as if it stayed as cold
 
--- a/src/logic/server.rs
+++ b/src/routing/router/tracked_endpoint.rs
@@ -1,7 +1,7 @@
 //! What a router knows of one server: its load, what waits there, how attempts fared, and how warm it is.
 
 use super::{blend, seconds};
-use crate::api::*;
+use crate::routing::api::*;
 use std::collections::{BTreeMap, VecDeque};
 
 const SICK: f64 = 0.4; // a server is set aside for a class when it failed so much of it of late
--- a/src/quota.rs
+++ b/src/routing/token_bucket.rs
@@ -1,6 +1,6 @@
 //! A tenant's quota, as a token bucket. Pure: no I/O, no clock.
 
-use crate::api::Time;
+use crate::routing::api::Time;
 
 /// Seconds of a quota that may come at once.
 const BURST: f64 = 5.0;
@@ -40,5 +40,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/quota.rs"]
+#[path = "../../tests/unit/routing/token_bucket.rs"]
 mod tests;
--- a/src/handover/mod.rs
+++ b/src/upgrade/mod.rs
@@ -4,12 +4,13 @@
 //! Each process has a notice, a file that it keeps locked while it lives, so that one that was killed leaves nothing
 //! that would stop a start. Replicas that operators have taken out are in one file for all; see [`merged`].
 
-pub mod shares;
+pub mod resource_shares;
+pub mod stream_migration;
 
-use crate::bans::{Mark, Marks};
-use crate::dispatch::{Door, Event};
+use crate::dispatcher::bans::{Mark, Marks};
+use crate::dispatcher::{Door, Event};
 use miniserde::{json, Deserialize, Serialize};
-use shares::{Notice, Phase};
+use resource_shares::{Notice, Phase};
 use slog::{info, warn, Logger};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
@@ -198,7 +199,7 @@
     /// wall clock said when they started and says now; `now` is its part of that order where it is alone.
     pub fn start(folder: &Path, name: &str, now: u64, log: Logger) -> io::Result<Handover> {
         // The name becomes part of a path.
-        let name = format!("quartzhall-{:016x}", crate::settings::hash(name));
+        let name = format!("quartzhall-{:016x}", crate::config::hash(name));
         let youngest = born_of_living(folder, &name)?;
         let born = youngest.map_or(now, |youngest| now.max(youngest.saturating_add(1)));
         let unique = format!("{name}-{born:020}-{}", std::process::id());
@@ -215,7 +216,7 @@
         let own = Notice {
             born,
             phase: Phase::Starting,
-            part: shares::START,
+            part: resource_shares::START,
         };
         let folder = folder.to_owned();
         let mut handover = Handover {
@@ -429,7 +430,7 @@
 
 /// The limits that processes share.
 pub trait Limits {
-    /// Keeps to so many of [`crate::places::PARTS`] parts from now on. Tells the part that is in use, rounded up.
+    /// Keeps to so many of [`crate::net::connection_limit::PARTS`] parts from now on. Tells the part that is in use, rounded up.
     fn set(&self, part: u32) -> u32;
 }
 
@@ -451,7 +452,7 @@
             handover.notes("others", looked);
         }
         let said = *phase.borrow_and_update();
-        let wanted = shares::wanted(&handover.own, &handover.others);
+        let wanted = resource_shares::wanted(&handover.own, &handover.others);
         let used = limits.set(wanted);
         let own = Notice {
             phase: said,
@@ -497,5 +498,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/handover.rs"]
+#[path = "../../tests/unit/upgrade/coordinator.rs"]
 mod tests;
--- a/src/handover/shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -1,6 +1,6 @@
 //! What part of a dispatcher's limits each of its processes keeps to. Pure: no clock, no file.
 
-use crate::places::PARTS;
+use crate::net::connection_limit::PARTS;
 
 /// A process that starts beside another has this part, which the other one leaves free for it.
 pub const START: u32 = 1;
@@ -84,5 +84,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/handover_shares.rs"]
+#[path = "../../tests/unit/upgrade/resource_shares.rs"]
 mod tests;
--- a/src/moving.rs
+++ b/src/upgrade/stream_migration.rs
@@ -4,10 +4,10 @@
 //! socket when all before it is written. [`carry`] hands both over, and says to both sides whether that was done: where
 //! it was not, they go on. In the successor [`take_in`] passes the events on to the end.
 
-use crate::framing::{Chunks, Lost};
-use crate::nodes::events::Events;
-use crate::places::Places;
-use crate::system_errors::AcceptPauses;
+use crate::backend::event_stream::Events;
+use crate::net::connection_limit::Places;
+use crate::net::message_framing::{Chunks, Lost};
+use crate::net::system_errors::AcceptPauses;
 use bytes::Bytes;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
--- a/tests/management.rs
+++ b/tests/admin.rs
@@ -1,9 +1,9 @@
 //! Operators' calls over their own socket, byte by byte where that matters.
 
-mod stand;
+mod testbed;
 
-use stand::{Fleet, Terminal, Way};
 use std::time::Duration;
+use testbed::{Fleet, Terminal, Way};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
--- a/tests/nodes.rs
+++ b/tests/backend.rs
@@ -1,12 +1,12 @@
 //! The node side alone: a test stands in the core's place.
 
-mod stand;
+mod testbed;
 
 use futures_util::FutureExt;
-use quartzhall::api::{RequestId, Status};
-use quartzhall::dispatch::{Command, Event, Inbox, Piece, Work};
-use stand::{node_side, node_side_for, Fleet, Way, ANSWER};
+use quartzhall::dispatcher::{Command, Event, Inbox, Piece, Work};
+use quartzhall::routing::api::{RequestId, Status};
 use std::time::Duration;
+use testbed::{node_side, node_side_for, Fleet, Way, ANSWER};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{Receiver, Sender};
--- a/tests/clients.rs
+++ b/tests/client_connections.rs
@@ -1,15 +1,15 @@
 //! Clients that say nothing, too little, or what can be read in two ways: on a paused clock.
 
-mod stand;
+mod testbed;
 
 use axum::body::Body;
 use axum::routing::{get, post};
 use axum::Router;
-use quartzhall::fronts::{listener, Course};
-use quartzhall::places::Places;
+use quartzhall::frontend::{listener, Course};
+use quartzhall::net::connection_limit::Places;
 use slog::{o, Discard, Logger};
-use stand::{Fleet, Way, ANSWER};
 use std::time::Duration;
+use testbed::{Fleet, Way, ANSWER};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,9 +1,9 @@
 //! Where the deployments differ, the settings decide and nothing else: each test plays both sides of a difference.
 //! `docs/deployments.md` has the list.
 
-mod common;
-use common::*;
-use quartzhall::api::*;
+mod router_harness;
+use quartzhall::routing::api::*;
+use router_harness::*;
 
 #[test]
 fn reads_stay_in_the_own_zone_by_the_price_of_crossing() {
--- a/tests/core.rs
+++ b/tests/dispatcher.rs
@@ -1,20 +1,20 @@
 //! The core by itself: no wire, no clock but the numbers given to it.
 
-use quartzhall::api::{Ask, Entry, Load, Role, State, Status, Time};
-use quartzhall::bans::Refusal;
-use quartzhall::dispatch::{
+use quartzhall::config::{Profile, Site};
+use quartzhall::dispatcher::bans::Refusal;
+use quartzhall::dispatcher::{
     self, Answer, Command, Core, EndReason, Event, Member, Piece, Readiness, Work,
 };
 use quartzhall::gossip::Gossip;
-use quartzhall::notes::Notes;
-use quartzhall::settings::{Profile, Site};
+use quartzhall::recording::Notes;
+use quartzhall::routing::api::{Ask, Entry, Load, Role, State, Status, Time};
 use quartzhall_recording::{Key, Record, Table};
 use slog::{o, Discard, Logger};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-#[path = "stand/profile.rs"]
+#[path = "testbed/profile.rs"]
 mod profile;
 
 const START: Time = 1_700_000_000_000_000;
@@ -432,15 +432,15 @@
 #[tokio::test]
 async fn a_full_queue_drops_nothing() {
     let site = Arc::new(site(profile::PROFILE));
-    let (door, inbox) = dispatch::door(site.clone());
+    let (door, inbox) = dispatcher::door(site.clone());
     for _ in 0..10_000 {
         door.post(Event::ListFailed);
     }
-    let clock = dispatch::Clock::start();
+    let clock = dispatcher::Clock::start();
     let core = Core::new(site, 10, 7, clock.now(), Logger::root(Discard, o!()));
     door.post(Event::Drain(std::time::Duration::from_secs(3)));
     let (commands, _commanded) = mpsc::channel(16);
-    tokio::spawn(dispatch::run(core, clock, inbox, commands, None, None));
+    tokio::spawn(dispatcher::run(core, clock, inbox, commands, None, None));
     door.becomes(Readiness::Draining).await;
 }
 
--- a/tests/leaving.rs
+++ b/tests/draining.rs
@@ -1,12 +1,12 @@
 //! What discovery tells, from its wire to the core: nothing may go to a server that has been told to leave.
 
-mod stand;
+mod testbed;
 
 use futures_util::FutureExt;
-use quartzhall::api::Ask;
+use quartzhall::config::{Profile, Site};
 use quartzhall::discovery;
-use quartzhall::dispatch::{self, Event, Inbox, Work};
-use quartzhall::settings::{Profile, Site};
+use quartzhall::dispatcher::{self, Event, Inbox, Work};
+use quartzhall::routing::api::Ask;
 use slog::{o, Discard, Logger};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 fn site(pushed: bool, balancers: u32) -> Site {
     let mode = if pushed { "automatic" } else { "subscribe" };
     let set = format!(r#""membership_mode":"{mode}","balancers":{balancers}"#);
-    let profile = stand::PROFILE.replacen(r#""balancers":1"#, &set, 1);
+    let profile = testbed::PROFILE.replacen(r#""balancers":1"#, &set, 1);
     let profile: Profile = miniserde::json::from_str(&profile).unwrap();
     Site::new(&profile).unwrap()
 }
@@ -84,8 +84,8 @@
     pushed: bool,
     balancers: u32,
     known: Option<u64>,
-) -> (dispatch::Door, Inbox, JoinSet<()>) {
-    let (door, inbox) = dispatch::door(Arc::new(site(pushed, balancers)));
+) -> (dispatcher::Door, Inbox, JoinSet<()>) {
+    let (door, inbox) = dispatcher::door(Arc::new(site(pushed, balancers)));
     let (set, told) = watch::channel(address);
     std::mem::forget(set); // the address stays as it is
     let log = Logger::root(Discard, o!());
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -201,8 +201,8 @@
 
 mod formats {
     use super::{assert_golden, hex};
-    use quartzhall::api::Load;
     use quartzhall::gossip::Gossip;
+    use quartzhall::routing::api::Load;
 
     #[test]
     fn datagram_is_unchanged() {
@@ -328,8 +328,8 @@
 /// The frame with which a stream goes to a successor, as the successor's side reads it.
 #[tokio::test]
 async fn moved_stream_frame_is_unchanged() {
-    use quartzhall::framing::Chunks;
-    use quartzhall::moving::{self, Exit, Half};
+    use quartzhall::net::message_framing::Chunks;
+    use quartzhall::upgrade::stream_migration::{self, Exit, Half};
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::{TcpListener, TcpStream, UnixListener};
     let folder = Folder::new("moved");
@@ -346,7 +346,11 @@
     chunks.feed(b"1f\r\ndata: half of a ch", |_| {}).unwrap();
     let (streams, receiver) = tokio::sync::mpsc::channel(1);
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    tokio::spawn(moving::carry(move || Some(path.clone()), receiver, log));
+    tokio::spawn(stream_migration::carry(
+        move || Some(path.clone()),
+        receiver,
+        log,
+    ));
     let (moved, was_moved) = tokio::sync::oneshot::channel();
     let exit = Exit::default();
     exit.offer(Half {
@@ -378,6 +382,7 @@
     use super::{assert_golden, config, Folder};
     use std::collections::BTreeSet;
     use std::process::{Child, Command, Stdio};
+    use std::sync::atomic::{AtomicU8, Ordering};
     use std::sync::{Arc, Mutex};
     use std::time::Duration;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -507,13 +512,17 @@
         address
     }
 
+    /// An address that nobody else binds before the program does: each has an IP address of its own.
     async fn free_address() -> String {
-        TcpListener::bind("127.0.0.1:0")
-            .await
-            .unwrap()
-            .local_addr()
-            .unwrap()
-            .to_string()
+        static NEXT: AtomicU8 = AtomicU8::new(2);
+        let [_, _, high, low] = std::process::id().to_be_bytes();
+        let host = format!(
+            "127.{}.{low}.{}",
+            16 + high % 128,
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
+        let listener = TcpListener::bind((host, 0)).await.unwrap();
+        listener.local_addr().unwrap().to_string()
     }
 
     async fn connect(address: &str) -> TcpStream {
--- a/tests/peers.rs
+++ b/tests/gossip.rs
@@ -1,16 +1,16 @@
 //! Datagrams between dispatchers, over loopback sockets.
 
-mod stand;
-use quartzhall::dispatch::{self, Event};
-use quartzhall::peers::Peers;
-use quartzhall::settings::{Config, Site};
+mod testbed;
+use quartzhall::config::{Config, Site};
+use quartzhall::dispatcher::{self, Event};
+use quartzhall::gossip::transport::Peers;
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
 fn config(listen: &str, peers: &[&str], all: &str) -> Config {
-    let (profile, peers) = (stand::PROFILE, peers.join("\",\""));
+    let (profile, peers) = (testbed::PROFILE, peers.join("\",\""));
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{{}},
             "peer_listen":"{listen}","peers":["{peers}"],"peers_all":"{all}","settings":{profile}}}"#
@@ -35,7 +35,7 @@
     let config = config(&listen, &["127.0.0.1:9", &known_at], &all_at);
     let peers = Peers::new(&config).expect("it may listen");
     let site = Arc::new(Site::new(&config.settings).unwrap());
-    let (door, mut inbox) = dispatch::door(site);
+    let (door, mut inbox) = dispatcher::door(site);
     let (tell, telling) = Peers::queue();
     let run = tokio::spawn(peers.run(telling, door, log));
 
--- a/tests/platform.rs
+++ b/tests/http_frontend.rs
@@ -1,16 +1,16 @@
 //! The platform's HTTP/1.1 from end to end, byte by byte where that matters.
 
-mod stand;
+mod testbed;
 
-use quartzhall::dispatch::{self, Answer, Event, Piece};
-use quartzhall::fronts::room::Rooms;
-use quartzhall::fronts::{listener, platform, Course};
-use quartzhall::places::Places;
-use quartzhall::settings::{Profile, Site};
+use quartzhall::config::{Profile, Site};
+use quartzhall::dispatcher::{self, Answer, Event, Piece};
+use quartzhall::frontend::memory_budget::Rooms;
+use quartzhall::frontend::{http, listener, Course};
+use quartzhall::net::connection_limit::Places;
 use slog::{o, Discard, Logger};
-use stand::{Fleet, Way, ANSWER, PROFILE};
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::{Fleet, Way, ANSWER, PROFILE};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -239,13 +239,13 @@
         .starts_with("HTTP/1.1 200"));
     fleet
         .door
-        .tell(quartzhall::dispatch::Event::Drain(
+        .tell(quartzhall::dispatcher::Event::Drain(
             std::time::Duration::from_secs(3),
         ))
         .await;
     fleet
         .door
-        .becomes(quartzhall::dispatch::Readiness::Draining)
+        .becomes(quartzhall::dispatcher::Readiness::Draining)
         .await;
     assert!(Client::exchange(&fleet, &get("/ready"))
         .await
@@ -260,7 +260,10 @@
         .read_until("draining\n")
         .await
         .starts_with("HTTP/1.1 503"));
-    fleet.stop.send(quartzhall::fronts::Course::Ending).unwrap();
+    fleet
+        .stop
+        .send(quartzhall::frontend::Course::Ending)
+        .unwrap();
     assert_eq!(
         idle.read_until("").await,
         "",
@@ -275,7 +278,7 @@
 /// A body keeps its room until nobody holds it any more, and no longer.
 #[test]
 fn room_is_free_again_when_the_last_holder_lets_a_body_go() {
-    let rooms = quartzhall::fronts::room::Rooms::new(0);
+    let rooms = quartzhall::frontend::memory_budget::Rooms::new(0);
     let room = rooms.at_once(200 * 1024).expect("room for one body");
     let text = "x".repeat(200 * 1024);
     let body = room.keep(text.clone().into());
@@ -323,11 +326,11 @@
 async fn what_came_before_a_break_is_sent() {
     let log = Logger::root(Discard, o!());
     let profile: Profile = miniserde::json::from_str(PROFILE).unwrap();
-    let (door, mut inbox) = dispatch::door(Arc::new(Site::new(&profile).unwrap()));
+    let (door, mut inbox) = dispatcher::door(Arc::new(Site::new(&profile).unwrap()));
     let taken = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = taken.local_addr().unwrap();
     let (_serving, course) = watch::channel(Course::Serving);
-    let routes = platform::routes(door, Rooms::new(1_000), log.clone());
+    let routes = http::routes(door, Rooms::new(1_000), log.clone());
     tokio::spawn(listener::serve(
         taken,
         routes,
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,6 +1,6 @@
 //! The incident of 2026-12-02 with the real program: a writer's machine takes connections and bytes, and nothing runs there.
 
-mod stand;
+mod testbed;
 
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
@@ -84,7 +84,7 @@
     .join(",");
     let text = format!(
         r#"{{"name":"n1","listen":"{listen}","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{{"revision":1,"complete":true,"members":[{members}]}},"settings":{}}}"#,
-        stand::PROFILE
+        testbed::PROFILE
     );
     let config =
         std::env::temp_dir().join(format!("quartzhall-incident-{}.json", std::process::id()));
--- a/tests/spoilt.rs
+++ b/tests/malformed_streams.rs
@@ -1,12 +1,12 @@
 //! Answers of nodes that come spoilt, good ones with more than belongs to them, and how long a connection is kept
 //! after one: raw bytes, a paused clock.
 
-mod stand;
+mod testbed;
 
-use quartzhall::api::Status;
-use quartzhall::dispatch::{Command, Event, Inbox, Piece, Work};
-use stand::node_side;
+use quartzhall::dispatcher::{Command, Event, Inbox, Piece, Work};
+use quartzhall::routing::api::Status;
 use std::time::Duration;
+use testbed::node_side;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,13 +1,15 @@
 //! Random cuts of valid messages and random garbage against every parser, from fixed seeds: no parser may
 //! panic, and what was cut must not pass for whole.
 
-mod stand;
+mod testbed;
 
-use quartzhall::api::{Ask, State};
-use quartzhall::fronts::{names, platform, websocket};
-use quartzhall::nodes::{attempt, events, http, sessions};
-use quartzhall::settings::{Config, Profile, Sessions, Site};
-use quartzhall::{discovery, fronts};
+use quartzhall::backend::{
+    attempt, event_stream, http as backend_http, websocket as backend_websocket,
+};
+use quartzhall::config::{Config, Profile, Sessions, Site};
+use quartzhall::discovery;
+use quartzhall::frontend::{http, identifiers, websocket};
+use quartzhall::routing::api::{Ask, State};
 use quickcheck::{Arbitrary, Gen};
 
 const MEMBERS: &str = r#"{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","cell":3,"phase":"Ready","size":1.0,"up_since_ms":0}]}"#;
@@ -15,7 +17,7 @@
 const TOLD: &str = r#"{"type":"read","id":"n","cached_tokens":7,"load":"TEXT inflight=7"}"#;
 
 fn site() -> Site {
-    let profile: Profile = miniserde::json::from_str(stand::PROFILE).unwrap();
+    let profile: Profile = miniserde::json::from_str(testbed::PROFILE).unwrap();
     Site::new(&profile).unwrap()
 }
 
@@ -24,24 +26,24 @@
         r#""name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:0","seed":"7","limits":{}"#;
     format!(
         r#"{{{rest},"known":{MEMBERS},"settings":{}}}"#,
-        stand::PROFILE
+        testbed::PROFILE
     )
 }
 
 /// Gives every parser the bytes; true where one of the JSON parsers took them.
 fn feed(site: &Site, bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
-    http::parse_tail(bytes);
+    backend_http::parse_tail(bytes);
     attempt::parse_load(&text);
-    let _ = platform::parse_props(&text, &mut Ask::default());
-    fronts::names::is_name(&text);
-    names::key(&text);
+    let _ = http::parse_props(&text, &mut Ask::default());
+    identifiers::is_name(&text);
+    identifiers::key(&text);
     let mut partial = bytes.to_vec();
     if let Some(whole) = websocket::take_text(&mut partial) {
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
-    let told = !matches!(sessions::parse(&text, "n"), sessions::Sense::End(end) if end.reason.status() == quartzhall::api::Status::Error);
+    let told = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::Sense::End(end) if end.reason.status() == quartzhall::routing::api::Status::Error);
     let said = websocket::parse(&text, site).is_ok();
     told || said
         || discovery::parse(bytes).is_ok()
@@ -52,7 +54,7 @@
 #[test]
 fn cuts_of_valid_messages_are_errors() {
     let site = site();
-    let call = stand::ask("n", "status-query", 500);
+    let call = testbed::ask("n", "status-query", 500);
     for whole in [MEMBERS, TOLD, &call, &config(), "{\"listen\":null}"] {
         assert!(feed(&site, whole.as_bytes()), "{whole}");
         let mut random = Gen::from_size_and_seed(100, 11);
@@ -72,7 +74,7 @@
 
 #[test]
 fn garbage_is_no_message() {
-    let (site, call) = (site(), stand::ask("n", "status-query", 500));
+    let (site, call) = (site(), testbed::ask("n", "status-query", 500));
     let mut random = Gen::from_size_and_seed(200, 12);
     for _ in 0..3000 {
         let garbage = Vec::<u8>::arbitrary(&mut random);
@@ -89,7 +91,7 @@
 
 #[test]
 fn what_is_valid_is_read_as_it_is_meant() {
-    let (kept, written, load) = http::parse_tail(TAIL.as_bytes());
+    let (kept, written, load) = backend_http::parse_tail(TAIL.as_bytes());
     let load = load.expect("a report");
     assert_eq!(written, 200.0);
     assert_eq!(
@@ -102,7 +104,7 @@
     );
     assert!(attempt::parse_load("TEXT inflight=inf").is_none());
     let mut ask = Ask::default();
-    platform::parse_props(
+    http::parse_props(
         "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1",
         &mut ask,
     )
@@ -111,7 +113,11 @@
         (ask.prefix, ask.prompt, ask.max_tokens),
         (Some(0x5c), 5120.0, 800.0)
     );
-    assert!(names::is_name("9b1f-03_a.5~") && !names::is_name("..") && !names::is_name("a b"));
+    assert!(
+        identifiers::is_name("9b1f-03_a.5~")
+            && !identifiers::is_name("..")
+            && !identifiers::is_name("a b")
+    );
 }
 
 /// Discovery that talks nonsense in one line is believed in the others.
@@ -121,7 +127,7 @@
     let list = discovery::parse(text.as_bytes()).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let event = discovery::members(&mut site(), &list, &log);
-    let quartzhall::dispatch::Event::Members {
+    let quartzhall::dispatcher::Event::Members {
         complete: true,
         members,
     } = event
@@ -155,7 +161,7 @@
             );
             let list = discovery::parse(text.as_bytes()).unwrap();
             let event = discovery::members(&mut site(), &list, &log);
-            let quartzhall::dispatch::Event::Members {
+            let quartzhall::dispatcher::Event::Members {
                 complete: false,
                 members,
             } = event
@@ -180,8 +186,11 @@
     );
     let mut random = Gen::from_size_and_seed(40, 5);
     for _ in 0..500 {
-        let (mut events, mut rest, mut out) =
-            (events::Events::default(), stream.as_bytes(), Vec::new());
+        let (mut events, mut rest, mut out) = (
+            event_stream::Events::default(),
+            stream.as_bytes(),
+            Vec::new(),
+        );
         while !rest.is_empty() {
             let (some, later) = rest.split_at(1 + usize::arbitrary(&mut random) % rest.len());
             let whole = events.take(some).unwrap();
@@ -197,11 +206,11 @@
 
         let mut garbage = Vec::<u8>::arbitrary(&mut random);
         garbage.insert(0, b'?');
-        let mut events = events::Events::default();
+        let mut events = event_stream::Events::default();
         assert_eq!(events.take(b"data: 1\n\n").unwrap(), "data: 1\n\n");
-        assert_eq!(events.take(&garbage), Err(events::Spoilt));
+        assert_eq!(events.take(&garbage), Err(event_stream::Spoilt));
     }
-    let mut events = events::Events::default();
+    let mut events = event_stream::Events::default();
     let took = (0..70)
         .map(|_| events.take(&[b':'; 1024]))
         .take_while(Result::is_ok)
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,6 +1,6 @@
 //! The program itself: its command line, its start, and its end at SIGTERM.
 
-mod stand;
+mod testbed;
 
 use axum::extract::State;
 use axum::http::Uri;
@@ -51,7 +51,7 @@
 }
 
 fn config(listen: &str, discovery: &str, known: &str) -> String {
-    let profile = stand::PROFILE;
+    let profile = testbed::PROFILE;
     format!(
         r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{profile}}}"#
     )
--- a/tests/common/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -1,8 +1,8 @@
 //! A small fleet for tests of the module: settings, servers, requests, and shorthand for events.
 #![allow(dead_code)]
 
-use quartzhall::api::*;
-use quartzhall::Router;
+use quartzhall::routing::api::*;
+use quartzhall::routing::Router;
 
 pub const MS: Time = 1_000;
 pub const SECOND: Time = 1_000_000;
--- a/tests/ordinary.rs
+++ b/tests/routing.rs
@@ -1,9 +1,9 @@
 //! The ordinary path: affinity, learning, refusal, health, and the same decisions from the same seed.
 
-mod common;
-use common::*;
-use quartzhall::api::*;
-use quartzhall::Router;
+mod router_harness;
+use quartzhall::routing::api::*;
+use quartzhall::routing::Router;
+use router_harness::*;
 
 fn fleet() -> Vec<Entry> {
     let readers = (1..=4).map(|id| server(id, Role::Reader));
@@ -647,7 +647,7 @@
         let mut desk = Desk::new(thin, fleet.clone());
         desk.now = 20 * SECOND + age;
         let ask = Ask {
-            prefix: Some(quartzhall::settings::hash(&text.to_string())),
+            prefix: Some(quartzhall::config::hash(&text.to_string())),
             prefix_tokens: 1_800.0,
             ..ask(text, text)
         };
@@ -707,7 +707,7 @@
     let mut homes = std::collections::BTreeSet::new();
     for text in 0..12 {
         let of_text = |id| Ask {
-            prefix: Some(quartzhall::settings::hash(&text.to_string())),
+            prefix: Some(quartzhall::config::hash(&text.to_string())),
             prefix_tokens: 1_800.0,
             ..ask(id, id)
         };
--- a/tests/sizes.rs
+++ b/tests/routing_fleet_sizes.rs
@@ -1,8 +1,8 @@
 //! The module at both ends of its range: from one router to hundreds, from three servers to a hundred.
 
-mod common;
-use common::*;
-use quartzhall::api::*;
+mod router_harness;
+use quartzhall::routing::api::*;
+use router_harness::*;
 
 const PREFIX: u64 = 0xfeed_beef_0001;
 
--- a/tests/large.rs
+++ b/tests/routing_large_fleets.rs
@@ -1,8 +1,8 @@
 //! The module in fleets that are too large for all servers to be looked at.
 
-mod common;
-use common::*;
-use quartzhall::api::*;
+mod router_harness;
+use quartzhall::routing::api::*;
+use router_harness::*;
 
 const READERS: ServerId = 200;
 const WRITERS: ServerId = 400;
--- a/tests/rules.rs
+++ b/tests/routing_rules.rs
@@ -1,9 +1,9 @@
 //! Each of the five rules at its edge.
 
-mod common;
-use common::*;
-use quartzhall::api::*;
-use quartzhall::Router;
+mod router_harness;
+use quartzhall::routing::api::*;
+use quartzhall::routing::Router;
+use router_harness::*;
 
 fn pair() -> Vec<Entry> {
     vec![server(1, Role::Reader), server(2, Role::Writer)]
@@ -386,7 +386,7 @@
     let mut sent = vec![[0; 4]; 8];
     for id in 0..2_800 {
         let now = id * 10 * MS;
-        let turn = (quartzhall::settings::hash(&id.to_string()) % u64::from(balancers)) as usize;
+        let turn = (quartzhall::config::hash(&id.to_string()) % u64::from(balancers)) as usize;
         if now == 20 * SECOND {
             let cold = |id| Entry {
                 started: Some(now),
@@ -444,7 +444,7 @@
         balancers,
         ..settings(vec![class(1.0, Effect::Safe)])
     };
-    let mixed = |it: u64| quartzhall::settings::hash(&format!("{seed}, {it}"));
+    let mixed = |it: u64| quartzhall::config::hash(&format!("{seed}, {it}"));
     let fleet: Vec<_> = (1..=8)
         .map(|id| server(id, Role::Reader))
         .chain([server(12, Role::Writer)])
--- a/tests/stand/mod.rs
+++ b/tests/testbed/mod.rs
@@ -14,12 +14,12 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use miniserde::json;
-use quartzhall::dispatch::{self, Clock, Core, Door, Event};
-use quartzhall::fronts::room::Rooms;
-use quartzhall::fronts::{health, listener, management, platform, websocket, Course};
-use quartzhall::places::Places;
-use quartzhall::settings::{MemberList, Profile, Sessions, Site};
-use quartzhall::{discovery, nodes};
+use quartzhall::config::{MemberList, Profile, Sessions, Site};
+use quartzhall::dispatcher::{self, Clock, Core, Door, Event};
+use quartzhall::frontend::memory_budget::Rooms;
+use quartzhall::frontend::{admin, health_check, http, listener, websocket, Course};
+use quartzhall::net::connection_limit::Places;
+use quartzhall::{backend, discovery};
 use slog::{o, Discard, Logger};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -254,7 +254,9 @@
 }
 
 /// The node side alone, with a test in the core's place.
-pub fn node_side(over_sessions: &[String]) -> (mpsc::Sender<dispatch::Command>, dispatch::Inbox) {
+pub fn node_side(
+    over_sessions: &[String],
+) -> (mpsc::Sender<dispatcher::Command>, dispatcher::Inbox) {
     node_side_for(16, over_sessions)
 }
 
@@ -262,20 +264,20 @@
 pub fn node_side_for(
     waiting: usize,
     over_sessions: &[String],
-) -> (mpsc::Sender<dispatch::Command>, dispatch::Inbox) {
+) -> (mpsc::Sender<dispatcher::Command>, dispatcher::Inbox) {
     let profile: Profile = json::from_str(PROFILE).unwrap();
     let site = Arc::new(Site::new(&profile).unwrap());
     let bounds = site.bounds;
-    let (door, inbox) = dispatch::door(site);
+    let (door, inbox) = dispatcher::door(site);
     let (commands, commanded) = mpsc::channel(waiting);
     let speak = over_sessions.iter().cloned().collect();
-    tokio::spawn(nodes::run(
+    tokio::spawn(backend::run(
         commanded,
         door,
         bounds,
         Places::new(10),
         speak,
-        quartzhall::moving::signal().1,
+        quartzhall::upgrade::stream_migration::signal().1,
         Logger::root(Discard, o!()),
     ));
     (commands, inbox)
@@ -343,7 +345,7 @@
         let (site, second) = (Site::new(&profile).unwrap(), Site::new(&profile).unwrap());
         let clock = Clock::start();
         let site = Arc::new(site);
-        let (door, inbox) = dispatch::door(site.clone());
+        let (door, inbox) = dispatcher::door(site.clone());
         let core = Core::new(site.clone(), 100, 7, clock.now(), log.clone());
         let (commands, commanded) = mpsc::channel(64);
         let speak = if over_sessions {
@@ -351,16 +353,16 @@
         } else {
             Default::default()
         };
-        tokio::spawn(nodes::run(
+        tokio::spawn(backend::run(
             commanded,
             door.clone(),
             site.bounds,
             Places::new(100),
             speak,
-            quartzhall::moving::signal().1,
+            quartzhall::upgrade::stream_migration::signal().1,
             log.clone(),
         ));
-        tokio::spawn(dispatch::run(core, clock, inbox, commands, None, None));
+        tokio::spawn(dispatcher::run(core, clock, inbox, commands, None, None));
         let (stop, stopped) = watch::channel(Course::Serving);
         let options = r#"{"most_sessions":4,"most_message":4000,"reattach_ms":200,"most_requests":8,"record_text":4000}"#;
         let options = Arc::new(Sessions::parse(options).unwrap());
@@ -374,7 +376,7 @@
             stopped.clone(),
             log.clone(),
         );
-        let routes = websocket::routes(shared.clone()).merge(health::routes(door.clone()));
+        let routes = websocket::routes(shared.clone()).merge(health_check::routes(door.clone()));
         let front = listener::serve(
             listener,
             routes,
@@ -384,9 +386,9 @@
             log.clone(),
         );
         let (calls, management) = bind().await;
-        tokio::spawn(management::serve(calls, door.clone(), log.clone()));
+        tokio::spawn(admin::serve(calls, door.clone(), log.clone()));
         let (listener, platform) = bind().await;
-        let routes = platform::routes(door.clone(), rooms, log.clone());
+        let routes = http::routes(door.clone(), rooms, log.clone());
         let thin = listener::serve(
             listener,
             routes,
@@ -418,7 +420,7 @@
         fleet
             .tell(&[(0, "Ready"), (1, "Ready"), (2, "Ready")])
             .await;
-        fleet.door.becomes(dispatch::Readiness::Ready).await;
+        fleet.door.becomes(dispatcher::Readiness::Ready).await;
         fleet
     }
 
@@ -494,7 +496,7 @@
         self.door
             .tell(Event::Drain(std::time::Duration::from_secs(3)))
             .await;
-        self.door.becomes(dispatch::Readiness::Draining).await;
+        self.door.becomes(dispatcher::Readiness::Draining).await;
         self.stop.send(Course::Ending).unwrap();
     }
 }
--- a/tests/unit/dispatch_guard.rs
+++ b/tests/unit/dispatcher/guard.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::api::{Ask, Status};
-use crate::dispatch::messages::Work;
-use crate::dispatch::reasons::EndReason;
-use crate::settings::{Profile, Site};
+use crate::config::{Profile, Site};
+use crate::dispatcher::messages::Work;
+use crate::dispatcher::reasons::EndReason;
+use crate::routing::api::{Ask, Status};
 
 const MS: Time = 1_000;
 const READER: ServerId = 1;
--- a/tests/unit/handover.rs
+++ b/tests/unit/upgrade/coordinator.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::settings::{Profile, Site};
+use crate::config::{Profile, Site};
 use slog::{o, Discard};
 
 struct Folder(PathBuf);
@@ -42,7 +42,7 @@
     assert_eq!(new.new_bans(), Some(Marks::new()));
     old.write_bans(&marks(5)).unwrap();
     let profile: Profile = json::from_str("{}").unwrap();
-    let (door, mut inbox) = crate::dispatch::door(Arc::new(Site::new(&profile).unwrap()));
+    let (door, mut inbox) = crate::dispatcher::door(Arc::new(Site::new(&profile).unwrap()));
     let (_phase, phase) = watch::channel(Phase::Starting);
     let (view, _seen) = watch::channel(View::default());
     tokio::spawn(run(new, Free, door, phase, view));
@@ -163,7 +163,7 @@
     // A folder with something in it can't be replaced by a file.
     fs::create_dir_all(path.join("full")).unwrap();
     let profile: Profile = json::from_str("{}").unwrap();
-    let (door, inbox) = crate::dispatch::door(Arc::new(Site::new(&profile).unwrap()));
+    let (door, inbox) = crate::dispatcher::door(Arc::new(Site::new(&profile).unwrap()));
     let (_phase, phase) = watch::channel(Phase::Serving);
     let (view, _seen) = watch::channel(View::default());
     tokio::spawn(run(handover, Free, door, phase, view));
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,18 +1,18 @@
 //! A new version beside the old one: two processes of the program on one inherited socket.
 
-mod stand;
+mod testbed;
 
 use axum::http::Uri;
 use axum::routing::get;
 use axum::Router;
 use quartzhall_recording::{Answer, Reader, Record};
-use stand::{Fleet, Way};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use testbed::{Fleet, Way};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -90,7 +90,7 @@
 
     fn command(&self, descriptor: &str, socket: OwnedFd, management: &str) -> Command {
         let config = self.folder.join("config.json");
-        let profile = stand::PROFILE;
+        let profile = testbed::PROFILE;
         let text = format!(
             r#"{{"name":"n1","listen":"{}","discovery":"{}","seed":"8c1f","limits":{{"memory_mb":192,"sockets":512}},"known":null,"settings":{profile}}}"#,
             self.address, self.discovery
@@ -363,7 +363,7 @@
                     .await
                     .unwrap();
                 let mut text = Vec::new();
-                while !String::from_utf8_lossy(&text).contains(stand::ANSWER[0]) {
+                while !String::from_utf8_lossy(&text).contains(testbed::ANSWER[0]) {
                     assert_ne!(stream.read_buf(&mut text).await.unwrap(), 0);
                 }
                 begun.fetch_add(1, Ordering::SeqCst);
@@ -382,7 +382,7 @@
         while let Some(text) = clients.join_next().await {
             let text = text.unwrap();
             assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-            let whole = stand::ANSWER
+            let whole = testbed::ANSWER
                 .iter()
                 .all(|event| text.matches(event).count() == 1);
             assert_eq!(
--- a/tests/sessions.rs
+++ b/tests/websocket_sessions.rs
@@ -1,10 +1,10 @@
 //! WebSocket sessions from end to end: terminals, the dispatcher, and nodes over both of their wires.
 
-mod stand;
+mod testbed;
 
 use futures_util::SinkExt;
-use stand::{ask, Fleet, Terminal, Way, ANSWER};
 use std::time::Duration;
+use testbed::{ask, Fleet, Terminal, Way, ANSWER};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 use tokio_tungstenite::tungstenite::Message;
