--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -6,7 +6,7 @@
 //! others did.
 
 use crate::estimate::{figure, inverse, Figure, Part, Sample};
-use quartzhall_recording::{Record, Role, Status};
+use quartzhall_recording::{Record, RecordedRole, RecordedStatus};
 use std::collections::{BTreeMap, HashMap};
 
 /// Attempts that may be open at once; a recording with more has lost their ends.
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Nodes {
     /// The role.
-    pub role: Role,
+    pub role: RecordedRole,
     /// How many there were.
     pub nodes: usize,
     /// Attempts that ended.
@@ -63,7 +63,7 @@
 
 /// Reads figures out of the records. The seed settles the draws of their intervals.
 pub fn calibrate(records: impl Iterator<Item = Record>, seed: u64) -> Calibration {
-    let mut roles: HashMap<u32, Role> = HashMap::new();
+    let mut roles: HashMap<u32, RecordedRole> = HashMap::new();
     let mut prompts: HashMap<u64, f64> = HashMap::new();
     let mut open: BTreeMap<(u64, u32), Open> = BTreeMap::new();
     let mut out: HashMap<u32, usize> = HashMap::new();
@@ -131,13 +131,13 @@
                 seen.attempts += 1;
                 seen.failed += usize::from(!matches!(
                     status,
-                    Status::Ok | Status::Read | Status::Cancelled
+                    RecordedStatus::Served | RecordedStatus::PrefillDone | RecordedStatus::Cancelled
                 ));
                 let left = prompts
                     .get(&request)
                     .map(|prompt| (prompt - f64::from(kept)).max(0.0));
                 match (status, left, ended.first) {
-                    (Status::Read, Some(left), _) if ended.alone => {
+                    (RecordedStatus::PrefillDone, Some(left), _) if ended.alone => {
                         let sample = Sample {
                             at: ended.sent,
                             x: left,
@@ -146,7 +146,7 @@
                         seen.rates.push(sample);
                         seen.waits.push(sample);
                     }
-                    (Status::Ok, _, Some(first)) => {
+                    (RecordedStatus::Served, _, Some(first)) => {
                         if written > 0 {
                             let y = seconds(first, at) / f64::from(written);
                             seen.rates.push(Sample {
@@ -169,10 +169,10 @@
             Record::Start { .. } | Record::Name { .. } => {}
         }
     }
-    let of = |role: Role| {
+    let of = |role: RecordedRole| {
         let seen = &seen[role as usize];
         // Readers' time grows with what is left to read; a writer's rate is told answer by answer.
-        let (rate, wait) = if role == Role::Reader {
+        let (rate, wait) = if role == RecordedRole::Prefill {
             (Part::Slope, Part::Start)
         } else {
             (Part::Mean, Part::Mean)
@@ -186,7 +186,7 @@
             wait_s: figure(&seen.waits, wait, seed),
         }
     };
-    let all = [Role::Reader, Role::Writer, Role::Both].map(of);
+    let all = [RecordedRole::Prefill, RecordedRole::Decode, RecordedRole::Mixed].map(of);
     let roles = all.into_iter().filter(|nodes| nodes.nodes > 0).collect();
     Calibration {
         roles,
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -2,7 +2,7 @@
 
 use quartzhall_calibration::calibrate::{calibrate, Calibration};
 use quartzhall_calibration::estimate::Figure;
-use quartzhall_recording::{Answer, Record, Role, Status, Writer};
+use quartzhall_recording::{RecordedOutcome, Record, RecordedRole, RecordedStatus, Writer};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::process::Command;
@@ -23,7 +23,7 @@
         ready: true,
         started: 0,
     };
-    let mut all = vec![node(0, Role::Reader), node(1, Role::Writer)];
+    let mut all = vec![node(0, RecordedRole::Prefill), node(1, RecordedRole::Decode)];
     let mut at = clock;
     for request in 0..requests {
         at += 600_000;
@@ -57,7 +57,7 @@
             kept,
             written,
         };
-        all.push(ended(read, 0, Status::Read, kept, 0));
+        all.push(ended(read, 0, RecordedStatus::PrefillDone, kept, 0));
         all.push(Record::Sent {
             at: read,
             request,
@@ -71,11 +71,11 @@
             attempt: 1,
         });
         let end = first + noise(PACE * 150.0);
-        all.push(ended(end, 1, Status::Ok, 0, 150));
+        all.push(ended(end, 1, RecordedStatus::Served, 0, 150));
         all.push(Record::Final {
             at: end,
             request,
-            answer: Answer::Served,
+            answer: RecordedOutcome::Served,
         });
     }
     // In the order of their times, as a dispatcher writes them.
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -31,7 +31,7 @@
     }
 
     /// The digest of a name. `sort` keeps a session and an opening of one name apart.
-    pub fn digest(&self, sort: Sort, name: &[u8]) -> Digest {
+    pub fn digest(&self, sort: DigestKind, name: &[u8]) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&[sort as u8]).update(name);
         let mut first = [0; 8];
@@ -43,7 +43,7 @@
 /// What a digest stands for.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
-pub enum Sort {
+pub enum DigestKind {
     /// A session.
     Session = 1,
     /// A shared opening.
@@ -63,26 +63,26 @@
 
 /// What a node does.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub enum Role {
+pub enum RecordedRole {
     /// Reads.
-    Reader,
+    Prefill,
     /// Writes.
-    Writer,
+    Decode,
     /// Both.
-    Both,
+    Mixed,
 }
 
 /// How an attempt ended, in the core's terms.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub enum Status {
+pub enum RecordedStatus {
     /// Served.
-    Ok,
+    Served,
     /// The prompt is read.
-    Read,
+    PrefillDone,
     /// An error answer.
     Error,
     /// Turned away.
-    Full,
+    Overloaded,
     /// No answer in time.
     Timeout,
     /// No connection.
@@ -90,28 +90,28 @@
     /// The connection broke.
     Reset,
     /// A kept connection broke before anything came back.
-    Stale,
+    StaleConnection,
     /// Cancelled.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Turned away for good.
-    Rejected,
+    InvalidRequest,
 }
 
 /// A request's final answer.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub enum Answer {
+pub enum RecordedOutcome {
     /// A stream was passed on to its end.
     Served,
     /// A stream was passed on and broke.
-    Broken,
+    StreamBroken,
     /// Refused.
-    Refused,
+    Shed,
     /// Failed.
     Failed,
     /// The client left before.
-    Left,
+    ClientDisconnected,
 }
 
 /// One record. Times are Unix microseconds on the recording dispatcher's clock; lengths are tokens.
@@ -142,7 +142,7 @@
         /// Its number.
         node: u32,
         /// What it does.
-        role: Role,
+        role: RecordedRole,
         /// Its cell.
         cell: u32,
         /// It takes work.
@@ -202,7 +202,7 @@
         /// Which of its attempts.
         attempt: u32,
         /// How.
-        status: Status,
+        status: RecordedStatus,
         /// Tokens found kept.
         kept: u32,
         /// Tokens of the answer; 0 where it was not told.
@@ -215,7 +215,7 @@
         /// The request.
         request: u64,
         /// How.
-        answer: Answer,
+        answer: RecordedOutcome,
     },
     /// So many records are missing here: the recorder could not keep up.
     Dropped {
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -1,7 +1,7 @@
 //! Recordings that are whole, cut off, damaged, or newer.
 
 use quartzhall_recording::{
-    Answer, Digest, Key, Reader, Record, Recorder, Sort, Status, Table, Writer, MARK, VERSION,
+    RecordedOutcome, Digest, Key, Reader, Record, Recorder, DigestKind, RecordedStatus, Table, Writer, MARK, VERSION,
 };
 use quickcheck::{Gen, QuickCheck};
 use std::io::{self, Write};
@@ -50,14 +50,14 @@
             at: 4,
             request,
             attempt: 0,
-            status: Status::Ok,
+            status: RecordedStatus::Served,
             kept: 4096,
             written: 200,
         });
         all.push(Record::Final {
             at: 5,
             request,
-            answer: Answer::Served,
+            answer: RecordedOutcome::Served,
         });
     }
     all
@@ -168,12 +168,12 @@
 #[test]
 fn digests_tell_sessions_apart_and_nothing_else() {
     let (key, other) = (Key::from_secret(b"one"), Key::from_secret(b"other"));
-    let digest = key.digest(Sort::Session, b"7f3a");
-    assert_eq!(digest, key.digest(Sort::Session, b"7f3a"));
+    let digest = key.digest(DigestKind::Session, b"7f3a");
+    assert_eq!(digest, key.digest(DigestKind::Session, b"7f3a"));
     let others = [
-        key.digest(Sort::Session, b"7f3b"),
-        key.digest(Sort::Opening, b"7f3a"),
-        other.digest(Sort::Session, b"7f3a"),
+        key.digest(DigestKind::Session, b"7f3b"),
+        key.digest(DigestKind::Opening, b"7f3a"),
+        other.digest(DigestKind::Session, b"7f3a"),
     ];
     assert!(!others.contains(&digest));
 }
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -7,10 +7,10 @@
 use crate::world::UNITS_PER_MICROSECOND;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use quartzhall::config::{hash, Config, Site};
-use quartzhall::dispatcher::{Answer, Command, Core, EndReason, Event, Member, Work};
+use quartzhall::config::{hash, Config, Deployment};
+use quartzhall::dispatcher::{Outcome, Command, Core, EndReason, Event, DiscoveredEndpoint, UpstreamRequest};
 use quartzhall::gossip::Gossip;
-use quartzhall::routing::api::{Ask, Entry, Load, RequestId, ServerId, State, Status, Time};
+use quartzhall::routing::api::{RequestMetadata, EndpointRecord, LoadReport, RequestId, EndpointId, EndpointStatus, AttemptStatus, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use slog::{o, Discard, Logger};
@@ -34,12 +34,12 @@
     core: Core,
     now: Time,
     costs: Costs,
-    entries: Vec<Entry>,
-    answers: Vec<oneshot::Receiver<Answer>>, // clients wait for them, and take streams
+    entries: Vec<EndpointRecord>,
+    answers: Vec<oneshot::Receiver<Outcome>>, // clients wait for them, and take streams
 }
 
 /// The settings of a dispatcher in a fleet of so many.
-fn site(dispatchers: u32) -> Result<Site, String> {
+fn site(dispatchers: u32) -> Result<Deployment, String> {
     let scenario = Scenario::parse(&format!(
         "name = \"steps\"\nseconds = 1\n[fleet]\nreplicas = 100\nzones = 15\nrack = [4, 8]\nreaders = 0.25\n[dispatchers]\nreal = 1\ntold = {dispatchers}\nsockets = 1024\n[load]\nper_dispatcher = 1.0\nprompt = [1, 2]\nanswer = [1, 2]\n"
     ))?;
@@ -51,17 +51,17 @@
         peers_all: nowhere(),
     };
     let config = Config::parse(&config::text(&scenario, 0, 1, &addresses, &[]))?;
-    Site::new(&config.settings)
+    Deployment::new(&config.settings)
 }
 
-fn name(entry: &Entry) -> String {
+fn name(entry: &EndpointRecord) -> String {
     format!("replica-{}", entry.server)
 }
 
-fn member(entry: &Entry) -> Member {
+fn member(entry: &EndpointRecord) -> DiscoveredEndpoint {
     let [_, _, high, low] = (entry.cell + 1).to_be_bytes();
     let address = format!("127.1.{high}.{low}:{}", 10_000 + entry.server);
-    Member {
+    DiscoveredEndpoint {
         name: name(entry).into(),
         address: address.into(),
         entry: entry.clone(),
@@ -89,7 +89,7 @@
     }
 
     fn members(&self, complete: bool, which: &[usize]) -> Event {
-        Event::Members {
+        Event::EndpointsChanged {
             complete,
             members: which.iter().map(|at| member(&self.entries[*at])).collect(),
         }
@@ -129,7 +129,7 @@
         for turn in 0..TURNS {
             self.now += 100 * MS;
             let at = rng.gen_range(0..self.entries.len());
-            for state in [State::Draining, State::Ready] {
+            for state in [EndpointStatus::Draining, EndpointStatus::Ready] {
                 self.entries[at].state = state;
                 let change = self.members(false, &[at]);
                 self.time("core: change of one replica", change);
@@ -147,9 +147,9 @@
             self.now += 20 * MS;
             (0..EARNED_BY).for_each(|_| other.request());
             let at = rng.gen_range(0..self.entries.len());
-            let load = Load {
+            let load = LoadReport {
                 in_flight: Some(50.0 + turn as f64),
-                ..Load::default()
+                ..LoadReport::default()
             };
             other.report(self.now, at as u32, hash(&name(&self.entries[at])), &load);
             let Some(message) = other.message(self.now) else {
@@ -157,7 +157,7 @@
             };
             self.time(
                 "core: message heard",
-                Event::Peer {
+                Event::GossipReceived {
                     from: 1,
                     message: Bytes::from(message),
                 },
@@ -167,22 +167,22 @@
 
     /// A request; true when it was sent to a reader, if need be after the answers of servers that were asked first.
     fn request(&mut self, id: u64) -> bool {
-        let ask = Ask {
+        let ask = RequestMetadata {
             id,
             session: Some(id),
             expires_in: 4_000 * MS,
             prompt: 2_000.0,
             max_tokens: 300.0,
-            ..Ask::default()
+            ..RequestMetadata::default()
         };
-        let work = Work {
+        let work = UpstreamRequest {
             name: format!("r{id}").into(),
             target: "/v1/chat/completions".into(),
             body: Bytes::new(),
         };
         let (answer, answered) = oneshot::channel();
         self.answers.push(answered);
-        let commands = self.time("core: request", Event::Request { ask, work, answer });
+        let commands = self.time("core: request", Event::RequestArrived { ask, work, answer });
         let commands = self.ask_servers(commands);
         is_sent(&commands, id, 0)
     }
@@ -191,14 +191,14 @@
     fn ask_servers(&mut self, mut commands: Vec<Command>) -> Vec<Command> {
         let probed: Vec<_> = commands.iter().filter_map(probed).collect();
         for server in probed {
-            let load = Some(Load {
+            let load = Some(LoadReport {
                 in_flight: Some(1.0),
                 memory: Some(0.1),
-                ..Load::default()
+                ..LoadReport::default()
             });
             commands.extend(self.time(
                 "core: probe's answer",
-                Event::Probed {
+                Event::ProbeCompleted {
                     server,
                     ok: true,
                     load,
@@ -220,10 +220,10 @@
             if !self.request(id) {
                 continue;
             }
-            let ended = Event::Ended {
+            let ended = Event::AttemptEnded {
                 id,
                 attempt: 0,
-                reason: EndReason::Read,
+                reason: EndReason::PrefillDone,
                 note: 0.0,
                 written: 0.0,
                 load: None,
@@ -231,9 +231,9 @@
             self.time("core: read's end", ended);
             self.time(
                 "core: client left, lease let go",
-                Event::Gone { id, fate: None },
+                Event::ClientDisconnected { id, fate: None },
             );
-            self.core.hear(self.now, Event::Released { id, done: true });
+            self.core.hear(self.now, Event::ReleaseCompleted { id, done: true });
         }
     }
 
@@ -255,10 +255,10 @@
             if !self.request(id) {
                 continue;
             }
-            let (status, note, written, load) = (Status::Read, 0.0, 0.0, None);
+            let (status, note, written, load) = (AttemptStatus::PrefillDone, 0.0, 0.0, None);
             self.core.hear(
                 self.now,
-                Event::Ended {
+                Event::AttemptEnded {
                     id,
                     attempt: 0,
                     reason: EndReason::of(status),
@@ -274,7 +274,7 @@
             let stream = mpsc::channel(1).1;
             self.core.hear(
                 self.now,
-                Event::First {
+                Event::FirstEvent {
                     id,
                     attempt: 1,
                     stream,
@@ -286,11 +286,11 @@
 }
 
 fn is_sent(commands: &[Command], of: RequestId, number: u32) -> bool {
-    let sends = |it: &Command| matches!(it, Command::Send { id, attempt, .. } if (*id, *attempt) == (of, number));
+    let sends = |it: &Command| matches!(it, Command::StartAttempt { id, attempt, .. } if (*id, *attempt) == (of, number));
     commands.iter().any(sends)
 }
 
-fn probed(command: &Command) -> Option<ServerId> {
+fn probed(command: &Command) -> Option<EndpointId> {
     match command {
         Command::Probe { server, .. } => Some(*server),
         _ => None,
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of replicas as it is drawn for a measurement: roles, zones, racks.
 
-use quartzhall::routing::api::{Entry, Role, ServerId, State, Time};
+use quartzhall::routing::api::{EndpointRecord, Role, EndpointId, EndpointStatus, Time};
 use rand::Rng;
 use rand_pcg::Pcg32;
 
@@ -38,7 +38,7 @@
 }
 
 /// Draws the list of replicas. Each rack has its share of readers, one at least, so that states can stay in it.
-pub fn draw(shape: &Shape, now: Time, rng: &mut Pcg32) -> Vec<Entry> {
+pub fn draw(shape: &Shape, now: Time, rng: &mut Pcg32) -> Vec<EndpointRecord> {
     let mut entries = Vec::with_capacity(shape.replicas);
     let mut cell = 0;
     while entries.len() < shape.replicas {
@@ -48,24 +48,24 @@
         let readers = ((size as f64 * shape.readers).round() as usize).max(1);
         for place in 0..size {
             let role = if place < readers {
-                Role::Reader
+                Role::Prefill
             } else {
-                Role::Writer
+                Role::Decode
             };
-            let server = entries.len() as ServerId;
+            let server = entries.len() as EndpointId;
             let cold = rng.gen_bool(shape.cold);
-            entries.push(Entry {
+            entries.push(EndpointRecord {
                 server,
                 key: quartzhall::config::hash(&format!("replica-{server}")),
                 role,
-                memory: if role == Role::Reader {
+                memory: if role == Role::Prefill {
                     READER_MEMORY
                 } else {
                     WRITER_MEMORY
                 },
                 zone: cell % shape.zones.max(1),
                 cell,
-                state: State::Ready,
+                state: EndpointStatus::Ready,
                 started: cold.then_some(now),
             });
         }
--- a/crates/scale/src/hollow/discovery.rs
+++ b/crates/scale/src/hollow/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! Each dispatcher calls an address of its own, so that it is known to whom a change was written, and when.
 
-use quartzhall::routing::api::{Entry, Role, State};
+use quartzhall::routing::api::{EndpointRecord, Role, EndpointStatus};
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,26 +22,26 @@
 
 /// One replica, as discovery lists it.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct DiscoveredEndpoint {
     /// Its number in the fleet.
-    pub entry: Entry,
+    pub entry: EndpointRecord,
     /// Where it listens.
     pub address: String,
     /// Its last start, in Unix milliseconds; 0: long ago.
     pub up_since_ms: u64,
 }
 
-impl Member {
+impl DiscoveredEndpoint {
     fn line(&self) -> String {
-        let flavor = if self.entry.role == Role::Reader {
+        let flavor = if self.entry.role == Role::Prefill {
             "prefill"
         } else {
             "decode"
         };
         let phase = match self.entry.state {
-            State::Ready => "Ready",
-            State::Draining => "Terminating",
-            State::Gone => "Gone",
+            EndpointStatus::Ready => "Ready",
+            EndpointStatus::Draining => "Terminating",
+            EndpointStatus::Removed => "Gone",
         };
         format!(
             r#"{{"id":"replica-{}","host_port":"{}","locality":"zone-{}","flavor":"{flavor}","cell":{},"phase":"{phase}","size":1.0,"up_since_ms":{}}}"#,
@@ -54,12 +54,12 @@
 struct List {
     text: String,
     whole: bool,
-    told: Vec<(usize, State)>,
+    told: Vec<(usize, EndpointStatus)>,
 }
 
 struct Table {
     revision: u64,
-    members: Vec<Member>,
+    members: Vec<DiscoveredEndpoint>,
     written: HashMap<Option<u64>, Arc<List>>, // of this revision, by the one that it starts from
     changes: Vec<(u64, usize)>,               // by revision: which member
     whole_at: u64,                            // everybody older is sent the whole list
@@ -132,7 +132,7 @@
 
 impl Discovery {
     /// A discovery that has this list.
-    pub fn new(members: Vec<Member>) -> Discovery {
+    pub fn new(members: Vec<DiscoveredEndpoint>) -> Discovery {
         let written = HashMap::new();
         let table = Table {
             revision: FIRST_REVISION,
@@ -152,7 +152,7 @@
     }
 
     /// Changes members, each by its number, and tells all that watch.
-    pub fn change(&self, numbers: &[usize], change: impl Fn(&mut Member)) {
+    pub fn change(&self, numbers: &[usize], change: impl Fn(&mut DiscoveredEndpoint)) {
         let mut table = self.table();
         table.written.clear();
         for number in numbers {
@@ -180,7 +180,7 @@
     }
 
     /// Members for which something holds, by number.
-    pub fn members(&self, holds: impl Fn(&Member) -> bool) -> Vec<usize> {
+    pub fn members(&self, holds: impl Fn(&DiscoveredEndpoint) -> bool) -> Vec<usize> {
         let table = self.table();
         let all = table.members.iter().enumerate();
         all.filter(|(_, member)| holds(member))
@@ -254,7 +254,7 @@
             text.len()
         );
         // Who is back may be sent to as soon as the list is written, and is no longer told to drain before that.
-        for (number, _) in list.told.iter().filter(|(_, state)| *state == State::Ready) {
+        for (number, _) in list.told.iter().filter(|(_, state)| *state == EndpointStatus::Ready) {
             written.told().remove(number);
         }
         stream.write_all(answer.as_bytes()).await?;
@@ -267,7 +267,7 @@
             .fetch_add(u64::from(list.whole), Ordering::Relaxed);
         let now = Instant::now();
         let mut known = written.told();
-        for (number, _) in list.told.iter().filter(|(_, state)| *state != State::Ready) {
+        for (number, _) in list.told.iter().filter(|(_, state)| *state != EndpointStatus::Ready) {
             known.entry(*number).or_insert(now);
         }
         Ok(())
--- a/crates/scale/src/hollow/peers.rs
+++ b/crates/scale/src/hollow/peers.rs
@@ -3,9 +3,9 @@
 
 use crate::hollow::discovery::FIRST_REVISION;
 use quartzhall::discovery::backoff::Backoff;
-use quartzhall::discovery::watch_state::Watch;
+use quartzhall::discovery::watch_state::WatchState;
 use quartzhall::gossip::Gossip;
-use quartzhall::routing::api::{Load, Time};
+use quartzhall::routing::api::{LoadReport, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 
 /// What all hollow dispatchers of a run are given.
 #[derive(Clone)]
-pub struct Peers {
+pub struct GossipTransport {
     /// Dispatchers of the fleet, as the settings tell.
     pub told: u32,
     /// What a full message costs for each receiver and request.
@@ -48,7 +48,7 @@
 
 /// Tells the real dispatchers what one of its size would, for as long as the task runs. What it may spend on that is the
 /// program's own budget; what it has to tell are random loads.
-pub async fn tell(peers: Peers, socket: UdpSocket, seed: u64) {
+pub async fn tell(peers: GossipTransport, socket: UdpSocket, seed: u64) {
     let mut gossip = Gossip::new(peers.told as usize, peers.price);
     let mut rng = Pcg32::seed_from_u64(seed);
     sleep(TURN.mul_f64(rng.gen())).await;
@@ -56,9 +56,9 @@
         for _ in 0..(peers.rate * TURN.as_secs_f64()) as usize {
             gossip.request();
             let number = rng.gen_range(0..peers.keys.len());
-            let load = Load {
+            let load = LoadReport {
                 in_flight: Some(rng.gen_range(0.0..MOST_IN_FLIGHT)),
-                ..Load::default()
+                ..LoadReport::default()
             };
             gossip.report(now(), number as u32, peers.keys[number], &load);
         }
@@ -78,7 +78,7 @@
 /// Follows discovery with the program's own watch and pauses, and discards the lists, for as long as the task runs. It has
 /// been running for long and knows the first list.
 pub async fn follow(address: String, dispatchers: u32, seed: u64) {
-    let mut watch = Watch::from(Some(FIRST_REVISION), false);
+    let mut watch = WatchState::from(Some(FIRST_REVISION), false);
     let mut backoff = Backoff::new(dispatchers, seed);
     sleep(backoff.first()).await;
     loop {
--- a/crates/scale/src/hollow/replica.rs
+++ b/crates/scale/src/hollow/replica.rs
@@ -241,7 +241,7 @@
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(self.clone());
         match self.role {
-            Role::Reader => self.read(name, body.len(), running).await,
+            Role::Prefill => self.read(name, body.len(), running).await,
             _ if self.ledger.take_state(&name) => self.write(&body, running).await,
             _ => {
                 let mut gone = plain(StatusCode::GONE, "");
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Notes a send against a told drain, and one that makes a cold replica fall.
+    /// TraceRecorder a send against a told drain, and one that makes a cold replica fall.
     fn check_rules(&self, name: &str) {
         if let Some(told) = (self.drain_told)(name, self.number) {
             let _ = lock(&self.ledger.after_drain).record(told.elapsed().as_micros() as u64);
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -32,7 +32,7 @@
     pub sent_late: Histogram<u64>,
 }
 
-enum Answer {
+enum ClientOutcome {
     Served(Duration),
     Refused,
     Failed,
@@ -103,17 +103,17 @@
 }
 
 impl Outcomes {
-    fn count(&mut self, answer: Result<Answer, tokio::task::JoinError>) {
+    fn count(&mut self, answer: Result<ClientOutcome, tokio::task::JoinError>) {
         let answers = &mut self.answers;
         answers.sent += 1;
         match answer {
-            Ok(Answer::Served(first)) => {
+            Ok(ClientOutcome::Served(first)) => {
                 answers.served += 1;
                 let _ = self.first_token.record(first.as_micros() as u64);
             }
-            Ok(Answer::Refused) => answers.refused += 1,
-            Ok(Answer::Failed) => answers.failed += 1,
-            Ok(Answer::Lost) | Err(_) => answers.lost += 1,
+            Ok(ClientOutcome::Refused) => answers.refused += 1,
+            Ok(ClientOutcome::Failed) => answers.failed += 1,
+            Ok(ClientOutcome::Lost) | Err(_) => answers.lost += 1,
         }
     }
 }
@@ -145,7 +145,7 @@
     (name, head + &body)
 }
 
-async fn ask(target: Arc<Target>, (name, text): (String, String), due: Instant) -> Answer {
+async fn ask(target: Arc<Target>, (name, text): (String, String), due: Instant) -> ClientOutcome {
     let mut again = true;
     loop {
         let kept = target.idle().pop();
@@ -155,7 +155,7 @@
             None => TcpStream::connect(&target.address).await,
         };
         let Ok(mut stream) = stream else {
-            return Answer::Lost;
+            return ClientOutcome::Lost;
         };
         let _ = stream.set_nodelay(true);
         let waiting = |add: bool| {
@@ -175,7 +175,7 @@
         match exchange {
             // The dispatcher may close a connection between requests: the client sends once more on a new one.
             Err(Unanswered) if was_kept && again => again = false,
-            Err(Unanswered) => return Answer::Lost,
+            Err(Unanswered) => return ClientOutcome::Lost,
             Ok((answer, keeps)) => {
                 if keeps {
                     target.idle().push(stream);
@@ -194,7 +194,7 @@
     stream: &mut TcpStream,
     text: &str,
     due: Instant,
-) -> Result<(Answer, bool), Unanswered> {
+) -> Result<(ClientOutcome, bool), Unanswered> {
     stream
         .write_all(text.as_bytes())
         .await
@@ -211,7 +211,7 @@
         let read = match timeout_at(patience, stream.read(&mut some)).await {
             Ok(Ok(read)) if read > 0 => read,
             Ok(_) if answer.is_empty() => return Err(Unanswered),
-            _ => return Ok((Answer::Lost, false)),
+            _ => return Ok((ClientOutcome::Lost, false)),
         };
         answer.extend_from_slice(&some[..read]);
         let Some(head_end) = position(&answer, b"\r\n\r\n") else {
@@ -225,7 +225,7 @@
                 first = Some(due.elapsed());
             }
             if answer.ends_with(b"\r\n0\r\n\r\n") {
-                return Ok((Answer::Served(first.unwrap_or_default()), keeps));
+                return Ok((ClientOutcome::Served(first.unwrap_or_default()), keeps));
             }
             continue;
         }
@@ -236,9 +236,9 @@
             let refused = status == "503" || status == "429";
             return Ok((
                 if refused {
-                    Answer::Refused
+                    ClientOutcome::Refused
                 } else {
-                    Answer::Failed
+                    ClientOutcome::Failed
                 },
                 keeps,
             ));
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -3,15 +3,15 @@
 
 use crate::config::{self, Addresses};
 use crate::fleet;
-use crate::hollow::discovery::{Discovery, Member, Written};
-use crate::hollow::peers::{self, Peers};
+use crate::hollow::discovery::{Discovery, DiscoveredEndpoint, Written};
+use crate::hollow::peers::{self, GossipTransport};
 use crate::hollow::replica::{ColdRule, DrainTold, Ledger, Replica};
 use crate::load;
 use crate::process::{self, Dispatcher, Sample};
 use crate::results::{Answers, ScaleRun, Times, Usage};
 use crate::scenario::{Event, EventKind, Scenario};
 use hdrhistogram::Histogram;
-use quartzhall::routing::api::{Entry, State};
+use quartzhall::routing::api::{EndpointRecord, EndpointStatus};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use slog::{info, Logger};
@@ -141,7 +141,7 @@
             );
             tasks.spawn(replica.clone().serve(listener));
             replicas.push(replica);
-            members.push(Member {
+            members.push(DiscoveredEndpoint {
                 entry,
                 address,
                 up_since_ms,
@@ -173,11 +173,11 @@
         seed: u64,
         sockets: Vec<UdpSocket>,
         real: &[String],
-    ) -> Result<Peers, String> {
+    ) -> Result<GossipTransport, String> {
         let agent = self.agent(Arc::default()).await?;
         let count = self.replicas.len();
         let keys = (0..count).map(|number| quartzhall::config::hash(&format!("replica-{number}")));
-        let peers = Peers {
+        let peers = GossipTransport {
             told: scenario.dispatchers.told,
             price: config::PEER_PRICE,
             rate: scenario.load.per_dispatcher,
@@ -196,7 +196,7 @@
     }
 
     fn happen(&mut self, event: &Event, seed: u64) {
-        let in_zone = |member: &Member| member.entry.zone == event.number;
+        let in_zone = |member: &DiscoveredEndpoint| member.entry.zone == event.number;
         match event.kind {
             EventKind::DrainRack => self.drain(|member| member.entry.cell == event.number),
             EventKind::DrainZone => self.drain(in_zone),
@@ -214,14 +214,14 @@
         }
     }
 
-    fn drain(&self, which: impl Fn(&Member) -> bool) {
+    fn drain(&self, which: impl Fn(&DiscoveredEndpoint) -> bool) {
         let members = self.discovery.members(which);
         self.discovery
-            .change(&members, |member| member.entry.state = State::Draining);
+            .change(&members, |member| member.entry.state = EndpointStatus::Draining);
     }
 }
 
-fn rack_address(entry: &Entry) -> std::net::Ipv4Addr {
+fn rack_address(entry: &EndpointRecord) -> std::net::Ipv4Addr {
     let [_, _, high, low] = (entry.cell + 1).to_be_bytes();
     std::net::Ipv4Addr::new(127, 1, high, low)
 }
@@ -233,7 +233,7 @@
         .for_each(|number| replicas[*number].restart());
     let now = unix_ms();
     discovery.change(numbers, |member| {
-        member.entry.state = State::Ready;
+        member.entry.state = EndpointStatus::Ready;
         member.up_since_ms = now;
     });
 }
@@ -254,7 +254,7 @@
         draining = (0..each_second)
             .map(|_| rng.gen_range(0..replicas.len()))
             .collect();
-        discovery.change(&draining, |member| member.entry.state = State::Draining);
+        discovery.change(&draining, |member| member.entry.state = EndpointStatus::Draining);
     }
 }
 
@@ -402,7 +402,7 @@
         .await?;
 
     let sample = |id| process::sample(id).unwrap_or_default();
-    let counts = |rig: &Rig, hollow: &Peers| -> Vec<u64> {
+    let counts = |rig: &Rig, hollow: &GossipTransport| -> Vec<u64> {
         let bytes = rig
             .written
             .iter()
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -134,7 +134,7 @@
 pub const UNITS_PER_MICROSECOND: f64 = 10.0;
 
 struct Machine {
-    entry: Entry,
+    entry: EndpointRecord,
     busy_until: Time,
     kept: HashMap<u64, f64>,
     running: f64,
@@ -142,14 +142,14 @@
 }
 
 struct Try {
-    server: ServerId,
+    server: EndpointId,
     over: bool,
     held: f64,
 }
 
 struct Job {
     router: usize,
-    ask: Ask,
+    ask: RequestMetadata,
     aim_at: Time,
     worth: f64,
     tries: Vec<Try>,
@@ -164,7 +164,7 @@
     Read(RequestId, u32, u64),
     First(RequestId, u32),
     End(RequestId, u32),
-    Probed(usize, ServerId),
+    Probed(usize, EndpointId),
     Report(usize),
     WholeList(usize),
     Change(usize),
@@ -180,7 +180,7 @@
 /// Routers, servers, and what is to happen.
 pub struct World {
     options: Options,
-    settings: Settings,
+    settings: RoutingSettings,
     now: Time,
     rng: Pcg32,
     routers: Vec<Router>,
@@ -189,15 +189,15 @@
     jobs: HashMap<RequestId, Job>,
     queue: BinaryHeap<Reverse<(Time, u64, Happening)>>,
     queued: u64,
-    draining: Option<ServerId>,
+    draining: Option<EndpointId>,
     worth_came: f64,
     worth_served: f64,
     report: Report,
 }
 
 /// The settings of a fleet of so many dispatchers, with the target's aims.
-pub fn settings(dispatchers: u32) -> Settings {
-    let class = |worth, aim, effect| Class {
+pub fn settings(dispatchers: u32) -> RoutingSettings {
+    let class = |worth, aim, effect| RequestClass {
         aim,
         aim_per_1000_tokens: 20 * MS,
         token_aim: 60 * MS,
@@ -205,16 +205,16 @@
         effect,
         open: true,
     };
-    Settings {
+    RoutingSettings {
         balancers: dispatchers,
         zone: 0,
         classes: vec![
-            class(3.0, 510 * MS, Effect::Safe),
-            class(1.0, 2 * SECOND, Effect::Safe),
+            class(3.0, 510 * MS, Idempotency::Idempotent),
+            class(1.0, 2 * SECOND, Idempotency::Idempotent),
         ],
         tenants: vec![],
         over_share_worth: 0.2,
-        reports: Reports::WithAnswers,
+        reports: LoadReporting::WithResponses,
         must_watch: false,
         may_probe: true,
         may_cancel: true,
@@ -243,7 +243,7 @@
         let settings = settings(options.dispatchers);
         let zones = options.shape.zones.max(1);
         let router = |number: usize| {
-            let own = Settings {
+            let own = RoutingSettings {
                 zone: number as u32 % zones,
                 ..settings.clone()
             };
@@ -251,7 +251,7 @@
             prepare(&mut router);
             router
         };
-        let machine = |entry: &Entry| Machine {
+        let machine = |entry: &EndpointRecord| Machine {
             entry: entry.clone(),
             busy_until: now,
             kept: HashMap::new(),
@@ -282,12 +282,12 @@
             options,
         };
         for at in 0..world.options.routers {
-            world.tell(at, Step::Wake, Event::Wake);
+            world.tell(at, Step::Wake, Event::TimerFired);
             let entries = entries.clone();
             world.tell(
                 at,
                 Step::FirstList,
-                Event::Members {
+                Event::EndpointsChanged {
                     complete: true,
                     entries,
                 },
@@ -355,16 +355,16 @@
                 self.push(gap, Happening::Arrival(at));
                 self.arrive(at);
             }
-            Happening::Wake(at) => self.tell(at, Step::Wake, Event::Wake),
+            Happening::Wake(at) => self.tell(at, Step::Wake, Event::TimerFired),
             Happening::Read(id, attempt, kept) => self.read_ends(id, attempt, kept as f64),
             Happening::First(id, attempt) => self.first(id, attempt),
-            Happening::End(id, attempt) => self.end(id, attempt, Status::Ok, Step::AttemptEnd, 0.0),
+            Happening::End(id, attempt) => self.end(id, attempt, AttemptStatus::Served, Step::AttemptEnd, 0.0),
             Happening::Probed(at, server) => {
                 let load = Some(self.load(server));
                 self.tell(
                     at,
                     Step::ProbeAnswer,
-                    Event::Probed {
+                    Event::ProbeCompleted {
                         server,
                         ok: true,
                         load,
@@ -372,9 +372,9 @@
                 );
             }
             Happening::Report(at) => {
-                let server = self.rng.gen_range(0..self.machines.len()) as ServerId;
+                let server = self.rng.gen_range(0..self.machines.len()) as EndpointId;
                 let load = Some(self.load(server));
-                self.tell(at, Step::Report, Event::Heard { server, load });
+                self.tell(at, Step::Report, Event::PeerLoadReport { server, load });
                 self.push(REPORT_EACH, Happening::Report(at));
             }
             Happening::WholeList(at) => {
@@ -382,7 +382,7 @@
                 self.tell(
                     at,
                     Step::WholeList,
-                    Event::Members {
+                    Event::EndpointsChanged {
                         complete: true,
                         entries,
                     },
@@ -395,11 +395,11 @@
             }
             Happening::NewSettings(at) => {
                 let zone = at as u32 % self.options.shape.zones.max(1);
-                let settings = Settings {
+                let settings = RoutingSettings {
                     zone,
                     ..self.settings.clone()
                 };
-                self.tell(at, Step::NewSettings, Event::Settings(settings));
+                self.tell(at, Step::NewSettings, Event::SettingsChanged(settings));
                 self.push(SETTINGS_EACH, Happening::NewSettings(at));
             }
         }
@@ -407,11 +407,11 @@
 
     /// One server drains, and the one before is back.
     fn change(&mut self) {
-        let server = self.rng.gen_range(0..self.machines.len()) as ServerId;
+        let server = self.rng.gen_range(0..self.machines.len()) as EndpointId;
         let mut changed = Vec::new();
         for (server, state) in [
-            (self.draining, State::Ready),
-            (Some(server), State::Draining),
+            (self.draining, EndpointStatus::Ready),
+            (Some(server), EndpointStatus::Draining),
         ] {
             let Some(server) = server else { continue };
             self.machines[server as usize].entry.state = state;
@@ -423,7 +423,7 @@
             self.tell(
                 at,
                 Step::Change,
-                Event::Members {
+                Event::EndpointsChanged {
                     complete: false,
                     entries,
                 },
@@ -451,7 +451,7 @@
         let prompt = spoken.tokens + f64::from(self.rng.gen_range(50..600_u32));
         let max_tokens = f64::from(self.rng.gen_range(100..1000_u32));
         let class = usize::from(self.rng.gen_bool(0.3));
-        let ask = Ask {
+        let ask = RequestMetadata {
             id,
             class,
             session: Some(spoken.session),
@@ -460,7 +460,7 @@
             prompt,
             prefix_tokens: SHARED_TOKENS,
             max_tokens,
-            ..Ask::default()
+            ..RequestMetadata::default()
         };
         let next = Conversation {
             tokens: prompt + max_tokens * 0.33,
@@ -483,31 +483,31 @@
             over: false,
         };
         self.jobs.insert(id, job);
-        self.tell(at, Step::Arrival, Event::Request(ask));
+        self.tell(at, Step::Arrival, Event::RequestArrived(ask));
     }
 
     fn act(&mut self, at: usize, action: Action) {
         match action {
-            Action::Send { id, server, .. } => self.send(id, server),
-            Action::Cancel { id, attempt } => {
-                self.end(id, attempt, Status::Cancelled, Step::AttemptEnd, 0.0);
+            Action::StartAttempt { id, server, .. } => self.send(id, server),
+            Action::CancelAttempt { id, attempt } => {
+                self.end(id, attempt, AttemptStatus::Cancelled, Step::AttemptEnd, 0.0);
             }
-            Action::Refuse { id, .. } | Action::Fail { id, .. } => {
+            Action::Shed { id, .. } | Action::Fail { id, .. } => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.over = true;
                     self.report.given_up += 1;
                 }
             }
-            Action::Wake { at: when } => {
+            Action::SetTimer { at: when } => {
                 let after = when.saturating_sub(self.now);
                 self.push(after, Happening::Wake(at));
             }
             Action::Probe { server } => self.push(PROBE_TIME, Happening::Probed(at, server)),
-            Action::Release { .. } | Action::Watch => {}
+            Action::ReleaseReservation { .. } | Action::WatchEndpoints => {}
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId) {
+    fn send(&mut self, id: RequestId, server: EndpointId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -526,7 +526,7 @@
             .map_or(Time::MAX, |started| self.now - started);
         let age = (age as f64 / self.settings.warm_within as f64).min(1.0);
         let capacity = 1.0 - (1.0 - self.settings.cold_from) * (1.0 - age);
-        if machine.entry.role == Role::Reader {
+        if machine.entry.role == Role::Prefill {
             self.read(id, attempt, server, &ask, capacity);
         } else {
             let cell = reader.map(|reader| self.machines[reader as usize].entry.cell);
@@ -534,7 +534,7 @@
         }
     }
 
-    fn read(&mut self, id: RequestId, attempt: u32, server: ServerId, ask: &Ask, capacity: f64) {
+    fn read(&mut self, id: RequestId, attempt: u32, server: EndpointId, ask: &RequestMetadata, capacity: f64) {
         let others = match self.options.others {
             true => (self.rng.gen_range(0.0..2.0) * OTHERS_WAIT as f64) as Time,
             false => 0,
@@ -566,15 +566,15 @@
         &mut self,
         id: RequestId,
         attempt: u32,
-        server: ServerId,
-        ask: &Ask,
+        server: EndpointId,
+        ask: &RequestMetadata,
         capacity: f64,
         from: Option<u32>,
     ) {
         let held = ask.prompt + ask.max_tokens * 0.33;
         let machine = &mut self.machines[server as usize];
         if machine.held + held > machine.entry.memory {
-            return self.end(id, attempt, Status::Full, Step::AttemptEnd, 0.0);
+            return self.end(id, attempt, AttemptStatus::Overloaded, Step::AttemptEnd, 0.0);
         }
         machine.held += held;
         machine.running += 1.0;
@@ -592,7 +592,7 @@
     }
 
     fn read_ends(&mut self, id: RequestId, attempt: u32, kept: f64) {
-        self.end(id, attempt, Status::Read, Step::ReadEnd, kept);
+        self.end(id, attempt, AttemptStatus::PrefillDone, Step::ReadEnd, kept);
     }
 
     fn first(&mut self, id: RequestId, attempt: u32) {
@@ -620,11 +620,11 @@
         let running = self.machines[server as usize].running + others;
         let pace = TOKEN_TIME * (1.0 + running / DOUBLED_AT);
         self.push((pace * tokens) as Time, Happening::End(id, attempt));
-        self.tell(at, Step::FirstToken, Event::First { id, attempt });
+        self.tell(at, Step::FirstToken, Event::FirstEvent { id, attempt });
     }
 
     /// An attempt is over, and its router hears of it.
-    fn end(&mut self, id: RequestId, attempt: u32, status: Status, step: Step, note: f64) {
+    fn end(&mut self, id: RequestId, attempt: u32, status: AttemptStatus, step: Step, note: f64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -633,10 +633,10 @@
         };
         tried.over = true;
         let (server, held, at) = (tried.server, tried.held, job.router);
-        let closed = status == Status::Ok || job.over;
+        let closed = status == AttemptStatus::Served || job.over;
         let over = closed && job.tries.iter().all(|it| it.over);
         let machine = &mut self.machines[server as usize];
-        if status != Status::Full {
+        if status != AttemptStatus::Overloaded {
             machine.running = (machine.running - 1.0).max(0.0);
             machine.held = (machine.held - held).max(0.0);
         }
@@ -647,7 +647,7 @@
         self.tell(
             at,
             step,
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -660,9 +660,9 @@
     }
 
     /// What a server reports.
-    fn load(&mut self, server: ServerId) -> Load {
+    fn load(&mut self, server: EndpointId) -> LoadReport {
         let machine = &self.machines[server as usize];
-        let writes = machine.entry.role == Role::Writer;
+        let writes = machine.entry.role == Role::Decode;
         let others = match self.options.others {
             true => self.rng.gen_range(0.0..2.0),
             false => 0.0,
@@ -681,7 +681,7 @@
         } else {
             0.4
         };
-        Load {
+        LoadReport {
             in_flight: Some(running),
             queue: None,
             memory: Some(memory.min(1.0)),
@@ -693,7 +693,7 @@
 /// What a router decides, as the digests have it: without the reason that it gives for the log.
 fn decision(action: &Action) -> String {
     match action {
-        Action::Refuse {
+        Action::Shed {
             id,
             retry_after,
             why: _,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::schedule::{self, Fault, Planned, Shape};
 use crate::server::{DrainTold, Server};
 use crate::wire;
-use quartzhall::routing::api::{Entry, Role, State};
+use quartzhall::routing::api::{EndpointRecord, Role, EndpointStatus};
 use quartzhall_scale::hollow::discovery::{Discovery, Member, Written};
 use quartzhall_scale::process::Dispatcher;
 use rand::{Rng, SeedableRng};
@@ -157,9 +157,9 @@
         });
         let role = |number| {
             if number < shape.readers {
-                Role::Reader
+                Role::Prefill
             } else {
-                Role::Writer
+                Role::Decode
             }
         };
         let make = |number| {
@@ -180,12 +180,12 @@
                 let address = own_address(plan.seed, number, SERVER_PORT + at as u16);
                 let listener = wire::listen(address).map_err(failed)?;
                 tasks.spawn(server.clone().serve(number, address, listener));
-                let entry = Entry {
+                let entry = EndpointRecord {
                     server: at as u32,
                     key: at as u64,
                     role: role(at),
                     cell: at as u32 % 3,
-                    ..Entry::default()
+                    ..EndpointRecord::default()
                 };
                 members.push(Member {
                     entry,
@@ -325,7 +325,7 @@
         }
     }
 
-    fn tell(&self, server: usize, state: State) {
+    fn tell(&self, server: usize, state: EndpointStatus) {
         for process in &self.processes {
             process
                 .discovery
@@ -362,9 +362,9 @@
                     .await;
             }
             Fault::DrainServer(server) => {
-                self.tell(server, State::Draining);
+                self.tell(server, EndpointStatus::Draining);
                 sleep(lasts).await;
-                self.tell(server, State::Ready);
+                self.tell(server, EndpointStatus::Ready);
             }
             Fault::SilenceConnections { process, server } => self.servers[server].silence(process),
             Fault::ResetConnections { process, server } => self.servers[server].reset(process),
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -218,7 +218,7 @@
         let told = message
             .header("x-expires-in-ms")
             .and_then(|it| it.parse().ok());
-        let writes = self.role == Role::Writer;
+        let writes = self.role == Role::Decode;
         let draining = (self.drain_told)(process, self.number);
         self.oracle
             .arrived(&id, self.number, writes, prompt, told, draining);
@@ -235,7 +235,7 @@
         id: &str,
     ) -> (Outcome, Result<(), Ends>) {
         let never = "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
-        let writes = self.role == Role::Writer;
+        let writes = self.role == Role::Decode;
         if is(&self.conduct.full) {
             self.oracle.turned_away(id, self.number, writes);
             let text = format!("HTTP/1.1 503 Service Unavailable\r\n{never}");
@@ -257,12 +257,12 @@
             return (Outcome::Other, self.say(stream, buffer, line, text).await);
         }
         let mut rng = self.draw();
-        let most = if self.role == Role::Reader { 150 } else { 500 };
+        let most = if self.role == Role::Prefill { 150 } else { 500 };
         let works = Duration::from_millis(rng.gen_range(5..most));
         if let Err(ends) = self.unless_cut(stream, buffer, line, sleep(works)).await {
             return (Outcome::Other, Err(ends));
         }
-        if self.role == Role::Reader {
+        if self.role == Role::Prefill {
             self.oracle.state_made(id, self.number);
             if is(&self.conduct.loses_answers) {
                 // The read has ended well, and nobody hears of it.
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -5,10 +5,10 @@
 //! Each request goes through both stages to its good end. Printed are microseconds a request for each round and mode,
 //! then the medians and what recording adds.
 
-use quartzhall::config::{Profile, Site};
-use quartzhall::dispatcher::{Core, EndReason, Event, Member, Work};
-use quartzhall::recording::Notes;
-use quartzhall::routing::api::{Ask, Entry, Role, State, Time};
+use quartzhall::config::{SettingsObject, Deployment};
+use quartzhall::dispatcher::{Core, EndReason, Event, DiscoveredEndpoint, UpstreamRequest};
+use quartzhall::recording::TraceRecorder;
+use quartzhall::routing::api::{RequestMetadata, EndpointRecord, Role, EndpointStatus, Time};
 use quartzhall_recording::{Key, Recorder};
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 /// Plays so many requests; tells microseconds a request.
 fn play(requests: u64, file: Option<&str>) -> Result<f64, Box<dyn std::error::Error>> {
-    let profile: Profile = miniserde::json::from_str(PROFILE)?;
-    let site = Arc::new(Site::new(&profile)?);
+    let profile: SettingsObject = miniserde::json::from_str(PROFILE)?;
+    let site = Arc::new(Deployment::new(&profile)?);
     let mut now: Time = 1_700_000_000_000_000;
     let mut core = Core::new(
         site.clone(),
@@ -33,29 +33,29 @@
     );
     let recorder = match file {
         Some(file) => {
-            core.take_notes(Notes::new(Key::from_secret(b"cost"), now, "n1", &site));
+            core.take_notes(TraceRecorder::new(Key::from_secret(b"cost"), now, "n1", &site));
             Some(Recorder::start(std::fs::File::create(file)?, 8192)?)
         }
         None => None,
     };
     let member = |number: usize| {
         let role = if number < 5 {
-            Role::Reader
+            Role::Prefill
         } else {
-            Role::Writer
+            Role::Decode
         };
-        let entry = Entry {
+        let entry = EndpointRecord {
             key: number as u64,
             role,
-            state: State::Ready,
+            state: EndpointStatus::Ready,
             memory: 2e5,
-            ..Entry::default()
+            ..EndpointRecord::default()
         };
         let (name, address) = (
             format!("n{number}").into(),
             format!("127.0.0.1:{}", 7000 + number).into(),
         );
-        Member {
+        DiscoveredEndpoint {
             name,
             address,
             entry,
@@ -64,7 +64,7 @@
     };
     core.hear(
         now,
-        Event::Members {
+        Event::EndpointsChanged {
             complete: true,
             members: (0..10).map(member).collect(),
         },
@@ -74,22 +74,22 @@
         now += 2_000;
         core.wake(now);
         let session = Some(id / 4);
-        let ask = Ask {
+        let ask = RequestMetadata {
             id,
             session,
             expires_in: 7_500_000,
             prompt: 4e3,
             max_tokens: 5e2,
-            ..Ask::default()
+            ..RequestMetadata::default()
         };
-        let work = Work {
+        let work = UpstreamRequest {
             name: format!("r{id}").into(),
             target: "/".into(),
             body: "{}".into(),
         };
         let (answer, _answered) = oneshot::channel();
-        core.hear(now, Event::Request { ask, work, answer });
-        let ended = |attempt, reason| Event::Ended {
+        core.hear(now, Event::RequestArrived { ask, work, answer });
+        let ended = |attempt, reason| Event::AttemptEnded {
             id,
             attempt,
             reason,
@@ -97,11 +97,11 @@
             written: 1e2,
             load: None,
         };
-        core.hear(now + 500, ended(0, EndReason::Read));
+        core.hear(now + 500, ended(0, EndReason::PrefillDone));
         let (_pieces, stream) = mpsc::channel(1);
         core.hear(
             now + 900,
-            Event::First {
+            Event::FirstEvent {
                 id,
                 attempt: 1,
                 stream,
--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt at a node, whatever its wire: what is sent, how it ended, and the passing on of its stream.
 
-use super::event_stream::{Events, Spoilt};
-use crate::dispatcher::{Door, EndReason, Event, Piece, Work};
-use crate::net::message_framing::Chunks;
-use crate::routing::api::{Load, RequestId};
-use crate::upgrade::stream_migration::{Half, Signal};
+use super::event_stream::{EventStream, MalformedEvent};
+use crate::dispatcher::{DispatcherHandle, EndReason, Event, StreamChunk, UpstreamRequest};
+use crate::net::message_framing::ChunkedDecoder;
+use crate::routing::api::{LoadReport, RequestId};
+use crate::upgrade::stream_migration::{UpstreamHalf, MigrationSignal};
 use bytes::Bytes;
 use slog::{info, Logger};
 use std::future::Future;
@@ -22,7 +22,7 @@
 const SILENCE: Duration = Duration::from_millis(4700);
 
 /// One attempt, as the core commanded it.
-pub struct Trial {
+pub struct AttemptRequest {
     /// The request.
     pub id: RequestId,
     /// Which of its attempts.
@@ -30,7 +30,7 @@
     /// The node's address.
     pub address: Arc<str>,
     /// What it is given.
-    pub work: Work,
+    pub work: UpstreamRequest,
     /// How long the first event is waited for.
     pub timeout: Duration,
     /// It goes on a connection of its own.
@@ -38,7 +38,7 @@
 }
 
 /// How an attempt ended.
-pub struct End {
+pub struct AttemptResult {
     /// Why, and with what outcome.
     pub reason: EndReason,
     /// Tokens found kept, or 1 where no state was there.
@@ -46,14 +46,14 @@
     /// Tokens of the answer, where that was told.
     pub written: f64,
     /// The node's load, where it was told.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
-impl From<EndReason> for End {
+impl From<EndReason> for AttemptResult {
     fn from(reason: EndReason) -> Self {
-        End {
+        AttemptResult {
             reason,
-            note: f64::from(u8::from(reason == EndReason::StateGone)),
+            note: f64::from(u8::from(reason == EndReason::KvStateMissing)),
             written: 0.0,
             load: None,
         }
@@ -62,28 +62,28 @@
 
 /// Passes a stream on, event by event as they come. The first one tells the core, which decides whose it is;
 /// bytes that are no event yet may never become one, and commit nothing.
-pub struct Passing {
-    door: Door,
+pub struct StreamForwarder {
+    door: DispatcherHandle,
     id: RequestId,
     attempt: u32,
-    pieces: Option<mpsc::Sender<Piece>>,
+    pieces: Option<mpsc::Sender<StreamChunk>>,
     mark: Arc<AtomicBool>,
-    events: Events,
+    events: EventStream,
     last: Instant,
-    moving: Signal,
+    moving: MigrationSignal,
     log: Logger,
 }
 
-impl Passing {
+impl StreamForwarder {
     /// For this attempt.
-    pub fn new(door: Door, trial: &Trial, moving: Signal, log: Logger) -> Self {
-        Passing {
+    pub fn new(door: DispatcherHandle, trial: &AttemptRequest, moving: MigrationSignal, log: Logger) -> Self {
+        StreamForwarder {
             door,
             id: trial.id,
             attempt: trial.attempt,
             pieces: None,
             mark: Arc::default(),
-            events: Events::default(),
+            events: EventStream::default(),
             last: Instant::now(),
             moving,
             log,
@@ -108,12 +108,12 @@
         next: impl Future<Output = T>,
     ) -> Result<T, EndReason> {
         let (limit, ended) = match self.begun() {
-            true => (self.last + SILENCE, EndReason::StreamSilent),
-            false => (until, EndReason::Silent),
+            true => (self.last + SILENCE, EndReason::StreamIdleTimeout),
+            false => (until, EndReason::Timeout),
         };
         tokio::select! {
             next = timeout_at(limit, next) => next.map_err(|_| self.given_up("silent", ended)),
-            () = self.abandoned() => Err(EndReason::ClientLeft),
+            () = self.abandoned() => Err(EndReason::ClientDisconnected),
         }
     }
 
@@ -126,16 +126,16 @@
     }
 
     /// Offers the node's side, behind all that was passed on. True when it has moved: nothing of it is left here.
-    pub async fn moves(&self, node: OwnedFd, chunks: Chunks) -> bool {
+    pub async fn moves(&self, node: OwnedFd, chunks: ChunkedDecoder) -> bool {
         let (moved, told) = oneshot::channel();
-        let half = Half {
+        let half = UpstreamHalf {
             node,
             chunks,
             part: self.events.part(),
             moved,
         };
         match &self.pieces {
-            Some(pieces) if pieces.send(Piece::Move(half)).await.is_ok() => {
+            Some(pieces) if pieces.send(StreamChunk::Migrate(half)).await.is_ok() => {
                 told.await.unwrap_or(false)
             }
             _ => false,
@@ -165,7 +165,7 @@
         let whole = self
             .events
             .take(data)
-            .map_err(|Spoilt| self.given_up("spoilt", EndReason::SpoiltStream))?;
+            .map_err(|MalformedEvent| self.given_up("spoilt", EndReason::MalformedStream))?;
         self.pass(whole).await
     }
 
@@ -175,16 +175,16 @@
         }
         match &self.pieces {
             Some(pieces) => pieces
-                .send(Piece::Data(data))
+                .send(StreamChunk::Data(data))
                 .await
-                .map_err(|_| EndReason::ClientLeft)?,
+                .map_err(|_| EndReason::ClientDisconnected)?,
             None => {
                 let (pieces, stream) = mpsc::channel(PIECES);
-                let _ = pieces.try_send(Piece::Data(data)); // the channel is new and empty
+                let _ = pieces.try_send(StreamChunk::Data(data)); // the channel is new and empty
                 self.pieces = Some(pieces);
                 self.mark.store(true, Ordering::Relaxed);
                 self.door
-                    .tell(Event::First {
+                    .tell(Event::FirstEvent {
                         id: self.id,
                         attempt: self.attempt,
                         stream,
@@ -201,26 +201,26 @@
     pub async fn end(mut self) -> Result<(), EndReason> {
         let rest = std::mem::take(&mut self.events).rest();
         let rest =
-            rest.map_err(|Spoilt| self.given_up("spoilt at its end", EndReason::SpoiltStream))?;
+            rest.map_err(|MalformedEvent| self.given_up("spoilt at its end", EndReason::MalformedStream))?;
         if !self.begun() {
-            return Err(EndReason::UnreadableAnswer);
+            return Err(EndReason::UnreadableResponse);
         }
         self.pass(rest).await?;
         if let Some(pieces) = self.pieces {
-            let _ = pieces.send(Piece::End).await;
+            let _ = pieces.send(StreamChunk::End).await;
         }
         Ok(())
     }
 }
 
 /// Reads a load report: `TEXT inflight=7, queue=2`. What is not known is disregarded.
-pub fn parse_load(text: &str) -> Option<Load> {
+pub fn parse_load(text: &str) -> Option<LoadReport> {
     let text = text.trim();
     let text = text
-        .strip_prefix("Endpoint-Load-Metrics:")
+        .strip_prefix("Endpoint-LoadReport-Metrics:")
         .unwrap_or(text)
         .trim_start();
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     let mut any = false;
     for pair in text.strip_prefix("TEXT")?.split(',') {
         let Some((name, value)) = pair.split_once('=') else {
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: opened within the dial time and the descriptors allowed.
 
-use crate::net::connection_limit::{Place, Places};
-use crate::net::message_framing::{Answer, Chunks};
+use crate::net::connection_limit::{ConnectionPermit, ConnectionLimit};
+use crate::net::message_framing::{ResponseFraming, ChunkedDecoder};
 use crate::net::system_errors::is_local_shortage;
 use hyper::Uri;
 use hyper_util::client::legacy::connect::{Connected, Connection};
@@ -34,30 +34,30 @@
 
 /// The connection came up late and is parked: it is there at once for a request that tells the time that is left now.
 #[derive(Debug)]
-pub struct CameLate;
+pub struct LateConnect;
 
-impl std::fmt::Display for CameLate {
+impl std::fmt::Display for LateConnect {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("the connection came up late")
     }
 }
 
-impl std::error::Error for CameLate {}
+impl std::error::Error for LateConnect {}
 
 /// What a connection has carried, which tells how it broke.
 #[derive(Default)]
-pub struct Carried {
+pub struct TrackedConnection {
     requests: AtomicU32,
     waits: AtomicBool,
     unwritten: AtomicBool,
-    answer: Mutex<Answer>,
+    answer: Mutex<ResponseFraming>,
     stream: Weak<TcpStream>,
     frozen: Mutex<(bool, Option<Waker>)>,
     unwanted: AtomicBool,
 }
 
-impl Carried {
-    fn answer(&self) -> MutexGuard<'_, Answer> {
+impl TrackedConnection {
+    fn answer(&self) -> MutexGuard<'_, ResponseFraming> {
         self.answer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Where the body of the last answer stands by all that was read, and how much data it has had so far.
-    pub fn body(&self) -> Option<(Chunks, u64)> {
+    pub fn body(&self) -> Option<(ChunkedDecoder, u64)> {
         self.answer().body()
     }
 
@@ -110,7 +110,7 @@
     fn wrote(&self, wrote: &Poll<io::Result<usize>>, all: usize) {
         if !self.waits.swap(true, Ordering::Relaxed) {
             self.requests.fetch_add(1, Ordering::Relaxed);
-            *self.answer() = Answer::default();
+            *self.answer() = ResponseFraming::default();
         }
         let whole = matches!(wrote, Poll::Ready(Ok(taken)) if *taken == all);
         self.unwritten.store(!whole, Ordering::Relaxed);
@@ -128,13 +128,13 @@
 }
 
 /// A connection and its place among the descriptors that may be open.
-pub struct Wire {
+pub struct Transport {
     stream: Arc<TcpStream>,
-    carried: Arc<Carried>,
-    _place: Place,
+    carried: Arc<TrackedConnection>,
+    _place: ConnectionPermit,
 }
 
-impl Wire {
+impl Transport {
     fn writes(
         &self,
         context: &mut Context<'_>,
@@ -150,7 +150,7 @@
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for Transport {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -183,7 +183,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for Transport {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -229,23 +229,23 @@
 }
 
 /// Connections that came up late, and since when each is up.
-type Parked = HashMap<SocketAddr, Vec<(Wire, Instant)>>;
+type Parked = HashMap<SocketAddr, Vec<(Transport, Instant)>>;
 
 /// Opens connections. Cheap to clone; clones share the places and the bars.
 #[derive(Clone)]
-pub struct Dialer {
+pub struct Connector {
     limit: Duration,
-    places: Places,
+    places: ConnectionLimit,
     barred: Arc<Mutex<HashSet<Arc<str>>>>,
-    wires: Arc<Mutex<HashMap<SocketAddr, Vec<Weak<Carried>>>>>,
+    wires: Arc<Mutex<HashMap<SocketAddr, Vec<Weak<TrackedConnection>>>>>,
     parked: Arc<Mutex<Parked>>,
     changed: watch::Sender<()>,
 }
 
-impl Dialer {
+impl Connector {
     /// As many connections as there are places, each up within `limit`.
-    pub fn new(limit: Duration, places: Places) -> Self {
-        Dialer {
+    pub fn new(limit: Duration, places: ConnectionLimit) -> Self {
+        Connector {
             limit,
             places,
             barred: Arc::default(),
@@ -278,7 +278,7 @@
         }
     }
 
-    fn wires(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<Weak<Carried>>>> {
+    fn wires(&self) -> MutexGuard<'_, HashMap<SocketAddr, Vec<Weak<TrackedConnection>>>> {
         self.wires.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -302,7 +302,7 @@
     }
 
     /// Keeps a connection that came up late for the request that is sent anew at once, and for no longer.
-    fn park(&self, target: SocketAddr, wire: Wire) {
+    fn park(&self, target: SocketAddr, wire: Transport) {
         let mut parked = self.parked();
         parked.retain(|_, there| {
             there.retain(|(_, since)| since.elapsed() < self.limit);
@@ -315,7 +315,7 @@
     }
 
     /// A connection that came up late a moment ago.
-    fn take_parked(&self, target: SocketAddr) -> Option<Wire> {
+    fn take_parked(&self, target: SocketAddr) -> Option<Transport> {
         let mut parked = self.parked();
         let there = parked.get_mut(&target)?;
         let taken = there
@@ -327,9 +327,9 @@
         taken.map(|(wire, _)| wire)
     }
 
-    /// Opens a connection for a request that tells the server how long it may take: an error of [`CameLate`] where the
+    /// Opens a connection for a request that tells the server how long it may take: an error of [`LateConnect`] where the
     /// connection came up, but so late that what the request tells holds no more. A second call finds it.
-    pub async fn dial_in_time(&self, address: &str) -> io::Result<Wire> {
+    pub async fn dial_in_time(&self, address: &str) -> io::Result<Transport> {
         let target: SocketAddr = address.parse().map_err(io::Error::other)?;
         if let Some(wire) = self.take_parked(target) {
             return Ok(wire);
@@ -340,7 +340,7 @@
             return Ok(wire);
         }
         self.park(target, wire);
-        Err(io::Error::other(CameLate))
+        Err(io::Error::other(LateConnect))
     }
 
     /// How long a connection may take to come up.
@@ -350,7 +350,7 @@
 
     /// Opens a connection. Where all places are taken for as long as that may take, the error is [`CROWDED`]:
     /// it tells nothing of the node.
-    pub async fn dial(&self, address: &str) -> io::Result<Wire> {
+    pub async fn dial(&self, address: &str) -> io::Result<Transport> {
         let target: SocketAddr = address.parse().map_err(io::Error::other)?;
         let place = timeout(self.limit, self.places.take(1))
             .await
@@ -362,9 +362,9 @@
             // Without it small writes wait a little, which is no reason to give the connection up.
             let _ = stream.set_nodelay(true);
             let stream = Arc::new(stream);
-            let carried = Arc::new(Carried {
+            let carried = Arc::new(TrackedConnection {
                 stream: Arc::downgrade(&stream),
-                ..Carried::default()
+                ..TrackedConnection::default()
             });
             let mut wires = self.wires();
             // Those that are closed go as others are opened, also at nodes that are gone.
@@ -377,7 +377,7 @@
                 .or_default()
                 .push(Arc::downgrade(&carried));
             drop(wires);
-            Wire {
+            Transport {
                 stream,
                 carried,
                 _place: place,
@@ -408,15 +408,15 @@
 }
 
 /// A connection as hyper-util's client wants it.
-pub struct HttpWire(TokioIo<Wire>);
+pub struct HttpTransport(TokioIo<Transport>);
 
-impl Connection for HttpWire {
+impl Connection for HttpTransport {
     fn connected(&self) -> Connected {
         Connected::new().extra(self.0.inner().carried.clone())
     }
 }
 
-impl hyper::rt::Read for HttpWire {
+impl hyper::rt::Read for HttpTransport {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -426,7 +426,7 @@
     }
 }
 
-impl hyper::rt::Write for HttpWire {
+impl hyper::rt::Write for HttpTransport {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -456,10 +456,10 @@
     }
 }
 
-impl tower_service::Service<Uri> for Dialer {
-    type Response = HttpWire;
+impl tower_service::Service<Uri> for Connector {
+    type Response = HttpTransport;
     type Error = io::Error;
-    type Future = Pin<Box<dyn Future<Output = io::Result<HttpWire>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = io::Result<HttpTransport>> + Send>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -469,7 +469,7 @@
         let dialer = self.clone();
         Box::pin(async move {
             let address = uri.authority().map_or("", |authority| authority.as_str());
-            Ok(HttpWire(TokioIo::new(dialer.dial_in_time(address).await?)))
+            Ok(HttpTransport(TokioIo::new(dialer.dial_in_time(address).await?)))
         })
     }
 }
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -7,11 +7,11 @@
 
 /// Something that is no event: the rest of the stream is of no use.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Spoilt;
+pub struct MalformedEvent;
 
 /// Cuts a stream at the ends of its events, and changes nothing in it.
 #[derive(Default)]
-pub struct Events {
+pub struct EventStream {
     part: BytesMut, // what came since the last end
     read: usize,    // how much of it are lines that have been read
     begun: bool,
@@ -34,12 +34,12 @@
     }
 }
 
-impl Events {
+impl EventStream {
     /// Of a stream whose first event has passed.
-    pub fn resumed() -> Events {
-        Events {
+    pub fn resumed() -> EventStream {
+        EventStream {
             begun: true,
-            ..Events::default()
+            ..EventStream::default()
         }
     }
 
@@ -50,7 +50,7 @@
 
     /// Takes what has come and gives the whole events, and the comments beside them, as far as they have come.
     /// Comments alone don't begin a stream: they go with the first event.
-    pub fn take(&mut self, data: &[u8]) -> Result<Bytes, Spoilt> {
+    pub fn take(&mut self, data: &[u8]) -> Result<Bytes, MalformedEvent> {
         self.part.extend_from_slice(data);
         let mut whole = 0;
         while let Some(length) = self.part[self.read..]
@@ -65,19 +65,19 @@
             } else if is_line(line) {
                 self.begun |= !line.starts_with(b":");
             } else {
-                return Err(Spoilt);
+                return Err(MalformedEvent);
             }
         }
         if self.part.len() - whole > MOST || !may_be_line(&self.part[self.read..]) {
-            return Err(Spoilt);
+            return Err(MalformedEvent);
         }
         self.read -= whole;
         Ok(self.part.split_to(whole).freeze())
     }
 
     /// What came after the last event when the stream has ended well.
-    pub fn rest(mut self) -> Result<Bytes, Spoilt> {
+    pub fn rest(mut self) -> Result<Bytes, MalformedEvent> {
         let whole = is_line(&self.part[self.read..]);
-        whole.then(|| self.part.split().freeze()).ok_or(Spoilt)
+        whole.then(|| self.part.split().freeze()).ok_or(MalformedEvent)
     }
 }
--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -3,10 +3,10 @@
 //! "It never ran" is said only where that is certain: the connection never came up, the node said so, or the
 //! last byte was never written to a connection.
 
-use super::attempt::{parse_load, End, Passing, Trial};
-use super::connector::{CameLate, Carried, Dialer, CROWDED};
+use super::attempt::{parse_load, AttemptResult, StreamForwarder, AttemptRequest};
+use super::connector::{LateConnect, TrackedConnection, Connector, CROWDED};
 use crate::dispatcher::EndReason;
-use crate::routing::api::Load;
+use crate::routing::api::LoadReport;
 use crate::variants::{breaks, Variant};
 use bytes::Bytes;
 use http_body::Frame;
@@ -42,12 +42,12 @@
 const TAIL: usize = 4096;
 
 /// A body of one piece that notes when a connection took it: until then nothing can have run.
-pub struct Once {
+pub struct SingleFrameBody {
     body: Option<Bytes>,
     taken: Arc<AtomicBool>,
 }
 
-impl http_body::Body for Once {
+impl http_body::Body for SingleFrameBody {
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
@@ -68,7 +68,7 @@
     }
 }
 
-fn load_of(headers: &HeaderMap) -> Option<Load> {
+fn load_of(headers: &HeaderMap) -> Option<LoadReport> {
     parse_load(headers.get("endpoint-load-metrics")?.to_str().ok()?)
 }
 
@@ -89,7 +89,7 @@
 }
 
 /// What the last lines of a stream tell: tokens found kept, tokens of the answer, and the node's load.
-pub fn parse_tail(tail: &[u8]) -> (f64, f64, Option<Load>) {
+pub fn parse_tail(tail: &[u8]) -> (f64, f64, Option<LoadReport>) {
     let text = String::from_utf8_lossy(tail);
     let (mut kept, mut written, mut load) = (0.0, 0.0, None);
     for line in text.lines() {
@@ -147,9 +147,9 @@
             )
     });
     if unreadable {
-        EndReason::UnreadableAnswer
+        EndReason::UnreadableResponse
     } else {
-        EndReason::ConnectionBroke
+        EndReason::ConnectionReset
     }
 }
 
@@ -157,9 +157,9 @@
 /// were taken.
 fn never_ran(error: &(dyn Error + 'static)) -> EndReason {
     if any_cause(error, |error| kind(error) == Some(CROWDED)) {
-        EndReason::NoPlace
+        EndReason::NoConnectionPermit
     } else {
-        EndReason::DialFailed
+        EndReason::ConnectFailed
     }
 }
 
@@ -169,14 +169,14 @@
         let inner = error
             .downcast_ref::<io::Error>()
             .and_then(io::Error::get_ref);
-        inner.is_some_and(|inner| inner.is::<CameLate>())
+        inner.is_some_and(|inner| inner.is::<LateConnect>())
     };
     any_cause(&failure.error, is_late)
 }
 
 /// Kept connections, and whether they are to be used at all.
 struct Pool {
-    client: Client<Dialer, Once>,
+    client: Client<Connector, SingleFrameBody>,
     distrusted_until: Instant,
     distrust: Duration,
 }
@@ -185,8 +185,8 @@
 #[derive(Clone)]
 pub struct Http {
     pool: Arc<Mutex<Pool>>,
-    single: Client<Dialer, Once>,
-    dialer: Dialer,
+    single: Client<Connector, SingleFrameBody>,
+    dialer: Connector,
     idle_time: Duration,
     most_idle: usize,
     log: Logger,
@@ -200,14 +200,14 @@
 }
 
 impl OpenExchange {
-    fn carried(&self) -> Option<Arc<Carried>> {
+    fn carried(&self) -> Option<Arc<TrackedConnection>> {
         let mut extras = Extensions::new();
         self.taken
             .as_ref()?
             .connection_metadata()
             .as_ref()?
             .get_extras(&mut extras);
-        extras.remove::<Arc<Carried>>()
+        extras.remove::<Arc<TrackedConnection>>()
     }
 
     /// The exchange has come to its end, and its connection may be used again.
@@ -227,13 +227,13 @@
 /// A stream on its way.
 struct Stream {
     body: Incoming,
-    passing: Passing,
+    passing: StreamForwarder,
     seen: u64, // bytes of its data that have come
     tail: Vec<u8>,
 }
 
 /// The head of an answer, and what its connection has carried.
-type Exchanged = (Response<Incoming>, Option<Arc<Carried>>);
+type Exchanged = (Response<Incoming>, Option<Arc<TrackedConnection>>);
 
 /// An exchange that has failed.
 struct Failure {
@@ -244,7 +244,7 @@
     unwritten: bool,
 }
 
-fn client(dialer: &Dialer, idle_time: Duration, most_idle: usize) -> Client<Dialer, Once> {
+fn client(dialer: &Connector, idle_time: Duration, most_idle: usize) -> Client<Connector, SingleFrameBody> {
     Client::builder(TokioExecutor::new())
         // A resend is an attempt of its own, which only the core may order.
         .retry_canceled_requests(false)
@@ -260,7 +260,7 @@
 impl Http {
     /// A client without connections. One that was idle for `idle_time` is not used again, and no more than
     /// `most_idle` are kept for a node: what some nodes don't need is for the others.
-    pub fn new(dialer: Dialer, idle_time: Duration, most_idle: usize, log: Logger) -> Self {
+    pub fn new(dialer: Connector, idle_time: Duration, most_idle: usize, log: Logger) -> Self {
         let pool = Pool {
             client: client(&dialer, idle_time, most_idle),
             distrusted_until: Instant::now(),
@@ -303,7 +303,7 @@
     /// One request and the head of its answer; `alone`: on a connection of its own.
     async fn exchange(
         &self,
-        mut request: Request<Once>,
+        mut request: Request<SingleFrameBody>,
         alone: bool,
         open: &mut OpenExchange,
     ) -> Result<Exchanged, Failure> {
@@ -334,7 +334,7 @@
     /// written then. `None`: no request can be made.
     async fn exchange_when_up(
         &self,
-        request: impl Fn() -> Option<Request<Once>>,
+        request: impl Fn() -> Option<Request<SingleFrameBody>>,
         alone: bool,
         open: &mut OpenExchange,
     ) -> Option<Result<Exchanged, Failure>> {
@@ -354,7 +354,7 @@
         alone: bool,
     ) -> Option<Response<Incoming>> {
         let request = || {
-            let body = Once {
+            let body = SingleFrameBody {
                 body: None,
                 taken: Arc::default(),
             };
@@ -377,8 +377,8 @@
     }
 
     /// The request of an attempt, which tells the server the time that is left now.
-    fn request(trial: &Trial, until: Instant, taken: &Arc<AtomicBool>) -> Option<Request<Once>> {
-        let body = Once {
+    fn request(trial: &AttemptRequest, until: Instant, taken: &Arc<AtomicBool>) -> Option<Request<SingleFrameBody>> {
+        let body = SingleFrameBody {
             body: Some(trial.work.body.clone()),
             taken: taken.clone(),
         };
@@ -399,7 +399,7 @@
     }
 
     /// Runs an attempt to its end.
-    pub async fn attempt(&self, mut trial: Trial, passing: Passing) -> End {
+    pub async fn attempt(&self, mut trial: AttemptRequest, passing: StreamForwarder) -> AttemptResult {
         let until = Instant::now() + trial.timeout;
         let taken = Arc::new(AtomicBool::new(false));
         let mut open = OpenExchange::default();
@@ -409,7 +409,7 @@
             // The drain rule counts from a send's first byte: one that still waits for a connection when its
             // node is barred is not sent. What has gone out is left alone.
             () = self.dialer.barred_while(&trial.address, || !taken.load(Ordering::Relaxed)) => {
-                return EndReason::Barred.into();
+                return EndReason::EndpointBlocked.into();
             }
             exchange = timeout_at(until, self.exchange_when_up(request, trial.alone, &mut open)) => exchange,
         };
@@ -431,16 +431,16 @@
                 return if error.is_connect() || !taken.load(Ordering::Relaxed) {
                     never_ran(&error)
                 } else if unwritten {
-                    EndReason::NotWritten // the node is there, for it took the connection
+                    EndReason::RequestNotWritten // the node is there, for it took the connection
                 } else {
                     match broken(&error) {
-                        EndReason::ConnectionBroke if stale => EndReason::KeptConnectionBroke,
+                        EndReason::ConnectionReset if stale => EndReason::StaleConnection,
                         reason => reason,
                     }
                 }
                 .into();
             }
-            Err(_) => return EndReason::Silent.into(),
+            Err(_) => return EndReason::Timeout.into(),
         };
         // Whatever else the answer says, it has come.
         if !matches!(response.status(), StatusCode::OK | StatusCode::ACCEPTED) {
@@ -465,38 +465,38 @@
                             .and_then(|kept: Kept| kept.cached_tokens)
                             .unwrap_or(0.0);
                         open.ended();
-                        End {
-                            reason: EndReason::Read,
+                        AttemptResult {
+                            reason: EndReason::PrefillDone,
                             note,
                             written: 0.0,
                             load,
                         }
                     }
-                    Ok(Err(_)) => EndReason::ConnectionBroke.into(),
-                    Err(_) => EndReason::Silent.into(),
+                    Ok(Err(_)) => EndReason::ConnectionReset.into(),
+                    Err(_) => EndReason::Timeout.into(),
                 }
             }
-            StatusCode::GONE if never_ran => End {
+            StatusCode::GONE if never_ran => AttemptResult {
                 load,
-                ..EndReason::StateGone.into()
+                ..EndReason::KvStateMissing.into()
             },
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => End {
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => AttemptResult {
                 load,
-                ..EndReason::TurnedAway.into()
+                ..EndReason::Overloaded.into()
             },
             StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND | StatusCode::PAYLOAD_TOO_LARGE => {
                 debug!(self.log, "a bad request, says a node"; "id" => trial.id, "address" => %trial.address);
-                End {
+                AttemptResult {
                     load,
-                    ..EndReason::BadRequest.into()
+                    ..EndReason::InvalidRequest.into()
                 }
             }
             other => {
                 debug!(self.log, "a node's error"; "id" => trial.id, "address" => %trial.address,
                     "code" => other.as_u16());
-                End {
+                AttemptResult {
                     load,
-                    ..EndReason::ErrorAnswer.into()
+                    ..EndReason::ErrorResponse.into()
                 }
             }
         }
@@ -506,19 +506,19 @@
         &self,
         until: Instant,
         response: Response<Incoming>,
-        carried: Option<Arc<Carried>>,
-        passing: Passing,
+        carried: Option<Arc<TrackedConnection>>,
+        passing: StreamForwarder,
         mut open: OpenExchange,
-    ) -> End {
+    ) -> AttemptResult {
         let load = load_of(response.headers());
         let kind = response
             .headers()
             .get(header::CONTENT_TYPE)
             .and_then(|kind| kind.to_str().ok());
         if !kind.is_some_and(|kind| kind.starts_with("text/event-stream")) {
-            return End {
+            return AttemptResult {
                 load,
-                ..EndReason::UnreadableAnswer.into()
+                ..EndReason::UnreadableResponse.into()
             };
         }
         let mut stream = Stream {
@@ -554,13 +554,13 @@
         }
         open.ended();
         if let Err(reason) = stream.passing.end().await {
-            return End {
+            return AttemptResult {
                 load,
                 ..reason.into()
             };
         }
         let (note, written, last) = parse_tail(&stream.tail);
-        End {
+        AttemptResult {
             reason: EndReason::Served,
             note,
             written,
@@ -595,7 +595,7 @@
 
     /// Has the stream go on in another process: nothing more is read, and what was read is passed on first. False:
     /// it goes on here.
-    async fn move_on(&self, stream: &mut Stream, carried: &Carried) -> Result<bool, EndReason> {
+    async fn move_on(&self, stream: &mut Stream, carried: &TrackedConnection) -> Result<bool, EndReason> {
         carried.freeze(true);
         let until = Instant::now() + DRAINED;
         loop {
@@ -633,7 +633,7 @@
     }
 
     /// Asks a node for its load: whether it is well, and its report.
-    pub async fn probe(&self, address: &str) -> Option<(bool, Option<Load>)> {
+    pub async fn probe(&self, address: &str) -> Option<(bool, Option<LoadReport>)> {
         let answer = self
             .call(Method::GET, address, "/status/load", false)
             .await?;
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -10,12 +10,12 @@
 pub mod websocket;
 
 use crate::config::Bounds;
-use crate::dispatcher::{Command, Door, EndReason, Event};
-use crate::net::connection_limit::Places;
-use crate::routing::api::{RequestId, ServerId};
-use crate::upgrade::stream_migration::Signal;
-use attempt::{End, Passing, Trial};
-use connector::Dialer;
+use crate::dispatcher::{Command, DispatcherHandle, EndReason, Event};
+use crate::net::connection_limit::ConnectionLimit;
+use crate::routing::api::{RequestId, EndpointId};
+use crate::upgrade::stream_migration::MigrationSignal;
+use attempt::{AttemptResult, StreamForwarder, AttemptRequest};
+use connector::Connector;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::Http;
 use slog::{error, warn, Logger};
@@ -28,7 +28,7 @@
 use tokio::task::JoinSet;
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
-use websocket::Sessions;
+use websocket::SessionPool;
 
 /// A release call waits so long for one server's answer ...
 const RELEASE_CALL: Duration = Duration::from_millis(250);
@@ -49,14 +49,14 @@
 #[derive(Clone)]
 struct Shared {
     http: Http,
-    sessions: Sessions,
+    sessions: SessionPool,
     speak_sessions: Arc<HashSet<String>>,
-    door: Door,
+    door: DispatcherHandle,
     log: Logger,
 }
 
 impl Shared {
-    async fn attempt(&self, trial: Trial, passing: Passing) -> End {
+    async fn attempt(&self, trial: AttemptRequest, passing: StreamForwarder) -> AttemptResult {
         if self.speak_sessions.contains(&*trial.address) {
             self.sessions.attempt(trial, passing).await
         } else {
@@ -103,11 +103,11 @@
         done
     }
 
-    async fn probe(&self, server: ServerId, address: &str) {
+    async fn probe(&self, server: EndpointId, address: &str) {
         // A session carries no probes: its reports come with its answers.
         let answer = timeout(PROBE, self.http.probe(address)).await;
         let (ok, load) = answer.ok().flatten().unwrap_or((false, None));
-        self.door.tell(Event::Probed { server, ok, load }).await;
+        self.door.tell(Event::ProbeCompleted { server, ok, load }).await;
     }
 }
 
@@ -139,19 +139,19 @@
 /// when `moving` says so.
 pub async fn run(
     mut commands: mpsc::Receiver<Command>,
-    door: Door,
+    door: DispatcherHandle,
     bounds: Bounds,
-    places: Places,
+    places: ConnectionLimit,
     speak_sessions: HashSet<String>,
-    moving: Signal,
+    moving: MigrationSignal,
     log: Logger,
 ) {
     let most_idle = (places.whole() / IDLE_PART).max(1);
-    let dialer = Dialer::new(Duration::from_micros(bounds.dial), places);
+    let dialer = Connector::new(Duration::from_micros(bounds.dial), places);
     // Nodes close what was idle for the settings' time; a request written then would be lost.
     let idle = Duration::from_micros(bounds.idle * 7 / 10);
     let http = Http::new(dialer.clone(), idle, most_idle, log.clone());
-    let sessions = Sessions::new(dialer.clone(), idle, log.clone());
+    let sessions = SessionPool::new(dialer.clone(), idle, log.clone());
     let shared = Shared {
         http,
         sessions,
@@ -172,11 +172,11 @@
                 // What waits is taken at once, and bars are up before any of it is sent.
                 Command::bars_first(&mut taken);
                 for command in taken.drain(..) { match command {
-                Command::Send { id, attempt, address, work, timeout, alone } => {
+                Command::StartAttempt { id, attempt, address, work, timeout, alone } => {
                     let (cancel, cancelled) = oneshot::channel::<()>();
                     let shared = shared.clone();
-                    let trial = Trial { id, attempt, address, work, timeout, alone };
-                    let passing = Passing::new(shared.door.clone(), &trial, moving.clone(), shared.log.clone());
+                    let trial = AttemptRequest { id, attempt, address, work, timeout, alone };
+                    let passing = StreamForwarder::new(shared.door.clone(), &trial, moving.clone(), shared.log.clone());
                     let begun = passing.mark();
                     let cancelled = async move {
                         // A cancel may cross with the first event. The core has then given the stream to the
@@ -186,34 +186,34 @@
                         }
                     };
                     let handle = tasks.spawn(async move {
-                        let End { reason, note, written, load } = tokio::select! {
+                        let AttemptResult { reason, note, written, load } = tokio::select! {
                             biased;
                             end = shared.attempt(trial, passing) => end,
                             // Dropping the exchange closes its connection.
                             () = cancelled => EndReason::Cancelled.into(),
                         };
-                        shared.door.tell(Event::Ended { id, attempt, reason, note, written, load }).await;
+                        shared.door.tell(Event::AttemptEnded { id, attempt, reason, note, written, load }).await;
                     });
                     trials.insert(handle.id(), (id, attempt));
                     cancels.insert((id, attempt), cancel);
                 }
-                Command::Cancel { id, attempt } => {
+                Command::CancelAttempt { id, attempt } => {
                     if let Some(cancel) = cancels.remove(&(id, attempt)) {
                         let _ = cancel.send(());
                     }
                 }
-                Command::Release { id, name, addresses } => {
+                Command::ReleaseReservation { id, name, addresses } => {
                     let shared = shared.clone();
                     tasks.spawn(async move {
                         let done = shared.release(&name, &addresses).await;
-                        shared.door.tell(Event::Released { id, done }).await;
+                        shared.door.tell(Event::ReleaseCompleted { id, done }).await;
                     });
                 }
                 Command::Probe { server, address } => {
                     let shared = shared.clone();
                     tasks.spawn(async move { shared.probe(server, &address).await });
                 }
-                Command::Bar { address, barred } => {
+                Command::BlockAddress { address, barred } => {
                     if barred {
                         shared.sessions.forget(&address);
                     }
@@ -230,8 +230,8 @@
                 if let Err(error) = ended {
                     // A task that died has told nothing: the core must not wait for it.
                     error!(shared.log, "an attempt's task died"; "error" => %error);
-                    let reason = EndReason::TaskDied;
-                    shared.door.post(Event::Ended { id, attempt, reason, note: 0.0, written: 0.0, load: None });
+                    let reason = EndReason::TaskPanicked;
+                    shared.door.post(Event::AttemptEnded { id, attempt, reason, note: 0.0, written: 0.0, load: None });
                 }
             }
         }
--- a/src/backend/websocket.rs
+++ b/src/backend/websocket.rs
@@ -3,10 +3,10 @@
 //! Giving an attempt up closes its session, as it closes an HTTP/1.1 connection. A session that has stood idle is
 //! looked at before it is used again, and none goes to a node that drains.
 
-use super::attempt::{parse_load, End, Passing, Trial};
-use super::connector::{Dialer, Wire, CROWDED};
+use super::attempt::{parse_load, AttemptResult, StreamForwarder, AttemptRequest};
+use super::connector::{Connector, Transport, CROWDED};
 use crate::dispatcher::EndReason;
-use crate::routing::api::Status;
+use crate::routing::api::AttemptStatus;
 use bytes::Bytes;
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use miniserde::{json, Deserialize};
@@ -28,7 +28,7 @@
 /// Idle sessions that are kept for a node.
 const MOST_IDLE: usize = 16;
 
-type Session = WebSocketStream<Wire>;
+type Session = WebSocketStream<Transport>;
 /// Idle sessions by address, and since when.
 type Idle = HashMap<Arc<str>, Vec<(Session, Instant)>>;
 
@@ -46,16 +46,16 @@
 }
 
 /// What a node's message means for the attempt that is out.
-pub enum Sense {
+pub enum NodeMessage {
     /// Some of the answer.
     Data(Bytes),
     /// The attempt has ended.
-    End(End),
+    End(AttemptResult),
 }
 
 /// Reads a node's message. What makes no sense, or belongs to another request, is an error of the node.
-pub fn parse(text: &str, name: &str) -> Sense {
-    let error = || Sense::End(EndReason::UnreadableAnswer.into());
+pub fn parse(text: &str, name: &str) -> NodeMessage {
+    let error = || NodeMessage::End(EndReason::UnreadableResponse.into());
     let Ok(told) = json::from_str::<Told>(text) else {
         return error();
     };
@@ -65,32 +65,32 @@
     let load = told.load.as_deref().and_then(parse_load);
     let kept = told.cached_tokens.unwrap_or(0.0);
     let end = |reason| {
-        Sense::End(End {
+        NodeMessage::End(AttemptResult {
             load,
-            ..End::from(reason)
+            ..AttemptResult::from(reason)
         })
     };
     match (told.kind.as_str(), told.data) {
-        ("event", Some(data)) => Sense::Data(data.into()),
-        ("read", _) => Sense::End(End {
-            reason: EndReason::Read,
+        ("event", Some(data)) => NodeMessage::Data(data.into()),
+        ("read", _) => NodeMessage::End(AttemptResult {
+            reason: EndReason::PrefillDone,
             note: kept,
             written: 0.0,
             load,
         }),
-        ("served", _) => Sense::End(End {
+        ("served", _) => NodeMessage::End(AttemptResult {
             reason: EndReason::Served,
             note: kept,
             written: 0.0,
             load,
         }),
         ("refused", _) if told.never_ran == Some(true) => end(if told.state_gone == Some(true) {
-            EndReason::StateGone
+            EndReason::KvStateMissing
         } else {
-            EndReason::TurnedAway
+            EndReason::Overloaded
         }),
-        ("rejected", _) => end(EndReason::BadRequest),
-        _ => end(EndReason::ErrorAnswer),
+        ("rejected", _) => end(EndReason::InvalidRequest),
+        _ => end(EndReason::ErrorResponse),
     }
 }
 
@@ -101,19 +101,19 @@
     config.read_buffer_size(BUFFER)
 }
 
-/// Sessions to nodes, and those that are idle.
+/// SessionPool to nodes, and those that are idle.
 #[derive(Clone)]
-pub struct Sessions {
-    dialer: Dialer,
+pub struct SessionPool {
+    dialer: Connector,
     idle: Arc<Mutex<Idle>>,
     idle_time: Duration,
     log: Logger,
 }
 
-impl Sessions {
+impl SessionPool {
     /// No sessions yet. One that was idle for `idle_time` is not used again.
-    pub fn new(dialer: Dialer, idle_time: Duration, log: Logger) -> Self {
-        Sessions {
+    pub fn new(dialer: Connector, idle_time: Duration, log: Logger) -> Self {
+        SessionPool {
             dialer,
             idle: Arc::default(),
             idle_time,
@@ -159,8 +159,8 @@
             .dial(address)
             .await
             .map_err(|error| match error.kind() {
-                CROWDED => EndReason::NoPlace,
-                _ => EndReason::DialFailed,
+                CROWDED => EndReason::NoConnectionPermit,
+                _ => EndReason::ConnectFailed,
             })?;
         let opened = timeout(self.dialer.limit(), async {
             let url = format!("ws://{address}{PATH}");
@@ -170,16 +170,16 @@
                 .map_err(|error| debug!(self.log, "no session"; "error" => %error))
                 .ok()
         });
-        let (session, _) = opened.await.ok().flatten().ok_or(EndReason::DialFailed)?;
+        let (session, _) = opened.await.ok().flatten().ok_or(EndReason::ConnectFailed)?;
         // The drain rule counts from a send's first byte: one that waited here is checked again.
         if self.dialer.is_barred(address) {
-            return Err(EndReason::Barred);
+            return Err(EndReason::EndpointBlocked);
         }
         Ok(session)
     }
 
     /// Runs an attempt to its end.
-    pub async fn attempt(&self, mut trial: Trial, mut passing: Passing) -> End {
+    pub async fn attempt(&self, mut trial: AttemptRequest, mut passing: StreamForwarder) -> AttemptResult {
         let until = Instant::now() + trial.timeout;
         if self.dialer.is_barred(&trial.address) {
             return EndReason::NotSent.into();
@@ -192,16 +192,16 @@
         };
         // How it has broken, until something came back.
         let mut broken = if kept.is_some() {
-            EndReason::KeptConnectionBroke
+            EndReason::StaleConnection
         } else {
-            EndReason::ConnectionBroke
+            EndReason::ConnectionReset
         };
         let mut session = match kept {
             Some(session) => session,
             None => match timeout_at(until, self.open(&trial.address)).await {
                 Ok(Ok(session)) => session,
                 Ok(Err(reason)) => return reason.into(),
-                Err(_) => return EndReason::DialFailed.into(),
+                Err(_) => return EndReason::ConnectFailed.into(),
             },
         };
         // The body goes with its last byte: a long stream keeps none of it.
@@ -220,11 +220,11 @@
         // A message whose last byte was not written is no request.
         match timeout_at(until, session.send(Message::Text(request.into()))).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) if broken == EndReason::KeptConnectionBroke => {
-                return EndReason::NotWritten.into()
+            Ok(Err(_)) if broken == EndReason::StaleConnection => {
+                return EndReason::RequestNotWritten.into()
             }
-            Ok(Err(_)) => return EndReason::DialFailed.into(),
-            Err(_) => return EndReason::Silent.into(),
+            Ok(Err(_)) => return EndReason::ConnectFailed.into(),
+            Err(_) => return EndReason::Timeout.into(),
         }
         loop {
             let message = match passing.next(until, session.next()).await {
@@ -236,25 +236,25 @@
                 Message::Text(text) => text,
                 Message::Ping(_) | Message::Pong(_) | Message::Frame(_) => continue,
                 Message::Close(_) => return broken.into(),
-                Message::Binary(_) => return EndReason::UnreadableAnswer.into(),
+                Message::Binary(_) => return EndReason::UnreadableResponse.into(),
             };
-            broken = EndReason::ConnectionBroke;
+            broken = EndReason::ConnectionReset;
             match parse(&text, &trial.work.name) {
-                Sense::Data(data) => {
+                NodeMessage::Data(data) => {
                     if let Err(reason) = passing.data(&data).await {
                         return reason.into();
                     }
                 }
-                Sense::End(end) => {
+                NodeMessage::End(end) => {
                     let begun = passing.begun();
                     let end = match end.reason {
-                        EndReason::Served => passing.end().await.map_or_else(End::from, |()| end),
-                        EndReason::ErrorAnswer | EndReason::UnreadableAnswer => end,
+                        EndReason::Served => passing.end().await.map_or_else(AttemptResult::from, |()| end),
+                        EndReason::ErrorResponse | EndReason::UnreadableResponse => end,
                         // A stream that ends otherwise has broken.
-                        _ if begun => EndReason::ConnectionBroke.into(),
+                        _ if begun => EndReason::ConnectionReset.into(),
                         _ => end,
                     };
-                    if !matches!(end.reason.status(), Status::Error | Status::Reset) {
+                    if !matches!(end.reason.status(), AttemptStatus::Error | AttemptStatus::Reset) {
                         self.keep(&trial.address, session);
                     }
                     return end;
--- a/src/bin/quartzhall-simhost.rs
+++ b/src/bin/quartzhall-simhost.rs
@@ -3,7 +3,7 @@
 //! It translates and decides nothing. Bad input ends it with one line on standard error.
 
 use miniserde::{json, Deserialize};
-use quartzhall::config::{micros, Names, Profile, Site};
+use quartzhall::config::{micros, NameTable, SettingsObject, Deployment};
 use quartzhall::routing::api::*;
 use quartzhall::routing::Router;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
     t: Option<f64>,
     n: Option<u64>,
     init_seed: Option<u64>,
-    profile_data: Option<Profile>,
+    profile_data: Option<SettingsObject>,
     sheet: Option<u32>,
     lines: Option<Vec<Line>>,
     form: Option<u32>,
@@ -64,8 +64,8 @@
 /// One instance: its router and its names.
 struct Instance {
     router: Router,
-    servers: Names,
-    site: Site,
+    servers: NameTable,
+    site: Deployment,
 }
 
 fn millis(time: Time) -> f64 {
@@ -78,23 +78,23 @@
     text.as_ref().map(parse).transpose().map_err(bad)
 }
 
-fn status(word: &str) -> Result<Status, String> {
+fn status(word: &str) -> Result<AttemptStatus, String> {
     Ok(match word {
-        "OK" => Status::Ok,
-        "handover" => Status::Read,
-        "INTERNAL" => Status::Error,
-        "RESOURCE_EXHAUSTED" => Status::Full,
-        "DEADLINE_EXCEEDED" => Status::Timeout,
-        "UNAVAILABLE" => Status::ConnectFailed,
-        "ABORTED" => Status::Reset,
-        "CANCELLED" => Status::Cancelled,
-        "TOO_LATE" => Status::Moot,
+        "OK" => AttemptStatus::Served,
+        "handover" => AttemptStatus::PrefillDone,
+        "INTERNAL" => AttemptStatus::Error,
+        "RESOURCE_EXHAUSTED" => AttemptStatus::Overloaded,
+        "DEADLINE_EXCEEDED" => AttemptStatus::Timeout,
+        "UNAVAILABLE" => AttemptStatus::ConnectFailed,
+        "ABORTED" => AttemptStatus::Reset,
+        "CANCELLED" => AttemptStatus::Cancelled,
+        "TOO_LATE" => AttemptStatus::NotSent,
         _ => return Err(format!("unknown status {word:?}")),
     })
 }
 
-fn load(metrics: Option<Metrics>) -> Option<Load> {
-    metrics.map(|told| Load {
+fn load(metrics: Option<Metrics>) -> Option<LoadReport> {
+    metrics.map(|told| LoadReport {
         in_flight: told.inflight,
         queue: told.queue,
         memory: told.x0,
@@ -107,25 +107,25 @@
 }
 
 impl Instance {
-    fn new(seed: u64, profile: &Profile, now: Time) -> Result<Self, String> {
-        let site = Site::new(profile)?;
+    fn new(seed: u64, profile: &SettingsObject, now: Time) -> Result<Self, String> {
+        let site = Deployment::new(profile)?;
         Ok(Instance {
             router: Router::new(site.settings.clone(), seed, now),
-            servers: Names::default(),
+            servers: NameTable::default(),
             site,
         })
     }
 
-    fn entry(&mut self, line: &Line) -> Result<Entry, String> {
+    fn entry(&mut self, line: &Line) -> Result<EndpointRecord, String> {
         let server = self.servers.number(&line.worker);
         let entry = self.site.entry(server, &line.worker, line.sku.as_deref())?;
-        Ok(Entry {
+        Ok(EndpointRecord {
             zone: self.site.zone(line.zone.as_deref()),
             cell: line.pack.unwrap_or(u32::MAX),
             state: match line.readiness {
-                0 => State::Ready,
-                1 => State::Draining,
-                2 => State::Gone,
+                0 => EndpointStatus::Ready,
+                1 => EndpointStatus::Draining,
+                2 => EndpointStatus::Removed,
                 other => return Err(format!("unknown readiness {other}")),
             },
             started: line.born.filter(|born| *born != 0.0).map(micros),
@@ -142,7 +142,7 @@
             _ => None,
         };
         let kind = given(input.kind, "kind")?;
-        Ok(Event::Request(Ask {
+        Ok(Event::RequestArrived(RequestMetadata {
             id: given(input.rid, "rid")?,
             class: self
                 .site
@@ -164,7 +164,7 @@
         let who = json::to_string(who);
         let worker = |server| json::to_string(self.servers.name(server));
         let rest = match *action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 server,
                 timeout,
@@ -172,10 +172,10 @@
                 let (limit, worker) = (millis(timeout), worker(server));
                 format!(r#""relay","who":{who},"rid":{id},"limit":{limit:?},"worker":{worker}"#)
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 format!(r#""drop_attempt","who":{who},"rid":{id},"trial":{attempt}"#)
             }
-            Action::Refuse {
+            Action::Shed {
                 id, retry_after, ..
             } => {
                 format!(
@@ -184,8 +184,8 @@
                 )
             }
             Action::Fail { id, .. } => format!(r#""lose","who":{who},"rid":{id}"#),
-            Action::Release { id } => format!(r#""unhold","who":{who},"rid":{id}"#),
-            Action::Wake { at } => {
+            Action::ReleaseReservation { id } => format!(r#""unhold","who":{who},"rid":{id}"#),
+            Action::SetTimer { at } => {
                 format!(
                     r#""wake_at","who":{who},"key_back":"wake","time":{:?}"#,
                     millis(at)
@@ -194,7 +194,7 @@
             Action::Probe { server } => {
                 format!(r#""ask_load","who":{who},"worker":{}"#, worker(server))
             }
-            Action::Watch => format!(r#""stream_changes","who":{who},"enable":true"#),
+            Action::WatchEndpoints => format!(r#""stream_changes","who":{who},"enable":true"#),
         };
         replies.push_str(&format!("{{\"type\":{rest}}}\n"));
     }
@@ -241,14 +241,14 @@
                     Instance::new(given(input.init_seed, "init_seed")?, &profile, self.now)?;
                 let who = who()?;
                 self.instances.insert(who.clone(), instance);
-                return self.tell(&who, |_| Ok(Event::Wake));
+                return self.tell(&who, |_| Ok(Event::TimerFired));
             }
             "power_off" => {
                 self.instances.remove(&who()?);
                 return Ok(());
             }
             "from_peer" | "place_note" => return self.known(&who()?).map(|_| ()),
-            "view" if input.form == Some(3) => Event::ListFailed,
+            "view" if input.form == Some(3) => Event::EndpointListFailed,
             "view" => {
                 let complete = match given(input.form, "form")? {
                     0 => false,
@@ -263,20 +263,20 @@
                     .clone();
                 return self.tell(&who()?, |instance| {
                     let entries = lines.iter().map(|line| instance.entry(line));
-                    Ok(Event::Members {
+                    Ok(Event::EndpointsChanged {
                         complete,
                         entries: entries.collect::<Result<_, String>>()?,
                     })
                 });
             }
             "request" => return self.tell(&who()?, |instance| instance.request(input)),
-            "ack_first" => Event::First {
+            "ack_first" => Event::FirstEvent {
                 id: given(input.rid, "rid")?,
                 attempt: given(input.trial, "trial")?,
             },
             "answer" => {
                 return self.tell(&who()?, |instance| {
-                    Ok(Event::Outcome {
+                    Ok(Event::AttemptEnded {
                         id: given(input.rid, "rid")?,
                         attempt: given(input.trial, "trial")?,
                         server: instance.servers.number(&given(input.worker, "worker")?),
@@ -287,15 +287,15 @@
                     })
                 })
             }
-            "cancelled_by_client" => Event::Gone {
+            "cancelled_by_client" => Event::ClientDisconnected {
                 id: given(input.rid, "rid")?,
             },
-            "tick_due" => Event::Wake,
+            "tick_due" => Event::TimerFired,
             "probe_result" => {
                 return self.tell(&who()?, |instance| {
-                    let ok = status(&given(input.status, "status")?)? == Status::Ok;
+                    let ok = status(&given(input.status, "status")?)? == AttemptStatus::Served;
                     let server = instance.servers.number(&given(input.worker, "worker")?);
-                    Ok(Event::Probed {
+                    Ok(Event::ProbeCompleted {
                         server,
                         ok,
                         load: load(input.metrics),
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -3,8 +3,8 @@
 //! A file is taken whole or not at all: it has to have all that the running one has. Its `settings` go to the core,
 //! and `discovery` is followed. Listeners, limits, zone and kinds of machines hold until a restart.
 
-use crate::config::{Config, Site};
-use crate::dispatcher::Door;
+use crate::config::{Config, Deployment};
+use crate::dispatcher::DispatcherHandle;
 use slog::{info, warn, Logger};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -23,12 +23,12 @@
 async fn take(
     file: &Path,
     running: &str,
-    door: &Door,
+    door: &DispatcherHandle,
     discovery: &watch::Sender<String>,
 ) -> Result<String, String> {
     let text = std::fs::read_to_string(file).map_err(|error| error.to_string())?;
     let config = Config::parse_next(running, &text)?;
-    let site = Site::new(&config.settings)?;
+    let site = Deployment::new(&config.settings)?;
     door.settings(site).await.ok_or("the dispatcher ends")??;
     discovery.send_if_modified(|old| {
         let new = config.discovery != *old;
@@ -44,7 +44,7 @@
     file: PathBuf,
     mut running: String,
     mut hangup: Signal,
-    door: Door,
+    door: DispatcherHandle,
     discovery: watch::Sender<String>,
     log: Logger,
 ) {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The deployment's settings: from JSON to the module's [`Settings`] and to the numbers for its names.
+//! The deployment's settings: from JSON to the module's [`RoutingSettings`] and to the numbers for its names.
 //!
 //! The adapter and the dispatcher share all of it. A field that is absent has its zero; a word that is not
 //! known is an error, for a guess would decide something.
@@ -11,7 +11,7 @@
 
 /// The settings object, as it comes.
 #[derive(Deserialize, Clone, Default)]
-pub struct Profile {
+pub struct SettingsObject {
     balancers: Option<u32>,
     classes: Option<Vec<ClassLine>>,
     dcs: Option<Vec<String>>,
@@ -92,16 +92,16 @@
     warm_within: Option<f64>,
 }
 
-/// Names and numbers of one sort, in the order in which they were met.
+/// NameTable and numbers of one sort, in the order in which they were met.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     by_name: HashMap<String, u32>,
     names: Vec<String>,
 }
 
-impl Names {
+impl NameTable {
     fn new<'a>(names: impl Iterator<Item = &'a String>) -> Self {
-        let mut all = Names::default();
+        let mut all = NameTable::default();
         for name in names {
             all.number(name);
         }
@@ -119,9 +119,9 @@
         number
     }
 
-    /// Names with numbers of their own.
+    /// NameTable with numbers of their own.
     fn numbered<'a>(pairs: impl Iterator<Item = (&'a String, u32)>) -> Self {
-        let mut all = Names::default();
+        let mut all = NameTable::default();
         for (name, number) in pairs {
             let at = number as usize;
             all.names.resize(all.names.len().max(at + 1), String::new());
@@ -167,25 +167,25 @@
 
 fn role(word: &String) -> Result<Role, String> {
     match word.as_str() {
-        "read" => Ok(Role::Reader),
-        "write" => Ok(Role::Writer),
-        "both" => Ok(Role::Both),
+        "read" => Ok(Role::Prefill),
+        "write" => Ok(Role::Decode),
+        "both" => Ok(Role::Mixed),
         _ => Err(format!("unknown role {word:?}")),
     }
 }
 
-fn effect(class: &ClassLine) -> Result<Effect, String> {
+fn effect(class: &ClassLine) -> Result<Idempotency, String> {
     match class.repeat.as_deref() {
-        Some("free") => Ok(Effect::Safe),
-        None | Some("single_shot") => Ok(Effect::Unsafe),
+        Some("free") => Ok(Idempotency::Idempotent),
+        None | Some("single_shot") => Ok(Idempotency::NonIdempotent),
         Some("guarded") => {
             let group = match class.group.as_deref() {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                None | Some("cell") => Group::Cell,
+                Some("all") => DeduplicationScope::AllEndpoints,
+                Some("zone") => DeduplicationScope::Zone,
+                None | Some("cell") => DeduplicationScope::Cell,
                 Some(word) => return Err(format!("unknown group {word:?}")),
             };
-            Ok(Effect::Keyed {
+            Ok(Idempotency::IdempotencyKey {
                 group,
                 window: span(class.key_ttl),
             })
@@ -212,38 +212,38 @@
 
 /// A deployment: the module's settings, its bounds, and the numbers for its names.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct Deployment {
     /// What the module is told.
-    pub settings: Settings,
+    pub settings: RoutingSettings,
     /// What the dispatcher keeps to.
     pub bounds: Bounds,
-    /// Names of classes.
-    pub classes: Names,
-    /// Names of tenants.
-    pub tenants: Names,
+    /// NameTable of classes.
+    pub classes: NameTable,
+    /// NameTable of tenants.
+    pub tenants: NameTable,
     /// What a full message costs for each receiver and request, where dispatchers may tell each other things.
     pub peer_price: Option<f64>,
-    zones: Names,
-    kinds: Names,
+    zones: NameTable,
+    kinds: NameTable,
     roles: Vec<Role>,
     memory: Vec<f64>,
 }
 
-impl Site {
+impl Deployment {
     /// A deployment from its settings object.
-    pub fn new(profile: &Profile) -> Result<Self, String> {
+    pub fn new(profile: &SettingsObject) -> Result<Self, String> {
         let none: (Family, Limits, Rules) = Default::default();
         let family = profile.family_info.as_ref().unwrap_or(&none.0);
         let limits = profile.limits.as_ref().unwrap_or(&none.1);
         let rules = profile.rules.as_ref().unwrap_or(&none.2);
         let class_lines = profile.classes.as_deref().unwrap_or_default();
         let tenant_lines = profile.tenants.as_deref().unwrap_or_default();
-        let mut zones = Names::new(profile.dcs.iter().flatten());
+        let mut zones = NameTable::new(profile.dcs.iter().flatten());
         let at = |list: &Option<Vec<f64>>, at: usize| {
             list.as_ref().and_then(|list| list.get(at)).copied()
         };
         let class = |(number, class): (usize, &ClassLine)| {
-            Ok(Class {
+            Ok(RequestClass {
                 aim: span(class.aim),
                 aim_per_1000_tokens: at(&family.aim_us_per_1000_prompt_tokens, number)
                     .map_or(0, |us| us.max(0.0) as Time),
@@ -256,7 +256,7 @@
         let tenant = |tenant: &TenantLine| Tenant {
             quota_per_s: tenant.quota_per_s.unwrap_or(0.0),
         };
-        let settings = Settings {
+        let settings = RoutingSettings {
             balancers: profile.balancers.unwrap_or(0),
             zone: profile
                 .zone
@@ -274,9 +274,9 @@
                 .as_ref()
                 .and_then(|reporting| reporting.via.as_deref())
             {
-                Some("answers") => Reports::WithAnswers,
-                Some("probe") => Reports::WhenProbed,
-                None | Some("none") => Reports::Never,
+                Some("answers") => LoadReporting::WithResponses,
+                Some("probe") => LoadReporting::WithProbes,
+                None | Some("none") => LoadReporting::Never,
                 Some(word) => return Err(format!("unknown way of reporting {word:?}")),
             },
             must_watch: profile.membership_mode.as_deref() == Some("subscribe"),
@@ -304,7 +304,7 @@
                 .unwrap_or(0.0),
             far_price: family.move_fee.unwrap_or(0.0),
         };
-        Ok(Site {
+        Ok(Deployment {
             settings,
             bounds: Bounds {
                 dial: limits.dial_timeout.map_or(250_000, micros),
@@ -317,7 +317,7 @@
                     .max()
                     .unwrap_or(Time::MAX),
             },
-            classes: Names::new(class_lines.iter().map(|class| &class.name)),
+            classes: NameTable::new(class_lines.iter().map(|class| &class.name)),
             peer_price: limits.peers.filter(|may| *may).map(|_| {
                 profile
                     .deductions
@@ -325,9 +325,9 @@
                     .and_then(|it| it.peer)
                     .unwrap_or(0.0)
             }),
-            tenants: Names::new(tenant_lines.iter().map(|tenant| &tenant.name)),
+            tenants: NameTable::new(tenant_lines.iter().map(|tenant| &tenant.name)),
             zones,
-            kinds: Names::new(profile.machine_types.iter().flatten()),
+            kinds: NameTable::new(profile.machine_types.iter().flatten()),
             roles: family
                 .role_by_kind
                 .iter()
@@ -340,8 +340,8 @@
 
     /// What holds after this one was read while `old` held. A class that means the same keeps its number; any other one
     /// gets a number that is not `used`. Zone, kinds, roles and memory hold until a restart.
-    pub fn after(mut self, old: &Site, used: impl Fn(usize) -> bool) -> Result<Site, String> {
-        let mut classes: Vec<Class> = old.settings.classes.clone();
+    pub fn after(mut self, old: &Deployment, used: impl Fn(usize) -> bool) -> Result<Deployment, String> {
+        let mut classes: Vec<RequestClass> = old.settings.classes.clone();
         classes.iter_mut().for_each(|class| class.open = false);
         let mut numbers = Vec::new();
         for (name, class) in self.classes.names.iter().zip(&self.settings.classes) {
@@ -371,7 +371,7 @@
             }
             numbers.push(number as u32);
         }
-        self.classes = Names::numbered(self.classes.names.iter().zip(numbers));
+        self.classes = NameTable::numbered(self.classes.names.iter().zip(numbers));
         self.settings.classes = classes;
         self.settings.zone = old.settings.zone;
         (self.zones, self.kinds) = (old.zones.clone(), old.kinds.clone());
@@ -382,18 +382,18 @@
     /// One server of a list, by the names of its kind and zone. The caller numbers servers.
     pub fn entry(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         name: &str,
         kind: Option<&str>,
-    ) -> Result<Entry, String> {
+    ) -> Result<EndpointRecord, String> {
         let number = kind.map_or(Some(0), |kind| self.kinds.known(kind));
         let number = number.ok_or_else(|| format!("unknown kind {kind:?}"))? as usize;
-        Ok(Entry {
+        Ok(EndpointRecord {
             server,
             key: hash(name),
             role: *self.roles.get(number).ok_or("a kind without a role")?,
             memory: self.memory.get(number).copied().unwrap_or(0.0),
-            ..Entry::default()
+            ..EndpointRecord::default()
         })
     }
 
@@ -406,7 +406,7 @@
 /// One line of a list of members, as discovery writes it. Each field is read by itself: what makes no sense is absent,
 /// and takes no other field with it.
 #[derive(Clone, Debug, Default)]
-pub struct MemberLine {
+pub struct EndpointLine {
     /// The same at every dispatcher.
     pub id: Option<String>,
     /// Where it listens.
@@ -423,10 +423,10 @@
     pub up_since_ms: Option<f64>,
 }
 
-impl From<&Value> for MemberLine {
+impl From<&Value> for EndpointLine {
     fn from(line: &Value) -> Self {
         let Value::Object(line) = line else {
-            return MemberLine::default();
+            return EndpointLine::default();
         };
         let text = |field: &str| match line.get(field) {
             Some(Value::String(text)) => Some(text.clone()),
@@ -436,7 +436,7 @@
             Some(Value::Number(number)) => Some(validation::number(number)),
             _ => None,
         };
-        MemberLine {
+        EndpointLine {
             id: text("id"),
             host_port: text("host_port"),
             locality: text("locality"),
@@ -452,18 +452,18 @@
 
 /// A list of members, whole or what changed.
 #[derive(Deserialize, Clone)]
-pub struct MemberList {
+pub struct EndpointList {
     /// Its version.
     pub revision: u64,
     /// Members that are absent are gone.
     pub complete: bool,
-    /// Its lines, each as it comes: see [`MemberLine`].
+    /// Its lines, each as it comes: see [`EndpointLine`].
     pub members: Vec<Value>,
 }
 
 /// What the dispatcher may use.
 #[derive(Deserialize, Clone)]
-pub struct Machine {
+pub struct MachineLimits {
     /// Memory, in MB.
     pub memory_mb: Option<u64>,
     /// File descriptors.
@@ -473,7 +473,7 @@
 /// Descriptors that neither clients nor nodes get: listeners, discovery, the log, the runtime's own.
 const SPARE_SOCKETS: u64 = 32;
 
-impl Machine {
+impl MachineLimits {
     /// Descriptors for clients' connections, and for those to nodes. Clients get five eighths: beside an open
     /// request, which needs one on either side, there are those that stand idle or mute until they may be closed.
     pub fn shares(&self) -> (usize, usize) {
@@ -500,7 +500,7 @@
     /// For random numbers, in hexadecimal digits.
     pub seed: String,
     /// What the dispatcher may use.
-    pub limits: Machine,
+    pub limits: MachineLimits,
     /// Where other dispatchers tell this one things.
     pub peer_listen: Option<String>,
     /// The dispatchers, by their numbers.
@@ -508,9 +508,9 @@
     /// Where all of them are told at once.
     pub peers_all: Option<String>,
     /// The list of members as it was last held.
-    pub known: Option<MemberList>,
+    pub known: Option<EndpointList>,
     /// The settings object.
-    pub settings: Profile,
+    pub settings: SettingsObject,
 }
 
 impl Config {
@@ -565,14 +565,14 @@
 
 /// Where WebSocket sessions are taken and opened, and their bounds.
 #[derive(Clone, Debug)]
-pub struct Sessions {
+pub struct SessionConfig {
     /// Where terminals connect, and balancers ask for health; `None`: off.
     pub listen: Option<String>,
     /// Where balancers ask for an agent check; `None`: off.
     pub agent_check: Option<String>,
     /// Addresses of nodes that speak WebSocket.
     pub nodes: Vec<String>,
-    /// Sessions at once.
+    /// SessionConfig at once.
     pub most_sessions: usize,
     /// Requests of one session at once.
     pub most_requests: usize,
@@ -592,13 +592,13 @@
     pub record_bytes: usize,
 }
 
-impl Sessions {
+impl SessionConfig {
     /// Reads the session file; the error is one line.
-    pub fn parse(text: &str) -> Result<Sessions, String> {
+    pub fn parse(text: &str) -> Result<SessionConfig, String> {
         let wrong = |what: &str| format!("the session file: {what}");
         let file: SessionFile =
             json::from_str(text).map_err(|_| wrong("not the JSON object expected"))?;
-        let sessions = Sessions {
+        let sessions = SessionConfig {
             listen: file.listen,
             agent_check: file.agent_check,
             nodes: file.nodes.unwrap_or_default(),
@@ -629,14 +629,14 @@
     /// The same within a machine's limits: three eighths of the clients' descriptors, a quarter of the memory for
     /// messages on their way, an eighth for the record. Told beside it: descriptors for connections that are no
     /// session yet.
-    pub fn within(self, sockets: usize, memory: usize) -> (Sessions, usize) {
+    pub fn within(self, sockets: usize, memory: usize) -> (SessionConfig, usize) {
         let most = self
             .most_sessions
             .min(sockets * 3 / 8)
             .min(memory / 4 / self.most_message);
         let record_bytes = self.record_bytes.min(memory / 8);
         (
-            Sessions {
+            SessionConfig {
                 most_sessions: most.max(1),
                 record_bytes,
                 ..self
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -2,11 +2,11 @@
 //!
 //! The agent may be silent or talk nonsense; both are logged and tried again, and the list held stays valid.
 
-use crate::config::{MemberLine, MemberList, Site};
+use crate::config::{EndpointLine, EndpointList, Deployment};
 use crate::discovery::backoff::Backoff;
-use crate::discovery::watch_state::Watch;
-use crate::dispatcher::{Door, Event, Member};
-use crate::routing::api::{Entry, State};
+use crate::discovery::watch_state::WatchState;
+use crate::dispatcher::{DispatcherHandle, Event, DiscoveredEndpoint};
+use crate::routing::api::{EndpointRecord, EndpointStatus};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
@@ -26,16 +26,16 @@
 
 /// A member's line in the core's terms; an error where it makes no sense. Who is announced as leaving leaves, whatever
 /// else its line says: where the rest can't be read, that stays as it was told before.
-pub fn member(site: &mut Site, line: &MemberLine) -> Result<Member, String> {
+pub fn member(site: &mut Deployment, line: &EndpointLine) -> Result<DiscoveredEndpoint, String> {
     let id = line
         .id
         .as_deref()
         .filter(|id| !id.is_empty())
         .ok_or("no id")?;
     let state = match line.phase.as_deref() {
-        Some("Ready") => State::Ready,
-        Some("Terminating") => State::Draining,
-        Some("Gone") => State::Gone,
+        Some("Ready") => EndpointStatus::Ready,
+        Some("Terminating") => EndpointStatus::Draining,
+        Some("Gone") => EndpointStatus::Removed,
         other => return Err(format!("unknown phase {other:?}")),
     };
     let zone = site.zone(line.locality.as_deref());
@@ -48,21 +48,21 @@
     };
     let (address, entry, partial) = match whole() {
         Ok((address, entry)) => (address, entry, false),
-        Err(_) if state != State::Ready => ("", Entry::default(), true),
+        Err(_) if state != EndpointStatus::Ready => ("", EndpointRecord::default(), true),
         Err(error) => return Err(error),
     };
     let started = line
         .up_since_ms
         .filter(|at| *at > 0.0)
         .map(|ms| (ms * 1000.0) as u64);
-    let entry = Entry {
+    let entry = EndpointRecord {
         zone,
         cell: line.cell.unwrap_or(u32::MAX),
         state,
         started,
         ..entry
     };
-    Ok(Member {
+    Ok(DiscoveredEndpoint {
         name: id.into(),
         address: address.into(),
         entry,
@@ -71,10 +71,10 @@
 }
 
 /// A list in the core's terms. A line that makes no sense is logged and left out.
-pub fn members(site: &mut Site, list: &MemberList, log: &Logger) -> Event {
+pub fn members(site: &mut Deployment, list: &EndpointList, log: &Logger) -> Event {
     let mut members = Vec::new();
     for line in &list.members {
-        let line = MemberLine::from(line);
+        let line = EndpointLine::from(line);
         match member(site, &line) {
             Ok(member) => members.push(member),
             Err(error) => {
@@ -82,14 +82,14 @@
             }
         }
     }
-    Event::Members {
+    Event::EndpointsChanged {
         complete: list.complete,
         members,
     }
 }
 
 /// Reads a list as discovery writes it.
-pub fn parse(text: &[u8]) -> Result<MemberList, String> {
+pub fn parse(text: &[u8]) -> Result<EndpointList, String> {
     let text = std::str::from_utf8(text).map_err(|_| "not UTF-8")?;
     json::from_str(text).map_err(|_| "not a list of members".to_owned())
 }
@@ -113,7 +113,7 @@
     Silent(String),
 }
 
-async fn call(agent: &Agent, address: &str, target: &str) -> Result<MemberList, Failure> {
+async fn call(agent: &Agent, address: &str, target: &str) -> Result<EndpointList, Failure> {
     let silent = |error: &dyn std::fmt::Display| Failure::Silent(error.to_string());
     let request = Request::get(format!("http://{address}{target}")).body(Empty::new());
     let response = agent
@@ -133,10 +133,10 @@
 /// `seed` is this dispatcher's own; `known` the revision of the list that it has, if it has one.
 pub async fn run(
     mut address: Receiver<String>,
-    mut site: Site,
+    mut site: Deployment,
     seed: u64,
     mut known: Option<u64>,
-    door: Door,
+    door: DispatcherHandle,
     log: Logger,
 ) {
     let mut backoff = Backoff::new(site.settings.balancers, seed);
@@ -160,14 +160,14 @@
 /// Watches one address, from the revision that is known on, or from a full list. Its connections end with it.
 async fn follow(
     address: &str,
-    site: &mut Site,
+    site: &mut Deployment,
     known: Option<u64>,
     backoff: &mut Backoff,
-    door: &Door,
+    door: &DispatcherHandle,
     log: &Logger,
 ) {
     let agent = agent();
-    let mut watch = Watch::from(known, !site.settings.must_watch);
+    let mut watch = WatchState::from(known, !site.settings.must_watch);
     loop {
         let next = watch.call();
         let began = Instant::now();
@@ -202,7 +202,7 @@
                 } else {
                     debug!(log, "discovery is still silent"; "error" => error, "again_in_ms" => again_in_ms);
                 }
-                door.tell(Event::ListFailed).await;
+                door.tell(Event::EndpointListFailed).await;
                 sleep(pause).await;
             }
         }
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -34,7 +34,7 @@
 
 /// A call to discovery.
 #[derive(Debug)]
-pub struct Call {
+pub struct PollRequest {
     /// Path and query.
     pub target: String,
     /// It is silent where nothing has come for so long.
@@ -42,16 +42,16 @@
 }
 
 /// Where the watch stands.
-pub struct Watch {
+pub struct WatchState {
     revision: Option<u64>,
     pushed: bool,
     silent: u32, // calls in turn that nobody answered
 }
 
-impl Watch {
+impl WatchState {
     /// A watch from a revision that is known on, or from a full list. `pushed`: lists come to an agent on this machine.
     pub fn from(revision: Option<u64>, pushed: bool) -> Self {
-        Watch {
+        WatchState {
             revision,
             pushed,
             silent: 0,
@@ -59,7 +59,7 @@
     }
 
     /// The next call.
-    pub fn call(&self) -> Call {
+    pub fn call(&self) -> PollRequest {
         let patient = self.silent > 0 && self.silent.is_multiple_of(TURNS);
         let late = if self.pushed && !patient {
             LATE_HERE
@@ -73,11 +73,11 @@
             false => HOLD,
         };
         match self.revision {
-            None => Call {
+            None => PollRequest {
                 target: "/v1/endpoints".to_owned(),
                 patience: late,
             },
-            Some(from) => Call {
+            Some(from) => PollRequest {
                 target: format!("/v1/endpoints?from={from}&hold_ms={}", hold.as_millis()),
                 patience: hold + late,
             },
--- a/src/dispatcher/bans.rs
+++ b/src/dispatcher/bans.rs
@@ -16,7 +16,7 @@
 
 /// What was said last of an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mark {
+pub struct BanRecord {
     /// When, in Unix microseconds.
     pub at: Time,
     /// It is out of use; else its ban has ended.
@@ -25,7 +25,7 @@
 
 /// Why a call was turned down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum BanError {
     /// The id was never listed.
     Unknown,
     /// As many replicas are out of use as may be.
@@ -33,18 +33,18 @@
 }
 
 /// All marks.
-pub type Marks = BTreeMap<Arc<str>, Mark>;
+pub type BanRecords = BTreeMap<Arc<str>, BanRecord>;
 
 /// The bans of a dispatcher.
 #[derive(Default)]
-pub struct Bans {
-    marks: Marks,
+pub struct BanList {
+    marks: BanRecords,
     ended_at: BTreeMap<Arc<str>, Time>, // when the ends among them were heard of here, by this process's own clock
     left: VecDeque<Arc<str>>,
     left_set: HashSet<Arc<str>>,
 }
 
-impl Bans {
+impl BanList {
     /// An id has left the list; it stays known.
     pub fn has_left(&mut self, id: Arc<str>) {
         if self.left_set.insert(id.clone()) {
@@ -65,26 +65,26 @@
         id: &Arc<str>,
         banned: bool,
         listed: bool,
-    ) -> Result<bool, Refusal> {
+    ) -> Result<bool, BanError> {
         self.forget_ended(now);
         let known = listed || self.left_set.contains(id) || self.marks.contains_key(id);
         if !known {
-            return Err(Refusal::Unknown);
+            return Err(BanError::Unknown);
         }
         if self.is_banned(id) == banned {
             return Ok(false);
         }
         if banned && self.marks.values().filter(|mark| mark.banned).count() >= MOST_BANS {
-            return Err(Refusal::TooMany);
+            return Err(BanError::TooMany);
         }
         // A word is newer than the one that it replaces, also where another process's clock ran ahead.
         let at = self.marks.get(id).map_or(now, |old| now.max(old.at + 1));
-        self.set(now, id, Mark { at, banned });
+        self.set(now, id, BanRecord { at, banned });
         Ok(true)
     }
 
     /// Takes in what another process knows; the newest word on each id counts. Tells the ids whose state changed.
-    pub fn merge(&mut self, now: Time, others: &Marks) -> Vec<Arc<str>> {
+    pub fn merge(&mut self, now: Time, others: &BanRecords) -> Vec<Arc<str>> {
         self.forget_ended(now);
         let mut changed = Vec::new();
         for (id, mark) in others {
@@ -103,7 +103,7 @@
         changed
     }
 
-    fn set(&mut self, now: Time, id: &Arc<str>, mark: Mark) {
+    fn set(&mut self, now: Time, id: &Arc<str>, mark: BanRecord) {
         match mark.banned {
             true => drop(self.ended_at.remove(id)),
             false => drop(self.ended_at.insert(id.clone(), now)),
@@ -130,7 +130,7 @@
     }
 
     /// What was said of each id.
-    pub fn marks(&self) -> &Marks {
+    pub fn marks(&self) -> &BanRecords {
         &self.marks
     }
 }
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -1,25 +1,25 @@
 //! The state machine: it joins the module, the request table and the nodes' table, and keeps the rules.
 
-use super::endpoint_table::{News, Nodes};
+use super::endpoint_table::{EndpointChanges, EndpointTable};
 use super::guard::Guard;
-use super::messages::{Answer, Command, Event, Member, Piece, Readiness, Work};
+use super::messages::{Outcome, Command, Event, DiscoveredEndpoint, StreamChunk, Readiness, UpstreamRequest};
 use super::reasons::{CloseReason, EndReason, ReleaseReason};
 use super::report::{Kind, Report};
 use super::request::{Attempt, Ended, Request};
-use super::request_table::Table;
+use super::request_table::RequestTable;
 use super::rules::Rule;
-use crate::config::Site;
-use crate::dispatcher::bans::Marks;
+use crate::config::Deployment;
+use crate::dispatcher::bans::BanRecords;
 use crate::gossip::Gossip;
-use crate::net::connection_limit::PARTS;
-use crate::recording::Notes;
+use crate::net::connection_limit::SHARE_UNITS;
+use crate::recording::TraceRecorder;
 use crate::routing::api::{
-    self, Action, Ask, Effect, GiveUp, Load, RequestId, Role, ServerId, Settings, Status, Time,
+    self, Action, RequestMetadata, Idempotency, FailureReason, LoadReport, RequestId, Role, EndpointId, RoutingSettings, AttemptStatus, Time,
 };
 use crate::routing::Router;
 use crate::variants::{breaks, Variant};
 use bytes::Bytes;
-use quartzhall_recording::{Answer as Noted, Record};
+use quartzhall_recording::{RecordedOutcome, Record};
 use slog::{debug, info, warn, Logger};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -36,9 +36,9 @@
 
 /// The settings for the module. A repeat is dropped if its last byte comes within the window, and it may be on its way for
 /// as long as a place and then a connection are waited for: the module is told of a window that is shorter by that.
-fn in_time(mut settings: Settings, dial: Time) -> Settings {
+fn in_time(mut settings: RoutingSettings, dial: Time) -> RoutingSettings {
     for class in &mut settings.classes {
-        if let Effect::Keyed { window, .. } = &mut class.effect {
+        if let Idempotency::IdempotencyKey { window, .. } = &mut class.effect {
             *window = window.saturating_sub(2 * dial + ON_THE_WAY);
         }
     }
@@ -48,8 +48,8 @@
 /// The state machine. Its caller gives it the time with each event and does what it commands.
 pub struct Core {
     router: Router,
-    site: Arc<Site>,
-    rules: Settings, // as the module is told them
+    site: Arc<Deployment>,
+    rules: RoutingSettings, // as the module is told them
     site_changed: bool,
     retired: Vec<Time>, // when each class was last open
     part: u32,
@@ -57,13 +57,13 @@
     most_places: usize,
     processes: u32,
     held_back: bool,
-    nodes: Nodes,
-    requests: Table,
+    nodes: EndpointTable,
+    requests: RequestTable,
     timers: BinaryHeap<Reverse<Time>>,
     next_sweep: Time,
     draining: bool,
     commands: Vec<Command>,
-    notes: Option<Notes>,
+    notes: Option<TraceRecorder>,
     gossip: Option<Gossip>,
     report: Report,
     pub(super) log: Logger,
@@ -72,7 +72,7 @@
 impl Core {
     /// A core as it starts. `now` is Unix time in microseconds, as are all its times.
     /// `most_places`: so many requests can be open at once.
-    pub fn new(site: Arc<Site>, most_places: usize, seed: u64, now: Time, log: Logger) -> Self {
+    pub fn new(site: Arc<Deployment>, most_places: usize, seed: u64, now: Time, log: Logger) -> Self {
         let rules = in_time(site.settings.clone(), site.bounds.dial);
         let mut core = Core {
             router: Router::new(rules.clone(), seed, now),
@@ -81,12 +81,12 @@
             retired: vec![now; site.settings.classes.len()],
             site,
             site_changed: true,
-            part: PARTS,
+            part: SHARE_UNITS,
             most_places,
             processes: 1,
             held_back: false,
-            nodes: Nodes::default(),
-            requests: Table::default(),
+            nodes: EndpointTable::default(),
+            requests: RequestTable::default(),
             timers: BinaryHeap::new(),
             next_sweep: now,
             draining: false,
@@ -96,12 +96,12 @@
             report: Report::new(now),
             log,
         };
-        core.step(now, api::Event::Wake);
+        core.step(now, api::Event::TimerFired);
         core
     }
 
-    /// Notes from now on what it hears and does.
-    pub fn take_notes(&mut self, notes: Notes) {
+    /// TraceRecorder from now on what it hears and does.
+    pub fn take_notes(&mut self, notes: TraceRecorder) {
         self.notes = Some(notes);
     }
 
@@ -136,12 +136,12 @@
             self.gossip
                 .iter_mut()
                 .for_each(|gossip| gossip.heard(now, server, &observation));
-            self.step(now, api::Event::Heard { server, load });
+            self.step(now, api::Event::PeerLoadReport { server, load });
         }
     }
 
     /// What an attempt or a probe has shown of a server, for the others.
-    fn tell(&mut self, now: Time, server: ServerId, failed: bool, load: Option<&Load>) {
+    fn tell(&mut self, now: Time, server: EndpointId, failed: bool, load: Option<&LoadReport>) {
         let node = self.nodes.get(server).map(|node| node.listed.key);
         let (Some(hash), Some(gossip)) = (node, &mut self.gossip) else {
             return;
@@ -155,16 +155,16 @@
 
     /// What was noted since the last call.
     pub fn notes(&mut self) -> Vec<Record> {
-        self.notes.as_mut().map(Notes::take).unwrap_or_default()
+        self.notes.as_mut().map(TraceRecorder::take).unwrap_or_default()
     }
 
-    fn note(&mut self, note: impl FnOnce(&mut Notes)) {
+    fn note(&mut self, note: impl FnOnce(&mut TraceRecorder)) {
         if let Some(notes) = &mut self.notes {
             note(notes);
         }
     }
 
-    /// Is not ready until it hears [`Event::Open`].
+    /// Is not ready until it hears [`Event::AcceptClients`].
     pub fn hold_back(&mut self) {
         self.held_back = true;
     }
@@ -172,14 +172,14 @@
     /// Hears one event.
     pub fn hear(&mut self, now: Time, event: Event) {
         match event {
-            Event::Request { ask, work, answer } => self.request(now, ask, work, answer),
-            Event::Gone { id, fate } => self.gone(now, id, fate),
-            Event::First {
+            Event::RequestArrived { ask, work, answer } => self.request(now, ask, work, answer),
+            Event::ClientDisconnected { id, fate } => self.gone(now, id, fate),
+            Event::FirstEvent {
                 id,
                 attempt,
                 stream,
             } => self.first(now, id, attempt, stream),
-            Event::Ended {
+            Event::AttemptEnded {
                 id,
                 attempt,
                 reason,
@@ -190,7 +190,7 @@
                 self.note(|notes| notes.ended(now, id, attempt, reason.status(), note, written));
                 self.ended(now, id, attempt, reason, note, load)
             }
-            Event::Released { id, done } => {
+            Event::ReleaseCompleted { id, done } => {
                 if !done {
                     self.report.count(now, Kind::ReleaseFailed);
                     self.violation(now, Rule::HeldState, id);
@@ -200,17 +200,17 @@
                 }
                 self.settle(now, id);
             }
-            Event::Probed { server, ok, load } => {
+            Event::ProbeCompleted { server, ok, load } => {
                 if ok {
                     self.nodes.heard_from(now, server);
                 }
                 self.tell(now, server, false, load.as_ref());
-                self.step(now, api::Event::Probed { server, ok, load });
+                self.step(now, api::Event::ProbeCompleted { server, ok, load });
             }
-            Event::Peer { from, message } => self.peer(now, from, &message),
-            Event::Members { complete, members } => self.members(now, complete, members),
-            Event::ListFailed => self.step(now, api::Event::ListFailed),
-            Event::Ban {
+            Event::GossipReceived { from, message } => self.peer(now, from, &message),
+            Event::EndpointsChanged { complete, members } => self.members(now, complete, members),
+            Event::EndpointListFailed => self.step(now, api::Event::EndpointListFailed),
+            Event::BanRequested {
                 name,
                 banned,
                 answer,
@@ -218,23 +218,23 @@
                 let called = self.nodes.ban(now, name, banned, &self.log);
                 let _ = answer.send(called.map(|news| self.banned(now, news)));
             }
-            Event::Marks(marks) => {
+            Event::BanRecordsReceived(marks) => {
                 let news = self.nodes.merge(now, &marks, &self.log);
                 self.banned(now, news);
             }
-            Event::Settings { site, answer } => {
+            Event::SettingsChanged { site, answer } => {
                 let taken = self.settings(now, *site);
                 let _ = answer.send(taken);
             }
-            Event::Open => self.held_back = false,
-            Event::Share { part, processes } => {
+            Event::AcceptClients => self.held_back = false,
+            Event::ResourceShareChanged { part, processes } => {
                 (self.part, self.processes) = (part, processes);
                 self.follow(now);
             }
             Event::Drain(within) => {
                 self.draining = true;
                 let at = now.saturating_add(within.as_micros() as Time);
-                self.step(now, api::Event::EndBy(at));
+                self.step(now, api::Event::ShutdownDeadline(at));
             }
         }
     }
@@ -243,7 +243,7 @@
     pub fn wake(&mut self, now: Time) {
         while self.timers.peek().is_some_and(|Reverse(at)| *at <= now) {
             self.timers.pop();
-            self.step(now, api::Event::Wake);
+            self.step(now, api::Event::TimerFired);
         }
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
@@ -278,24 +278,24 @@
         self.requests.len()
     }
 
-    /// Nodes in the table: those of the list, and those that are gone and still have attempts out.
+    /// EndpointTable in the table: those of the list, and those that are gone and still have attempts out.
     pub fn nodes(&self) -> usize {
         self.nodes.len()
     }
 
     /// The state for balancers in front.
     pub fn readiness(&self) -> Readiness {
-        let able = self.nodes.any_ready(Role::Writer) && self.nodes.any_ready(Role::Reader);
+        let able = self.nodes.any_ready(Role::Decode) && self.nodes.any_ready(Role::Prefill);
         match (self.draining, able) {
             (true, _) => Readiness::Draining,
-            (false, true) if self.held_back => Readiness::Able,
+            (false, true) if self.held_back => Readiness::Standby,
             (false, true) => Readiness::Ready,
             (false, false) => Readiness::Starting,
         }
     }
 
     /// New settings: what follows from them is told to the module and to the fronts.
-    fn settings(&mut self, now: Time, site: Site) -> Result<(), String> {
+    fn settings(&mut self, now: Time, site: Deployment) -> Result<(), String> {
         let open = self.requests.classes();
         for (class, at) in self.site.settings.classes.iter().zip(&mut self.retired) {
             *at = if class.open { now } else { *at };
@@ -322,56 +322,56 @@
     /// The module's settings and the bound on what is held: another process is one more dispatcher to the servers.
     fn follow(&mut self, now: Time) {
         let whole = self.site.bounds.most_held.min(self.most_places) as u128;
-        self.most_held = ((whole * u128::from(self.part) / u128::from(PARTS)) as usize).max(1);
+        self.most_held = ((whole * u128::from(self.part) / u128::from(SHARE_UNITS)) as usize).max(1);
         let mut settings = in_time(self.site.settings.clone(), self.site.bounds.dial);
         settings.balancers = settings.balancers.saturating_mul(self.processes.max(1));
         self.rules = settings.clone();
-        self.step(now, api::Event::Settings(settings));
+        self.step(now, api::Event::SettingsChanged(settings));
     }
 
     /// The settings, where they are new since the last call.
-    pub fn new_site(&mut self) -> Option<Arc<Site>> {
+    pub fn new_site(&mut self) -> Option<Arc<Deployment>> {
         std::mem::take(&mut self.site_changed).then(|| self.site.clone())
     }
 
-    fn request(&mut self, now: Time, ask: Ask, work: Work, answer: oneshot::Sender<Answer>) {
+    fn request(&mut self, now: Time, ask: RequestMetadata, work: UpstreamRequest, answer: oneshot::Sender<Outcome>) {
         let id = ask.id;
         // An id that is in flight is never a second request: nodes know requests by it alone.
         if self.requests.is_in_flight(&work.name) {
             return self.turn_away(
                 now,
                 &work.name,
-                CloseReason::InFlight,
+                CloseReason::DuplicateId,
                 answer,
-                Answer::Duplicate,
+                Outcome::DuplicateId,
             );
         }
         // A client that comes again with an id of which something may have run is never told that it may try again.
         let class = self.site.settings.classes.get(ask.class);
-        let is_safe = class.is_some_and(|class| class.effect == Effect::Safe);
+        let is_safe = class.is_some_and(|class| class.effect == Idempotency::Idempotent);
         if !is_safe && self.requests.may_have_run(&work.name) {
             return self.turn_away(
                 now,
                 &work.name,
                 CloseReason::MayHaveRun,
                 answer,
-                Answer::Duplicate,
+                Outcome::DuplicateId,
             );
         }
         // More than may be held never reaches the module. Nothing was sent, so a refusal is true.
         if self.requests.len() >= self.most_held {
             let refused =
-                Answer::Refused(Duration::from_micros(self.site.settings.max_retry_after));
+                Outcome::Shed(Duration::from_micros(self.site.settings.max_retry_after));
             return self.turn_away(now, &work.name, CloseReason::TableFull, answer, refused);
         }
         self.gossip.iter_mut().for_each(Gossip::request);
         debug!(self.log, "request"; "id" => id, "name" => %work.name, "class" => ask.class,
             "expires_in" => ask.expires_in, "prompt" => ask.prompt, "shared" => ask.prefix_tokens);
-        let once = class.is_none_or(|class| class.effect == Effect::Unsafe);
+        let once = class.is_none_or(|class| class.effect == Idempotency::NonIdempotent);
         self.note(|notes| notes.arrival(now, &ask));
         self.requests
             .enter(id, Request::new(now, &ask, work, once, answer));
-        self.step(now, api::Event::Request(ask));
+        self.step(now, api::Event::RequestArrived(ask));
     }
 
     /// Counts and logs that a rule was about to be broken.
@@ -388,8 +388,8 @@
         now: Time,
         name: &str,
         reason: CloseReason,
-        to: oneshot::Sender<Answer>,
-        answer: Answer,
+        to: oneshot::Sender<Outcome>,
+        answer: Outcome,
     ) {
         if self.report.count(now, Kind::Close(reason)) {
             info!(self.log, "request turned away"; "name" => name, "reason" => ?reason,
@@ -409,15 +409,15 @@
         // A stream that has begun ends at its node when its receiver is dropped, as the client's side does.
         if held.close() {
             held.answer = None;
-            self.report.count(now, Kind::Close(CloseReason::ClientLeft));
+            self.report.count(now, Kind::Close(CloseReason::ClientDisconnected));
             debug!(self.log, "client left"; "id" => id);
-            self.note(|notes| notes.over(now, id, Noted::Left));
-            self.step(now, api::Event::Gone { id });
+            self.note(|notes| notes.over(now, id, RecordedOutcome::ClientDisconnected));
+            self.step(now, api::Event::ClientDisconnected { id });
         }
         self.settle(now, id);
     }
 
-    fn first(&mut self, now: Time, id: RequestId, attempt: u32, stream: mpsc::Receiver<Piece>) {
+    fn first(&mut self, now: Time, id: RequestId, attempt: u32, stream: mpsc::Receiver<StreamChunk>) {
         let guard = Guard {
             settings: &self.rules,
             target: |server| self.nodes.target(server),
@@ -433,7 +433,7 @@
         let Some(answer) = held.answer.take() else {
             return;
         };
-        if answer.send(Answer::Served(stream)).is_err() {
+        if answer.send(Outcome::Stream(stream)).is_err() {
             // The client left at this moment; its ticket tells so.
             return;
         }
@@ -443,7 +443,7 @@
         }
         debug!(self.log, "first event"; "id" => id, "attempt" => attempt);
         self.note(|notes| notes.first(now, id, attempt));
-        self.step(now, api::Event::First { id, attempt });
+        self.step(now, api::Event::FirstEvent { id, attempt });
     }
 
     fn ended(
@@ -453,7 +453,7 @@
         attempt: u32,
         reason: EndReason,
         note: f64,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
         let status = reason.status();
         let Some(held) = self.requests.get_mut(id) else {
@@ -472,17 +472,17 @@
             notes.over(
                 now,
                 id,
-                if status == Status::Ok {
-                    Noted::Served
+                if status == AttemptStatus::Served {
+                    RecordedOutcome::Served
                 } else {
-                    Noted::Broken
+                    RecordedOutcome::StreamBroken
                 },
             );
         }
         if let Some(held) = self
             .requests
             .get(id)
-            .filter(|_| streamed && status != Status::Ok)
+            .filter(|_| streamed && status != AttemptStatus::Served)
         {
             info!(self.log, "a stream broke"; "id" => id, "name" => %held.work.name, "server" => server,
                 "status" => ?status);
@@ -493,8 +493,8 @@
             self.settle(now, id);
         }
         // What one node finds bad the others would too: it would go round the whole fleet, and they be blamed.
-        if status == Status::Rejected {
-            self.close(now, id, CloseReason::BadRequest, Answer::Rejected);
+        if status == AttemptStatus::InvalidRequest {
+            self.close(now, id, CloseReason::InvalidRequest, Outcome::InvalidRequest);
         }
         let closed = self.requests.get(id).is_some_and(Request::is_closed);
         self.log_end(now, id, attempt, reason);
@@ -502,12 +502,12 @@
             "status" => ?status, "note" => note, "closed" => closed);
         let failed = matches!(
             status,
-            Status::Reset | Status::Error | Status::ConnectFailed
+            AttemptStatus::Reset | AttemptStatus::Error | AttemptStatus::ConnectFailed
         );
         self.tell(now, server, failed, load.as_ref());
         self.step(
             now,
-            api::Event::Outcome {
+            api::Event::AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -540,7 +540,7 @@
             "server" => server, "reason" => ?reason, "after_ms" => now.saturating_sub(ended.sent) / 1000);
     }
 
-    fn members(&mut self, now: Time, complete: bool, members: Vec<Member>) {
+    fn members(&mut self, now: Time, complete: bool, members: Vec<DiscoveredEndpoint>) {
         let news = self.nodes.list(now, complete, members, &self.log);
         self.note_nodes(now, &news);
         for server in self.nodes.forget_gone(&self.requests.busy()) {
@@ -552,7 +552,7 @@
         self.commands.extend(self.nodes.bars());
         self.step(
             now,
-            api::Event::Members {
+            api::Event::EndpointsChanged {
                 complete,
                 entries: news.entries,
             },
@@ -560,13 +560,13 @@
     }
 
     /// Operators have taken nodes out of use, or back.
-    fn banned(&mut self, now: Time, news: News) {
+    fn banned(&mut self, now: Time, news: EndpointChanges) {
         self.note_nodes(now, &news);
         self.commands.extend(self.nodes.bars());
         if !news.entries.is_empty() {
             self.step(
                 now,
-                api::Event::Members {
+                api::Event::EndpointsChanged {
                     complete: false,
                     entries: news.entries,
                 },
@@ -574,7 +574,7 @@
         }
     }
 
-    fn note_nodes(&mut self, now: Time, news: &News) {
+    fn note_nodes(&mut self, now: Time, news: &EndpointChanges) {
         if let Some(notes) = &mut self.notes {
             news.noted
                 .iter()
@@ -583,7 +583,7 @@
     }
 
     /// What operators have said, where that is new since the last call.
-    pub fn new_marks(&mut self) -> Option<Marks> {
+    pub fn new_marks(&mut self) -> Option<BanRecords> {
         self.nodes.new_marks()
     }
 
@@ -593,21 +593,21 @@
         self.router.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send {
+                Action::StartAttempt {
                     id,
                     server,
                     timeout,
                 } => self.send(now, id, server, timeout),
-                Action::Cancel { id, attempt } => {
+                Action::CancelAttempt { id, attempt } => {
                     let held = self.requests.get(id);
                     // A stream that has begun belongs to the client and is not withdrawn.
                     if held
                         .is_some_and(|held| held.stream() != Some(attempt) && held.is_out(attempt))
                     {
-                        self.commands.push(Command::Cancel { id, attempt });
+                        self.commands.push(Command::CancelAttempt { id, attempt });
                     }
                 }
-                Action::Refuse {
+                Action::Shed {
                     id,
                     retry_after,
                     why,
@@ -617,19 +617,19 @@
                 }
                 Action::Fail { id, why } => {
                     let answer = match breaks(Variant::Duplicate) {
-                        true => Answer::Refused(Duration::ZERO),
-                        false => Answer::Failed,
+                        true => Outcome::Shed(Duration::ZERO),
+                        false => Outcome::Failed,
                     };
                     self.close(now, id, CloseReason::Failed(why), answer);
                     self.settle(now, id);
                 }
-                Action::Release { id } => {
+                Action::ReleaseReservation { id } => {
                     if let Some(held) = self.requests.get_mut(id) {
                         held.lease.give_up(now);
                     }
                     self.settle(now, id);
                 }
-                Action::Wake { at } => self.timers.push(Reverse(at)),
+                Action::SetTimer { at } => self.timers.push(Reverse(at)),
                 Action::Probe { server } => {
                     let address = self.nodes.get(server).map(|node| node.address.clone());
                     match address {
@@ -638,13 +638,13 @@
                     }
                 }
                 // Discovery is always watched.
-                Action::Watch => {}
+                Action::WatchEndpoints => {}
             }
         }
     }
 
     /// The one place for attempts.
-    fn send(&mut self, now: Time, id: RequestId, server: ServerId, timeout: Time) {
+    fn send(&mut self, now: Time, id: RequestId, server: EndpointId, timeout: Time) {
         let guard = Guard {
             settings: &self.rules,
             target: |server| self.nodes.target(server),
@@ -675,7 +675,7 @@
         let timeout = if timeout == 0 { Time::MAX } else { timeout }.min(held.deadline - now);
         debug!(self.log, "send"; "id" => id, "attempt" => attempt, "server" => server);
         // One that follows a good read is the second stage, and one beside another that is out is a hedge.
-        let retries = before.flatten().filter(|reason| *reason != EndReason::Read);
+        let retries = before.flatten().filter(|reason| *reason != EndReason::PrefillDone);
         if let Some(after) = retries.filter(|after| self.report.count(now, Kind::Retry(*after))) {
             info!(self.log, "retry"; "id" => id, "name" => %held.work.name, "attempt" => attempt,
                 "server" => %node.name, "after" => ?after, "left_ms" => (held.deadline - now) / 1000);
@@ -683,18 +683,18 @@
         if let Some(notes) = &mut self.notes {
             notes.sent(now, id, attempt, server);
         }
-        self.commands.push(Command::Send {
+        self.commands.push(Command::StartAttempt {
             id,
             attempt,
             address: node.address.clone(),
             work: held.work.clone(),
             timeout: Duration::from_micros(timeout),
-            alone: held.once && target.role != Role::Reader, // reading has no effect
+            alone: held.once && target.role != Role::Prefill, // reading has no effect
         });
     }
 
     /// Refuses a request, or fails it where a refusal would not be true.
-    fn refuse(&mut self, now: Time, id: RequestId, why: GiveUp, retry_after: Duration) {
+    fn refuse(&mut self, now: Time, id: RequestId, why: FailureReason, retry_after: Duration) {
         let guard = Guard {
             settings: &self.rules,
             target: |server| self.nodes.target(server),
@@ -706,23 +706,23 @@
         match guard.check_refusal(request) {
             // A client that is refused may come again, here or elsewhere, before that close has arrived.
             Ok(()) if !guard.is_safe(request) && guard.was_given_up_just_now(request) => {
-                self.close(now, id, CloseReason::Failed(why), Answer::Failed);
+                self.close(now, id, CloseReason::Failed(why), Outcome::Failed);
             }
             Ok(()) => self.close(
                 now,
                 id,
-                CloseReason::Refused(why),
-                Answer::Refused(retry_after),
+                CloseReason::Shed(why),
+                Outcome::Shed(retry_after),
             ),
             Err(rule) => {
                 self.violation(now, rule, id);
-                self.close(now, id, CloseReason::Failed(why), Answer::Failed);
+                self.close(now, id, CloseReason::Failed(why), Outcome::Failed);
             }
         }
     }
 
     /// The one place for final answers but streams.
-    fn close(&mut self, now: Time, id: RequestId, reason: CloseReason, answer: Answer) {
+    fn close(&mut self, now: Time, id: RequestId, reason: CloseReason, answer: Outcome) {
         let Some(held) = self.requests.get_mut(id).filter(|held| held.is_waiting()) else {
             return;
         };
@@ -733,8 +733,8 @@
         }
         debug!(self.log, "closed"; "id" => id, "answer" => ?answer);
         let noted = match &answer {
-            Answer::Refused(_) => Noted::Refused,
-            _ => Noted::Failed,
+            Outcome::Shed(_) => RecordedOutcome::Shed,
+            _ => RecordedOutcome::Failed,
         };
         if let Some(waiting) = held.answer.take() {
             match breaks(Variant::FinalAnswer) {
@@ -759,8 +759,8 @@
             {
                 self.violation(now, Rule::FinalAnswer, id);
             }
-            self.close(now, id, CloseReason::DeadlinePassed, Answer::Failed);
-            self.step(now, api::Event::Gone { id });
+            self.close(now, id, CloseReason::DeadlinePassed, Outcome::Failed);
+            self.step(now, api::Event::ClientDisconnected { id });
         }
         self.settle(now, id);
     }
@@ -784,11 +784,11 @@
             let name = request.work.name.clone();
             // Any server passes it on.
             let addresses = self.nodes.addresses(request.tried());
-            if self.report.count(now, Kind::Release(reason)) && reason != ReleaseReason::NotNeeded {
+            if self.report.count(now, Kind::Release(reason)) && reason != ReleaseReason::NoLongerNeeded {
                 info!(self.log, "release"; "id" => id, "name" => %name, "reason" => ?reason,
                     "attempts" => request.attempts.len(), "left_ms" => request.deadline.saturating_sub(now) / 1000);
             }
-            self.commands.push(Command::Release {
+            self.commands.push(Command::ReleaseReservation {
                 id,
                 name,
                 addresses,
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -1,11 +1,11 @@
 //! The nodes' table: what the list says of each, what operators say, and what holds. It does no I/O: what follows
 //! for connections is returned as commands.
 
-use super::guard::Target;
-use super::messages::{Command, Member};
-use crate::dispatcher::bans::{Bans, Marks, Refusal};
+use super::guard::EndpointTarget;
+use super::messages::{Command, DiscoveredEndpoint};
+use crate::dispatcher::bans::{BanList, BanRecords, BanError};
 use crate::gossip;
-use crate::routing::api::{Entry, Role, ServerId, State, Time};
+use crate::routing::api::{EndpointRecord, Role, EndpointId, EndpointStatus, Time};
 use crate::variants::{breaks, Variant};
 use slog::{debug, info, Logger};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -14,27 +14,27 @@
 /// Addresses that one call is passed on to at the most: any node takes it, and all of a large fleet are not to be listed
 /// for each.
 const MOST_ADDRESSES: usize = 64;
-/// News of a start takes no longer than this, by the protocol.
+/// EndpointChanges of a start takes no longer than this, by the protocol.
 const NEWS_TAKES: Time = 6_000_000;
 /// Of these, so many are the servers that were heard of last.
 const MOST_HEARD: usize = 32;
 
 /// A node of the table.
-pub(super) struct Node {
+pub(super) struct Endpoint {
     pub name: Arc<str>,
     pub address: Arc<str>,
     pub role: Role,
-    pub state: State,  // what holds: operators' word comes before the list's
-    pub listed: Entry, // what the list says
+    pub state: EndpointStatus,  // what holds: operators' word comes before the list's
+    pub listed: EndpointRecord, // what the list says
     listed_start: Option<Time>, // when it started, as the list has it
     back_at: Option<Time>, // when operators let it be used again
     past: Option<Arc<str>>, // where it was before it moved
 }
 
-impl Node {
+impl Endpoint {
     /// What the module is told: one that is out of use drains, and one that is back has started then.
-    pub fn entry(&self) -> Entry {
-        Entry {
+    pub fn entry(&self) -> EndpointRecord {
+        EndpointRecord {
             state: self.state,
             started: self.listed.started.max(self.back_at),
             ..self.listed.clone()
@@ -44,30 +44,30 @@
 
 /// What a change of the table means for others.
 #[derive(Default)]
-pub(super) struct News {
+pub(super) struct EndpointChanges {
     /// For the module.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointRecord>,
     /// Those that are in another state or place than before, by name.
-    pub noted: Vec<(Arc<str>, Entry)>,
+    pub noted: Vec<(Arc<str>, EndpointRecord)>,
 }
 
 /// The table. Numbers name nodes to the module; a number is used once.
 #[derive(Default)]
-pub(super) struct Nodes {
-    numbers: HashMap<Arc<str>, ServerId>,
-    hashed: HashMap<u32, BTreeSet<ServerId>>, // by what other dispatchers know them by
-    next_number: ServerId,
-    nodes: BTreeMap<ServerId, Node>,
+pub(super) struct EndpointTable {
+    numbers: HashMap<Arc<str>, EndpointId>,
+    hashed: HashMap<u32, BTreeSet<EndpointId>>, // by what other dispatchers know them by
+    next_number: EndpointId,
+    nodes: BTreeMap<EndpointId, Endpoint>,
     barred: HashSet<Arc<str>>, // addresses to which nothing new may go, as was last commanded
     has_list: bool,
-    bans: Bans,
+    bans: BanList,
     bans_changed: bool,
-    heard: BTreeSet<(Time, ServerId)>, // when each server was last heard of
-    heard_at: HashMap<ServerId, Time>,
+    heard: BTreeSet<(Time, EndpointId)>, // when each server was last heard of
+    heard_at: HashMap<EndpointId, Time>,
 }
 
-impl Nodes {
-    pub fn get(&self, server: ServerId) -> Option<&Node> {
+impl EndpointTable {
+    pub fn get(&self, server: EndpointId) -> Option<&Endpoint> {
         self.nodes.get(&server)
     }
 
@@ -80,19 +80,19 @@
     pub fn any_ready(&self, spared: Role) -> bool {
         self.nodes
             .values()
-            .any(|it| it.state == State::Ready && it.role != spared)
+            .any(|it| it.state == EndpointStatus::Ready && it.role != spared)
     }
 
     /// The one node that others know by this hash; none where two share it.
-    pub fn by_hash(&self, hash: u32) -> Option<ServerId> {
+    pub fn by_hash(&self, hash: u32) -> Option<EndpointId> {
         let named = self.hashed.get(&hash).filter(|named| named.len() == 1)?;
         named.first().copied()
     }
 
     /// What the rules ask of a server; `None` where it is not known.
-    pub fn target(&self, server: ServerId) -> Option<Target> {
+    pub fn target(&self, server: EndpointId) -> Option<EndpointTarget> {
         let node = self.nodes.get(&server)?;
-        Some(Target {
+        Some(EndpointTarget {
             role: node.role,
             zone: node.listed.zone,
             cell: node.listed.cell,
@@ -101,7 +101,7 @@
     }
 
     /// A server has answered something: it runs.
-    pub fn heard_from(&mut self, now: Time, server: ServerId) {
+    pub fn heard_from(&mut self, now: Time, server: EndpointId) {
         if !self.nodes.contains_key(&server) {
             return;
         }
@@ -113,7 +113,7 @@
 
     /// Where something may be passed on for a request: the servers heard of last, for they are the likeliest to run; then those
     /// where it was tried, in that order; then some others.
-    pub fn addresses(&self, tried: impl Iterator<Item = ServerId>) -> Vec<Arc<str>> {
+    pub fn addresses(&self, tried: impl Iterator<Item = EndpointId>) -> Vec<Arc<str>> {
         let heard = self
             .heard
             .iter()
@@ -126,9 +126,9 @@
         let rest = self
             .nodes
             .values()
-            .filter(|node| node.state == State::Ready);
+            .filter(|node| node.state == EndpointStatus::Ready);
         let mut seen = HashSet::new();
-        let known = known.chain(rest).filter(|node| node.state != State::Gone);
+        let known = known.chain(rest).filter(|node| node.state != EndpointStatus::Removed);
         let addresses = known
             .map(|node| &node.address)
             .filter(|address| seen.insert(*address));
@@ -136,7 +136,7 @@
     }
 
     /// Gives a member of which only the state could be read the rest, as it was told before; false where nothing was.
-    fn complement(&self, member: &mut Member) -> bool {
+    fn complement(&self, member: &mut DiscoveredEndpoint) -> bool {
         let Some(node) = self
             .numbers
             .get(&member.name)
@@ -145,7 +145,7 @@
             return false;
         };
         member.address = node.address.clone();
-        member.entry = Entry {
+        member.entry = EndpointRecord {
             state: member.entry.state,
             ..node.listed.clone()
         };
@@ -154,7 +154,7 @@
 
     /// When a server started, by this process's clock: it is told in Unix time, and a wall clock may have been stepped, there or
     /// here. A start of which a list tells that had another one before, or none, came at most so long before as news may take.
-    fn started_at(&self, now: Time, before: Option<&Node>, told: Option<Time>) -> Option<Time> {
+    fn started_at(&self, now: Time, before: Option<&Endpoint>, told: Option<Time>) -> Option<Time> {
         let told = told?;
         let same = before.filter(|node| node.listed_start == Some(told));
         if let Some(node) = same {
@@ -169,14 +169,14 @@
     }
 
     /// What the list says now: all of it, or what has changed.
-    pub fn list(&mut self, now: Time, complete: bool, members: Vec<Member>, log: &Logger) -> News {
-        let mut news = News::default();
+    pub fn list(&mut self, now: Time, complete: bool, members: Vec<DiscoveredEndpoint>, log: &Logger) -> EndpointChanges {
+        let mut news = EndpointChanges::default();
         let mut named = HashSet::new();
         for mut member in members {
             if member.partial && !self.complement(&mut member) {
                 continue;
             }
-            let Member {
+            let DiscoveredEndpoint {
                 name,
                 address,
                 mut entry,
@@ -214,7 +214,7 @@
                 entry.started = self.started_at(now, before.as_ref(), told);
             }
             let address_here = address.clone();
-            let node = Node {
+            let node = Endpoint {
                 name,
                 address: address_here,
                 role,
@@ -247,7 +247,7 @@
                 .iter_mut()
                 .filter(|(server, _)| !named.contains(server))
             {
-                (node.listed.state, node.state) = (State::Gone, State::Gone);
+                (node.listed.state, node.state) = (EndpointStatus::Removed, EndpointStatus::Removed);
             }
         }
         news
@@ -256,7 +256,7 @@
     /// What has changed for connections: nothing new goes to the address of a node that is to get nothing, nor to one
     /// that a node has left, unless one that may be used is there now.
     pub fn bars(&mut self) -> Vec<Command> {
-        let ready = |node: &&Node| node.state == State::Ready;
+        let ready = |node: &&Endpoint| node.state == EndpointStatus::Ready;
         let left = self
             .nodes
             .values()
@@ -273,7 +273,7 @@
             changed.sort();
             changed
                 .into_iter()
-                .map(move |address| Command::Bar { address, barred })
+                .map(move |address| Command::BlockAddress { address, barred })
         };
         changed(&before, &self.barred, true)
             .chain(changed(&self.barred, &before, false))
@@ -281,10 +281,10 @@
     }
 
     /// The state that holds, by what the list says.
-    fn state_of(&self, name: &str, listed: State) -> State {
+    fn state_of(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match listed {
-            State::Draining if breaks(Variant::Drain) => State::Ready,
-            State::Ready if self.bans.is_banned(name) => State::Draining,
+            EndpointStatus::Draining if breaks(Variant::Drain) => EndpointStatus::Ready,
+            EndpointStatus::Ready if self.bans.is_banned(name) => EndpointStatus::Draining,
             other => other,
         }
     }
@@ -296,25 +296,25 @@
         name: Arc<str>,
         banned: bool,
         log: &Logger,
-    ) -> Result<News, Refusal> {
+    ) -> Result<EndpointChanges, BanError> {
         let listed = self.numbers.contains_key(&name);
         if !self.bans.call(now, &name, banned, listed)? {
-            return Ok(News::default());
+            return Ok(EndpointChanges::default());
         }
         self.bans_changed = true;
         Ok(self.banned(&[name], log))
     }
 
     /// What another process of this dispatcher knows of nodes that are out of use.
-    pub fn merge(&mut self, now: Time, marks: &Marks, log: &Logger) -> News {
+    pub fn merge(&mut self, now: Time, marks: &BanRecords, log: &Logger) -> EndpointChanges {
         let changed = self.bans.merge(now, marks);
         self.bans_changed |= !changed.is_empty();
         self.banned(&changed, log)
     }
 
     /// Operators have taken these out of use, or back.
-    fn banned(&mut self, names: &[Arc<str>], log: &Logger) -> News {
-        let mut news = News::default();
+    fn banned(&mut self, names: &[Arc<str>], log: &Logger) -> EndpointChanges {
+        let mut news = EndpointChanges::default();
         for name in names {
             let banned = self.bans.is_banned(name);
             info!(log, "operators' word on a replica"; "name" => %name, "banned" => banned);
@@ -338,17 +338,17 @@
     }
 
     /// What operators have said, where that is new since the last call.
-    pub fn new_marks(&mut self) -> Option<Marks> {
+    pub fn new_marks(&mut self) -> Option<BanRecords> {
         std::mem::take(&mut self.bans_changed).then(|| self.bans.marks().clone())
     }
 
     /// Lets go of nodes that are gone and have no attempt out: names and addresses are ever new, and the table
     /// must not grow with them. Their bars go too, for nothing can be sent to a node that is not in the table.
-    pub fn forget_gone(&mut self, busy: &HashSet<ServerId>) -> Vec<ServerId> {
-        let over = |(server, node): &(&ServerId, &Node)| {
-            node.state == State::Gone && !busy.contains(server)
+    pub fn forget_gone(&mut self, busy: &HashSet<EndpointId>) -> Vec<EndpointId> {
+        let over = |(server, node): &(&EndpointId, &Endpoint)| {
+            node.state == EndpointStatus::Removed && !busy.contains(server)
         };
-        let over: Vec<ServerId> = self
+        let over: Vec<EndpointId> = self
             .nodes
             .iter()
             .filter(over)
--- a/src/dispatcher/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -4,32 +4,32 @@
 use super::request::{Attempt, Request};
 use super::reservation::CLOSE_ARRIVES;
 use super::rules::Rule;
-use crate::routing::api::{Effect, Group, Role, ServerId, Settings, State, Time};
+use crate::routing::api::{Idempotency, DeduplicationScope, Role, EndpointId, RoutingSettings, EndpointStatus, Time};
 
 /// What the rules ask of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Target {
+pub(super) struct EndpointTarget {
     pub role: Role,
     pub zone: u32,
     pub cell: u32,
-    pub state: State,
+    pub state: EndpointStatus,
 }
 
 /// What steps are checked against: the settings that hold, and the servers by number.
-pub(super) struct Guard<'a, F: Fn(ServerId) -> Option<Target>> {
-    pub settings: &'a Settings,
+pub(super) struct Guard<'a, F: Fn(EndpointId) -> Option<EndpointTarget>> {
+    pub settings: &'a RoutingSettings,
     pub target: F,
     pub now: Time,
 }
 
-impl<F: Fn(ServerId) -> Option<Target>> Guard<'_, F> {
+impl<F: Fn(EndpointId) -> Option<EndpointTarget>> Guard<'_, F> {
     /// Whether one more attempt may go to a server; a retry and a hedged request are such as any other.
-    pub fn check_send(&self, request: &Request, server: ServerId) -> Result<Target, Rule> {
+    pub fn check_send(&self, request: &Request, server: EndpointId) -> Result<EndpointTarget, Rule> {
         if !request.is_waiting() || self.now >= request.deadline {
             return Err(Rule::RequestOver);
         }
         let target = (self.target)(server)
-            .filter(|it| it.state == State::Ready)
+            .filter(|it| it.state == EndpointStatus::Ready)
             .ok_or(Rule::Drain)?;
         let is_hedge = request.has_attempt_out();
         if request.attempts.len() as u32 >= self.settings.max_attempts.max(1)
@@ -64,7 +64,7 @@
         self.settings
             .classes
             .get(request.class)
-            .is_some_and(|class| class.effect == Effect::Safe)
+            .is_some_and(|class| class.effect == Idempotency::Idempotent)
     }
 
     /// Whether an attempt was given up so short a time ago that its server may not have seen the close yet: to that server it
@@ -86,9 +86,9 @@
     }
 
     /// Whether the request may run once more, at a server or wherever its client sends it, for all that this attempt did.
-    fn may_repeat(&self, request: &Request, attempt: &Attempt, at: Option<&Target>) -> bool {
+    fn may_repeat(&self, request: &Request, attempt: &Attempt, at: Option<&EndpointTarget>) -> bool {
         let was = attempt.target;
-        let reads = was.is_some_and(|was| was.role == Role::Reader);
+        let reads = was.is_some_and(|was| was.role == Role::Prefill);
         // However an attempt at a reader ends, it has had no effect; while it is out, nothing is known.
         let is_harmless = attempt
             .ended
@@ -97,19 +97,19 @@
             .settings
             .classes
             .get(request.class)
-            .map_or(Effect::Unsafe, |class| class.effect);
+            .map_or(Idempotency::NonIdempotent, |class| class.effect);
         let is_within = |window: Time| self.now < attempt.sent.saturating_add(window);
         is_harmless
             || match effect {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed {
-                    group: Group::All,
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::IdempotencyKey {
+                    group: DeduplicationScope::AllEndpoints,
                     window,
                 } => is_within(window),
-                Effect::Keyed { group, window } => {
-                    let same = |was: Target, here: &Target| match group {
-                        Group::Zone => was.zone == here.zone,
+                Idempotency::IdempotencyKey { group, window } => {
+                    let same = |was: EndpointTarget, here: &EndpointTarget| match group {
+                        DeduplicationScope::Zone => was.zone == here.zone,
                         _ => was.cell == here.cell,
                     };
                     is_within(window) && was.zip(at).is_some_and(|(was, here)| same(was, here))
--- a/src/dispatcher/handle.rs
+++ b/src/dispatcher/handle.rs
@@ -1,9 +1,9 @@
-//! The bounded queue before the core: [`Door`] is the way in for socket code, [`Inbox`] what it leads to.
+//! The bounded queue before the core: [`DispatcherHandle`] is the way in for socket code, [`EventReceiver`] what it leads to.
 
-use super::messages::{Answer, Event, Readiness, Work};
-use crate::config::Site;
-use crate::dispatcher::bans::{Marks, Refusal};
-use crate::routing::api::{Ask, RequestId};
+use super::messages::{Outcome, Event, Readiness, UpstreamRequest};
+use crate::config::Deployment;
+use crate::dispatcher::bans::{BanRecords, BanError};
+use crate::routing::api::{RequestMetadata, RequestId};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -15,45 +15,45 @@
 
 /// The way in for socket code: cheap to clone.
 #[derive(Clone)]
-pub struct Door {
+pub struct DispatcherHandle {
     events: mpsc::Sender<Event>,
     urgent: mpsc::Sender<Event>,
-    marks: watch::Receiver<Marks>,
-    site: watch::Receiver<Arc<Site>>,
+    marks: watch::Receiver<BanRecords>,
+    site: watch::Receiver<Arc<Deployment>>,
     next: Arc<AtomicU64>,
     readiness: watch::Receiver<Readiness>,
     open: watch::Receiver<usize>,
 }
 
 /// A client's hold on its request: letting it go tells the core that the client has left.
-pub struct Ticket {
+pub struct PendingRequest {
     id: RequestId,
-    door: Door,
+    door: DispatcherHandle,
     fate: Option<oneshot::Sender<bool>>,
 }
 
-impl Drop for Ticket {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.door.post(Event::Gone {
+        self.door.post(Event::ClientDisconnected {
             id: self.id,
             fate: self.fate.take(),
         });
     }
 }
 
-impl Door {
+impl DispatcherHandle {
     /// Takes a request in; its answer comes on the channel.
-    pub async fn ask(&self, ask: Ask, work: Work) -> (Ticket, oneshot::Receiver<Answer>) {
+    pub async fn ask(&self, ask: RequestMetadata, work: UpstreamRequest) -> (PendingRequest, oneshot::Receiver<Outcome>) {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
         // The ticket comes first: a client that leaves while the queue is full is told of all the same.
-        let ticket = Ticket {
+        let ticket = PendingRequest {
             id,
             door: self.clone(),
             fate: None,
         };
-        let event = Event::Request {
-            ask: Ask { id, ..ask },
+        let event = Event::RequestArrived {
+            ask: RequestMetadata { id, ..ask },
             work,
             answer,
         };
@@ -62,7 +62,7 @@
     }
 
     /// Leaves a request; when all of it is over, tells whether it may have run. `None`: nobody knows.
-    pub async fn leave(&self, mut ticket: Ticket) -> Option<bool> {
+    pub async fn leave(&self, mut ticket: PendingRequest) -> Option<bool> {
         let (fate, told) = oneshot::channel();
         ticket.fate = Some(fate);
         drop(ticket);
@@ -85,10 +85,10 @@
     }
 
     /// Takes a replica out of use, or back, ahead of all that waits. `None`: the core has ended.
-    pub async fn ban(&self, name: Arc<str>, banned: bool) -> Option<Result<(), Refusal>> {
+    pub async fn ban(&self, name: Arc<str>, banned: bool) -> Option<Result<(), BanError>> {
         let (answer, answered) = oneshot::channel();
         self.urgent
-            .send(Event::Ban {
+            .send(Event::BanRequested {
                 name,
                 banned,
                 answer,
@@ -104,10 +104,10 @@
     }
 
     /// Takes new settings. `None`: the core has ended.
-    pub async fn settings(&self, site: Site) -> Option<Result<(), String>> {
+    pub async fn settings(&self, site: Deployment) -> Option<Result<(), String>> {
         let (answer, answered) = oneshot::channel();
         self.urgent
-            .send(Event::Settings {
+            .send(Event::SettingsChanged {
                 site: Box::new(site),
                 answer,
             })
@@ -117,12 +117,12 @@
     }
 
     /// The settings that hold now.
-    pub fn site(&self) -> Arc<Site> {
+    pub fn site(&self) -> Arc<Deployment> {
         self.site.borrow().clone()
     }
 
     /// What operators have said of replicas.
-    pub fn marks(&self) -> watch::Receiver<Marks> {
+    pub fn marks(&self) -> watch::Receiver<BanRecords> {
         self.marks.clone()
     }
 
@@ -150,16 +150,16 @@
 }
 
 /// The way in and what it leads to, for [`run`].
-pub struct Inbox {
+pub struct EventReceiver {
     events: mpsc::Receiver<Event>,
     urgent: mpsc::Receiver<Event>,
-    pub(crate) marks: watch::Sender<Marks>,
-    pub(super) site: watch::Sender<Arc<Site>>,
+    pub(crate) marks: watch::Sender<BanRecords>,
+    pub(super) site: watch::Sender<Arc<Deployment>>,
     pub(super) readiness: watch::Sender<Readiness>,
     pub(super) open: watch::Sender<usize>,
 }
 
-impl Inbox {
+impl EventReceiver {
     /// The next event, urgent ones first; `None` when every door is gone.
     pub async fn next(&mut self) -> Option<Event> {
         tokio::select! {
@@ -178,14 +178,14 @@
 }
 
 /// Makes the queue of a core.
-pub fn door(site: Arc<Site>) -> (Door, Inbox) {
+pub fn door(site: Arc<Deployment>) -> (DispatcherHandle, EventReceiver) {
     let (events, queue) = mpsc::channel(QUEUE);
     let (urgent, urgent_queue) = mpsc::channel(URGENT);
     let (set_site, site) = watch::channel(site);
-    let (set_marks, marks) = watch::channel(Marks::new());
+    let (set_marks, marks) = watch::channel(BanRecords::new());
     let (set_readiness, readiness) = watch::channel(Readiness::Starting);
     let (set_open, open) = watch::channel(0);
-    let door = Door {
+    let door = DispatcherHandle {
         events,
         urgent,
         marks,
@@ -194,7 +194,7 @@
         readiness,
         open,
     };
-    let inbox = Inbox {
+    let inbox = EventReceiver {
         events: queue,
         urgent: urgent_queue,
         marks: set_marks,
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -1,10 +1,10 @@
 //! What goes in and out of the core: requests, answers, events and commands. No wire, no socket.
 
 use super::reasons::EndReason;
-use crate::config::Site;
-use crate::dispatcher::bans::{Marks, Refusal};
-use crate::routing::api::{Ask, Entry, Load, RequestId, ServerId};
-use crate::upgrade::stream_migration::Half;
+use crate::config::Deployment;
+use crate::dispatcher::bans::{BanRecords, BanError};
+use crate::routing::api::{RequestMetadata, EndpointRecord, LoadReport, RequestId, EndpointId};
+use crate::upgrade::stream_migration::UpstreamHalf;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 /// What a node is to be given: the client's own request, kept once.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct UpstreamRequest {
     /// The name by which the client, and so every node, knows the request.
     pub name: Arc<str>,
     /// What is asked for: the client's own path and query.
@@ -23,39 +23,39 @@
 
 /// A piece of an answer's stream. Where the channel closes without `End`, the stream has broken.
 #[derive(Debug, PartialEq)]
-pub enum Piece {
+pub enum StreamChunk {
     /// Some of its bytes, as they came.
     Data(Bytes),
     /// Its good end.
     End,
     /// It is to go on in another process: for the front to have moved, or to let go of.
-    Move(Half),
+    Migrate(UpstreamHalf),
 }
 
 /// The final answer to a request; there is one for each.
 #[derive(Debug)]
-pub enum Answer {
+pub enum Outcome {
     /// A node's stream, from its first event on.
-    Served(mpsc::Receiver<Piece>),
+    Stream(mpsc::Receiver<StreamChunk>),
     /// Nothing was done; trying again is harmless, after this time.
-    Refused(Duration),
+    Shed(Duration),
     /// Failed, and nothing is promised about its effect.
     Failed,
     /// A request of this name is in flight.
-    Duplicate,
+    DuplicateId,
     /// A node found that the request itself is bad; it did not run.
-    Rejected,
+    InvalidRequest,
 }
 
 /// A member of the fleet, as discovery tells of it.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct DiscoveredEndpoint {
     /// Its name, the same at every dispatcher.
     pub name: Arc<str>,
     /// Where it listens.
     pub address: Arc<str>,
     /// What the module is told; the core sets its number.
-    pub entry: Entry,
+    pub entry: EndpointRecord,
     /// Only its name and its state could be read: the rest is as it was told before, and where nothing was, it is no
     /// member.
     pub partial: bool,
@@ -65,33 +65,33 @@
 #[derive(Debug)]
 pub enum Event {
     /// A client's request.
-    Request {
+    RequestArrived {
         /// What the module is told, with the number that the door gave.
-        ask: Ask,
+        ask: RequestMetadata,
         /// What nodes are told.
-        work: Work,
+        work: UpstreamRequest,
         /// Where the answer goes.
-        answer: oneshot::Sender<Answer>,
+        answer: oneshot::Sender<Outcome>,
     },
     /// The client has left, or the request's ticket was let go after its end. When all of it is over, `fate`
     /// is told whether it may have run.
-    Gone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
         /// Who wants to know.
         fate: Option<oneshot::Sender<bool>>,
     },
     /// An attempt's answer has begun.
-    First {
+    FirstEvent {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
         /// Its stream.
-        stream: mpsc::Receiver<Piece>,
+        stream: mpsc::Receiver<StreamChunk>,
     },
     /// An attempt has ended; each ends once.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
@@ -103,67 +103,67 @@
         /// Tokens of the answer, where that was told.
         written: f64,
         /// The node's load, where it was told.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A release that was commanded is over.
-    Released {
+    ReleaseCompleted {
         /// The request.
         id: RequestId,
         /// A server said that it has let go; else none did in time.
         done: bool,
     },
     /// A probe's answer.
-    Probed {
+    ProbeCompleted {
         /// The node.
-        server: ServerId,
+        server: EndpointId,
         /// It answered.
         ok: bool,
         /// Its load, where it was told.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A message from another dispatcher.
-    Peer {
+    GossipReceived {
         /// Its number.
         from: usize,
         /// As it came.
         message: Bytes,
     },
     /// The list of members, whole or what changed in it.
-    Members {
+    EndpointsChanged {
         /// Members that are absent are gone.
         complete: bool,
         /// The members.
-        members: Vec<Member>,
+        members: Vec<DiscoveredEndpoint>,
     },
     /// A call for the list failed.
-    ListFailed,
+    EndpointListFailed,
     /// An operator takes a replica out of use, or back.
-    Ban {
+    BanRequested {
         /// Its name.
         name: Arc<str>,
         /// Out, or back.
         banned: bool,
         /// Whether that holds now.
-        answer: oneshot::Sender<Result<(), Refusal>>,
+        answer: oneshot::Sender<Result<(), BanError>>,
     },
     /// New settings. The snapshot that holds from now on goes to whoever watches it.
-    Settings {
+    SettingsChanged {
         /// As read, with numbers of its own.
-        site: Box<Site>,
+        site: Box<Deployment>,
         /// Whether they were taken.
         answer: oneshot::Sender<Result<(), String>>,
     },
     /// Clients are taken from now on.
-    Open,
-    /// The part of its limits that this process keeps to, of [`PARTS`], and how many processes there are.
-    Share {
+    AcceptClients,
+    /// The part of its limits that this process keeps to, of [`SHARE_UNITS`], and how many processes there are.
+    ResourceShareChanged {
         /// The part.
         part: u32,
         /// Processes of this dispatcher.
         processes: u32,
     },
     /// What another process of this dispatcher knows of replicas that are out of use.
-    Marks(Marks),
+    BanRecordsReceived(BanRecords),
     /// The dispatcher is to end: it takes no more from balancers, and serves what still comes. All that is no stream
     /// has its final answer within this time.
     Drain(Duration),
@@ -173,7 +173,7 @@
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Start an attempt.
-    Send {
+    StartAttempt {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
@@ -181,7 +181,7 @@
         /// The node's address.
         address: Arc<str>,
         /// What it is given.
-        work: Work,
+        work: UpstreamRequest,
         /// How long the first event is waited for.
         timeout: Duration,
         /// It must not run twice, and so must not go on a kept connection, which its node may have closed: what
@@ -189,14 +189,14 @@
         alone: bool,
     },
     /// Stop waiting for an attempt whose first event the core has not been told of.
-    Cancel {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
     },
     /// Let go of what is held for a request, at the first of these nodes that can be reached.
-    Release {
+    ReleaseReservation {
         /// The request.
         id: RequestId,
         /// Its name.
@@ -204,15 +204,15 @@
         /// Where it may be told, best first.
         addresses: Vec<Arc<str>>,
     },
-    /// Ask a node for its load.
+    /// RequestMetadata a node for its load.
     Probe {
         /// The node.
-        server: ServerId,
+        server: EndpointId,
         /// Its address.
         address: Arc<str>,
     },
     /// Nothing new may go to this address any more, not even what waits for a connection; or it may again.
-    Bar {
+    BlockAddress {
         /// The address.
         address: Arc<str>,
         /// Whether it is barred.
@@ -224,7 +224,7 @@
     /// Bars before all else, each sort in its order: what was commanded before a node was told to leave is not sent
     /// there afterwards.
     pub fn bars_first(commands: &mut [Command]) {
-        commands.sort_by_key(|command| !matches!(command, Command::Bar { .. }));
+        commands.sort_by_key(|command| !matches!(command, Command::BlockAddress { .. }));
     }
 }
 
@@ -234,7 +234,7 @@
     /// Nothing could be served yet: no reader or no writer is known.
     Starting,
     /// Able to serve, but no clients are taken yet.
-    Able,
+    Standby,
     /// Able to serve.
     Ready,
     /// About to end; still serving.
