--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -1,7 +1,7 @@
 //! The core: it owns the [`Router`](crate::routing::Router), the request table, the clock and the timers, and knows no wire.
 //!
 //! [`Core`] is a plain state machine: events in, commands out. [`run`] is the one task that owns it; all else
-//! reaches it through the bounded queue behind a [`Door`]. Here the rules are kept whatever the module says:
+//! reaches it through the bounded queue behind a [`DispatcherHandle`]. Here the rules are kept whatever the module says:
 //! one final answer for each request, deadlines, attempt numbers, and the release of what is held.
 
 pub mod bans;
@@ -20,8 +20,8 @@
 
 pub use self::clock::Clock;
 pub use self::core::Core;
-pub use self::handle::{door, Door, Inbox, Ticket};
-pub use self::messages::{Answer, Command, Event, Member, Piece, Readiness, Work};
+pub use self::handle::{door, DispatcherHandle, EventReceiver, PendingRequest};
+pub use self::messages::{Outcome, Command, Event, DiscoveredEndpoint, StreamChunk, Readiness, UpstreamRequest};
 pub use self::reasons::{CloseReason, EndReason, ReleaseReason};
 pub use self::rules::Rule;
 
@@ -35,7 +35,7 @@
 pub async fn run(
     mut core: Core,
     clock: Clock,
-    mut inbox: Inbox,
+    mut inbox: EventReceiver,
     commands: mpsc::Sender<Command>,
     recorder: Option<Recorder>,
     others: Option<mpsc::Sender<Bytes>>,
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -2,89 +2,89 @@
 //!
 //! They are what the log and the counters name, so that the cause of an answer can be read without a second run.
 
-use crate::routing::api::{GiveUp, Status};
+use crate::routing::api::{FailureReason, AttemptStatus};
 
-/// Why an attempt ended. Each reason belongs to one [`Status`], which is all that the decision module is told.
+/// Why an attempt ended. Each reason belongs to one [`AttemptStatus`], which is all that the decision module is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
     /// A writer's stream came to its good end.
     Served,
     /// A reader has read the prompt.
-    Read,
+    PrefillDone,
     /// The server was full or draining, and says that it did not run.
-    TurnedAway,
+    Overloaded,
     /// The server found no read state for the request.
-    StateGone,
+    KvStateMissing,
     /// The server found the request itself bad.
-    BadRequest,
+    InvalidRequest,
     /// The server answered with an error.
-    ErrorAnswer,
+    ErrorResponse,
     /// The server's answer could not be read.
-    UnreadableAnswer,
+    UnreadableResponse,
     /// The server's stream held something that is no event.
-    SpoiltStream,
+    MalformedStream,
     /// Nothing was heard from the server within the attempt's time.
-    Silent,
+    Timeout,
     /// A stream had begun, and then no event came for too long.
-    StreamSilent,
+    StreamIdleTimeout,
     /// The connection did not come up.
-    DialFailed,
+    ConnectFailed,
     /// The server's address was barred before the request was written.
-    Barred,
+    EndpointBlocked,
     /// All places for connections were taken.
-    NoPlace,
+    NoConnectionPermit,
     /// The connection broke before the request's last byte was written.
-    NotWritten,
+    RequestNotWritten,
     /// The request could not be put into the wire's form, or the rules forbid the send.
     NotSent,
     /// The connection broke after the request was written.
-    ConnectionBroke,
+    ConnectionReset,
     /// A kept connection broke before anything came back.
-    KeptConnectionBroke,
+    StaleConnection,
     /// The core cancelled the attempt.
     Cancelled,
     /// The client left its stream.
-    ClientLeft,
+    ClientDisconnected,
     /// The task of the attempt died.
-    TaskDied,
+    TaskPanicked,
 }
 
 impl EndReason {
     /// The outcome that the decision module is told.
-    pub fn status(self) -> Status {
+    pub fn status(self) -> AttemptStatus {
         match self {
-            EndReason::Served => Status::Ok,
-            EndReason::Read => Status::Read,
-            EndReason::TurnedAway | EndReason::StateGone => Status::Full,
-            EndReason::BadRequest => Status::Rejected,
-            EndReason::ErrorAnswer | EndReason::UnreadableAnswer | EndReason::SpoiltStream => {
-                Status::Error
+            EndReason::Served => AttemptStatus::Served,
+            EndReason::PrefillDone => AttemptStatus::PrefillDone,
+            EndReason::Overloaded | EndReason::KvStateMissing => AttemptStatus::Overloaded,
+            EndReason::InvalidRequest => AttemptStatus::InvalidRequest,
+            EndReason::ErrorResponse | EndReason::UnreadableResponse | EndReason::MalformedStream => {
+                AttemptStatus::Error
             }
-            EndReason::Silent => Status::Timeout,
-            EndReason::DialFailed | EndReason::Barred => Status::ConnectFailed,
-            EndReason::NoPlace | EndReason::NotWritten | EndReason::NotSent => Status::Moot,
-            EndReason::ConnectionBroke | EndReason::StreamSilent | EndReason::TaskDied => {
-                Status::Reset
+            EndReason::Timeout => AttemptStatus::Timeout,
+            EndReason::ConnectFailed | EndReason::EndpointBlocked => AttemptStatus::ConnectFailed,
+            EndReason::NoConnectionPermit | EndReason::RequestNotWritten | EndReason::NotSent => AttemptStatus::NotSent,
+            EndReason::ConnectionReset | EndReason::StreamIdleTimeout | EndReason::TaskPanicked => {
+                AttemptStatus::Reset
             }
-            EndReason::KeptConnectionBroke => Status::Stale,
-            EndReason::Cancelled | EndReason::ClientLeft => Status::Cancelled,
+            EndReason::StaleConnection => AttemptStatus::StaleConnection,
+            EndReason::Cancelled | EndReason::ClientDisconnected => AttemptStatus::Cancelled,
         }
     }
 
     /// The reason of an outcome of which no more is known.
-    pub fn of(status: Status) -> EndReason {
+    pub fn of(status: AttemptStatus) -> EndReason {
         match status {
-            Status::Ok => EndReason::Served,
-            Status::Read => EndReason::Read,
-            Status::Error => EndReason::ErrorAnswer,
-            Status::Full => EndReason::TurnedAway,
-            Status::Timeout => EndReason::Silent,
-            Status::ConnectFailed => EndReason::DialFailed,
-            Status::Reset => EndReason::ConnectionBroke,
-            Status::Stale => EndReason::KeptConnectionBroke,
-            Status::Cancelled => EndReason::Cancelled,
-            Status::Moot => EndReason::NotSent,
-            Status::Rejected => EndReason::BadRequest,
+            AttemptStatus::Served => EndReason::Served,
+            AttemptStatus::PrefillDone => EndReason::PrefillDone,
+            AttemptStatus::Error => EndReason::ErrorResponse,
+            AttemptStatus::Overloaded => EndReason::Overloaded,
+            AttemptStatus::Timeout => EndReason::Timeout,
+            AttemptStatus::ConnectFailed => EndReason::ConnectFailed,
+            AttemptStatus::Reset => EndReason::ConnectionReset,
+            AttemptStatus::StaleConnection => EndReason::StaleConnection,
+            AttemptStatus::Cancelled => EndReason::Cancelled,
+            AttemptStatus::NotSent => EndReason::NotSent,
+            AttemptStatus::InvalidRequest => EndReason::InvalidRequest,
         }
     }
 
@@ -93,11 +93,11 @@
         matches!(
             self,
             EndReason::Served
-                | EndReason::Read
-                | EndReason::TurnedAway
-                | EndReason::StateGone
-                | EndReason::BadRequest
-                | EndReason::ErrorAnswer
+                | EndReason::PrefillDone
+                | EndReason::Overloaded
+                | EndReason::KvStateMissing
+                | EndReason::InvalidRequest
+                | EndReason::ErrorResponse
         )
     }
 
@@ -105,34 +105,34 @@
     pub fn is_given_up(self) -> bool {
         matches!(
             self,
-            EndReason::Silent | EndReason::Cancelled | EndReason::ClientLeft
+            EndReason::Timeout | EndReason::Cancelled | EndReason::ClientDisconnected
         )
     }
 
     /// Whether it is certain that no server had the whole request.
     pub fn never_arrived(self) -> bool {
-        matches!(self.status(), Status::ConnectFailed | Status::Moot)
+        matches!(self.status(), AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
     }
 
     /// Whether it is certain that the request had no effect by this attempt.
     pub fn never_ran(self) -> bool {
         let turned_away = matches!(
             self.status(),
-            Status::Full | Status::Rejected | Status::Read
+            AttemptStatus::Overloaded | AttemptStatus::InvalidRequest | AttemptStatus::PrefillDone
         );
         turned_away || self.never_arrived()
     }
 
     /// Whether a server that reads may have read the prompt to its end, although it did not say so.
     pub fn may_have_read(self) -> bool {
-        !self.never_arrived() && (!self.is_answer() || self == EndReason::ErrorAnswer)
+        !self.never_arrived() && (!self.is_answer() || self == EndReason::ErrorResponse)
     }
 
     /// Whether attempts end so in the ordinary course of a request.
     pub fn is_ordinary(self) -> bool {
         matches!(
             self,
-            EndReason::Served | EndReason::Read | EndReason::Cancelled | EndReason::ClientLeft
+            EndReason::Served | EndReason::PrefillDone | EndReason::Cancelled | EndReason::ClientDisconnected
         )
     }
 }
@@ -141,30 +141,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
     /// The decision module refused it: nothing may have run.
-    Refused(GiveUp),
+    Shed(FailureReason),
     /// The decision module gave it up: something may have run.
-    Failed(GiveUp),
+    Failed(FailureReason),
     /// Its deadline passed, and the module had not answered it.
     DeadlinePassed,
     /// A server found it bad.
-    BadRequest,
+    InvalidRequest,
     /// As many requests are held as may be.
     TableFull,
     /// A request of its id is in flight.
-    InFlight,
+    DuplicateId,
     /// A request of its id ended of late and may have run.
     MayHaveRun,
     /// Its client left.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 /// Why servers are told to release what they hold for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReleaseReason {
     /// The request is over, or its stream has begun.
-    NotNeeded,
+    NoLongerNeeded,
     /// A state has waited for as long as it may, and no attempt is out.
-    HeldTooLong,
+    Expired,
     /// A state has waited for as long as it may, and nothing proves that the attempt that is out has arrived.
-    SendNotHeard,
+    AttemptUnconfirmed,
 }
--- a/src/dispatcher/request.rs
+++ b/src/dispatcher/request.rs
@@ -1,18 +1,18 @@
 //! One request in the table: its phase, its attempts, and what servers may hold for it.
 
-use super::guard::Target;
-use super::messages::{Answer, Work};
+use super::guard::EndpointTarget;
+use super::messages::{Outcome, UpstreamRequest};
 use super::reasons::EndReason;
-use super::reservation::Lease;
-use crate::routing::api::{Ask, Role, ServerId, Time};
+use super::reservation::Reservation;
+use crate::routing::api::{RequestMetadata, Role, EndpointId, Time};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
 /// One attempt for a request.
 pub(super) struct Attempt {
-    pub server: ServerId,
+    pub server: EndpointId,
     /// What the server was when it was sent there; `None` where the rules forbade the send.
-    pub target: Option<Target>,
+    pub target: Option<EndpointTarget>,
     pub sent: Time,
     /// Why it ended; it is out until then.
     pub ended: Option<EndReason>,
@@ -39,13 +39,13 @@
 /// A request, from its arrival until it is closed, no attempt is out, and nothing is held for it.
 pub(super) struct Request {
     pub class: usize,
-    pub work: Work,
+    pub work: UpstreamRequest,
     /// It must not run twice.
     pub once: bool,
-    pub answer: Option<oneshot::Sender<Answer>>,
+    pub answer: Option<oneshot::Sender<Outcome>>,
     pub deadline: Time,
     pub attempts: Vec<Attempt>,
-    pub lease: Lease,
+    pub lease: Reservation,
     /// Something other than a read ended without proof that it never ran.
     pub may_have_run: bool,
     /// Who wants to know whether it may have run.
@@ -55,7 +55,7 @@
 
 /// An attempt that has ended: where it was, and whether it was the stream of a request that was not closed before.
 pub(super) struct Ended {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub streamed: bool,
 }
 
@@ -63,10 +63,10 @@
     /// As it arrives.
     pub fn new(
         now: Time,
-        ask: &Ask,
-        work: Work,
+        ask: &RequestMetadata,
+        work: UpstreamRequest,
         once: bool,
-        answer: oneshot::Sender<Answer>,
+        answer: oneshot::Sender<Outcome>,
     ) -> Self {
         Request {
             class: ask.class,
@@ -75,7 +75,7 @@
             answer: Some(answer),
             deadline: now.saturating_add(ask.expires_in),
             attempts: Vec::new(),
-            lease: Lease::default(),
+            lease: Reservation::default(),
             may_have_run: false,
             fate: None,
             phase: Phase::Waiting,
@@ -93,7 +93,7 @@
     }
 
     /// Servers of its attempts: first those that have answered, the last before the others.
-    pub fn tried(&self) -> impl Iterator<Item = ServerId> + '_ {
+    pub fn tried(&self) -> impl Iterator<Item = EndpointId> + '_ {
         let answered = |attempt: &Attempt| attempt.ended.is_some_and(EndReason::is_answer);
         let by = move |wanted| {
             self.attempts
@@ -144,7 +144,7 @@
         now: Time,
         attempt: u32,
         reason: EndReason,
-        role: impl Fn(ServerId) -> Option<Role>,
+        role: impl Fn(EndpointId) -> Option<Role>,
     ) -> Option<Ended> {
         let ended = self
             .attempts
@@ -153,7 +153,7 @@
         (ended.ended, ended.ended_at) = (Some(reason), now);
         let server = ended.server;
         let role = role(server);
-        self.may_have_run |= !reason.never_ran() && role != Some(Role::Reader);
+        self.may_have_run |= !reason.never_ran() && role != Some(Role::Prefill);
         let is_stream = self.stream() == Some(attempt);
         let streamed = is_stream && self.close();
         if !is_stream {
--- a/src/dispatcher/request_table.rs
+++ b/src/dispatcher/request_table.rs
@@ -1,24 +1,24 @@
 //! The request table: requests by number and by name, and the names of those that ended of late and may have run.
 
 use super::request::{Attempt, Request};
-use crate::routing::api::{RequestId, ServerId, Time};
+use crate::routing::api::{RequestId, EndpointId, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// Names of requests that may have run are known for so long after their end, and so many of them.
+/// NameTable of requests that may have run are known for so long after their end, and so many of them.
 const KNOWN_AFTER: Time = 30_000_000;
 const MOST_KNOWN: usize = 8_192;
 
 /// The table: requests by number, and the names that are in flight.
 #[derive(Default)]
-pub(super) struct Table {
+pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
     names: HashSet<Arc<str>>,
     may_have_run: HashSet<Arc<str>>,   // names of some that are over
     ended: VecDeque<(Time, Arc<str>)>, // the same, oldest first
 }
 
-impl Table {
+impl RequestTable {
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -79,8 +79,8 @@
             .collect()
     }
 
-    /// Nodes at which an attempt is out.
-    pub fn busy(&self) -> HashSet<ServerId> {
+    /// EndpointTable at which an attempt is out.
+    pub fn busy(&self) -> HashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts
             .filter(|it| it.is_out())
--- a/src/dispatcher/reservation.rs
+++ b/src/dispatcher/reservation.rs
@@ -19,7 +19,7 @@
 
 /// What servers hold for a request.
 #[derive(Debug, Default)]
-pub(super) struct Lease {
+pub(super) struct Reservation {
     /// A read has ended well, and its state waits: since the last answer of a server.
     known: Option<Time>,
     /// Something may wait of which no answer has told, since then at the latest.
@@ -36,11 +36,11 @@
     not_before: Time,
 }
 
-impl Lease {
+impl Reservation {
     /// An attempt at a server of this role has ended.
     pub fn attempt_ended(&mut self, now: Time, role: Option<Role>, reason: EndReason) {
         let may_keep =
-            std::mem::take(&mut self.released_under_attempt) && role != Some(Role::Reader);
+            std::mem::take(&mut self.released_under_attempt) && role != Some(Role::Prefill);
         if reason.is_given_up() {
             self.given_up_at = Some(now);
         }
@@ -50,11 +50,11 @@
             self.possible = self.possible.map(|_| now);
         }
         match reason {
-            EndReason::Read => self.known = Some(now),
-            EndReason::StateGone => self.known = None,
+            EndReason::PrefillDone => self.known = Some(now),
+            EndReason::KvStateMissing => self.known = None,
             _ if reason.never_arrived() => {}
             // A read may have ended well at the moment its connection broke or was closed.
-            _ if role != Some(Role::Writer) && reason.may_have_read() => self.may_hold(now),
+            _ if role != Some(Role::Decode) && reason.may_have_read() => self.may_hold(now),
             _ if may_keep => self.may_hold(now),
             _ => {}
         }
@@ -114,10 +114,10 @@
             .due_at(release_within, attempt_out)
             .filter(|_| is_free)?;
         let reason = match (is_needed || attempt_out, attempt_out) {
-            (false, _) => ReleaseReason::NotNeeded,
+            (false, _) => ReleaseReason::NoLongerNeeded,
             (true, _) if now < due_at => return None,
-            (true, false) => ReleaseReason::HeldTooLong,
-            (true, true) => ReleaseReason::SendNotHeard,
+            (true, false) => ReleaseReason::Expired,
+            (true, true) => ReleaseReason::AttemptUnconfirmed,
         };
         (self.known, self.possible) = (None, None);
         (self.releasing, self.released_under_attempt) = (true, attempt_out);
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,8 +1,8 @@
 //! Operators' calls: one line a connection, one line back that begins with `ACK` or `NAK`. It renders what the core
 //! knows and asks the core; it decides nothing.
 
-use crate::dispatcher::bans::Refusal;
-use crate::dispatcher::{Door, Readiness};
+use crate::dispatcher::bans::BanError;
+use crate::dispatcher::{DispatcherHandle, Readiness};
 use crate::net::system_errors::AcceptPauses;
 use slog::{info, warn, Logger};
 use std::collections::VecDeque;
@@ -67,7 +67,7 @@
             line.truncate(end);
             return Ok(line);
         }
-        // Half a line may be the beginning of another id.
+        // UpstreamHalf a line may be the beginning of another id.
         if read == 0 {
             return Err("the line has no end");
         }
@@ -77,12 +77,12 @@
     }
 }
 
-async fn ask(door: &Door, call: Call) -> Result<(), &'static str> {
+async fn ask(door: &DispatcherHandle, call: Call) -> Result<(), &'static str> {
     let (id, banned) = match call {
         Call::Ready => {
             return match door.readiness() {
                 Readiness::Ready => Ok(()),
-                Readiness::Starting | Readiness::Able => Err("starting"),
+                Readiness::Starting | Readiness::Standby => Err("starting"),
                 Readiness::Draining => Err("draining"),
             }
         }
@@ -91,13 +91,13 @@
     };
     match door.ban(id, banned).await {
         Some(Ok(())) => Ok(()),
-        Some(Err(Refusal::Unknown)) => Err("no replica of this id was listed"),
-        Some(Err(Refusal::TooMany)) => Err("too many replicas are out of use"),
+        Some(Err(BanError::Unknown)) => Err("no replica of this id was listed"),
+        Some(Err(BanError::TooMany)) => Err("too many replicas are out of use"),
         None => Err("the dispatcher ends"),
     }
 }
 
-async fn serve_one(mut stream: TcpStream, door: Door, log: Logger) {
+async fn serve_one(mut stream: TcpStream, door: DispatcherHandle, log: Logger) {
     let Ok(line) = timeout(LINE_TIME, line(&mut stream)).await else {
         return;
     };
@@ -128,7 +128,7 @@
 }
 
 /// Answers operators for as long as the dispatcher runs.
-pub async fn serve(listener: TcpListener, door: Door, log: Logger) {
+pub async fn serve(listener: TcpListener, door: DispatcherHandle, log: Logger) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::new();
     let mut pauses = AcceptPauses::default();
     loop {
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,8 +1,8 @@
 //! What a client's connection is doing, and for how long it may.
 
-use super::Course;
-use crate::net::message_framing::Requests;
-use crate::upgrade::stream_migration::SharedExit;
+use super::ShutdownPhase;
+use crate::net::message_framing::RequestFraming;
+use crate::upgrade::stream_migration::SharedMigrationSlot;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
@@ -41,10 +41,10 @@
 pub(super) struct ClientConnection {
     state: Mutex<(Phase, Instant)>,
     stalled: Mutex<Option<Instant>>,
-    requests: Mutex<Requests>,
+    requests: Mutex<RequestFraming>,
     answered: AtomicU64,
     reader: Mutex<Option<Waker>>, // reads on when the open request is answered
-    pub(super) exit: SharedExit,
+    pub(super) exit: SharedMigrationSlot,
     changed: Notify,
     pub(super) close: Notify,
 }
@@ -58,7 +58,7 @@
             requests: Mutex::default(),
             answered: AtomicU64::new(0),
             reader: Mutex::default(),
-            exit: SharedExit::default(),
+            exit: SharedMigrationSlot::default(),
             changed: Notify::new(),
             close: Notify::new(),
         })
@@ -73,7 +73,7 @@
         self.changed.notify_one();
     }
 
-    pub(super) fn requests(&self) -> MutexGuard<'_, Requests> {
+    pub(super) fn requests(&self) -> MutexGuard<'_, RequestFraming> {
         self.requests.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -153,8 +153,8 @@
 
     /// Returns when the dispatcher ends and no request has begun to come: a new client has its request at hand, and half
     /// a head becomes a whole one, or its time is up.
-    pub(super) async fn is_at_rest(&self, course: &mut watch::Receiver<Course>) {
-        let _ = course.wait_for(|course| *course == Course::Ending).await;
+    pub(super) async fn is_at_rest(&self, course: &mut watch::Receiver<ShutdownPhase>) {
+        let _ = course.wait_for(|course| *course == ShutdownPhase::Closing).await;
         loop {
             // What has come by now is read first.
             tokio::task::yield_now().await;
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -1,7 +1,7 @@
 //! Answers for balancers in front: they render the core's state and decide nothing.
 
-use super::Course;
-use crate::dispatcher::{Door, Readiness};
+use super::ShutdownPhase;
+use crate::dispatcher::{DispatcherHandle, Readiness};
 use crate::net::system_errors::AcceptPauses;
 use axum::extract::State;
 use axum::http::StatusCode;
@@ -18,24 +18,24 @@
 const PATIENCE: Duration = Duration::from_millis(500);
 
 /// `GET /ready`: 200 only when able to serve.
-pub async fn ready(State(door): State<Door>) -> (StatusCode, &'static str) {
+pub async fn ready(State(door): State<DispatcherHandle>) -> (StatusCode, &'static str) {
     match door.readiness() {
         Readiness::Ready => (StatusCode::OK, "ready\n"),
-        Readiness::Starting | Readiness::Able => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
+        Readiness::Starting | Readiness::Standby => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
         Readiness::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining\n"),
     }
 }
 
 /// `GET /health`: 200 while the process serves what it has, whether or not it is to get more.
-async fn health(State(door): State<Door>) -> (StatusCode, &'static str) {
+async fn health(State(door): State<DispatcherHandle>) -> (StatusCode, &'static str) {
     match door.readiness() {
-        Readiness::Starting | Readiness::Able => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
+        Readiness::Starting | Readiness::Standby => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
         Readiness::Ready | Readiness::Draining => (StatusCode::OK, "alive\n"),
     }
 }
 
 /// The routes for balancers that ask over HTTP.
-pub fn routes(door: Door) -> Router {
+pub fn routes(door: DispatcherHandle) -> Router {
     Router::new()
         .route("/ready", get(ready))
         .route("/health", get(health))
@@ -45,7 +45,7 @@
 /// The line of an agent check, as HAProxy's `agent-check` reads it.
 pub fn agent_line(readiness: Readiness) -> &'static str {
     match readiness {
-        Readiness::Starting | Readiness::Able => "down\n",
+        Readiness::Starting | Readiness::Standby => "down\n",
         Readiness::Ready => "up ready\n",
         Readiness::Draining => "up drain\n",
     }
@@ -54,14 +54,14 @@
 /// Answers agent checks, one line a connection, until the dispatcher ends.
 pub async fn serve_agent(
     listener: TcpListener,
-    door: Door,
-    mut stop: watch::Receiver<Course>,
+    door: DispatcherHandle,
+    mut stop: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
     let mut pauses = AcceptPauses::default();
     loop {
         let accepted = tokio::select! {
-            _ = stop.wait_for(|course| *course == Course::Ending) => return,
+            _ = stop.wait_for(|course| *course == ShutdownPhase::Closing) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,12 +1,12 @@
 //! The platform's HTTP/1.1: a thin front on axum.
 
-use crate::config::{micros, Site};
-use crate::dispatcher::{Answer, Door, Piece, Ticket, Work};
+use crate::config::{micros, Deployment};
+use crate::dispatcher::{Outcome, DispatcherHandle, StreamChunk, PendingRequest, UpstreamRequest};
 use crate::frontend::health_check::ready;
 use crate::frontend::identifiers::{is_name, key};
-use crate::frontend::memory_budget::{Rooms, MOST_BODY};
-use crate::routing::api::Ask;
-use crate::upgrade::stream_migration::SharedExit;
+use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
+use crate::routing::api::RequestMetadata;
+use crate::upgrade::stream_migration::SharedMigrationSlot;
 use crate::variants::{breaks, Variant};
 use axum::body::Body;
 use axum::extract::{Request, State};
@@ -33,13 +33,13 @@
 /// What the handlers share.
 #[derive(Clone)]
 pub struct Shared {
-    door: Door,
-    rooms: Rooms,
+    door: DispatcherHandle,
+    rooms: BodyMemoryBudget,
     log: Logger,
 }
 
 /// The front's routes. `rooms` bounds the bodies that are held at once.
-pub fn routes(door: Door, rooms: Rooms, log: Logger) -> Router {
+pub fn routes(door: DispatcherHandle, rooms: BodyMemoryBudget, log: Logger) -> Router {
     let door_of_ready = door.clone();
     let shared = Shared { door, rooms, log };
     let ready = Router::new()
@@ -52,7 +52,7 @@
 }
 
 /// Reads `X-Props`: lengths in tokens, and the shared text where there is one.
-pub fn parse_props(text: &str, ask: &mut Ask) -> Result<(), String> {
+pub fn parse_props(text: &str, ask: &mut RequestMetadata) -> Result<(), String> {
     let (mut prompt, mut most) = (None, None);
     for pair in text.split(',') {
         let (name, value) = pair
@@ -79,7 +79,7 @@
 }
 
 /// Reads a request's head: its name and what the module is told.
-pub fn parse_head(headers: &HeaderMap, site: &Site) -> Result<(Arc<str>, Ask), String> {
+pub fn parse_head(headers: &HeaderMap, site: &Deployment) -> Result<(Arc<str>, RequestMetadata), String> {
     let text = |name: &str| {
         let value = headers
             .get(name)
@@ -92,9 +92,9 @@
     if !is_name(name) {
         return Err("X-Trace-Id is not a plain name".into());
     }
-    let mut ask = Ask {
+    let mut ask = RequestMetadata {
         session: Some(key(text("x-object")?)),
-        ..Ask::default()
+        ..RequestMetadata::default()
     };
     let class = text("x-qos")?;
     ask.class = site
@@ -144,8 +144,8 @@
     };
     let length = http_body::Body::size_hint(&body)
         .exact()
-        .unwrap_or(MOST_BODY as u64);
-    if length > MOST_BODY as u64 {
+        .unwrap_or(MAX_BODY_BYTES as u64);
+    if length > MAX_BODY_BYTES as u64 {
         return says(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 256 KiB");
     }
     let until = came + BODY_TIME;
@@ -153,7 +153,7 @@
     let Ok(Some(room)) = timeout_at(until, shared.rooms.wait(length as usize)).await else {
         return refused(Duration::from_micros(site.settings.max_retry_after));
     };
-    let body = match timeout_at(until, Limited::new(body, MOST_BODY).collect()).await {
+    let body = match timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => room.keep(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             return says(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 256 KiB");
@@ -161,12 +161,12 @@
         Ok(Err(_)) => return says(StatusCode::BAD_REQUEST, "the body is not whole"),
         Err(_) => return says(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
-    let exit = head.extensions.get::<SharedExit>().cloned();
+    let exit = head.extensions.get::<SharedMigrationSlot>().cloned();
     let target = head
         .uri
         .path_and_query()
         .map_or("/", |target| target.as_str());
-    let work = Work {
+    let work = UpstreamRequest {
         name,
         target: target.into(),
         body,
@@ -176,7 +176,7 @@
         .saturating_sub(came.elapsed().as_micros() as u64);
     let (ticket, answered) = shared.door.ask(ask, work).await;
     match answered.await {
-        Ok(Answer::Served(pieces)) => {
+        Ok(Outcome::Stream(pieces)) => {
             let body = Body::new(Pieces {
                 pieces,
                 ended: false,
@@ -193,21 +193,21 @@
             )
                 .into_response()
         }
-        Ok(Answer::Refused(after)) => refused(after),
-        Ok(Answer::Failed) => says(StatusCode::BAD_GATEWAY, "failed"),
-        Ok(Answer::Rejected) => says(StatusCode::BAD_REQUEST, "a node found the request bad"),
-        Ok(Answer::Duplicate) => says(StatusCode::CONFLICT, "a request of this id is in flight"),
+        Ok(Outcome::Shed(after)) => refused(after),
+        Ok(Outcome::Failed) => says(StatusCode::BAD_GATEWAY, "failed"),
+        Ok(Outcome::InvalidRequest) => says(StatusCode::BAD_REQUEST, "a node found the request bad"),
+        Ok(Outcome::DuplicateId) => says(StatusCode::CONFLICT, "a request of this id is in flight"),
         Err(_) => says(StatusCode::INTERNAL_SERVER_ERROR, "no answer"),
     }
 }
 
 /// A stream on its way to the client. Its ticket tells the core when the client has left.
 struct Pieces {
-    pieces: mpsc::Receiver<Piece>,
+    pieces: mpsc::Receiver<StreamChunk>,
     ended: bool,
     broken: bool, // it broke, and what came before has had its turn to be sent
-    exit: Option<SharedExit>,
-    _ticket: Ticket,
+    exit: Option<SharedMigrationSlot>,
+    _ticket: PendingRequest,
 }
 
 impl http_body::Body for Pieces {
@@ -223,8 +223,8 @@
         }
         match self.pieces.poll_recv(context) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(Piece::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
-            Poll::Ready(Some(Piece::Move(half))) => {
+            Poll::Ready(Some(StreamChunk::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
+            Poll::Ready(Some(StreamChunk::Migrate(half))) => {
                 // Nothing more comes until it has moved, or goes on here.
                 match &self.exit {
                     Some(exit) => exit.offer(half),
@@ -232,7 +232,7 @@
                 }
                 self.poll_frame(context)
             }
-            Poll::Ready(Some(Piece::End)) => {
+            Poll::Ready(Some(StreamChunk::End)) => {
                 self.ended = true;
                 Poll::Ready(None)
             }
--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -1,4 +1,4 @@
-//! Names and keys, as clients of every front write them.
+//! NameTable and keys, as clients of every front write them.
 
 use crate::config::hash;
 
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -4,11 +4,11 @@
 //! time, and at the limit one that stands idle makes room for a new one, so that nobody can lock the others out.
 
 use super::connection::{ClientConnection, Phase, MUTE_TIME, REPLACEABLE_TIME};
-use super::Course;
-use crate::net::connection_limit::{Place, Places};
-use crate::net::message_framing::Stated;
+use super::ShutdownPhase;
+use crate::net::connection_limit::{ConnectionPermit, ConnectionLimit};
+use crate::net::message_framing::DeclaredBody;
 use crate::net::system_errors::AcceptPauses;
-use crate::upgrade::stream_migration::Mover;
+use crate::upgrade::stream_migration::MigrationSender;
 use axum::body::Body;
 use axum::http::{header, HeaderValue, StatusCode};
 use axum::response::{IntoResponse, Response};
@@ -246,10 +246,10 @@
 /// What connections know of their listener.
 #[derive(Clone)]
 struct ListenerState {
-    places: Places,
+    places: ConnectionLimit,
     waited: Arc<Mutex<Option<Instant>>>,
-    course: watch::Receiver<Course>,
-    mover: Mover,
+    course: watch::Receiver<ShutdownPhase>,
+    mover: MigrationSender,
 }
 
 impl ListenerState {
@@ -267,13 +267,13 @@
     }
 
     fn leaves(&self) -> bool {
-        *self.course.borrow() > Course::Serving
+        *self.course.borrow() > ShutdownPhase::Serving
     }
 }
 
 /// Whether a request's body can hide a second request: one that has a length stated beside its chunks, as hyper does
 /// not show, or whose head could not be followed.
-fn is_doubtful(request: &Request<Incoming>, stated: Option<Stated>) -> bool {
+fn is_doubtful(request: &Request<Incoming>, stated: Option<DeclaredBody>) -> bool {
     let coded = request.headers().contains_key(header::TRANSFER_ENCODING);
     coded && stated.is_none_or(|stated| !stated.chunked || stated.length.is_some())
 }
@@ -352,7 +352,7 @@
             }
             _ = connection.as_mut() => return,
             () = client.over() => return,
-            // Dropped as it is, without an end: the successor has the socket too.
+            // DropReason as it is, without an end: the successor has the socket too.
             moved = client.exit.moves(&mover) => if moved { return },
         }
     }
@@ -370,7 +370,7 @@
         &mut self,
         connections: &mut JoinSet<()>,
         stream: TcpStream,
-        place: Place,
+        place: ConnectionPermit,
         routes: &Router,
     ) {
         let client = ClientConnection::new();
@@ -385,7 +385,7 @@
 
     /// A place for a new connection. At the limit a mute one, or the one that has stood idle longest, is closed for
     /// it; where none has done so for long enough, the new one waits in the listener's queue.
-    async fn place(&self) -> Option<Place> {
+    async fn place(&self) -> Option<ConnectionPermit> {
         let free = self.listener_state.places.take(1);
         let mut free = pin!(free);
         loop {
@@ -418,9 +418,9 @@
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
-    places: Places,
-    mut course: watch::Receiver<Course>,
-    mover: Mover,
+    places: ConnectionLimit,
+    mut course: watch::Receiver<ShutdownPhase>,
+    mover: MigrationSender,
     log: Logger,
 ) {
     let mut tracked = Connections {
@@ -442,7 +442,7 @@
         }
         let accepted = tokio::select! {
             biased;
-            _ = leaving.wait_for(|course| *course > Course::Serving) => break,
+            _ = leaving.wait_for(|course| *course > ShutdownPhase::Serving) => break,
             accepted = async {
                 let place = tracked.place().await;
                 (listener.accept().await, place)
@@ -461,7 +461,7 @@
         pauses.succeeded();
         tracked.serve(&mut connections, stream, place, &routes);
     }
-    if *course.borrow() == Course::Ending {
+    if *course.borrow() == ShutdownPhase::Closing {
         // Nobody else takes those that came before this and wait in the queue.
         while let (Some(place), Some(Ok((stream, _)))) = (
             tracked.listener_state.places.take_now(1),
@@ -472,6 +472,6 @@
     }
     drop(listener);
     info!(log, "no more connections are taken"; "open" => connections.len());
-    let _ = course.wait_for(|course| *course == Course::Ending).await;
+    let _ = course.wait_for(|course| *course == ShutdownPhase::Closing).await;
     while connections.join_next().await.is_some() {}
 }
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,26 +1,26 @@
 //! The memory that the bodies of requests may take, all fronts together.
 
-use crate::net::connection_limit::{Place, Places};
+use crate::net::connection_limit::{ConnectionPermit, ConnectionLimit};
 use bytes::Bytes;
 
 /// A request's body may have so many bytes.
-pub const MOST_BODY: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// Kilobytes for one body.
-const LEAST: usize = MOST_BODY / 1024 + 1;
+const LEAST: usize = MAX_BODY_BYTES / 1024 + 1;
 
 /// What is left of the memory. Cheap to clone.
 #[derive(Clone)]
-pub struct Rooms(Places);
+pub struct BodyMemoryBudget(ConnectionLimit);
 
 /// A part of it, for one body.
-pub struct Room {
-    place: Place,
+pub struct MemoryReservation {
+    place: ConnectionPermit,
 }
 
 struct Kept {
     body: Bytes,
-    _room: Room,
+    _room: MemoryReservation,
 }
 
 impl AsRef<[u8]> for Kept {
@@ -30,13 +30,13 @@
 }
 
 fn kilobytes(bytes: usize) -> u32 {
-    (bytes.min(MOST_BODY) / 1024 + 1) as u32
+    (bytes.min(MAX_BODY_BYTES) / 1024 + 1) as u32
 }
 
-impl Rooms {
+impl BodyMemoryBudget {
     /// So many kilobytes in all, and enough for one body at least.
     pub fn new(kb: usize) -> Self {
-        Rooms(Places::new(kb.max(LEAST)))
+        BodyMemoryBudget(ConnectionLimit::new(kb.max(LEAST)))
     }
 
     /// Keeps to so many parts of the memory, though to enough for one body at least.
@@ -44,23 +44,23 @@
         self.0.set_part(part, LEAST);
     }
 
-    /// Room for a body of this length; waits for it.
-    pub async fn wait(&self, bytes: usize) -> Option<Room> {
+    /// MemoryReservation for a body of this length; waits for it.
+    pub async fn wait(&self, bytes: usize) -> Option<MemoryReservation> {
         self.0
             .take(kilobytes(bytes))
             .await
-            .map(|place| Room { place })
+            .map(|place| MemoryReservation { place })
     }
 
-    /// Room for a body of this length, if there is some now.
-    pub fn at_once(&self, bytes: usize) -> Option<Room> {
+    /// MemoryReservation for a body of this length, if there is some now.
+    pub fn at_once(&self, bytes: usize) -> Option<MemoryReservation> {
         self.0
             .take_now(kilobytes(bytes))
-            .map(|place| Room { place })
+            .map(|place| MemoryReservation { place })
     }
 }
 
-impl Room {
+impl MemoryReservation {
     /// The body, with as much of the room as it needs: that is free again when nobody holds the body any more.
     pub fn keep(mut self, body: Bytes) -> Bytes {
         let spare = self
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -11,11 +11,11 @@
 
 /// How far a dispatcher is on its way to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Course {
+pub enum ShutdownPhase {
     /// It serves.
     Serving,
     /// It takes no new connections, for a successor does; answers end those that it has.
-    Leaving,
+    Draining,
     /// What is idle is closed, and what is open is ended.
-    Ending,
+    Closing,
 }
--- a/src/frontend/websocket.rs
+++ b/src/frontend/websocket.rs
@@ -4,12 +4,12 @@
 //! sent again, keeps the first deadline and is answered from the record. The record is bounded, and it is this
 //! dispatcher's own: another one does not know it. The messages are described in `docs/websocket.md`.
 
-use crate::config::{hash, micros, Sessions, Site};
-use crate::dispatcher::{Answer, Door, Piece, Work};
+use crate::config::{hash, micros, SessionConfig, Deployment};
+use crate::dispatcher::{Outcome, DispatcherHandle, StreamChunk, UpstreamRequest};
 use crate::frontend::identifiers::{is_name, key};
-use crate::frontend::memory_budget::{Rooms, MOST_BODY};
-use crate::frontend::Course;
-use crate::routing::api::{Ask, Class, Effect};
+use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
+use crate::frontend::ShutdownPhase;
+use crate::routing::api::{RequestMetadata, RequestClass, Idempotency};
 use axum::extract::ws::{close_code, CloseFrame, Message, WebSocket, WebSocketUpgrade};
 use axum::extract::State;
 use axum::http::StatusCode;
@@ -26,7 +26,7 @@
 use tokio::sync::{mpsc, watch, Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{interval_at, sleep_until, timeout, Instant};
 
-/// Sessions that may ask for a live request before its task has come to the first.
+/// SessionConfig that may ask for a live request before its task has come to the first.
 const ATTACHING: usize = 4;
 /// Messages that may wait for a session's socket.
 const OUTGOING: usize = 32;
@@ -62,13 +62,13 @@
 #[derive(Debug)]
 pub enum Call {
     /// A request, with its id, what the module is told, and its body.
-    Request(String, Ask, Bytes),
+    Request(String, RequestMetadata, Bytes),
     /// It wants no answer to this id any more.
     Cancel(String),
 }
 
 /// Reads a terminal's message. The error says what is wrong, and with which id where one could be read.
-pub fn parse(text: &str, site: &Site) -> Result<Call, (Option<String>, String)> {
+pub fn parse(text: &str, site: &Deployment) -> Result<Call, (Option<String>, String)> {
     let said: Said =
         json::from_str(text).map_err(|_| (None, "not a message of the session".into()))?;
     let id = said
@@ -86,7 +86,7 @@
     }
 }
 
-fn request(said: Said, site: &Site) -> Result<(Ask, Bytes), String> {
+fn request(said: Said, site: &Deployment) -> Result<(RequestMetadata, Bytes), String> {
     let class = said.class.ok_or("class is missing")?;
     let class = site
         .classes
@@ -103,7 +103,7 @@
             Some(number as usize)
         }
     };
-    let ask = Ask {
+    let ask = RequestMetadata {
         class,
         tenant,
         session: Some(key(&said.session.ok_or("session is missing")?)),
@@ -114,10 +114,10 @@
         prompt: f64::from(said.prompt_len.ok_or("prompt_len is missing")?),
         prefix_tokens: f64::from(said.prefix_len.unwrap_or(0)),
         max_tokens: f64::from(said.max_out.ok_or("max_out is missing")?),
-        ..Ask::default()
+        ..RequestMetadata::default()
     };
     let body = said.body.ok_or("body is missing")?;
-    if body.len() > MOST_BODY {
+    if body.len() > MAX_BODY_BYTES {
         return Err("the body is over 256 KiB".into());
     }
     Ok((ask, body.into()))
@@ -125,11 +125,11 @@
 
 /// A request's final outcome, as it is recorded.
 #[derive(Clone)]
-enum Outcome {
+enum FinalOutcome {
     /// Served, with its text where that was short enough to keep.
     Served(Option<Arc<str>>),
     /// Nothing was done; trying again is harmless from this moment on.
-    Refused(Instant),
+    Shed(Instant),
     Failed(&'static str),
 }
 
@@ -141,7 +141,7 @@
     Live(mpsc::Sender<Outgoing>),
     /// It was left before anything could have run: it may be taken up again.
     Left,
-    Done(Outcome),
+    Done(FinalOutcome),
 }
 
 struct Record {
@@ -162,7 +162,7 @@
 impl Records {
     fn text_of(record: &Record) -> usize {
         match &record.stage {
-            Stage::Done(Outcome::Served(Some(text))) => text.len(),
+            Stage::Done(FinalOutcome::Served(Some(text))) => text.len(),
             _ => 0,
         }
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    fn finish(&mut self, key: &Key, stage: Stage, options: &Sessions) {
+    fn finish(&mut self, key: &Key, stage: Stage, options: &SessionConfig) {
         if let Some(record) = self.by_key.get_mut(key) {
             record.stage = stage;
             self.text += Self::text_of(record);
@@ -219,26 +219,26 @@
 /// What sessions share.
 #[derive(Clone)]
 pub struct Shared {
-    door: Door,
-    options: Arc<Sessions>,
-    rooms: Rooms,
+    door: DispatcherHandle,
+    options: Arc<SessionConfig>,
+    rooms: BodyMemoryBudget,
     records: Arc<Mutex<Records>>,
     places: Arc<Semaphore>,
     stands: Arc<Mutex<HashMap<u64, Arc<Stand>>>>,
     names: Arc<AtomicU64>,
     boot: u64,
-    stop: watch::Receiver<Course>,
+    stop: watch::Receiver<ShutdownPhase>,
     log: Logger,
 }
 
 impl Shared {
     /// What sessions share. `seed` makes the names under which nodes know requests differ between starts.
     pub fn new(
-        door: Door,
-        options: Arc<Sessions>,
-        rooms: Rooms,
+        door: DispatcherHandle,
+        options: Arc<SessionConfig>,
+        rooms: BodyMemoryBudget,
         seed: u64,
-        stop: watch::Receiver<Course>,
+        stop: watch::Receiver<ShutdownPhase>,
         log: Logger,
     ) -> Self {
         Shared {
@@ -302,7 +302,7 @@
 }
 
 async fn upgrade(State(shared): State<Shared>, upgrade: WebSocketUpgrade) -> Response {
-    if *shared.stop.borrow() == Course::Ending {
+    if *shared.stop.borrow() == ShutdownPhase::Closing {
         return (StatusCode::SERVICE_UNAVAILABLE, "draining\n").into_response();
     }
     let Some(place) = shared.place().await else {
@@ -381,7 +381,7 @@
         let message = tokio::select! {
             biased;
             Some(message) = waiting.recv() => Some(message),
-            _ = stop.wait_for(|course| *course == Course::Ending), if !stopping => {
+            _ = stop.wait_for(|course| *course == ShutdownPhase::Closing), if !stopping => {
                 stopping = true;
                 None
             }
@@ -493,10 +493,10 @@
                         return Some(said("error", &key.1, ",\"reason\":\"asked too often\""))
                     }
                 },
-                Stage::Done(Outcome::Served(None)) => {
+                Stage::Done(FinalOutcome::Served(None)) => {
                     return Some(said("served", &key.1, ",\"recorded\":true,\"whole\":false"));
                 }
-                Stage::Done(Outcome::Served(Some(answer))) => {
+                Stage::Done(FinalOutcome::Served(Some(answer))) => {
                     let whole = said("served", &key.1, ",\"recorded\":true,\"whole\":true");
                     let answer = event(&key.1, answer);
                     let outgoing = outgoing.clone();
@@ -506,14 +506,14 @@
                     });
                     return None;
                 }
-                Stage::Done(Outcome::Failed(reason)) => return Some(failed(&key.1, reason)),
-                Stage::Done(Outcome::Refused(again)) if now < *again || now >= deadline => {
+                Stage::Done(FinalOutcome::Failed(reason)) => return Some(failed(&key.1, reason)),
+                Stage::Done(FinalOutcome::Shed(again)) if now < *again || now >= deadline => {
                     return Some(refused(&key.1, again.saturating_duration_since(now)));
                 }
                 Stage::Left if now >= deadline => {
                     return Some(failed(&key.1, "its deadline has passed"))
                 }
-                Stage::Done(Outcome::Refused(_)) | Stage::Left => deadline,
+                Stage::Done(FinalOutcome::Shed(_)) | Stage::Left => deadline,
             }
         }
     };
@@ -560,8 +560,8 @@
 struct Conversation {
     shared: Shared,
     key: Key,
-    class: Class,
-    ask: Ask,
+    class: RequestClass,
+    ask: RequestMetadata,
     body: Bytes,
     deadline: Instant,
     out: Outgoing,
@@ -573,7 +573,7 @@
 }
 
 enum Tried {
-    Final(Outcome),
+    Final(FinalOutcome),
     /// Its client left before a first event; whether it may have run.
     Left(bool),
 }
@@ -582,12 +582,12 @@
     async fn run(mut self, place: OwnedSemaphorePermit) {
         loop {
             let tried = self.attempt().await;
-            let safe = self.class.effect == Effect::Safe;
+            let safe = self.class.effect == Idempotency::Idempotent;
             let outcome = match tried {
                 Tried::Final(outcome) => outcome,
                 // What may have run is never sent again, unless its class allows a repeat.
                 Tried::Left(true) if !safe => {
-                    Outcome::Failed("the session closed; it may have run")
+                    FinalOutcome::Failed("the session closed; it may have run")
                 }
                 Tried::Left(_) => {
                     let mut records = self.shared.records();
@@ -600,7 +600,7 @@
                         Ok(out) => {
                             self.out = out;
                             drop(records);
-                            Outcome::Failed("its deadline has passed")
+                            FinalOutcome::Failed("its deadline has passed")
                         }
                         Err(_) => {
                             records.finish(&self.key, Stage::Left, &self.shared.options);
@@ -611,11 +611,11 @@
             };
             let id = &self.key.1;
             let last = match &outcome {
-                Outcome::Served(_) => said("served", id, ""),
-                Outcome::Refused(again) => {
+                FinalOutcome::Served(_) => said("served", id, ""),
+                FinalOutcome::Shed(again) => {
                     refused(id, again.saturating_duration_since(Instant::now()))
                 }
-                Outcome::Failed(reason) => failed(id, reason),
+                FinalOutcome::Failed(reason) => failed(id, reason),
             };
             let _ = self.out.send(last.clone()).await;
             self.shared
@@ -646,28 +646,28 @@
             .get(self.ask.class)
             .cloned();
         if class.is_none_or(|class| {
-            Class {
+            RequestClass {
                 open: true,
                 ..class
             } != self.class
         }) {
-            return Tried::Final(Outcome::Failed("its class is gone"));
+            return Tried::Final(FinalOutcome::Failed("its class is gone"));
         }
         let number = shared.names.fetch_add(1, Ordering::Relaxed);
         let name = format!("ws-{:016x}-{number}", shared.boot);
         let left = self.deadline.saturating_duration_since(Instant::now());
-        let ask = Ask {
+        let ask = RequestMetadata {
             expires_in: left.as_micros() as u64,
             ..self.ask.clone()
         };
-        let work = Work {
+        let work = UpstreamRequest {
             name: name.into(),
             target: "/v1/chat/completions".into(),
             body: self.body.clone(),
         };
         let (ticket, mut answered) = shared.door.ask(ask, work).await;
         let mut lost: Option<Instant> = None;
-        let mut stream: Option<mpsc::Receiver<Piece>> = None;
+        let mut stream: Option<mpsc::Receiver<StreamChunk>> = None;
         let mut partial: Vec<u8> = Vec::new();
         loop {
             let begun = stream.is_some();
@@ -681,12 +681,12 @@
                 biased;
                 Some(()) = self.cancelled.recv() => {
                     drop(ticket);
-                    return Tried::Final(Outcome::Failed("cancelled"));
+                    return Tried::Final(FinalOutcome::Failed("cancelled"));
                 }
                 Some(out) = self.attached.recv() => {
                     (self.out, lost) = (out, None);
                     if !self.whole {
-                        return Tried::Final(Outcome::Failed("its answer is too long to be sent anew"));
+                        return Tried::Final(FinalOutcome::Failed("its answer is too long to be sent anew"));
                     }
                     if !self.text.is_empty() {
                         let _ = self.out.send(event(&self.key.1, &self.text)).await;
@@ -697,28 +697,28 @@
                     debug!(shared.log, "a session closed under its request"; "begun" => begun);
                     if begun {
                         drop(ticket);
-                        return Tried::Final(Outcome::Failed("the session closed while the answer streamed"));
+                        return Tried::Final(FinalOutcome::Failed("the session closed while the answer streamed"));
                     }
                     let fate = timeout(FATE, shared.door.leave(ticket)).await;
                     return Tried::Left(fate.ok().flatten().unwrap_or(true));
                 }
                 answer = &mut answered, if !begun => match answer {
-                    Ok(Answer::Served(pieces)) => stream = Some(pieces),
-                    Ok(Answer::Refused(after)) => {
-                        return Tried::Final(Outcome::Refused(Instant::now() + after));
+                    Ok(Outcome::Stream(pieces)) => stream = Some(pieces),
+                    Ok(Outcome::Shed(after)) => {
+                        return Tried::Final(FinalOutcome::Shed(Instant::now() + after));
                     }
-                    Ok(Answer::Rejected) => {
-                        return Tried::Final(Outcome::Failed("a node found the request bad"));
+                    Ok(Outcome::InvalidRequest) => {
+                        return Tried::Final(FinalOutcome::Failed("a node found the request bad"));
                     }
-                    Ok(Answer::Duplicate | Answer::Failed) | Err(_) => {
-                        return Tried::Final(Outcome::Failed("failed"));
+                    Ok(Outcome::DuplicateId | Outcome::Failed) | Err(_) => {
+                        return Tried::Final(FinalOutcome::Failed("failed"));
                     }
                 },
                 piece = next, if begun && lost.is_none() => match piece {
-                    Some(Piece::Data(data)) => {
+                    Some(StreamChunk::Data(data)) => {
                         partial.extend_from_slice(&data);
                         let Some(text) = take_text(&mut partial) else {
-                            return Tried::Final(Outcome::Failed("the answer is not text"));
+                            return Tried::Final(FinalOutcome::Failed("the answer is not text"));
                         };
                         if text.is_empty() {
                             continue;
@@ -732,13 +732,13 @@
                             lost = Some(Instant::now() + reattach);
                         }
                     }
-                    Some(Piece::End) if partial.is_empty() => {
+                    Some(StreamChunk::End) if partial.is_empty() => {
                         let text = self.whole.then(|| self.text.as_str().into());
-                        return Tried::Final(Outcome::Served(text));
+                        return Tried::Final(FinalOutcome::Served(text));
                     }
                     // A session stays with its process: its streams end here.
-                    Some(Piece::Move(half)) => drop(half),
-                    Some(Piece::End) | None => return Tried::Final(Outcome::Failed("the stream broke")),
+                    Some(StreamChunk::Migrate(half)) => drop(half),
+                    Some(StreamChunk::End) | None => return Tried::Final(FinalOutcome::Failed("the stream broke")),
                 },
             }
         }
--- a/src/gossip/state.rs
+++ b/src/gossip/state.rs
@@ -5,7 +5,7 @@
 //! costs is bounded by the price in the settings and by the own requests. A message is a mark, the time it was sent at, and
 //! five bytes a server; one that is spoilt, late, or no newer than the last of its sender changes nothing and is counted.
 
-use crate::routing::api::{Load, ServerId, Time};
+use crate::routing::api::{LoadReport, EndpointId, Time};
 use std::collections::BTreeMap;
 
 /// The first byte of a message: what it is, and its version.
@@ -43,14 +43,14 @@
     /// The lowest 24 bits of the hash of the server's name.
     pub key: u32,
     /// Its load; without one, an attempt there has failed.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// Why a message changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     /// It is none of ours, or spoilt.
-    Spoilt,
+    Malformed,
     /// It was sent too long ago, or later than now.
     Stale,
     /// Its sender has sent this one or a newer one before.
@@ -68,7 +68,7 @@
     earned: f64, // bytes for each own request
     left: f64,
     left_for_loads: f64, // at most
-    believed: BTreeMap<ServerId, (f64, Time)>,
+    believed: BTreeMap<EndpointId, (f64, Time)>,
     usual: f64,
     last: Vec<Option<u16>>, // by sender
     pending: BTreeMap<(u32, bool), [u8; NOTE]>,
@@ -107,7 +107,7 @@
         self.dropped
     }
 
-    fn believe(&mut self, now: Time, server: ServerId, in_flight: f64) -> f64 {
+    fn believe(&mut self, now: Time, server: EndpointId, in_flight: f64) -> f64 {
         let before = self
             .believed
             .insert(server, (in_flight, now))
@@ -118,7 +118,7 @@
     }
 
     /// A server's own report; it is told on if it would surprise the others.
-    pub fn report(&mut self, now: Time, server: ServerId, hash: u64, load: &Load) {
+    pub fn report(&mut self, now: Time, server: EndpointId, hash: u64, load: &LoadReport) {
         let Some(in_flight) = load.in_flight.filter(|it| *it >= 0.0) else {
             return;
         };
@@ -188,7 +188,7 @@
         now: Time,
         from: usize,
         message: &[u8],
-    ) -> Result<Vec<Observation>, Dropped> {
+    ) -> Result<Vec<Observation>, DropReason> {
         let read = self.read(now, from, message);
         self.dropped += u64::from(read.is_err());
         read
@@ -199,8 +199,8 @@
         now: Time,
         from: usize,
         message: &[u8],
-    ) -> Result<Vec<Observation>, Dropped> {
-        let (head, notes) = message.split_at_checked(HEAD).ok_or(Dropped::Spoilt)?;
+    ) -> Result<Vec<Observation>, DropReason> {
+        let (head, notes) = message.split_at_checked(HEAD).ok_or(DropReason::Malformed)?;
         let spoilt = head[0] != MARK
             || notes.is_empty()
             || notes.len() % NOTE != 0
@@ -209,23 +209,23 @@
             .last
             .get_mut(from)
             .filter(|_| !spoilt)
-            .ok_or(Dropped::Spoilt)?;
+            .ok_or(DropReason::Malformed)?;
         let sent = u16::from_be_bytes([head[1], head[2]]);
         let age = ((now / TICK) as u16).wrapping_sub(sent) as i16;
         if !(NEWEST..=OLDEST).contains(&age) {
-            return Err(Dropped::Stale);
+            return Err(DropReason::Stale);
         }
         // A time of long ago looks new again after some minutes: only what lies shortly before is a repeat.
         let before = last.map(|last| sent.wrapping_sub(last) as i16);
         if before.is_some_and(|newer| (-2 * OLDEST..=0).contains(&newer)) {
-            return Err(Dropped::Repeated);
+            return Err(DropReason::Repeated);
         }
         *last = Some(sent);
         let observation = |note: &[u8]| {
-            let load = (note[3] != FAILED).then(|| Load {
+            let load = (note[3] != FAILED).then(|| LoadReport {
                 in_flight: Some(f64::from(note[3])),
                 memory: Some((f64::from(note[4]) / MEMORY_SCALE).min(1.0)),
-                ..Load::default()
+                ..LoadReport::default()
             });
             Observation {
                 key: u32::from_be_bytes([0, note[0], note[1], note[2]]),
@@ -236,14 +236,14 @@
     }
 
     /// An observation is taken over: what others now believe of this server.
-    pub fn heard(&mut self, now: Time, server: ServerId, observation: &Observation) {
+    pub fn heard(&mut self, now: Time, server: EndpointId, observation: &Observation) {
         if let Some(in_flight) = observation.load.as_ref().and_then(|load| load.in_flight) {
             self.believe(now, server, in_flight);
         }
     }
 
     /// Servers that are gone are forgotten.
-    pub fn keep(&mut self, known: impl Fn(ServerId) -> bool) {
+    pub fn keep(&mut self, known: impl Fn(EndpointId) -> bool) {
         self.believed.retain(|server, _| known(*server));
     }
 }
--- a/src/gossip/transport.rs
+++ b/src/gossip/transport.rs
@@ -1,7 +1,7 @@
 //! Datagrams between dispatchers. Only carries them: what they mean is [`crate::gossip`]'s, and the core's.
 
 use crate::config::Config;
-use crate::dispatcher::{Door, Event};
+use crate::dispatcher::{DispatcherHandle, Event};
 use crate::gossip::LONGEST;
 use bytes::Bytes;
 use slog::{debug, info, Logger};
@@ -22,15 +22,15 @@
 const TAKEN: Duration = Duration::from_millis(500);
 
 /// Where dispatchers listen for each other.
-pub struct Peers {
+pub struct GossipTransport {
     listen: String,
     all: SocketAddr,
     numbers: HashMap<SocketAddr, usize>,
 }
 
-impl Peers {
+impl GossipTransport {
     /// Where the configuration says that dispatchers tell each other things. Without it they do without.
-    pub fn new(config: &Config) -> Option<Peers> {
+    pub fn new(config: &Config) -> Option<GossipTransport> {
         let (listen, all) = (
             config.peer_listen.clone()?,
             config.peers_all.as_ref()?.parse().ok()?,
@@ -45,7 +45,7 @@
         let numbers = others
             .filter_map(|(at, address)| Some((address.parse().ok()?, at)))
             .collect();
-        Some(Peers {
+        Some(GossipTransport {
             listen,
             all,
             numbers,
@@ -82,7 +82,7 @@
     }
 
     /// Carries messages to all others, and theirs to the core, until nobody sends any more.
-    pub async fn run(self, mut tell: mpsc::Receiver<Bytes>, door: Door, log: Logger) {
+    pub async fn run(self, mut tell: mpsc::Receiver<Bytes>, door: DispatcherHandle, log: Logger) {
         let Some(socket) = self.open(&mut tell, &log).await else {
             return;
         };
@@ -105,7 +105,7 @@
                     };
                     if let Some(from) = self.numbers.get(&address) {
                         let message = Bytes::copy_from_slice(&buffer[..length]);
-                        door.tell(Event::Peer { from: *from, message }).await;
+                        door.tell(Event::GossipReceived { from: *from, message }).await;
                     }
                 }
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,21 +11,21 @@
 //! use quartzhall::routing::api::*;
 //! use quartzhall::routing::Router;
 //!
-//! let class = Class {
+//! let class = RequestClass {
 //!     aim: 1_000_000,
 //!     aim_per_1000_tokens: 40_000,
 //!     token_aim: 60_000,
 //!     worth: 1.0,
 //!     open: true,
-//!     effect: Effect::Safe,
+//!     effect: Idempotency::Idempotent,
 //! };
-//! let settings = Settings {
+//! let settings = RoutingSettings {
 //!     balancers: 1,
 //!     zone: 0,
 //!     classes: vec![class],
 //!     tenants: vec![],
 //!     over_share_worth: 0.1,
-//!     reports: Reports::WithAnswers,
+//!     reports: LoadReporting::WithResponses,
 //!     must_watch: false,
 //!     may_probe: false,
 //!     may_cancel: true,
@@ -45,19 +45,19 @@
 //! };
 //! let mut router = Router::new(settings, 7, 0);
 //! let mut actions = Vec::new();
-//! let server = |server, role| Entry {
+//! let server = |server, role| EndpointRecord {
 //!     server,
 //!     key: server.into(),
 //!     role,
 //!     memory: 200_000.0,
 //!     zone: 0,
 //!     cell: 0,
-//!     state: State::Ready,
+//!     state: EndpointStatus::Ready,
 //!     started: None,
 //! };
-//! let entries = vec![server(1, Role::Reader), server(2, Role::Writer)];
-//! router.handle(1_000, Event::Members { complete: true, entries }, &mut actions);
-//! let ask = Ask {
+//! let entries = vec![server(1, Role::Prefill), server(2, Role::Decode)];
+//! router.handle(1_000, Event::EndpointsChanged { complete: true, entries }, &mut actions);
+//! let ask = RequestMetadata {
 //!     id: 1,
 //!     class: 0,
 //!     tenant: None,
@@ -69,8 +69,8 @@
 //!     max_tokens: 200.0,
 //!     hint: None,
 //! };
-//! router.handle(2_000, Event::Request(ask), &mut actions);
-//! assert!(actions.iter().any(|action| matches!(action, Action::Send { id: 1, server: 1, .. })));
+//! router.handle(2_000, Event::RequestArrived(ask), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { id: 1, server: 1, .. })));
 //! ```
 
 #![deny(unsafe_code)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,17 +2,17 @@
 
 use clap::{Parser, Subcommand};
 use quartzhall::config::reload;
-use quartzhall::config::{Config, Sessions, Site};
-use quartzhall::dispatcher::{Clock, Core, Door, Event, Readiness};
-use quartzhall::frontend::memory_budget::Rooms;
-use quartzhall::frontend::{admin, health_check, http, listener, websocket, Course};
-use quartzhall::gossip::transport::Peers;
+use quartzhall::config::{Config, SessionConfig, Deployment};
+use quartzhall::dispatcher::{Clock, Core, DispatcherHandle, Event, Readiness};
+use quartzhall::frontend::memory_budget::BodyMemoryBudget;
+use quartzhall::frontend::{admin, health_check, http, listener, websocket, ShutdownPhase};
+use quartzhall::gossip::transport::GossipTransport;
 use quartzhall::gossip::Gossip;
-use quartzhall::net::connection_limit::{Places, PARTS};
-use quartzhall::recording::Notes;
-use quartzhall::upgrade::resource_shares::Phase;
+use quartzhall::net::connection_limit::{ConnectionLimit, SHARE_UNITS};
+use quartzhall::recording::TraceRecorder;
+use quartzhall::upgrade::resource_shares::ProcessState;
 use quartzhall::upgrade::stream_migration;
-use quartzhall::upgrade::{Handover, Limits, View};
+use quartzhall::upgrade::{UpgradeCoordinator, ResourceLimits, PeerProcesses};
 use quartzhall::{backend, discovery, dispatcher, upgrade};
 use quartzhall_recording::{Key, Recorder};
 use slog::{info, o, warn, Drain, Level, Logger};
@@ -99,12 +99,12 @@
 fn read(
     config: &Path,
     websocket: Option<&Path>,
-) -> Result<(String, Config, Site, Sessions), String> {
+) -> Result<(String, Config, Deployment, SessionConfig), String> {
     let whole = text(config)?;
     let config = Config::parse(&whole)?;
-    let site = Site::new(&config.settings)?;
+    let site = Deployment::new(&config.settings)?;
     let off = || Ok("{}".to_owned());
-    let sessions = Sessions::parse(&websocket.map_or_else(off, text)?)?;
+    let sessions = SessionConfig::parse(&websocket.map_or_else(off, text)?)?;
     Ok((whole, config, site, sessions))
 }
 
@@ -130,7 +130,7 @@
     }
 
     /// `None`: this process ends before.
-    async fn listener(self, mut course: watch::Receiver<Course>) -> Option<TcpListener> {
+    async fn listener(self, mut course: watch::Receiver<ShutdownPhase>) -> Option<TcpListener> {
         let address = match self {
             Late::Bound(listener) => return Some(listener),
             Late::Waits(address) => address,
@@ -139,7 +139,7 @@
             if let Ok(listener) = listen(&address).await {
                 return Some(listener);
             }
-            let leaves = course.wait_for(|course| *course > Course::Serving);
+            let leaves = course.wait_for(|course| *course > ShutdownPhase::Serving);
             if timeout(ADDRESS_AGAIN, leaves).await.is_ok() {
                 return None;
             }
@@ -163,26 +163,26 @@
 /// What the processes of one dispatcher share.
 #[derive(Clone)]
 struct Shares {
-    clients: Places,
-    nodes: Places,
-    rooms: Rooms,
+    clients: ConnectionLimit,
+    nodes: ConnectionLimit,
+    rooms: BodyMemoryBudget,
 }
 
-impl Limits for Shares {
+impl ResourceLimits for Shares {
     fn set(&self, part: u32) -> u32 {
         self.rooms.set_part(part);
         let used = [&self.clients, &self.nodes].map(|places| {
             places.set_part(part, 4);
-            (places.taken() * PARTS as usize).div_ceil(places.whole().max(1)) as u32
+            (places.taken() * SHARE_UNITS as usize).div_ceil(places.whole().max(1)) as u32
         });
         used[0].max(used[1])
     }
 }
 
 /// Tells other processes of this dispatcher that this one is there, where they have a folder in common.
-fn post(name: &str, clock: Clock, log: &Logger) -> Option<Handover> {
+fn post(name: &str, clock: Clock, log: &Logger) -> Option<UpgradeCoordinator> {
     let folder = std::env::var_os("TMPDIR").filter(|it| !it.is_empty())?;
-    let posted = Handover::start(Path::new(&folder), name, clock.now(), log.clone());
+    let posted = UpgradeCoordinator::start(Path::new(&folder), name, clock.now(), log.clone());
     posted
         .map_err(|error| warn!(log, "no notice for other processes"; "error" => %error))
         .ok()
@@ -193,8 +193,8 @@
     path: &Path,
     name: &str,
     clock: Clock,
-    site: &Site,
-) -> Result<(Notes, Recorder), String> {
+    site: &Deployment,
+) -> Result<(TraceRecorder, Recorder), String> {
     let wrong =
         |error: &dyn std::fmt::Display| format!("the recording {}: {error}", path.display());
     let mut secret = [0; 32];
@@ -202,31 +202,31 @@
     let file = std::fs::File::create_new(path).map_err(|error| wrong(&error))?;
     let recorder = Recorder::start(file, RECORDS).map_err(|error| wrong(&error))?;
     Ok((
-        Notes::new(Key::from_secret(&secret), clock.now(), name, site),
+        TraceRecorder::new(Key::from_secret(&secret), clock.now(), name, site),
         recorder,
     ))
 }
 
 /// Waits until a successor can take clients: it has a list, discovery's own if that comes soon, and its part of the
 /// limits, if the predecessor comes down to its own soon.
-async fn take_over(door: &Door, known: Option<Event>, view: &mut watch::Receiver<View>) {
-    if timeout(LIST_TIME, door.becomes(Readiness::Able))
+async fn take_over(door: &DispatcherHandle, known: Option<Event>, view: &mut watch::Receiver<PeerProcesses>) {
+    if timeout(LIST_TIME, door.becomes(Readiness::Standby))
         .await
         .is_err()
     {
         if let Some(known) = known {
             door.tell(known).await;
         }
-        door.becomes(Readiness::Able).await;
+        door.becomes(Readiness::Standby).await;
     }
-    let _ = timeout(SHARE_TIME, view.wait_for(|view| view.part >= PARTS / 4)).await;
+    let _ = timeout(SHARE_TIME, view.wait_for(|view| view.part >= SHARE_UNITS / 4)).await;
 }
 
 async fn serve(
     (file, text): (PathBuf, String),
     config: Config,
-    site: Site,
-    sessions: Sessions,
+    site: Deployment,
+    sessions: SessionConfig,
     management: Option<String>,
     record: Option<PathBuf>,
     log: Logger,
@@ -250,7 +250,7 @@
         .is_some()
         .then(|| post(&config.name, clock, &log))
         .flatten();
-    let view = handover.as_ref().map_or(View::default(), Handover::view);
+    let view = handover.as_ref().map_or(PeerProcesses::default(), UpgradeCoordinator::view);
     let session_listener = Late::bind(sessions.listen.clone(), view.predecessor).await?;
     let agent_listener = Late::bind(sessions.agent_check.clone(), view.predecessor).await?;
     let mut management_listener = None;
@@ -265,7 +265,7 @@
     let (client_sockets, node_sockets) = config.limits.shares();
     let memory = (config.limits.memory_mb.unwrap_or(192) as usize).saturating_mul(1 << 20);
     let (sessions, shaking) = sessions.within(client_sockets, memory);
-    // Sessions, where they are taken, get theirs out of the clients' part.
+    // SessionConfig, where they are taken, get theirs out of the clients' part.
     let for_sessions = session_listener
         .as_ref()
         .map_or(0, |_| sessions.most_sessions + shaking);
@@ -279,10 +279,10 @@
         core.take_notes(notes);
         recorder = Some(to);
     }
-    if let Some(marks) = handover.as_mut().and_then(Handover::new_bans) {
-        core.hear(clock.now(), Event::Marks(marks));
+    if let Some(marks) = handover.as_mut().and_then(UpgradeCoordinator::new_bans) {
+        core.hear(clock.now(), Event::BanRecordsReceived(marks));
     }
-    let mut members_site = Site::new(&config.settings)?;
+    let mut members_site = Deployment::new(&config.settings)?;
     let known = config
         .known
         .as_ref()
@@ -309,9 +309,9 @@
     let speak_sessions = sessions.nodes.iter().cloned().collect();
     let bounds = site.bounds;
     let limits = Shares {
-        clients: Places::new(client_sockets - for_sessions),
-        nodes: Places::new(node_sockets),
-        rooms: Rooms::new(memory / 1024 / 3),
+        clients: ConnectionLimit::new(client_sockets - for_sessions),
+        nodes: ConnectionLimit::new(node_sockets),
+        rooms: BodyMemoryBudget::new(memory / 1024 / 3),
     };
     if view.predecessor {
         limits.set(view.part);
@@ -335,10 +335,10 @@
     let mut others = None;
     if let Some((price, peers)) = site
         .peer_price
-        .zip(Peers::new(&config))
+        .zip(GossipTransport::new(&config))
         .filter(|(_, it)| it.others() > 0)
     {
-        let (tell, telling) = Peers::queue();
+        let (tell, telling) = GossipTransport::queue();
         core.set_gossip(Gossip::new(peers.others() + 1, price));
         others = Some(tell);
         tokio::spawn(peers.run(telling, door.clone(), log.clone()));
@@ -367,7 +367,7 @@
         // Operators are answered to the very end.
         vital.spawn(admin::serve(at, door.clone(), log.clone()));
     }
-    let (set_phase, phase) = watch::channel(Phase::Starting);
+    let (set_phase, phase) = watch::channel(ProcessState::Starting);
     let (set_view, mut view) = watch::channel(view);
     let mut mover = None;
     if let Some(handover) = handover {
@@ -396,7 +396,7 @@
     }
 
     info!(log, "start"; "stage" => "tasks run", "tasks" => vital.len());
-    let (set_course, course) = watch::channel(Course::Serving);
+    let (set_course, course) = watch::channel(ShutdownPhase::Serving);
     let routes = http::routes(door.clone(), rooms.clone(), log.clone());
     let most = clients.whole();
     let mut fronts = JoinSet::new();
@@ -416,7 +416,7 @@
             let Some(at) = late.listener(course.clone()).await else {
                 return;
             };
-            listener::serve(at, routes, Places::new(shaking), course, None, log).await;
+            listener::serve(at, routes, ConnectionLimit::new(shaking), course, None, log).await;
         });
     }
     if let Some(late) = agent_listener {
@@ -444,8 +444,8 @@
                 take_over(&door, known_later, &mut view.clone()).await;
                 info!(log, "takes over"; "view" => ?*view.borrow());
             }
-            let _ = set_phase.send(Phase::Serving);
-            door.tell(Event::Open).await;
+            let _ = set_phase.send(ProcessState::Serving);
+            door.tell(Event::AcceptClients).await;
         };
         let ended_early = tokio::select! {
             () = ends.as_mut() => true,
@@ -466,12 +466,12 @@
         info!(log, "draining"; "open" => door.open(), "succeeded" => succeeded);
         let longest = Duration::from_micros(door.site().bounds.longest).min(LONGEST);
         door.tell(Event::Drain(longest + KILL_AFTER - LAST)).await;
-        let _ = set_phase.send(Phase::Leaving);
+        let _ = set_phase.send(ProcessState::Leaving);
         if succeeded {
-            let _ = set_course.send(Course::Leaving);
+            let _ = set_course.send(ShutdownPhase::Draining);
         }
         tokio::time::sleep(GRACE).await;
-        let _ = set_course.send(Course::Ending);
+        let _ = set_course.send(ShutdownPhase::Closing);
         let _ = set_moving.send(succeeded);
         while fronts.join_next().await.is_some() {}
         shared.over().await;
--- a/src/net/connection_limit.rs
+++ b/src/net/connection_limit.rs
@@ -1,35 +1,35 @@
-//! Places of which there is a bounded number: connections, kilobytes. The number may change while they are taken.
+//! ConnectionLimit of which there is a bounded number: connections, kilobytes. The number may change while they are taken.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// The limits of a dispatcher are shared between its processes in such parts.
-pub const PARTS: u32 = 16;
+pub const SHARE_UNITS: u32 = 16;
 
-/// Places that are taken: free again when they are let go.
-pub type Place = OwnedSemaphorePermit;
+/// ConnectionLimit that are taken: free again when they are let go.
+pub type ConnectionPermit = OwnedSemaphorePermit;
 
 struct Most {
     most: usize,
     owed: usize, // places over the number, to be taken away as they come free
 }
 
-/// Places. Cheap to clone; clones share them.
+/// ConnectionLimit. Cheap to clone; clones share them.
 #[derive(Clone)]
-pub struct Places {
+pub struct ConnectionLimit {
     whole: usize,
     free: Arc<Semaphore>,
     most: Arc<Mutex<Most>>,
 }
 
-impl Places {
+impl ConnectionLimit {
     /// So many, all of them free.
-    pub fn new(whole: usize) -> Places {
+    pub fn new(whole: usize) -> ConnectionLimit {
         let most = Arc::new(Mutex::new(Most {
             most: whole,
             owed: 0,
         }));
-        Places {
+        ConnectionLimit {
             whole,
             free: Arc::new(Semaphore::new(whole)),
             most,
@@ -46,12 +46,12 @@
     }
 
     /// Waits for so many.
-    pub async fn take(&self, count: u32) -> Option<Place> {
+    pub async fn take(&self, count: u32) -> Option<ConnectionPermit> {
         self.free.clone().acquire_many_owned(count).await.ok()
     }
 
     /// So many, if they are free now.
-    pub fn take_now(&self, count: u32) -> Option<Place> {
+    pub fn take_now(&self, count: u32) -> Option<ConnectionPermit> {
         self.free.clone().try_acquire_many_owned(count).ok()
     }
 
@@ -71,10 +71,10 @@
         self.taken().saturating_sub(self.most().most)
     }
 
-    /// From now on there are so many of [`PARTS`] parts, though not fewer than `least`. What is taken beyond
-    /// goes as it comes free: call again, until nothing is [`Places::over`].
+    /// From now on there are so many of [`SHARE_UNITS`] parts, though not fewer than `least`. What is taken beyond
+    /// goes as it comes free: call again, until nothing is [`ConnectionLimit::over`].
     pub fn set_part(&self, part: u32, least: usize) {
-        let wanted = (self.whole * part.min(PARTS) as usize / PARTS as usize)
+        let wanted = (self.whole * part.min(SHARE_UNITS) as usize / SHARE_UNITS as usize)
             .max(least)
             .min(self.whole);
         let mut most = self.most();
--- a/src/net/message_framing.rs
+++ b/src/net/message_framing.rs
@@ -8,7 +8,7 @@
 
 /// The bytes could not be followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost;
+pub struct FramingLost;
 
 /// Where a body in chunks stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,24 +35,24 @@
 
 /// A body in chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     at: At,
     left: u64,
 }
 
-impl Default for Chunks {
+impl Default for ChunkedDecoder {
     fn default() -> Self {
-        Chunks {
+        ChunkedDecoder {
             at: At::Size(0),
             left: 0,
         }
     }
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Reads on, and hands each piece of data on. Tells how many bytes belong to the body; fewer than all where it has
     /// ended.
-    pub fn feed(&mut self, bytes: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, Lost> {
+    pub fn feed(&mut self, bytes: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, FramingLost> {
         let mut read = 0;
         while read < bytes.len() && self.at != At::End {
             if self.at == At::Data {
@@ -73,21 +73,21 @@
         Ok(read)
     }
 
-    fn next(&mut self, byte: u8) -> Result<At, Lost> {
+    fn next(&mut self, byte: u8) -> Result<At, FramingLost> {
         Ok(match (self.at, byte) {
             (At::Size(digits), _) if byte.is_ascii_hexdigit() => {
                 let digit = (byte as char).to_digit(16).unwrap_or(0);
                 // 2^60 bytes never come: what says so is none of ours.
                 if digits >= 15 {
-                    return Err(Lost);
+                    return Err(FramingLost);
                 }
                 self.left = self.left * 16 + u64::from(digit);
                 At::Size(digits + 1)
             }
-            (At::Size(0), _) => return Err(Lost),
+            (At::Size(0), _) => return Err(FramingLost),
             (At::Size(_) | At::Extension, b'\r') => At::SizeEnd,
             (At::Size(_), b' ' | b'\t' | b';') => At::Extension,
-            (At::Extension, b'\n') => return Err(Lost),
+            (At::Extension, b'\n') => return Err(FramingLost),
             (At::Extension, _) => At::Extension,
             (At::SizeEnd, b'\n') if self.left > 0 => At::Data,
             (At::SizeEnd, b'\n') => At::Trailer,
@@ -97,19 +97,19 @@
                 At::Size(0)
             }
             (At::Trailer, b'\r') => At::TrailerEnd,
-            (At::Trailer, b'\n') => return Err(Lost),
+            (At::Trailer, b'\n') => return Err(FramingLost),
             (At::TrailerLine, b'\n') => At::Trailer,
             (At::Trailer | At::TrailerLine, _) => At::TrailerLine,
             (At::TrailerEnd, b'\n') => At::End,
-            _ => return Err(Lost),
+            _ => return Err(FramingLost),
         })
     }
 
-    /// The length of what [`Chunks::to_bytes`] gives.
+    /// The length of what [`ChunkedDecoder::to_bytes`] gives.
     pub const BYTES: usize = 10;
 
     /// Where it stands, for another process.
-    pub fn to_bytes(self) -> [u8; Chunks::BYTES] {
+    pub fn to_bytes(self) -> [u8; ChunkedDecoder::BYTES] {
         let (at, count) = match self.at {
             At::Size(digits) => (0, digits),
             At::Extension => (1, 0),
@@ -121,14 +121,14 @@
             At::TrailerEnd => (7, 0),
             At::End => (8, 0),
         };
-        let mut bytes = [0; Chunks::BYTES];
+        let mut bytes = [0; ChunkedDecoder::BYTES];
         bytes[..2].copy_from_slice(&[at, count]);
         bytes[2..].copy_from_slice(&self.left.to_be_bytes());
         bytes
     }
 
     /// Goes on from there.
-    pub fn from_bytes(bytes: &[u8; Chunks::BYTES]) -> Option<Chunks> {
+    pub fn from_bytes(bytes: &[u8; ChunkedDecoder::BYTES]) -> Option<ChunkedDecoder> {
         let [at, count, left @ ..] = bytes;
         let at = match (at, count) {
             (0, 0..=15) => At::Size(*count),
@@ -142,7 +142,7 @@
             (8, 0) => At::End,
             _ => return None,
         };
-        Some(Chunks {
+        Some(ChunkedDecoder {
             at,
             left: u64::from_be_bytes(*left),
         })
@@ -156,7 +156,7 @@
 
 /// The answer to one request, as its bytes come.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ResponseFraming {
     line: Vec<u8>,
     lines: usize,
     interim: bool,
@@ -164,12 +164,12 @@
     bodiless: bool,
     length: Option<u64>,
     over: bool,
-    body: Option<Chunks>,
+    body: Option<ChunkedDecoder>,
     lost: bool,
     data: u64,
 }
 
-impl Answer {
+impl ResponseFraming {
     /// Reads on.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() && !self.lost && !self.over {
@@ -211,9 +211,9 @@
         } else if line.is_empty() {
             self.lines = 0;
             match (self.interim, self.chunked) {
-                (true, _) => *self = Answer::default(),
+                (true, _) => *self = ResponseFraming::default(),
                 (false, _) if self.bodiless => self.over = true,
-                (false, true) => self.body = Some(Chunks::default()),
+                (false, true) => self.body = Some(ChunkedDecoder::default()),
                 (false, false) => {
                     self.over = self.length == Some(0);
                     self.lost = self.length.is_none();
@@ -237,7 +237,7 @@
     }
 
     /// Where its body stands, and how much data there was, if it comes in chunks and could be followed.
-    pub fn body(&self) -> Option<(Chunks, u64)> {
+    pub fn body(&self) -> Option<(ChunkedDecoder, u64)> {
         self.body
             .filter(|_| !self.lost)
             .map(|body| (body, self.data))
@@ -246,7 +246,7 @@
 
 /// What a request's head states of its body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stated {
+pub struct DeclaredBody {
     /// It comes in chunks.
     pub chunked: bool,
     /// It has a length.
@@ -259,42 +259,42 @@
 enum Part {
     Head,
     Length(u64),
-    Chunks(Chunks),
+    ChunkedDecoder(ChunkedDecoder),
     /// The bytes could not be followed: nothing is said of any later head.
-    Lost,
+    FramingLost,
 }
 
 /// The requests on one connection.
 #[derive(Debug)]
-pub struct Requests {
+pub struct RequestFraming {
     part: Part,
     line: Vec<u8>,
     lines: usize,
-    stated: Stated,
-    heads: std::collections::VecDeque<Stated>,
+    stated: DeclaredBody,
+    heads: std::collections::VecDeque<DeclaredBody>,
     ended: u64,
 }
 
-impl Default for Requests {
+impl Default for RequestFraming {
     fn default() -> Self {
-        Requests {
+        RequestFraming {
             part: Part::Head,
             line: Vec::new(),
             lines: 0,
-            stated: Stated::default(),
+            stated: DeclaredBody::default(),
             heads: Default::default(),
             ended: 0,
         }
     }
 }
 
-impl Requests {
+impl RequestFraming {
     /// Reads on, to the end of a request at most. Tells how many bytes belong to it.
     pub fn feed(&mut self, all: &[u8]) -> usize {
         let (mut bytes, ended) = (all, self.ended);
         while !bytes.is_empty() && self.ended == ended {
             let read = match &mut self.part {
-                Part::Lost => return all.len(),
+                Part::FramingLost => return all.len(),
                 Part::Length(left) => {
                     let piece = usize::try_from(*left)
                         .unwrap_or(usize::MAX)
@@ -305,7 +305,7 @@
                     }
                     Ok(piece)
                 }
-                Part::Chunks(chunks) => {
+                Part::ChunkedDecoder(chunks) => {
                     let read = chunks.feed(bytes, |_| {});
                     if chunks.ended() {
                         (self.part, self.ended) = (Part::Head, self.ended + 1);
@@ -316,7 +316,7 @@
             };
             match read {
                 Ok(read) => bytes = &bytes[read..],
-                Err(Lost) => {
+                Err(FramingLost) => {
                     self.stop();
                     return all.len();
                 }
@@ -325,28 +325,28 @@
         all.len() - bytes.len()
     }
 
-    /// Requests that have come whole.
+    /// RequestFraming that have come whole.
     pub fn ended(&self) -> u64 {
         self.ended
     }
 
     /// What comes from now on is no request, or can't be followed.
     pub fn stop(&mut self) {
-        self.part = Part::Lost;
+        self.part = Part::FramingLost;
         self.line = Vec::new();
     }
 
     /// What the next head states, in their order. `None`: it can't be told.
-    pub fn next_head(&mut self) -> Option<Stated> {
+    pub fn next_head(&mut self) -> Option<DeclaredBody> {
         self.heads.pop_front()
     }
 
     /// Reads up to a line's end, and the line.
-    fn head(&mut self, bytes: &[u8]) -> Result<usize, Lost> {
+    fn head(&mut self, bytes: &[u8]) -> Result<usize, FramingLost> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let read = end.map_or(bytes.len(), |end| end + 1);
         if self.line.len() + read > LONGEST_LINE {
-            return Err(Lost);
+            return Err(FramingLost);
         }
         self.line.extend_from_slice(&bytes[..read]);
         if end.is_some() {
@@ -357,7 +357,7 @@
         Ok(read)
     }
 
-    fn end_line(&mut self, line: &[u8]) -> Result<(), Lost> {
+    fn end_line(&mut self, line: &[u8]) -> Result<(), FramingLost> {
         if !line.is_empty() {
             self.lines += 1;
             return if self.lines == 1 {
@@ -373,12 +373,12 @@
         self.lines = 0;
         let stated = std::mem::take(&mut self.stated);
         if self.heads.len() >= MOST_HEADS || stated.coded && !stated.chunked {
-            return Err(Lost);
+            return Err(FramingLost);
         }
         self.heads.push_back(stated);
         self.part = match stated {
-            Stated { chunked: true, .. } => Part::Chunks(Chunks::default()),
-            Stated {
+            DeclaredBody { chunked: true, .. } => Part::ChunkedDecoder(ChunkedDecoder::default()),
+            DeclaredBody {
                 length: Some(length),
                 ..
             } if length > 0 => Part::Length(length),
@@ -390,7 +390,7 @@
         Ok(())
     }
 
-    fn field(&mut self, line: &[u8]) -> Result<(), Lost> {
+    fn field(&mut self, line: &[u8]) -> Result<(), FramingLost> {
         let line = std::str::from_utf8(line).unwrap_or("");
         let Some((name, value)) = line.split_once(':') else {
             return Ok(());
@@ -398,9 +398,9 @@
         let (name, value) = (name.trim(), value.trim());
         if name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-            let length = value.parse().ok().filter(|_| digits).ok_or(Lost)?;
+            let length = value.parse().ok().filter(|_| digits).ok_or(FramingLost)?;
             if self.stated.length.is_some_and(|other| other != length) {
-                return Err(Lost);
+                return Err(FramingLost);
             }
             self.stated.length = Some(length);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -1,56 +1,56 @@
 //! What the core notes for a recording, in the recording's terms. It holds no file: whoever owns the core takes the notes.
 
-use crate::config::{Names, Site};
-use crate::routing::api::{Ask, Entry, Role, ServerId, State, Status, Time};
-use quartzhall_recording::{Answer, Key, Record, Sort, Table};
+use crate::config::{NameTable, Deployment};
+use crate::routing::api::{RequestMetadata, EndpointRecord, Role, EndpointId, EndpointStatus, AttemptStatus, Time};
+use quartzhall_recording::{RecordedOutcome, Key, Record, DigestKind, Table};
 use std::collections::HashSet;
 use std::sync::Arc;
 
 /// The notes that nobody has taken yet.
-pub struct Notes {
+pub struct TraceRecorder {
     key: Key,
     notes: Vec<Record>,
-    nodes: HashSet<ServerId>,
+    nodes: HashSet<EndpointId>,
 }
 
 fn tokens(tokens: f64) -> u32 {
     tokens.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-fn role(role: Role) -> quartzhall_recording::Role {
+fn role(role: Role) -> quartzhall_recording::RecordedRole {
     match role {
-        Role::Reader => quartzhall_recording::Role::Reader,
-        Role::Writer => quartzhall_recording::Role::Writer,
-        Role::Both => quartzhall_recording::Role::Both,
+        Role::Prefill => quartzhall_recording::RecordedRole::Prefill,
+        Role::Decode => quartzhall_recording::RecordedRole::Decode,
+        Role::Mixed => quartzhall_recording::RecordedRole::Mixed,
     }
 }
 
-fn status(status: Status) -> quartzhall_recording::Status {
-    use quartzhall_recording::Status as Noted;
+fn status(status: AttemptStatus) -> quartzhall_recording::RecordedStatus {
+    use quartzhall_recording::RecordedStatus;
     match status {
-        Status::Ok => Noted::Ok,
-        Status::Read => Noted::Read,
-        Status::Error => Noted::Error,
-        Status::Full => Noted::Full,
-        Status::Timeout => Noted::Timeout,
-        Status::ConnectFailed => Noted::ConnectFailed,
-        Status::Reset => Noted::Reset,
-        Status::Stale => Noted::Stale,
-        Status::Cancelled => Noted::Cancelled,
-        Status::Moot => Noted::Moot,
-        Status::Rejected => Noted::Rejected,
+        AttemptStatus::Served => RecordedStatus::Served,
+        AttemptStatus::PrefillDone => RecordedStatus::PrefillDone,
+        AttemptStatus::Error => RecordedStatus::Error,
+        AttemptStatus::Overloaded => RecordedStatus::Overloaded,
+        AttemptStatus::Timeout => RecordedStatus::Timeout,
+        AttemptStatus::ConnectFailed => RecordedStatus::ConnectFailed,
+        AttemptStatus::Reset => RecordedStatus::Reset,
+        AttemptStatus::StaleConnection => RecordedStatus::StaleConnection,
+        AttemptStatus::Cancelled => RecordedStatus::Cancelled,
+        AttemptStatus::NotSent => RecordedStatus::NotSent,
+        AttemptStatus::InvalidRequest => RecordedStatus::InvalidRequest,
     }
 }
 
-impl Notes {
-    /// Notes of a dispatcher, from now on.
-    pub fn new(key: Key, at: Time, dispatcher: &str, site: &Site) -> Notes {
+impl TraceRecorder {
+    /// TraceRecorder of a dispatcher, from now on.
+    pub fn new(key: Key, at: Time, dispatcher: &str, site: &Deployment) -> TraceRecorder {
         let start = Record::Start {
             at,
             dispatcher: dispatcher.into(),
             dispatchers: site.settings.balancers,
         };
-        let mut notes = Notes {
+        let mut notes = TraceRecorder {
             key,
             notes: vec![start],
             nodes: HashSet::new(),
@@ -60,7 +60,7 @@
     }
 
     /// The numbers of classes and tenants mean this from now on.
-    pub fn settings(&mut self, site: &Site) {
+    pub fn settings(&mut self, site: &Deployment) {
         for (table, names) in [
             (Table::Class, &site.classes),
             (Table::Tenant, &site.tenants),
@@ -70,12 +70,12 @@
                 number,
                 name: name.clone(),
             };
-            self.notes.extend(Names::pairs(names).map(named));
+            self.notes.extend(NameTable::pairs(names).map(named));
         }
     }
 
     /// A node is as told here.
-    pub fn node(&mut self, at: Time, name: &Arc<str>, entry: &Entry) {
+    pub fn node(&mut self, at: Time, name: &Arc<str>, entry: &EndpointRecord) {
         let node = entry.server;
         if self.nodes.insert(node) {
             self.notes.push(Record::Name {
@@ -84,7 +84,7 @@
                 name: name.to_string(),
             });
         }
-        let ready = entry.state == State::Ready;
+        let ready = entry.state == EndpointStatus::Ready;
         let started = entry.started.unwrap_or(0);
         self.notes.push(Record::Node {
             at,
@@ -97,12 +97,12 @@
     }
 
     /// A node is gone; its number is not used again.
-    pub fn node_gone(&mut self, node: ServerId) {
+    pub fn node_gone(&mut self, node: EndpointId) {
         self.nodes.remove(&node);
     }
 
     /// A request has come.
-    pub fn arrival(&mut self, at: Time, ask: &Ask) {
+    pub fn arrival(&mut self, at: Time, ask: &RequestMetadata) {
         let digest =
             |sort, name: Option<u64>| name.map(|name| self.key.digest(sort, &name.to_le_bytes()));
         self.notes.push(Record::Arrival {
@@ -110,8 +110,8 @@
             request: ask.id,
             class: ask.class as u32,
             tenant: ask.tenant.map(|tenant| tenant as u32),
-            session: digest(Sort::Session, ask.session),
-            opening: digest(Sort::Opening, ask.prefix),
+            session: digest(DigestKind::Session, ask.session),
+            opening: digest(DigestKind::Opening, ask.prefix),
             prompt: tokens(ask.prompt),
             prefix: tokens(ask.prefix_tokens),
             most: tokens(ask.max_tokens),
@@ -120,7 +120,7 @@
     }
 
     /// An attempt has been sent.
-    pub fn sent(&mut self, at: Time, request: u64, attempt: u32, node: ServerId) {
+    pub fn sent(&mut self, at: Time, request: u64, attempt: u32, node: EndpointId) {
         self.notes.push(Record::Sent {
             at,
             request,
@@ -144,7 +144,7 @@
         at: Time,
         request: u64,
         attempt: u32,
-        how: Status,
+        how: AttemptStatus,
         kept: f64,
         written: f64,
     ) {
@@ -160,7 +160,7 @@
     }
 
     /// A request is over.
-    pub fn over(&mut self, at: Time, request: u64, answer: Answer) {
+    pub fn over(&mut self, at: Time, request: u64, answer: RecordedOutcome) {
         self.notes.push(Record::Final {
             at,
             request,
--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -8,25 +8,25 @@
 /// The caller's number for one try of a client.
 pub type RequestId = u64;
 /// The caller's number for a server.
-pub type ServerId = u32;
+pub type EndpointId = u32;
 
 /// What a kind of server does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Reads prompts and keeps the read state until a writer takes it.
     #[default]
-    Reader,
+    Prefill,
     /// Takes a read state and streams the answer.
-    Writer,
+    Decode,
     /// Does either, or both for the same request.
-    Both,
+    Mixed,
 }
 
 /// The servers that drop repeats of one keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All servers together.
-    All,
+    AllEndpoints,
     /// Those of the zone where it was sent first.
     Zone,
     /// Those of the cell where it was sent first.
@@ -35,23 +35,23 @@
 
 /// What a repeat of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// A repeat is harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside `group` for `window` after the first send.
-    Keyed {
+    IdempotencyKey {
         /// Who drops repeats.
-        group: Group,
+        group: DeduplicationScope,
         /// For how long.
         window: Time,
     },
     /// A repeat does harm.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// The first token is wanted within this time.
     pub aim: Time,
     /// Added to the aim for each 1,000 prompt tokens.
@@ -61,7 +61,7 @@
     /// Worth of a request answered in time.
     pub worth: f64,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// New requests may be of it; else only some that are under way are.
     pub open: bool,
 }
@@ -75,30 +75,30 @@
 
 /// How servers tell their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// With outcomes and with answers to probes.
-    WithAnswers,
+    WithResponses,
     /// With answers to probes only.
-    WhenProbed,
+    WithProbes,
     /// Never.
     Never,
 }
 
 /// What a router is told when it starts.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct RoutingSettings {
     /// Routers that share the servers.
     pub balancers: u32,
     /// This router's zone.
     pub zone: u32,
     /// Classes, by number.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Tenants, by number; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of traffic over a tenant's share, as a part of its class's worth.
     pub over_share_worth: f64,
     /// How load is reported.
-    pub reports: Reports,
+    pub reports: LoadReporting,
     /// The list of servers has to be asked for.
     pub must_watch: bool,
     /// Probes are allowed.
@@ -135,21 +135,21 @@
 
 /// Whether a server of the list takes work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointStatus {
     /// Takes work.
     #[default]
     Ready,
     /// Ends what it has.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of servers.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct EndpointRecord {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// The same number for this server at every router, and for no other.
     pub key: u64,
     /// What it does.
@@ -161,14 +161,14 @@
     /// Its cell.
     pub cell: u32,
     /// Whether it takes work.
-    pub state: State,
+    pub state: EndpointStatus,
     /// When it last started; `None`: long ago.
     pub started: Option<Time>,
 }
 
 /// A load report; every value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// Requests that wait.
@@ -181,7 +181,7 @@
 
 /// A request as it arrives.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestMetadata {
     /// Its number.
     pub id: RequestId,
     /// Its class.
@@ -206,15 +206,15 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     /// Served.
-    Ok,
+    Served,
     /// The prompt is read; its state waits at the reader.
-    Read,
+    PrefillDone,
     /// An error answer; it may have run.
     Error,
     /// Turned away; it did not run.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; it did not run.
@@ -223,28 +223,28 @@
     Reset,
     /// A kept connection broke before anything came back: as like as not it was closed while it stood idle, which
     /// tells nothing of the server; it may have run.
-    Stale,
+    StaleConnection,
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Turned away because the request itself is bad, as it would be anywhere; it did not run.
-    Rejected,
+    InvalidRequest,
 }
 
 /// Why a router gives a request up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum GiveUp {
+pub enum FailureReason {
     /// Nothing is likely to serve it in time, and load is above usual.
     Overload,
     /// Its read state may be held no longer.
-    StateHeldTooLong,
+    KvStateExpired,
     /// No further attempt is allowed.
-    NoAttemptLeft,
+    AttemptsExhausted,
     /// Its time, or the router's own, is up.
-    OutOfTime,
+    DeadlineExceeded,
     /// It may have run and must not run twice.
-    MustNotRepeat,
+    NotRepeatable,
     /// Its class is not known.
     UnknownClass,
 }
@@ -253,66 +253,66 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of servers, whole or what changed in it.
-    Members {
+    EndpointsChanged {
         /// Servers that are absent are gone.
         complete: bool,
         /// Its lines.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointRecord>,
     },
     /// What it was told at its start has changed. A class's number means what it meant while it is in use.
-    Settings(Settings),
+    SettingsChanged(RoutingSettings),
     /// This router ends soon: every request needs its final answer by then.
-    EndBy(Time),
+    ShutdownDeadline(Time),
     /// A call for the list failed, or the subscription broke.
-    ListFailed,
+    EndpointListFailed,
     /// A client's request.
-    Request(Ask),
+    RequestArrived(RequestMetadata),
     /// The answer of an attempt has begun.
-    First {
+    FirstEvent {
         /// The request.
         id: RequestId,
         /// Which of its attempts, from 0.
         attempt: u32,
     },
     /// An attempt has ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Which of its attempts, from 0.
         attempt: u32,
         /// The server.
-        server: ServerId,
+        server: EndpointId,
         /// How it ended.
-        status: Status,
+        status: AttemptStatus,
         /// The request is over, by this or before it.
         closed: bool,
         /// Prompt tokens found kept (`Ok`, `Read`); 1 with `Full` where no state was there.
         note: f64,
         /// The server's load, where it was told.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// The client has left.
-    Gone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A time that was asked for by [`Action::Wake`] has come.
-    Wake,
+    /// A time that was asked for by [`Action::SetTimer`] has come.
+    TimerFired,
     /// What another router has told of a server.
-    Heard {
+    PeerLoadReport {
         /// The server.
-        server: ServerId,
+        server: EndpointId,
         /// Its load; without one, an attempt there has failed.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A probe's answer.
-    Probed {
+    ProbeCompleted {
         /// The server.
-        server: ServerId,
+        server: EndpointId,
         /// It answered.
         ok: bool,
         /// Its load, where it was told.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
 }
 
@@ -320,52 +320,52 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt; a request's attempts count from 0.
-    Send {
+    StartAttempt {
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        server: EndpointId,
         /// The attempt's time-out.
         timeout: Time,
     },
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
     },
     /// Final answer: nothing was done, and trying again is harmless.
-    Refuse {
+    Shed {
         /// The request.
         id: RequestId,
         /// Advice on when to come back; 0: none.
         retry_after: Time,
         /// Why.
-        why: GiveUp,
+        why: FailureReason,
     },
     /// Final answer that promises nothing.
     Fail {
         /// The request.
         id: RequestId,
         /// Why.
-        why: GiveUp,
+        why: FailureReason,
     },
     /// Let go of every state that is held for the request.
-    Release {
+    ReleaseReservation {
         /// The request.
         id: RequestId,
     },
-    /// Ask for [`Event::Wake`] at this time.
-    Wake {
+    /// RequestMetadata for [`Event::TimerFired`] at this time.
+    SetTimer {
         /// When.
         at: Time,
     },
-    /// Ask a server for its load.
+    /// RequestMetadata a server for its load.
     Probe {
         /// The server.
-        server: ServerId,
+        server: EndpointId,
     },
     /// Subscribe to changes of the list of servers.
-    Watch,
+    WatchEndpoints,
 }
--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -7,7 +7,7 @@
 //!
 //! The index follows each change of the list of servers. `docs/candidates.md` has the reasons and the figures.
 
-use crate::routing::api::{Entry, Role, ServerId, State, Time};
+use crate::routing::api::{EndpointRecord, Role, EndpointId, EndpointStatus, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,7 +46,7 @@
 
 /// A server that takes work, as the index knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct IndexedEndpoint {
     /// What it does.
     pub role: Role,
     /// Its zone.
@@ -69,23 +69,23 @@
     }
 }
 
-impl Listing {
+impl IndexedEndpoint {
     fn is_of(&self, side: Side) -> bool {
         self.role
             != if side == Side::Read {
-                Role::Writer
+                Role::Decode
             } else {
-                Role::Reader
+                Role::Prefill
             }
     }
 }
 
 /// Servers in an order that is the same at every dispatcher: by a hash of their keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Ring(Vec<(u64, ServerId)>);
+struct Ring(Vec<(u64, EndpointId)>);
 
 impl Ring {
-    fn set(&mut self, key: u64, server: ServerId, listed: bool) {
+    fn set(&mut self, key: u64, server: EndpointId, listed: bool) {
         let place = (point(key), server);
         match (self.0.binary_search(&place), listed) {
             (Err(at), true) => self.0.insert(at, place),
@@ -99,18 +99,18 @@
     }
 
     /// So many servers in a row, from the first one behind a point on.
-    fn window(&self, from: u64, count: usize) -> impl Iterator<Item = ServerId> + '_ {
+    fn window(&self, from: u64, count: usize) -> impl Iterator<Item = EndpointId> + '_ {
         let first = self.0.partition_point(|(at, _)| *at < from);
         self.run(first, count)
     }
 
-    fn run(&self, first: usize, count: usize) -> impl Iterator<Item = ServerId> + '_ {
+    fn run(&self, first: usize, count: usize) -> impl Iterator<Item = EndpointId> + '_ {
         let count = count.min(self.len());
         (first..first + count).map(|at| self.0[at % self.len()].1)
     }
 
     /// About so many servers, drawn evenly; a larger sample of the same seed holds the smaller ones.
-    fn sample(&self, seed: u64, count: usize) -> Vec<ServerId> {
+    fn sample(&self, seed: u64, count: usize) -> Vec<EndpointId> {
         if count >= self.len() {
             return self.run(0, count).collect();
         }
@@ -123,15 +123,15 @@
 
 /// The servers of one side.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Group {
+struct RolePool {
     all: Ring,
     cold: Ring,
     zones: BTreeMap<u32, Ring>,
     cells: BTreeMap<u32, Ring>,
 }
 
-impl Group {
-    fn set(&mut self, server: ServerId, listing: &Listing, listed: bool) {
+impl RolePool {
+    fn set(&mut self, server: EndpointId, listing: &IndexedEndpoint, listed: bool) {
         self.all.set(listing.key, server, listed);
         for (rings, at) in [
             (&mut self.zones, listing.zone),
@@ -148,7 +148,7 @@
 
 /// What a look is for.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct CandidateQuery {
     /// The dispatcher's zone.
     pub zone: u32,
     /// Settles the draws: one number for each request.
@@ -157,7 +157,7 @@
     pub widened: u32,
 }
 
-impl Look {
+impl CandidateQuery {
     fn of(&self, count: usize) -> usize {
         count.saturating_mul(WIDEN.saturating_pow(self.widened))
     }
@@ -165,35 +165,35 @@
 
 /// The index. Two that were told the same list are equal, whatever came before.
 #[derive(Clone, Debug)]
-pub struct Candidates {
+pub struct CandidateIndex {
     now: Time,
     whole: usize,
-    listings: BTreeMap<ServerId, Listing>,
-    read: Group,
-    write: Group,
-    warming: BTreeSet<(Time, ServerId)>,
+    listings: BTreeMap<EndpointId, IndexedEndpoint>,
+    read: RolePool,
+    write: RolePool,
+    warming: BTreeSet<(Time, EndpointId)>,
 }
 
-impl Default for Candidates {
+impl Default for CandidateIndex {
     fn default() -> Self {
-        Candidates {
+        CandidateIndex {
             now: 0,
             whole: WHOLE,
             listings: BTreeMap::new(),
-            read: Group::default(),
-            write: Group::default(),
+            read: RolePool::default(),
+            write: RolePool::default(),
             warming: BTreeSet::new(),
         }
     }
 }
 
-impl Candidates {
+impl CandidateIndex {
     /// From now on all are looked at in fleets of up to so many servers.
     pub fn look_at_all_up_to(&mut self, servers: usize) {
         self.whole = servers;
     }
 
-    fn group(&self, side: Side) -> &Group {
+    fn group(&self, side: Side) -> &RolePool {
         match side {
             Side::Read => &self.read,
             Side::Write => &self.write,
@@ -201,8 +201,8 @@
     }
 
     /// A server is as this line of the list says; it is warm so long after its start.
-    pub fn list(&mut self, now: Time, entry: &Entry, warm_within: Time) {
-        let Entry {
+    pub fn list(&mut self, now: Time, entry: &EndpointRecord, warm_within: Time) {
+        let EndpointRecord {
             server,
             role,
             zone,
@@ -212,7 +212,7 @@
             ..
         } = *entry;
         let warm_at = started.map_or(0, |it| it.saturating_add(warm_within.max(1)));
-        let listing = Listing {
+        let listing = IndexedEndpoint {
             role,
             zone,
             cell,
@@ -222,12 +222,12 @@
         self.set(
             now,
             server,
-            (entry.state == State::Ready).then_some(listing),
+            (entry.state == EndpointStatus::Ready).then_some(listing),
         );
     }
 
     /// A server takes work and is as listed, or takes none.
-    fn set(&mut self, now: Time, server: ServerId, listing: Option<Listing>) {
+    fn set(&mut self, now: Time, server: EndpointId, listing: Option<IndexedEndpoint>) {
         if self.listings.get(&server) == listing.as_ref() {
             return;
         }
@@ -245,7 +245,7 @@
         self.listings.insert(server, new);
     }
 
-    fn set_in_groups(&mut self, server: ServerId, listing: &Listing, listed: bool) {
+    fn set_in_groups(&mut self, server: EndpointId, listing: &IndexedEndpoint, listed: bool) {
         for (side, group) in [(Side::Read, &mut self.read), (Side::Write, &mut self.write)] {
             if listing.is_of(side) {
                 group.set(server, listing, listed);
@@ -253,7 +253,7 @@
         }
     }
 
-    fn set_cold(&mut self, server: ServerId, listing: &Listing, cold: bool) {
+    fn set_cold(&mut self, server: EndpointId, listing: &IndexedEndpoint, cold: bool) {
         for (side, group) in [(Side::Read, &mut self.read), (Side::Write, &mut self.write)] {
             if listing.is_of(side) {
                 group.cold.set(listing.key, server, cold);
@@ -289,7 +289,7 @@
     }
 
     /// Whether a look of this kind has all servers.
-    pub fn is_whole(&self, side: Side, look: &Look) -> bool {
+    pub fn is_whole(&self, side: Side, look: &CandidateQuery) -> bool {
         let drawn = look.of(READERS_NEAR.min(WRITERS_NEAR));
         self.listings.len() <= self.whole || drawn >= self.group(side).all.len()
     }
@@ -300,13 +300,13 @@
     /// readers has further homes in the others.
     pub fn homes(
         &self,
-        look: &Look,
+        look: &CandidateQuery,
         prefix: Option<u64>,
         session: Option<u64>,
         share: f64,
-        warm: impl Fn(ServerId) -> f64,
-    ) -> (Vec<ServerId>, Option<ServerId>) {
-        let rank = |text, server: &ServerId| {
+        warm: impl Fn(EndpointId) -> f64,
+    ) -> (Vec<EndpointId>, Option<EndpointId>) {
+        let rank = |text, server: &EndpointId| {
             let Some(listing) = self.listings.get(server) else {
                 return 0;
             };
@@ -327,7 +327,7 @@
             far = self.far_home_pool(look, prefix.or(session));
         }
         if let Some(prefix) = prefix {
-            let best_first = |pool: &mut Vec<ServerId>| {
+            let best_first = |pool: &mut Vec<EndpointId>| {
                 pool.sort_by_cached_key(|server| Reverse(rank(prefix, server)));
             };
             [&mut homes, &mut far].into_iter().for_each(best_first);
@@ -345,11 +345,11 @@
     /// the same ones, but for a text with very many homes: each conversation has its own part of those.
     fn home_pool(
         &self,
-        look: &Look,
+        look: &CandidateQuery,
         text: Option<u64>,
         session: Option<u64>,
         wanted: usize,
-    ) -> Vec<ServerId> {
+    ) -> Vec<EndpointId> {
         if self.listings.len() <= self.whole {
             return self.all(Side::Read, |it| it.zone == look.zone);
         }
@@ -359,7 +359,7 @@
         if wanted <= HOMES_MOST {
             return ring.window(point(text), HOME_WINDOW).collect();
         }
-        let homes: Vec<ServerId> = ring.window(point(text), wanted).collect();
+        let homes: Vec<EndpointId> = ring.window(point(text), wanted).collect();
         let draw = |number| mix(session.unwrap_or(look.seed), number) % homes.len().max(1) as u64;
         let drawn: BTreeSet<u64> = (0..HOMES_MOST as u64).map(draw).collect();
         drawn
@@ -369,12 +369,12 @@
     }
 
     /// The same among readers of other zones.
-    fn far_home_pool(&self, look: &Look, text: Option<u64>) -> Vec<ServerId> {
+    fn far_home_pool(&self, look: &CandidateQuery, text: Option<u64>) -> Vec<EndpointId> {
         if self.listings.len() <= self.whole {
             return self.all(Side::Read, |it| it.zone != look.zone);
         }
         let Some(text) = text else { return Vec::new() };
-        let is_far = |server: &ServerId| {
+        let is_far = |server: &EndpointId| {
             self.listings
                 .get(server)
                 .is_some_and(|it| it.zone != look.zone)
@@ -388,7 +388,7 @@
 
     /// What a lot of a request at a cold server is to be multiplied by, so that each cold server is sent as much as if
     /// every request drew a lot at every one: a request draws lots only at a few of them.
-    pub fn lot_factor(&self, side: Side, look: &Look, server: ServerId) -> f64 {
+    pub fn lot_factor(&self, side: Side, look: &CandidateQuery, server: EndpointId) -> f64 {
         let group = self.group(side);
         let count = group.cold.len();
         if self.listings.len() <= self.whole || count <= COLD {
@@ -408,8 +408,8 @@
         }
     }
 
-    /// Candidates for a read: those that are likely to keep its texts, and some that are drawn. In order, each once.
-    pub fn readers(&self, look: &Look, mut likely: BTreeSet<ServerId>) -> Vec<ServerId> {
+    /// CandidateIndex for a read: those that are likely to keep its texts, and some that are drawn. In order, each once.
+    pub fn readers(&self, look: &CandidateQuery, mut likely: BTreeSet<EndpointId>) -> Vec<EndpointId> {
         if self.is_whole(Side::Read, look) {
             return self.all(Side::Read, |_| true);
         }
@@ -417,8 +417,8 @@
         likely.into_iter().collect()
     }
 
-    /// Candidates for a write where the state is in one of these cells. In order, each once.
-    pub fn writers(&self, look: &Look, cells: &BTreeSet<u32>) -> Vec<ServerId> {
+    /// CandidateIndex for a write where the state is in one of these cells. In order, each once.
+    pub fn writers(&self, look: &CandidateQuery, cells: &BTreeSet<u32>) -> Vec<EndpointId> {
         if self.is_whole(Side::Write, look) {
             return self.all(Side::Write, |_| true);
         }
@@ -429,20 +429,20 @@
     }
 
     /// Servers that are drawn: from the own zone, from all, and cold ones at which a lot may be drawn.
-    fn drawn(&self, side: Side, look: &Look, near: usize, anywhere: usize) -> BTreeSet<ServerId> {
+    fn drawn(&self, side: Side, look: &CandidateQuery, near: usize, anywhere: usize) -> BTreeSet<EndpointId> {
         let group = self.group(side);
         let near = group
             .zones
             .get(&look.zone)
             .map(|ring| ring.sample(look.seed, look.of(near)));
-        let mut found: BTreeSet<ServerId> = near.into_iter().flatten().collect();
+        let mut found: BTreeSet<EndpointId> = near.into_iter().flatten().collect();
         found.extend(group.all.sample(mix(look.seed, 0), look.of(anywhere)));
         found.extend(group.cold.run(cold_start(group, look.seed), COLD));
         found
     }
 
     /// All servers of a side of which this holds, in order.
-    fn all(&self, side: Side, holds: impl Fn(&Listing) -> bool) -> Vec<ServerId> {
+    fn all(&self, side: Side, holds: impl Fn(&IndexedEndpoint) -> bool) -> Vec<EndpointId> {
         let all = self
             .listings
             .iter()
@@ -452,7 +452,7 @@
 }
 
 /// The place in the order of cold servers at which a request's lots begin.
-fn cold_start(group: &Group, seed: u64) -> usize {
+fn cold_start(group: &RolePool, seed: u64) -> usize {
     (mix(seed, u64::MAX) % group.cold.len().max(1) as u64) as usize
 }
 
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -3,7 +3,7 @@
 //! Entries age, and each server has a bounded number of them. The table is held both ways, by server and by text, so that
 //! the servers that keep a text are found without looking at all.
 
-use crate::routing::api::{Ask, ServerId, Time};
+use crate::routing::api::{RequestMetadata, EndpointId, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// Servers that are told of for one text.
@@ -21,22 +21,22 @@
 
 /// The table.
 #[derive(Default)]
-pub struct Prefixes {
-    by_server: BTreeMap<ServerId, BTreeMap<u64, Kept>>,
-    by_text: HashMap<u64, BTreeSet<ServerId>>,
+pub struct PrefixCacheIndex {
+    by_server: BTreeMap<EndpointId, BTreeMap<u64, Kept>>,
+    by_text: HashMap<u64, BTreeSet<EndpointId>>,
     recent: VecDeque<u64>, // shared texts of the last requests
 }
 
-impl Prefixes {
+impl PrefixCacheIndex {
     /// A request has arrived.
-    pub fn arrived(&mut self, ask: &Ask) {
+    pub fn arrived(&mut self, ask: &RequestMetadata) {
         self.recent.push_back(ask.prefix.unwrap_or(0));
         self.recent
             .drain(..self.recent.len().saturating_sub(RECENT));
     }
 
     /// The part of recent requests that begin with the same shared text.
-    pub fn share(&self, ask: &Ask) -> f64 {
+    pub fn share(&self, ask: &RequestMetadata) -> f64 {
         let same = |prefix| {
             self.recent
                 .iter()
@@ -46,19 +46,19 @@
         ask.prefix.map_or(0, same) as f64 / RECENT as f64
     }
 
-    fn tokens(&self, text: Option<u64>, server: ServerId) -> f64 {
+    fn tokens(&self, text: Option<u64>, server: EndpointId) -> f64 {
         let kept = text.and_then(|text| self.by_server.get(&server)?.get(&text));
         kept.map_or(0.0, |kept| kept.tokens)
     }
 
     /// Tokens of a request's prompt that a server is known to keep.
-    pub fn kept(&self, ask: &Ask, server: ServerId) -> f64 {
+    pub fn kept(&self, ask: &RequestMetadata, server: EndpointId) -> f64 {
         let shared = self.tokens(ask.prefix, server).min(ask.prefix_tokens);
         self.tokens(ask.session, server).max(shared).min(ask.prompt)
     }
 
     /// Some servers that keep a request's texts; of a text that many keep, others for each seed.
-    pub fn holders(&self, ask: &Ask, seed: u64) -> BTreeSet<ServerId> {
+    pub fn holders(&self, ask: &RequestMetadata, seed: u64) -> BTreeSet<EndpointId> {
         let mut found = BTreeSet::new();
         for holders in [ask.session, ask.prefix]
             .iter()
@@ -79,7 +79,7 @@
 
     /// A server has read a request. No more tokens that are in no shared text are noted than `room`, where that is told:
     /// a full server lets the oldest go.
-    pub fn note(&mut self, now: Time, server: ServerId, room: f64, ask: &Ask) {
+    pub fn note(&mut self, now: Time, server: EndpointId, room: f64, ask: &RequestMetadata) {
         let shared = if ask.prefix.is_some() {
             ask.prefix_tokens
         } else {
@@ -129,7 +129,7 @@
     }
 
     /// A server has gone, or has started anew.
-    pub fn forget_server(&mut self, server: ServerId) {
+    pub fn forget_server(&mut self, server: EndpointId) {
         for text in self
             .by_server
             .remove(&server)
@@ -141,7 +141,7 @@
     }
 }
 
-fn forget_holder(by_text: &mut HashMap<u64, BTreeSet<ServerId>>, text: u64, server: ServerId) {
+fn forget_holder(by_text: &mut HashMap<u64, BTreeSet<EndpointId>>, text: u64, server: EndpointId) {
     let Some(holders) = by_text.get_mut(&text) else {
         return;
     };
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -11,9 +11,9 @@
 mod tracked_endpoint;
 
 use crate::routing::api::*;
-use crate::routing::candidate_index::{mix, Candidates, Side};
-use crate::routing::prefix_cache_index::Prefixes;
-use crate::routing::token_bucket::Quota;
+use crate::routing::candidate_index::{mix, CandidateIndex, Side};
+use crate::routing::prefix_cache_index::PrefixCacheIndex;
+use crate::routing::token_bucket::TokenBucket;
 use latency_model::{Inputs, Model, COVARIANCE};
 use nalgebra::SMatrix;
 use prefill::HOME_MATCH;
@@ -21,7 +21,7 @@
 use rand_pcg::Pcg32;
 use selection::Choice;
 use std::collections::{BTreeMap, BTreeSet};
-use tracked_endpoint::{add, Counts, Server, REQUESTS};
+use tracked_endpoint::{add, Counts, TrackedEndpoint, REQUESTS};
 
 // Tuned values: parts and multiples of aims, rules and observed times, none of them a site's figure.
 const REFIT: Time = 1_000_000; // failures fade, lots are drawn
@@ -45,7 +45,7 @@
 }
 
 /// The least of an aim over the classes that are in use.
-fn least(settings: &Settings, of: fn(&Class) -> Time) -> Time {
+fn least(settings: &RoutingSettings, of: fn(&RequestClass) -> Time) -> Time {
     settings
         .classes
         .iter()
@@ -65,7 +65,7 @@
     #[default]
     Read,
     Write,
-    Whole,
+    MigratingStream,
 }
 
 // The place of each side's model, its counts and its work; last the pace's model.
@@ -96,14 +96,14 @@
 
 #[derive(Default)]
 struct Request {
-    ask: Ask,
+    ask: RequestMetadata,
     end_at: Time, // the last moment for a final answer: a little before the client's time is up
     aim: f64,     // seconds that its class has for the first token
     aim_at: Time,
     worth: f64,
-    homes: BTreeMap<ServerId, f64>, // readers that are presumed to keep some of its prompt, and how much
+    homes: BTreeMap<EndpointId, f64>, // readers that are presumed to keep some of its prompt, and how much
     attempts: Vec<Attempt>,
-    state_at: Option<ServerId>, // the reader that holds its state, and since when no attempt was out
+    state_at: Option<EndpointId>, // the reader that holds its state, and since when no attempt was out
     held_since: Time,
     answered: bool,
     begun: bool,
@@ -120,16 +120,16 @@
     }
 }
 
-/// The decisions of one router. Tell it [`Event::Wake`] after `new`, and at each time that it asks for.
+/// The decisions of one router. Tell it [`Event::TimerFired`] after `new`, and at each time that it asks for.
 pub struct Router {
-    settings: Settings,
+    settings: RoutingSettings,
     share: f64, // routers that share the servers
     rng: Pcg32,
     now: Time,
     out: Vec<Action>,
-    servers: BTreeMap<ServerId, Server>,
-    candidates: Candidates,
-    prefixes: Prefixes,
+    servers: BTreeMap<EndpointId, TrackedEndpoint>,
+    candidates: CandidateIndex,
+    prefixes: PrefixCacheIndex,
     requests: BTreeMap<RequestId, Request>,
     due: BTreeSet<(Time, RequestId)>,
     models: [Model; 3], // time to 'read' at readers, wait for the first token at writers, time per token
@@ -142,14 +142,14 @@
     spare: f64,              // second copies and moves that may be made
     home_match: Vec<f64>, // per class: part of a prompt that its session's home was found to keep
     usual_load: [Counts; 2], // told by servers that write, and by readers
-    quotas: Vec<Quota>,   // per tenant: this router's part
+    quotas: Vec<TokenBucket>,   // per tenant: this router's part
     flow: [[f64; 2]; 3],  // by side, fading at each refit: FINISHED, BORNE, STARTED
     salt: u64,
 }
 
 impl Router {
     /// A router as it starts: it knows nothing but its settings. `seed` settles all its draws.
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Self {
+    pub fn new(settings: RoutingSettings, seed: u64, now: Time) -> Self {
         let share = f64::from(settings.balancers.max(1));
         // Priors, from the aims: reading takes some of what the aim adds for it, waits a little of the aim.
         let pause = least(&settings, |it| it.aim);
@@ -181,7 +181,7 @@
             quotas: settings
                 .tenants
                 .iter()
-                .map(|it| Quota::new(it.quota_per_s / share, now))
+                .map(|it| TokenBucket::new(it.quota_per_s / share, now))
                 .collect(),
             home_match: vec![HOME_MATCH; settings.classes.len()],
             settings,
@@ -191,8 +191,8 @@
             now,
             out: Vec::new(),
             servers: BTreeMap::new(),
-            candidates: Candidates::default(),
-            prefixes: Prefixes::default(),
+            candidates: CandidateIndex::default(),
+            prefixes: PrefixCacheIndex::default(),
             requests: BTreeMap::new(),
             due: BTreeSet::new(),
             models,
@@ -218,20 +218,20 @@
         self.now = now.max(self.now);
         self.candidates.pass(self.now);
         match event {
-            Event::Members { complete, entries } => self.members(complete, entries),
-            Event::Settings(settings) => self.changed(settings),
-            Event::EndBy(at) => {
+            Event::EndpointsChanged { complete, entries } => self.members(complete, entries),
+            Event::SettingsChanged(settings) => self.changed(settings),
+            Event::ShutdownDeadline(at) => {
                 self.ends_at = at;
                 let ids: Vec<RequestId> = self.requests.keys().copied().collect();
                 ids.into_iter()
                     .for_each(|id| self.with(id, |_, it| it.end_at = it.end_at.min(at)));
             }
-            Event::ListFailed => self.watching = false,
-            Event::Request(ask) => self.arrive(ask),
-            Event::First { id, attempt } => {
+            Event::EndpointListFailed => self.watching = false,
+            Event::RequestArrived(ask) => self.arrive(ask),
+            Event::FirstEvent { id, attempt } => {
                 self.with(id, |it, request| it.first(request, attempt as usize))
             }
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -245,18 +245,18 @@
                     it.outcome(request, attempt as usize, status, closed, note)
                 });
             }
-            Event::Heard { server, load } => {
+            Event::PeerLoadReport { server, load } => {
                 self.told_load(server, load);
                 if let Some(server) = self.servers.get_mut(&server).filter(|_| load.is_none()) {
                     let all = 0..self.settings.classes.len();
                     all.for_each(|class| blend(&mut server.health_mut(class).failing, 1.0));
                 }
             }
-            Event::Gone { id } => self.with(id, |it, request| {
+            Event::ClientDisconnected { id } => self.with(id, |it, request| {
                 request.answered = true;
                 it.cancel_all(request, |_| true);
             }),
-            Event::Probed { server, ok, load } => {
+            Event::ProbeCompleted { server, ok, load } => {
                 self.told_load(server, load);
                 self.servers
                     .entry(server)
@@ -265,7 +265,7 @@
                     self.blame(server, None, true);
                 }
             }
-            Event::Wake => self.wake_at = self.wake_at.filter(|at| *at > self.now),
+            Event::TimerFired => self.wake_at = self.wake_at.filter(|at| *at > self.now),
         }
         while let Some((_, id)) = self
             .due
@@ -285,7 +285,7 @@
             .min(self.next_refit);
         if self.wake_at.is_none_or(|at| next < at) {
             self.wake_at = Some(next);
-            self.out.push(Action::Wake { at: next });
+            self.out.push(Action::SetTimer { at: next });
         }
         out.append(&mut self.out);
     }
@@ -299,7 +299,7 @@
         act(self, &mut request);
         let over = request.answered && !request.out();
         if over && request.may_hold {
-            self.act(&mut request, Action::Release { id });
+            self.act(&mut request, Action::ReleaseReservation { id });
         }
         if !over {
             request.due = self.due_at(&request).max(self.now + 1);
@@ -308,26 +308,26 @@
         }
     }
 
-    fn members(&mut self, complete: bool, entries: Vec<Entry>) {
+    fn members(&mut self, complete: bool, entries: Vec<EndpointRecord>) {
         self.servers
             .values_mut()
             .take_while(|_| complete)
-            .for_each(|it| it.entry.state = State::Gone);
+            .for_each(|it| it.entry.state = EndpointStatus::Removed);
         for entry in entries {
             let mut old = self.servers.remove(&entry.server).unwrap_or_default();
             if old.entry.started != entry.started {
                 // A restarted server is a new one, but for what this router still has out there.
-                old = Server {
+                old = TrackedEndpoint {
                     own: old.own,
                     waiting: old.waiting,
                     sent: old.sent,
-                    ..Server::default()
+                    ..TrackedEndpoint::default()
                 };
                 self.prefixes.forget_server(entry.server);
             }
             self.candidates
                 .list(self.now, &entry, self.settings.warm_within);
-            self.servers.insert(entry.server, Server { entry, ..old });
+            self.servers.insert(entry.server, TrackedEndpoint { entry, ..old });
         }
         if complete {
             self.list_all();
@@ -342,36 +342,36 @@
     }
 
     /// New settings; what was learned stays. Requests under way have their class by its number.
-    fn changed(&mut self, settings: Settings) {
+    fn changed(&mut self, settings: RoutingSettings) {
         self.share = f64::from(settings.balancers.max(1));
         self.pause = least(&settings, |it| it.aim);
         self.home_match.resize(settings.classes.len(), HOME_MATCH);
         self.quotas
-            .resize(settings.tenants.len(), Quota::new(0.0, self.now));
+            .resize(settings.tenants.len(), TokenBucket::new(0.0, self.now));
         let quotas = self.quotas.iter_mut().zip(&settings.tenants);
         quotas.for_each(|(quota, tenant)| quota.set_rate(tenant.quota_per_s / self.share));
         self.settings = settings;
         self.list_all();
     }
 
-    fn told_load(&mut self, id: ServerId, load: Option<Load>) {
+    fn told_load(&mut self, id: EndpointId, load: Option<LoadReport>) {
         let (Some(server), Some(load)) = (self.servers.get_mut(&id), load) else {
             return;
         };
         let told = [load.in_flight, load.to_read, load.memory];
         server.told = told.map(|told| told.filter(|it| (0.0..1e6).contains(it)));
         (server.told_at, server.own_then) = (Some(self.now), server.own);
-        let usual = &mut self.usual_load[usize::from(server.entry.role == Role::Reader)];
+        let usual = &mut self.usual_load[usize::from(server.entry.role == Role::Prefill)];
         let told = usual.iter_mut().zip(server.told);
         told.for_each(|(usual, told)| blend(usual, told.unwrap_or(*usual)));
     }
 
-    fn arrive(&mut self, ask: Ask) {
+    fn arrive(&mut self, ask: RequestMetadata) {
         let id = ask.id;
         let Some(class) = self.settings.classes.get(ask.class) else {
             return self.out.push(Action::Fail {
                 id,
-                why: GiveUp::UnknownClass,
+                why: FailureReason::UnknownClass,
             });
         };
         let (aim, worth) = (seconds(class.aim).max(1e-3), class.worth);
@@ -412,7 +412,7 @@
             if request.attempts[at].out && useless(&request.attempts[at]) {
                 self.act(
                     request,
-                    Action::Cancel {
+                    Action::CancelAttempt {
                         id: request.ask.id,
                         attempt: at as u32,
                     },
@@ -432,7 +432,7 @@
     }
 
     /// A wait is over: corrects the server; teaches the shared model, but for cold servers.
-    fn observed(&mut self, ask: &Ask, at: usize, attempt: &Attempt, inputs: &Inputs) {
+    fn observed(&mut self, ask: &RequestMetadata, at: usize, attempt: &Attempt, inputs: &Inputs) {
         let Some(server) = self.servers.get_mut(&attempt.choice.server) else {
             return;
         };
@@ -463,7 +463,7 @@
         &mut self,
         request: &mut Request,
         at: usize,
-        status: Status,
+        status: AttemptStatus,
         closed: bool,
         note: f64,
     ) {
@@ -475,26 +475,26 @@
         attempt.out = false;
         let never = matches!(
             status,
-            Status::ConnectFailed | Status::Moot | Status::Rejected
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent | AttemptStatus::InvalidRequest
         );
-        attempt.harmless |= never || status == Status::Full || attempt.stage == Stage::Read;
+        attempt.harmless |= never || status == AttemptStatus::Overloaded || attempt.stage == Stage::Read;
         let server = attempt.choice.server;
         if let Some(server) = self.servers.get_mut(&server) {
             server.waiting.remove(&(id, at));
             add(&mut server.own, &attempt.work, -1.0);
         }
         // A broken connection is one failure; that of a dead server is followed by one that does not open.
-        let dead = status == Status::ConnectFailed;
-        let failed = matches!(status, Status::Reset | Status::Error)
-            || status == Status::Full && note == 0.0;
-        if dead || failed || (status == Status::Timeout && attempt.check_at > 0) {
-            let answered = matches!(status, Status::Error | Status::Full);
+        let dead = status == AttemptStatus::ConnectFailed;
+        let failed = matches!(status, AttemptStatus::Reset | AttemptStatus::Error)
+            || status == AttemptStatus::Overloaded && note == 0.0;
+        if dead || failed || (status == AttemptStatus::Timeout && attempt.check_at > 0) {
+            let answered = matches!(status, AttemptStatus::Error | AttemptStatus::Overloaded);
             self.blame(server, answered.then_some(request.ask.class), dead);
         }
         request.held_since = if never { request.held_since } else { now }; // runs on if nobody was reached
         (request.retry_at, request.asked) = (now, None);
         match status {
-            Status::Read => {
+            AttemptStatus::PrefillDone => {
                 // What was really left to read: after a flush the table is wrong, and the model must not be.
                 let mut inputs = attempt.choice.inputs;
                 inputs[TOKENS] = (request.ask.prompt - note).max(0.0) / 1000.0;
@@ -507,13 +507,13 @@
                     self.cancel_all(request, |attempt| attempt.stage == Stage::Read);
                 } else if request.begun {
                     // A second copy; before the first token a release would take the state that is sent for.
-                    self.act(request, Action::Release { id });
+                    self.act(request, Action::ReleaseReservation { id });
                 }
             }
-            Status::Ok => self.streamed(&request.ask, attempt, note),
-            Status::Full if note > 0.0 => request.state_at = None,
+            AttemptStatus::Served => self.streamed(&request.ask, attempt, note),
+            AttemptStatus::Overloaded if note > 0.0 => request.state_at = None,
             // It may have taken the state: given up where too few attempts would be left to read and write.
-            Status::Error | Status::Reset | Status::Stale if attempt.stage == Stage::Write => {
+            AttemptStatus::Error | AttemptStatus::Reset | AttemptStatus::StaleConnection if attempt.stage == Stage::Write => {
                 let left = self
                     .settings
                     .max_attempts
@@ -523,18 +523,18 @@
             _ => {}
         }
         // One that may have run and must not run twice is given up, and its client told so at once.
-        let unsafe_class = self.settings.classes[request.ask.class].effect == Effect::Unsafe;
+        let unsafe_class = self.settings.classes[request.ask.class].effect == Idempotency::NonIdempotent;
         if unsafe_class
             && !request.begun
             && request.attempts.iter().any(|it| !it.out && !it.harmless)
         {
-            return self.end(request, GiveUp::MustNotRepeat);
+            return self.end(request, FailureReason::NotRepeatable);
         }
         self.place(request);
     }
 
-    /// Notes what a reader has read, and corrects what homes are presumed to keep.
-    fn note_kept(&mut self, ask: &Ask, attempt: &Attempt, found: f64) {
+    /// TraceRecorder what a reader has read, and corrects what homes are presumed to keep.
+    fn note_kept(&mut self, ask: &RequestMetadata, attempt: &Attempt, found: f64) {
         let Some(server) = self.servers.get(&attempt.choice.server) else {
             return;
         };
@@ -550,8 +550,8 @@
     }
 
     /// An answer has ended well: learns the pace from its length, as far as that is told.
-    fn streamed(&mut self, ask: &Ask, attempt: &Attempt, note: f64) {
-        if attempt.stage == Stage::Whole {
+    fn streamed(&mut self, ask: &RequestMetadata, attempt: &Attempt, note: f64) {
+        if attempt.stage == Stage::MigratingStream {
             self.note_kept(ask, attempt, note);
         }
         let Some(first_at) = attempt.first_at else {
@@ -572,10 +572,10 @@
             request.held_since + (self.settings.release_within as f64 * HELD_PART) as Time;
         let held_too_long = request.state_at.is_some() && self.now >= held_until;
         if held_too_long {
-            return self.end(request, GiveUp::StateHeldTooLong);
+            return self.end(request, FailureReason::KvStateExpired);
         }
         if request.attempts.len() as u32 >= self.settings.max_attempts.max(1) {
-            return self.end(request, GiveUp::NoAttemptLeft);
+            return self.end(request, FailureReason::AttemptsExhausted);
         }
         request.homes = self.homes(request);
         let mut choices = self.choices(request);
@@ -594,7 +594,7 @@
         if request.state_at.is_none() {
             while self.refuses(request, &choices) {
                 if self.looks_at_all(request) {
-                    return self.end(request, GiveUp::Overload);
+                    return self.end(request, FailureReason::Overload);
                 }
                 request.widened = u32::MAX; // none is refused that a server not looked at would serve
                 choices = self.choices(request);
@@ -615,10 +615,10 @@
         let reads = self
             .servers
             .get(&choice.server)
-            .is_some_and(|to| to.entry.role == Role::Reader);
+            .is_some_and(|to| to.entry.role == Role::Prefill);
         let stage = request
             .state_at
-            .map_or(if reads { Stage::Read } else { Stage::Whole }, |_| {
+            .map_or(if reads { Stage::Read } else { Stage::MigratingStream }, |_| {
                 Stage::Write
             });
         self.send(request, stage, choice);
@@ -628,7 +628,7 @@
     fn asks_first(&mut self, request: &mut Request, choices: &[Choice]) -> bool {
         if request.asked.is_none()
             && self.settings.may_probe
-            && self.settings.reports != Reports::Never
+            && self.settings.reports != LoadReporting::Never
         {
             let (now, due) = (self.now, self.now + self.asking(request));
             request.asked = Some(now);
@@ -692,18 +692,18 @@
             out: true,
             ..Attempt::default()
         });
-        self.out.push(Action::Send {
+        self.out.push(Action::StartAttempt {
             id,
             server,
             timeout: request.end_at.saturating_sub(sent),
         });
     }
 
-    fn may_send(&self, request: &Request, server: &Server, stage: Stage) -> bool {
+    fn may_send(&self, request: &Request, server: &TrackedEndpoint, stage: Stage) -> bool {
         let live = !request.answered && !request.begun && self.now < request.end_at;
         let tries = (request.attempts.len() as u32) < self.settings.max_attempts.max(1);
         let alone = self.settings.second_copies || !request.out();
-        let open = live && tries && alone && server.entry.state == State::Ready;
+        let open = live && tries && alone && server.entry.state == EndpointStatus::Ready;
         open && self.effect_allows(request, server, stage)
             && self.cold_allows(request, server, stage)
     }
@@ -712,14 +712,14 @@
     fn act(&mut self, request: &mut Request, action: Action) -> bool {
         let open = !request.answered && !request.begun;
         let allowed = match action {
-            Action::Cancel { .. } => self.settings.may_cancel,
+            Action::CancelAttempt { .. } => self.settings.may_cancel,
             // A refusal says that trying again is harmless.
-            Action::Refuse { .. } => open && self.may_repeat(request, None),
+            Action::Shed { .. } => open && self.may_repeat(request, None),
             Action::Fail { .. } => open,
             _ => true,
         };
         if allowed {
-            request.answered |= matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+            request.answered |= matches!(action, Action::Shed { .. } | Action::Fail { .. });
             self.out.push(action);
         }
         allowed
@@ -745,7 +745,7 @@
         let predicted = attempt.choice.predicted;
         let spread = self.models[side(attempt.stage) as usize].spread;
         let limit = (predicted + OVERDUE_SPREADS * spread).max(predicted * OVERDUE_MULTIPLE);
-        let never = u64::from(!attempt.out || attempt.stage == Stage::Whole) * Time::MAX;
+        let never = u64::from(!attempt.out || attempt.stage == Stage::MigratingStream) * Time::MAX;
         (attempt.sent + ((limit * 1e6) as Time).max(self.settings.tick))
             .max(attempt.check_at)
             .max(never)
@@ -753,7 +753,7 @@
 
     fn look_at(&mut self, request: &mut Request) {
         if self.now >= request.end_at {
-            return self.end(request, GiveUp::OutOfTime);
+            return self.end(request, FailureReason::DeadlineExceeded);
         }
         let late = request
             .attempts
@@ -797,7 +797,7 @@
         request.attempts[at].out = true;
         // A text that is read where it has no home pushes out what others come back for.
         let home =
-            |it: ServerId| writes || request.homes.len() < 2 || request.homes.contains_key(&it);
+            |it: EndpointId| writes || request.homes.len() < 2 || request.homes.contains_key(&it);
         choices.retain(|it| it.server != server && it.chance >= FIT && home(it.server));
         let Some(choice) = self.draw(choices) else {
             return;
@@ -806,7 +806,7 @@
         if writes || !copies {
             self.act(
                 request,
-                Action::Cancel {
+                Action::CancelAttempt {
                     id: request.ask.id,
                     attempt: at as u32,
                 },
@@ -823,7 +823,7 @@
             .iter_mut()
             .for_each(|it| *it *= 1.0 - NEWEST);
         let ask = self.settings.must_watch && !std::mem::replace(&mut self.watching, true);
-        self.out.extend(ask.then_some(Action::Watch));
+        self.out.extend(ask.then_some(Action::WatchEndpoints));
         for server in self.servers.values_mut() {
             server
                 .sent
@@ -835,7 +835,7 @@
         }
         self.prefixes
             .forget(self.now.saturating_sub(KEPT_AIMS * self.pause));
-        let over = |it: &Server| it.entry.state == State::Gone && it.own[REQUESTS] <= 0.0;
+        let over = |it: &TrackedEndpoint| it.entry.state == EndpointStatus::Removed && it.own[REQUESTS] <= 0.0;
         self.servers
             .values()
             .filter(|it| over(it))
--- a/src/routing/router/decode.rs
+++ b/src/routing/router/decode.rs
@@ -2,7 +2,7 @@
 
 use super::latency_model::{odds, Inputs, ENOUGH};
 use super::selection::{Choice, LEAST_SPREAD};
-use super::tracked_endpoint::{Server, MEMORY, REQUESTS, TO_READ};
+use super::tracked_endpoint::{TrackedEndpoint, MEMORY, REQUESTS, TO_READ};
 use super::{seconds, Request, Stage, ANSWER_PART, EASY, PACE, WRITE};
 use crate::routing::api::*;
 use std::collections::BTreeSet;
@@ -10,9 +10,9 @@
 const MEMORY_SPREAD: f64 = 0.1; // what is known of a writer's memory is off by about this part of it
 
 impl super::Router {
-    pub(super) fn writers(&self, request: &Request, reader: Option<&Server>) -> Vec<Choice> {
+    pub(super) fn writers(&self, request: &Request, reader: Option<&TrackedEndpoint>) -> Vec<Choice> {
         let cell = reader.map(|reader| reader.entry.cell);
-        let far = |it: &Server| cell.is_some_and(|cell| cell != it.entry.cell);
+        let far = |it: &TrackedEndpoint| cell.is_some_and(|cell| cell != it.entry.cell);
         let open = self
             .open_writers(request, &cell.into_iter().collect())
             .into_iter();
@@ -20,7 +20,7 @@
             .collect()
     }
 
-    pub(super) fn open_writers(&self, request: &Request, cells: &BTreeSet<u32>) -> Vec<&Server> {
+    pub(super) fn open_writers(&self, request: &Request, cells: &BTreeSet<u32>) -> Vec<&TrackedEndpoint> {
         self.open(
             request,
             Stage::Write,
@@ -28,7 +28,7 @@
         )
     }
 
-    pub(super) fn writer_choice(&self, request: &Request, server: &Server, far: bool) -> Choice {
+    pub(super) fn writer_choice(&self, request: &Request, server: &TrackedEndpoint, far: bool) -> Choice {
         let [running, to_fetch, memory] =
             [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
         let prompt = request.ask.prompt / 1000.0;
@@ -64,7 +64,7 @@
         choice
     }
 
-    pub(super) fn tokens(&self, ask: &Ask) -> f64 {
+    pub(super) fn tokens(&self, ask: &RequestMetadata) -> f64 {
         let aim = self.settings.classes[ask.class].token_aim;
         let hint = ask
             .hint
--- a/src/routing/router/load_shedding.rs
+++ b/src/routing/router/load_shedding.rs
@@ -2,7 +2,7 @@
 
 use super::latency_model::{ENOUGH, FORGET};
 use super::selection::Choice;
-use super::tracked_endpoint::Server;
+use super::tracked_endpoint::TrackedEndpoint;
 use super::{Attempt, Request, Stage, FIT, READ, TOKENS, WRITE};
 use crate::routing::api::*;
 
@@ -42,13 +42,13 @@
     }
 
     /// The final answer, where none was given: a refusal where that is true, else a failure.
-    pub(super) fn end(&mut self, request: &mut Request, why: GiveUp) {
+    pub(super) fn end(&mut self, request: &mut Request, why: FailureReason) {
         self.cancel_all(request, |_| true);
         let (id, retry_after) = (
             request.ask.id,
             self.pause.min(self.settings.max_retry_after),
         );
-        let refuse = Action::Refuse {
+        let refuse = Action::Shed {
             id,
             retry_after,
             why,
@@ -57,32 +57,32 @@
     }
 
     /// Unsafe: only when nothing ran. Keyed: only where and as long as repeats are dropped.
-    pub(super) fn effect_allows(&self, request: &Request, server: &Server, stage: Stage) -> bool {
-        let safe = self.settings.classes[request.ask.class].effect != Effect::Unsafe;
+    pub(super) fn effect_allows(&self, request: &Request, server: &TrackedEndpoint, stage: Stage) -> bool {
+        let safe = self.settings.classes[request.ask.class].effect != Idempotency::NonIdempotent;
         stage == Stage::Read && safe || self.may_repeat(request, Some(&server.entry))
     }
 
     /// Whether the request may run once more at a server, or anywhere, whatever has run by now.
-    pub(super) fn may_repeat(&self, request: &Request, here: Option<&Entry>) -> bool {
+    pub(super) fn may_repeat(&self, request: &Request, here: Option<&EndpointRecord>) -> bool {
         let effect = self.settings.classes[request.ask.class].effect;
         let may = |it: &Attempt| match (effect, self.servers.get(&it.choice.server).zip(here)) {
-            (Effect::Safe, _) => true,
-            (Effect::Keyed { window, .. }, _) if self.now >= it.sent + window => false,
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::IdempotencyKey { window, .. }, _) if self.now >= it.sent + window => false,
             (
-                Effect::Keyed {
-                    group: Group::All, ..
+                Idempotency::IdempotencyKey {
+                    group: DeduplicationScope::AllEndpoints, ..
                 },
                 _,
             ) => true,
             (
-                Effect::Keyed {
-                    group: Group::Zone, ..
+                Idempotency::IdempotencyKey {
+                    group: DeduplicationScope::Zone, ..
                 },
                 Some((it, here)),
             ) => it.entry.zone == here.zone,
             (
-                Effect::Keyed {
-                    group: Group::Cell, ..
+                Idempotency::IdempotencyKey {
+                    group: DeduplicationScope::Cell, ..
                 },
                 Some((it, here)),
             ) => it.entry.cell == here.cell,
--- a/src/routing/router/prefill.rs
+++ b/src/routing/router/prefill.rs
@@ -2,7 +2,7 @@
 
 use super::latency_model::{Inputs, ENOUGH};
 use super::selection::{Choice, EXPLORE};
-use super::tracked_endpoint::{Server, MEMORY, REQUESTS, TO_READ};
+use super::tracked_endpoint::{TrackedEndpoint, MEMORY, REQUESTS, TO_READ};
 use super::{Request, Stage, EASY, FIT, READ};
 use crate::routing::api::*;
 use rand::Rng;
@@ -51,12 +51,12 @@
         let mut likely = self.prefixes.holders(&request.ask, look.seed);
         likely.extend(request.homes.keys());
         let open = self.open(request, Stage::Read, self.candidates.readers(&look, likely));
-        let reads = |it: &&&Server| it.entry.role == Role::Reader;
+        let reads = |it: &&&TrackedEndpoint| it.entry.role == Role::Prefill;
         let later = self.best_writers(
             request,
             open.iter().filter(reads).map(|it| it.entry.cell).collect(),
         );
-        let choice = |it: &Server| {
+        let choice = |it: &TrackedEndpoint| {
             let after = later
                 .get(&it.entry.cell)
                 .filter(|_| reads(&&it))
@@ -106,7 +106,7 @@
     }
 
     /// Tokens that readers are presumed to keep of a prompt, where the table can't know.
-    pub(super) fn homes(&self, request: &Request) -> BTreeMap<ServerId, f64> {
+    pub(super) fn homes(&self, request: &Request) -> BTreeMap<EndpointId, f64> {
         let ask = &request.ask;
         let share = self.prefixes.share(ask);
         let warm = |it| {
@@ -128,7 +128,7 @@
     pub(super) fn reader_choice(
         &self,
         request: &Request,
-        server: &Server,
+        server: &TrackedEndpoint,
         home: f64,
         after: (f64, f64),
     ) -> Choice {
--- a/src/routing/router/selection.rs
+++ b/src/routing/router/selection.rs
@@ -1,10 +1,10 @@
 //! The choice of a server: the candidates that may be sent to, how each is judged, and the weighted draw.
 
 use super::latency_model::{odds, Inputs};
-use super::tracked_endpoint::Server;
+use super::tracked_endpoint::TrackedEndpoint;
 use super::{seconds, Attempt, Request, Stage, FIT};
 use crate::routing::api::*;
-use crate::routing::candidate_index::{Look, Side};
+use crate::routing::candidate_index::{CandidateQuery, Side};
 use rand::distributions::{Distribution, WeightedIndex};
 use rand::Rng;
 
@@ -17,7 +17,7 @@
 
 #[derive(Default)]
 pub(super) struct Choice {
-    pub(super) server: ServerId,
+    pub(super) server: EndpointId,
     pub(super) inputs: Inputs,
     pub(super) predicted: f64,
     pub(super) kept: f64,
@@ -52,7 +52,7 @@
     pub(super) fn judge(
         &self,
         request: &Request,
-        server: &Server,
+        server: &TrackedEndpoint,
         side: usize,
         inputs: Inputs,
         later: f64,
@@ -83,9 +83,9 @@
 
     /// A reported level carried on by own counts. As it ages, what is usual in the fleet replaces it, with
     /// own counts added for as much as they tell: little where this router is one of hundreds.
-    pub(super) fn level(&self, server: &Server, of: usize) -> f64 {
+    pub(super) fn level(&self, server: &TrackedEndpoint, of: usize) -> f64 {
         let own = server.own[of];
-        let usual = self.usual_load[usize::from(server.entry.role == Role::Reader)][of];
+        let usual = self.usual_load[usize::from(server.entry.role == Role::Prefill)][of];
         let guess = ((EVENNESS * usual + own) / (EVENNESS + 1.0 / self.share)).max(own);
         let (Some(told), Some(at)) = (server.told[of], server.told_at) else {
             return guess;
@@ -94,8 +94,8 @@
         (trust * (told + own - server.own_then[of]) + (1.0 - trust) * guess).max(own)
     }
 
-    pub(super) fn look(&self, request: &Request) -> Look {
-        Look {
+    pub(super) fn look(&self, request: &Request) -> CandidateQuery {
+        CandidateQuery {
             zone: self.settings.zone,
             seed: request.ask.id ^ self.salt,
             widened: request.widened,
@@ -107,13 +107,13 @@
         &self,
         request: &Request,
         stage: Stage,
-        servers: Vec<ServerId>,
-    ) -> Vec<&Server> {
+        servers: Vec<EndpointId>,
+    ) -> Vec<&TrackedEndpoint> {
         let servers = servers.iter().filter_map(|it| self.servers.get(it));
         let allowed: Vec<_> = servers
             .filter(|server| self.may_send(request, server, stage))
             .collect();
-        let last = |server: &&Server| {
+        let last = |server: &&TrackedEndpoint| {
             let silent = server
                 .asked_at
                 .is_some_and(|at| at + self.asking(request) <= self.now);
--- a/src/routing/router/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: how much a server that has started of late is sent by this router.
 
-use super::tracked_endpoint::Server;
+use super::tracked_endpoint::TrackedEndpoint;
 use super::{side, Request, Stage, BORNE, FINISHED, NEWEST, REFIT, STARTED};
 use crate::routing::candidate_index::mix;
 
@@ -9,7 +9,7 @@
 impl super::Router {
     /// A cold server gets this router's part of what it can take in any span of the rule's length, by what
     /// the warm ones bear for this router; a part of one send is drawn by lot (docs/candidates.md).
-    pub(super) fn cold_allows(&self, request: &Request, server: &Server, stage: Stage) -> bool {
+    pub(super) fn cold_allows(&self, request: &Request, server: &TrackedEndpoint, stage: Stage) -> bool {
         if server.age(&self.settings, self.now) >= 1.0 {
             return true;
         }
--- a/src/routing/router/tracked_endpoint.rs
+++ b/src/routing/router/tracked_endpoint.rs
@@ -28,8 +28,8 @@
 }
 
 #[derive(Default)]
-pub(super) struct Server {
-    pub(super) entry: Entry,
+pub(super) struct TrackedEndpoint {
+    pub(super) entry: EndpointRecord,
     pub(super) told: [Option<f64>; 3],
     pub(super) told_at: Option<Time>,
     pub(super) own: Counts,
@@ -43,7 +43,7 @@
     pub(super) sent: VecDeque<Time>, // what was sent to it lately, while cold
 }
 
-impl Server {
+impl TrackedEndpoint {
     /// A server may turn away a class and serve the rest; one not tried fares like the best that was.
     pub(super) fn health(&self, class: usize) -> Health {
         let best = || {
@@ -75,12 +75,12 @@
             .map_or(0.0, |memory| tokens / memory)
     }
 
-    pub(super) fn warm_share(&self, settings: &Settings, now: Time) -> f64 {
+    pub(super) fn warm_share(&self, settings: &RoutingSettings, now: Time) -> f64 {
         1.0 - (1.0 - settings.cold_from) * (1.0 - self.age(settings, now))
     }
 
     /// Time since its start as part of that in which it is warm, up to 1.
-    pub(super) fn age(&self, settings: &Settings, now: Time) -> f64 {
+    pub(super) fn age(&self, settings: &RoutingSettings, now: Time) -> f64 {
         let age = self
             .entry
             .started
@@ -91,7 +91,7 @@
 
 impl super::Router {
     /// Too many failures, one in a trial, or one of a dead server set it aside: for a class, or else for all.
-    pub(super) fn blame(&mut self, id: ServerId, class: Option<usize>, at_once: bool) {
+    pub(super) fn blame(&mut self, id: EndpointId, class: Option<usize>, at_once: bool) {
         let (now, pause) = (self.now, self.pause);
         for class in class.map_or(0..self.settings.classes.len(), |class| class..class + 1) {
             let Some(server) = self.servers.get_mut(&id) else {
--- a/src/routing/token_bucket.rs
+++ b/src/routing/token_bucket.rs
@@ -7,16 +7,16 @@
 
 /// One tenant's bucket.
 #[derive(Clone, Debug)]
-pub struct Quota {
+pub struct TokenBucket {
     rate: f64, // tokens a second; 0: no limit
     left: f64,
     at: Time, // when `left` was reckoned
 }
 
-impl Quota {
+impl TokenBucket {
     /// A bucket for so many requests a second; 0: no limit.
-    pub fn new(rate: f64, now: Time) -> Quota {
-        Quota {
+    pub fn new(rate: f64, now: Time) -> TokenBucket {
+        TokenBucket {
             rate,
             left: BURST,
             at: now,
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -7,10 +7,10 @@
 pub mod resource_shares;
 pub mod stream_migration;
 
-use crate::dispatcher::bans::{Mark, Marks};
-use crate::dispatcher::{Door, Event};
+use crate::dispatcher::bans::{BanRecord, BanRecords};
+use crate::dispatcher::{DispatcherHandle, Event};
 use miniserde::{json, Deserialize, Serialize};
-use resource_shares::{Notice, Phase};
+use resource_shares::{ProcessAnnouncement, ProcessState};
 use slog::{info, warn, Logger};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
@@ -83,8 +83,8 @@
 }
 
 /// The file of bans, as text.
-fn marks_text(marks: &Marks) -> String {
-    let line = |(id, mark): (&Arc<str>, &Mark)| MarkLine {
+fn marks_text(marks: &BanRecords) -> String {
+    let line = |(id, mark): (&Arc<str>, &BanRecord)| MarkLine {
         id: id.to_string(),
         at: mark.at,
         banned: mark.banned,
@@ -96,7 +96,7 @@
 }
 
 /// Reads the file of bans; the error is one line.
-fn parse_marks(text: &str) -> Result<Marks, String> {
+fn parse_marks(text: &str) -> Result<BanRecords, String> {
     let file: MarkFile =
         json::from_str(text).map_err(|_| "not the JSON object that is expected")?;
     if file.version != 1 {
@@ -105,7 +105,7 @@
     let mark = |line: MarkLine| {
         (
             Arc::from(line.id),
-            Mark {
+            BanRecord {
                 at: line.at,
                 banned: line.banned,
             },
@@ -116,7 +116,7 @@
 
 /// What the file should say, where that is not what it says: the newest word on each id. Two that write at once need
 /// no lock: who finds that its word is missing writes it again.
-fn merged(own: &Marks, file: &Marks) -> Option<Marks> {
+fn merged(own: &BanRecords, file: &BanRecords) -> Option<BanRecords> {
     let mut all = file.clone();
     for (id, mark) in own {
         let known = all.entry(id.clone()).or_insert(*mark);
@@ -160,7 +160,7 @@
 
 /// What a process sees of the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct PeerProcesses {
     /// The part of the limits that this one keeps to.
     pub part: u32,
     /// Processes of this dispatcher, this one included.
@@ -172,14 +172,14 @@
 }
 
 /// The files of one process.
-pub struct Handover {
+pub struct UpgradeCoordinator {
     folder: PathBuf,
     name: String,
     file: File,
     path: PathBuf,
-    own: Notice,
+    own: ProcessAnnouncement,
     published: bool,
-    others: Vec<Notice>,
+    others: Vec<ProcessAnnouncement>,
     looked: Option<(SystemTime, Instant)>,
     bans_read: Option<FileStamp>,
     warned_at: Option<Instant>,
@@ -194,10 +194,10 @@
     modified: SystemTime,
 }
 
-impl Handover {
+impl UpgradeCoordinator {
     /// Posts a notice in this folder, for this name, and looks who is there. It comes after all that are there, whatever the
     /// wall clock said when they started and says now; `now` is its part of that order where it is alone.
-    pub fn start(folder: &Path, name: &str, now: u64, log: Logger) -> io::Result<Handover> {
+    pub fn start(folder: &Path, name: &str, now: u64, log: Logger) -> io::Result<UpgradeCoordinator> {
         // The name becomes part of a path.
         let name = format!("quartzhall-{:016x}", crate::config::hash(name));
         let youngest = born_of_living(folder, &name)?;
@@ -213,13 +213,13 @@
             .create_new(true)
             .open(&hidden)?;
         file.try_lock().map_err(io::Error::from)?;
-        let own = Notice {
+        let own = ProcessAnnouncement {
             born,
-            phase: Phase::Starting,
+            phase: ProcessState::Starting,
             part: resource_shares::START,
         };
         let folder = folder.to_owned();
-        let mut handover = Handover {
+        let mut handover = UpgradeCoordinator {
             folder,
             name,
             file,
@@ -244,7 +244,7 @@
     }
 
     /// Writes the notice where it does not say what holds; what could not be written is written the next time.
-    fn publish(&mut self, own: Notice) {
+    fn publish(&mut self, own: ProcessAnnouncement) {
         if own == self.own && self.published {
             return;
         }
@@ -294,12 +294,12 @@
                     let mut line = String::new();
                     let _ = file.read_to_string(&mut line);
                     // One that can't be read may be using all that an older process may.
-                    let unread = Notice {
+                    let unread = ProcessAnnouncement {
                         born: born.unwrap_or(0),
-                        phase: Phase::Serving,
+                        phase: ProcessState::Serving,
                         part: 15,
                     };
-                    others.push(Notice::parse(&line).unwrap_or(unread));
+                    others.push(ProcessAnnouncement::parse(&line).unwrap_or(unread));
                     living.extend(process);
                 }
                 Err(TryLockError::Error(error)) => return Err(error),
@@ -326,8 +326,8 @@
     }
 
     /// What this process sees now.
-    pub fn view(&self) -> View {
-        View {
+    pub fn view(&self) -> PeerProcesses {
+        PeerProcesses {
             part: self.own.part,
             processes: 1 + self.others.len() as u32,
             predecessor: self.others.iter().any(|other| other.born < self.own.born),
@@ -364,7 +364,7 @@
     }
 
     /// The file of bans, where there is one that was not read yet.
-    pub fn new_bans(&mut self) -> Option<Marks> {
+    pub fn new_bans(&mut self) -> Option<BanRecords> {
         let path = self.bans_path();
         let metadata = fs::metadata(&path).ok()?;
         let stamp = FileStamp {
@@ -391,13 +391,13 @@
             Ok(marks) => Some(marks),
             Err(error) => {
                 warn!(self.log, "the file of bans can't be used: what is known holds"; "error" => error);
-                Some(Marks::new())
+                Some(BanRecords::new())
             }
         }
     }
 
     /// Writes the file of bans beside and renames it: nobody reads half of it.
-    fn write_bans(&self, marks: &Marks) -> io::Result<()> {
+    fn write_bans(&self, marks: &BanRecords) -> io::Result<()> {
         let hidden = self
             .folder
             .join(format!("{}-{}{NEW_BANS}", self.name, std::process::id()));
@@ -421,7 +421,7 @@
     }
 }
 
-impl Drop for Handover {
+impl Drop for UpgradeCoordinator {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.path);
         let _ = fs::remove_file(self.doors()(self.own.born));
@@ -429,22 +429,22 @@
 }
 
 /// The limits that processes share.
-pub trait Limits {
-    /// Keeps to so many of [`crate::net::connection_limit::PARTS`] parts from now on. Tells the part that is in use, rounded up.
+pub trait ResourceLimits {
+    /// Keeps to so many of [`crate::net::connection_limit::SHARE_UNITS`] parts from now on. Tells the part that is in use, rounded up.
     fn set(&self, part: u32) -> u32;
 }
 
 /// Looks after the files for as long as the process runs. `phase` is what it is doing.
 pub async fn run(
-    mut handover: Handover,
-    limits: impl Limits,
-    door: Door,
-    mut phase: watch::Receiver<Phase>,
-    view: watch::Sender<View>,
+    mut handover: UpgradeCoordinator,
+    limits: impl ResourceLimits,
+    door: DispatcherHandle,
+    mut phase: watch::Receiver<ProcessState>,
+    view: watch::Sender<PeerProcesses>,
 ) {
     let mut own_bans = door.marks();
     // What the file says is told to the core below, also what it said first: it may have changed since the start.
-    let mut in_file = Marks::new();
+    let mut in_file = BanRecords::new();
     let log = handover.log.clone();
     loop {
         if handover.is_new() {
@@ -454,7 +454,7 @@
         let said = *phase.borrow_and_update();
         let wanted = resource_shares::wanted(&handover.own, &handover.others);
         let used = limits.set(wanted);
-        let own = Notice {
+        let own = ProcessAnnouncement {
             phase: said,
             part: wanted.max(used.min(handover.own.part)),
             ..handover.own
@@ -465,7 +465,7 @@
         handover.publish(own);
         let now = handover.view();
         if view.send_if_modified(|old| std::mem::replace(old, now) != now) {
-            door.tell_first(Event::Share {
+            door.tell_first(Event::ResourceShareChanged {
                 part: wanted,
                 processes: now.processes,
             })
@@ -474,7 +474,7 @@
 
         if let Some(marks) = handover.new_bans() {
             in_file = marks;
-            door.tell_first(Event::Marks(in_file.clone())).await;
+            door.tell_first(Event::BanRecordsReceived(in_file.clone())).await;
         }
         let own_marks = own_bans.borrow_and_update().clone();
         if let Some(marks) = merged(&own_marks, &in_file) {
--- a/src/upgrade/resource_shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -1,6 +1,6 @@
 //! What part of a dispatcher's limits each of its processes keeps to. Pure: no clock, no file.
 
-use crate::net::connection_limit::PARTS;
+use crate::net::connection_limit::SHARE_UNITS;
 
 /// A process that starts beside another has this part, which the other one leaves free for it.
 pub const START: u32 = 1;
@@ -11,7 +11,7 @@
 
 /// What a process is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ProcessState {
     /// It takes no clients yet.
     Starting,
     /// It takes clients.
@@ -22,39 +22,39 @@
 
 /// What a process tells the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Notice {
+pub struct ProcessAnnouncement {
     /// When it started, in Unix microseconds; later ones come after earlier ones.
     pub born: u64,
     /// What it is doing.
-    pub phase: Phase,
+    pub phase: ProcessState,
     /// The part of the limits that it keeps to.
     pub part: u32,
 }
 
-impl Notice {
+impl ProcessAnnouncement {
     /// The notice as a line, always of the same length: it is written over in one piece.
     pub fn line(&self) -> String {
         let phase = match self.phase {
-            Phase::Starting => "starting",
-            Phase::Serving => "serving ",
-            Phase::Leaving => "leaving ",
+            ProcessState::Starting => "starting",
+            ProcessState::Serving => "serving ",
+            ProcessState::Leaving => "leaving ",
         };
         format!("1 {:020} {phase} {:02}\n", self.born, self.part)
     }
 
     /// Reads a notice.
-    pub fn parse(line: &str) -> Option<Notice> {
+    pub fn parse(line: &str) -> Option<ProcessAnnouncement> {
         let mut words = line.strip_suffix('\n')?.split_ascii_whitespace();
         let (version, born, phase, part) =
             (words.next()?, words.next()?, words.next()?, words.next()?);
         let phase = match phase {
-            "starting" => Phase::Starting,
-            "serving" => Phase::Serving,
-            "leaving" => Phase::Leaving,
+            "starting" => ProcessState::Starting,
+            "serving" => ProcessState::Serving,
+            "leaving" => ProcessState::Leaving,
             _ => return None,
         };
-        let part = part.parse().ok().filter(|part| *part <= PARTS)?;
-        (version == "1" && words.next().is_none()).then_some(Notice {
+        let part = part.parse().ok().filter(|part| *part <= SHARE_UNITS)?;
+        (version == "1" && words.next().is_none()).then_some(ProcessAnnouncement {
             born: born.parse().ok()?,
             phase,
             part,
@@ -64,10 +64,10 @@
 
 /// The part to which a process is to come, given what it and the others keep to. No sum of what all of them come
 /// to is over the whole, and one part stays free for a process that starts.
-pub fn wanted(own: &Notice, others: &[Notice]) -> u32 {
+pub fn wanted(own: &ProcessAnnouncement, others: &[ProcessAnnouncement]) -> u32 {
     let youngest = others.iter().all(|other| other.born < own.born);
     if !youngest {
-        return if own.phase == Phase::Leaving {
+        return if own.phase == ProcessState::Leaving {
             LEAVING
         } else {
             OLDER
@@ -75,7 +75,7 @@
         .min(own.part.max(START));
     }
     let kept: u32 = others.iter().map(|other| other.part).sum();
-    let rest = PARTS.saturating_sub(kept);
+    let rest = SHARE_UNITS.saturating_sub(kept);
     if others.is_empty() {
         rest - START
     } else {
--- a/src/upgrade/stream_migration.rs
+++ b/src/upgrade/stream_migration.rs
@@ -1,12 +1,12 @@
 //! Live streams that move to a successor, with the sockets of their client and of their node.
 //!
-//! The node's side offers its [`Half`] down the stream's own channel, behind the last event; the client's side adds its
+//! The node's side offers its [`UpstreamHalf`] down the stream's own channel, behind the last event; the client's side adds its
 //! socket when all before it is written. [`carry`] hands both over, and says to both sides whether that was done: where
 //! it was not, they go on. In the successor [`take_in`] passes the events on to the end.
 
-use crate::backend::event_stream::Events;
-use crate::net::connection_limit::Places;
-use crate::net::message_framing::{Chunks, Lost};
+use crate::backend::event_stream::EventStream;
+use crate::net::connection_limit::ConnectionLimit;
+use crate::net::message_framing::{ChunkedDecoder, FramingLost};
 use crate::net::system_errors::AcceptPauses;
 use bytes::Bytes;
 use rustix::net::{
@@ -26,11 +26,11 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Half an event is no longer than this, as for [`Events`].
+/// UpstreamHalf an event is no longer than this, as for [`EventStream`].
 const LONGEST_PART: usize = 64 * 1024;
 /// What a predecessor says of a stream, beside the two descriptors: a mark, where its chunks stand, and how many bytes
 /// of an event follow.
-const HEAD: usize = MARK.len() + Chunks::BYTES + 4;
+const HEAD: usize = MARK.len() + ChunkedDecoder::BYTES + 4;
 const MARK: [u8; 4] = *b"QHM1";
 /// The successor's yes.
 const TAKEN: u8 = b'Y';
@@ -45,11 +45,11 @@
 
 /// The node's side of a stream: nothing more is read from it here.
 #[derive(Debug)]
-pub struct Half {
+pub struct UpstreamHalf {
     /// Its socket.
     pub node: OwnedFd,
     /// Where its body stands.
-    pub chunks: Chunks,
+    pub chunks: ChunkedDecoder,
     /// Bytes of an event that has not ended.
     pub part: Bytes,
     /// Told whether it has moved; where it is dropped, it has not.
@@ -58,12 +58,12 @@
 
 /// Says when streams are to move. Few move at a time: each needs descriptors beyond its own meanwhile.
 #[derive(Clone)]
-pub struct Signal {
+pub struct MigrationSignal {
     on: watch::Receiver<bool>,
     turns: Arc<Semaphore>,
 }
 
-impl Signal {
+impl MigrationSignal {
     /// Waits until streams are to move, and for a turn.
     pub async fn turn(&self) -> OwnedSemaphorePermit {
         let mut on = self.on.clone();
@@ -77,11 +77,11 @@
 }
 
 /// A signal, and what turns it on.
-pub fn signal() -> (watch::Sender<bool>, Signal) {
+pub fn signal() -> (watch::Sender<bool>, MigrationSignal) {
     let (turn_on, on) = watch::channel(false);
     (
         turn_on,
-        Signal {
+        MigrationSignal {
             on,
             turns: Arc::new(Semaphore::new(AT_ONCE)),
         },
@@ -89,33 +89,33 @@
 }
 
 /// Pieces of a stream are compared in tests; one that moves is like no other.
-impl PartialEq for Half {
-    fn eq(&self, _: &Half) -> bool {
+impl PartialEq for UpstreamHalf {
+    fn eq(&self, _: &UpstreamHalf) -> bool {
         false
     }
 }
 
 /// Both sides of a stream.
-pub struct Whole {
-    half: Half,
+pub struct MigratingStream {
+    half: UpstreamHalf,
     client: OwnedFd,
     moved: oneshot::Sender<bool>,
 }
 
 /// Where a client's connection finds out that its stream is to move.
 #[derive(Default)]
-pub struct Exit {
-    ends: Mutex<(Option<Half>, Option<OwnedFd>)>,
+pub struct MigrationSlot {
+    ends: Mutex<(Option<UpstreamHalf>, Option<OwnedFd>)>,
     ready: Notify,
 }
 
-impl Exit {
-    fn ends(&self) -> MutexGuard<'_, (Option<Half>, Option<OwnedFd>)> {
+impl MigrationSlot {
+    fn ends(&self) -> MutexGuard<'_, (Option<UpstreamHalf>, Option<OwnedFd>)> {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The stream's node side is offered: the connection has been given all before it.
-    pub fn offer(&self, half: Half) {
+    pub fn offer(&self, half: UpstreamHalf) {
         *self.ends() = (Some(half), None);
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Waits until the stream is to move, and has it moved. True when it has: then this side is over.
-    pub async fn moves(&self, mover: &Option<mpsc::Sender<Whole>>) -> bool {
+    pub async fn moves(&self, mover: &Option<mpsc::Sender<MigratingStream>>) -> bool {
         loop {
             self.ready.notified().await;
             let (Some(half), Some(client)) = std::mem::take(&mut *self.ends()) else {
@@ -143,7 +143,7 @@
             let (moved, told) = oneshot::channel();
             if let Some(mover) = mover {
                 let _ = mover
-                    .send(Whole {
+                    .send(MigratingStream {
                         half,
                         client,
                         moved,
@@ -158,14 +158,14 @@
 /// Hands streams over to the process that takes them in at this path, where there is one.
 pub async fn carry(
     path: impl Fn() -> Option<PathBuf>,
-    mut streams: mpsc::Receiver<Whole>,
+    mut streams: mpsc::Receiver<MigratingStream>,
     log: Logger,
 ) {
     while let Some(whole) = streams.recv().await {
         let (path, log) = (path(), log.clone());
         // Each by itself: one that takes long keeps no other waiting.
         tokio::spawn(async move {
-            let Whole {
+            let MigratingStream {
                 half,
                 client,
                 moved,
@@ -185,7 +185,7 @@
     std::future::pending().await
 }
 
-async fn hand_over(path: PathBuf, half: &Half, client: OwnedFd) -> io::Result<()> {
+async fn hand_over(path: PathBuf, half: &UpstreamHalf, client: OwnedFd) -> io::Result<()> {
     let mut stream = UnixStream::connect(path).await?;
     let length = u32::try_from(half.part.len()).map_err(io::Error::other)?;
     let head = [&MARK[..], &half.chunks.to_bytes(), &length.to_be_bytes()].concat();
@@ -213,10 +213,10 @@
 }
 
 /// A stream as it is taken in.
-struct Taken {
+struct ReceivedStream {
     client: TcpStream,
     node: TcpStream,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
     part: Vec<u8>,
 }
 
@@ -227,7 +227,7 @@
 }
 
 /// Hears what a predecessor hands over, and says yes.
-async fn take(mut stream: UnixStream) -> io::Result<Taken> {
+async fn take(mut stream: UnixStream) -> io::Result<ReceivedStream> {
     // Who else may be there has another user's rights at most, and no business here.
     if stream.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
         return Err(ErrorKind::PermissionDenied.into());
@@ -253,7 +253,7 @@
     let whole = read.await? == HEAD && head.starts_with(&MARK) && descriptors.len() == 2;
     let chunks = head[MARK.len()..]
         .first_chunk()
-        .and_then(Chunks::from_bytes)
+        .and_then(ChunkedDecoder::from_bytes)
         .filter(|_| whole);
     let chunks = chunks.ok_or(ErrorKind::InvalidData)?;
     let length = head
@@ -268,7 +268,7 @@
     let (Some(node), Some(client)) = (node, client) else {
         return Err(ErrorKind::InvalidData.into());
     };
-    let taken = Taken {
+    let taken = ReceivedStream {
         client: tcp(client)?,
         node: tcp(node)?,
         chunks,
@@ -280,7 +280,7 @@
 }
 
 /// Takes in the streams of a predecessor. They take places where there are some; for want of one none is cut.
-pub async fn take_in(listener: UnixListener, clients: Places, nodes: Places, log: Logger) {
+pub async fn take_in(listener: UnixListener, clients: ConnectionLimit, nodes: ConnectionLimit, log: Logger) {
     let mut pauses = AcceptPauses::default();
     loop {
         let stream = match listener.accept().await {
@@ -316,15 +316,15 @@
 }
 
 /// Passes a stream's events on, whole ones as they come, up to its end. An error: it ends without the last chunk.
-async fn pass_on(taken: Taken) -> io::Result<()> {
-    let Taken {
+async fn pass_on(taken: ReceivedStream) -> io::Result<()> {
+    let ReceivedStream {
         mut client,
         mut node,
         mut chunks,
         part,
     } = taken;
     let spoilt = || io::Error::from(ErrorKind::InvalidData);
-    let mut events = Events::resumed();
+    let mut events = EventStream::resumed();
     let first = events.take(&part).map_err(|_| spoilt())?;
     write_chunk(&mut client, &first).await?;
     let mut buffer = vec![0; 16 * 1024];
@@ -340,7 +340,7 @@
         let mut data = Vec::new();
         chunks
             .feed(&buffer[..read], |piece| data.extend_from_slice(piece))
-            .map_err(|Lost| spoilt())?;
+            .map_err(|FramingLost| spoilt())?;
         let whole = events.take(&data).map_err(|_| spoilt())?;
         if !whole.is_empty() {
             write_chunk(&mut client, &whole).await?;
@@ -377,7 +377,7 @@
 }
 
 /// The way out of a process: what connections give their streams to.
-pub type Mover = Option<mpsc::Sender<Whole>>;
+pub type MigrationSender = Option<mpsc::Sender<MigratingStream>>;
 
 /// An exit that may be shared.
-pub type SharedExit = Arc<Exit>;
+pub type SharedMigrationSlot = Arc<MigrationSlot>;
