--- a/tests/unit/net/message_framing.rs
+++ b/tests/unit/net/message_framing.rs
@@ -2,7 +2,7 @@
 use quickcheck::{Gen, QuickCheck};
 
 /// Reads all bytes, one request after the other.
-fn feed_all(requests: &mut Requests, mut bytes: &[u8]) {
+fn feed_all(requests: &mut RequestFraming, mut bytes: &[u8]) {
     while !bytes.is_empty() {
         let ended = requests.ended();
         let read = requests.feed(bytes);
@@ -15,8 +15,8 @@
     }
 }
 
-fn heads(bytes: &[u8], cuts: &[usize]) -> Vec<Stated> {
-    let mut requests = Requests::default();
+fn heads(bytes: &[u8], cuts: &[usize]) -> Vec<DeclaredBody> {
+    let mut requests = RequestFraming::default();
     let mut from = 0;
     for cut in cuts
         .iter()
@@ -37,13 +37,13 @@
 #[test]
 fn heads_are_told_in_order_whatever_the_cuts() {
     let whole = heads(MANY.as_bytes(), &[]);
-    let chunked = Stated {
+    let chunked = DeclaredBody {
         chunked: true,
         length: None,
         coded: true,
     };
-    let plain = Stated::default();
-    let length = Stated {
+    let plain = DeclaredBody::default();
+    let length = DeclaredBody {
         length: Some(7),
         ..plain
     };
@@ -53,7 +53,7 @@
             chunked,
             plain,
             length,
-            Stated {
+            DeclaredBody {
                 length: Some(4),
                 ..chunked
             }
@@ -107,13 +107,13 @@
         5\r\nabcde\r\n1f;e=1\r\n0123456789012345678901234567890\r\n0\r\nT: 1\r\n\r\n";
     let head = text.windows(8).position(|it| it == b"5\r\nabcde").unwrap();
     for cut in 0..text.len() {
-        let mut answer = Answer::default();
+        let mut answer = ResponseFraming::default();
         text[..cut].chunks(3).for_each(|part| answer.feed(part));
         let Some((body, data)) = answer.body() else {
             assert!(cut < head, "{cut}");
             continue;
         };
-        let mut second = Chunks::from_bytes(&body.to_bytes()).unwrap();
+        let mut second = ChunkedDecoder::from_bytes(&body.to_bytes()).unwrap();
         let mut rest = 0;
         assert_eq!(
             second.feed(&text[cut..], |piece| rest += piece.len() as u64),
@@ -126,11 +126,11 @@
         "HTTP/1.1 200 OK\r\n\r\n",
         "x\r\n",
     ] {
-        let mut answer = Answer::default();
+        let mut answer = ResponseFraming::default();
         answer.feed(bad.as_bytes());
         assert_eq!(answer.body(), None);
     }
-    assert_eq!(Chunks::from_bytes(&[9; Chunks::BYTES]), None);
+    assert_eq!(ChunkedDecoder::from_bytes(&[9; ChunkedDecoder::BYTES]), None);
 }
 
 #[test]
@@ -141,17 +141,17 @@
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n",
     ] {
-        let mut answer = Answer::default();
+        let mut answer = ResponseFraming::default();
         for byte in text.as_bytes() {
             assert!(!answer.is_over(), "{text}");
             answer.feed(&[*byte]);
         }
         assert!(answer.is_over(), "{text}");
-        let mut whole = Answer::default();
+        let mut whole = ResponseFraming::default();
         whole.feed(text.as_bytes());
         assert!(whole.is_over());
     }
-    let mut endless = Answer::default();
+    let mut endless = ResponseFraming::default();
     endless.feed(b"HTTP/1.1 200 OK\r\n\r\nabc");
     assert!(!endless.is_over());
 }
@@ -160,7 +160,7 @@
 fn the_data_of_chunks_is_handed_on() {
     let text = b"3\r\nabc\r\n0A;q\r\n0123456789\r\n0\r\n\r\nnext";
     for cut in 0..text.len() {
-        let (mut chunks, mut data, mut read) = (Chunks::default(), Vec::new(), 0);
+        let (mut chunks, mut data, mut read) = (ChunkedDecoder::default(), Vec::new(), 0);
         for part in [&text[..cut], &text[cut..]] {
             read += chunks
                 .feed(part, |piece| data.extend_from_slice(piece))
@@ -180,8 +180,8 @@
         "3;\n",
     ] {
         assert_eq!(
-            Chunks::default().feed(bad.as_bytes(), |_| {}),
-            Err(Lost),
+            ChunkedDecoder::default().feed(bad.as_bytes(), |_| {}),
+            Err(FramingLost),
             "{bad:?}"
         );
     }
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -9,11 +9,11 @@
 /// What the index was told, as a plain list.
 #[derive(Default)]
 struct Plain {
-    listings: BTreeMap<ServerId, Listing>,
+    listings: BTreeMap<EndpointId, IndexedEndpoint>,
 }
 
 impl Plain {
-    fn of(&self, side: Side) -> Vec<(ServerId, &Listing)> {
+    fn of(&self, side: Side) -> Vec<(EndpointId, &IndexedEndpoint)> {
         self.listings
             .iter()
             .filter(|(_, it)| it.is_of(side))
@@ -22,9 +22,9 @@
     }
 }
 
-fn listing(rng: &mut Pcg32, now: Time, server: ServerId) -> Listing {
-    Listing {
-        role: [Role::Reader, Role::Writer, Role::Both][rng.gen_range(0..3)],
+fn listing(rng: &mut Pcg32, now: Time, server: EndpointId) -> IndexedEndpoint {
+    IndexedEndpoint {
+        role: [Role::Prefill, Role::Decode, Role::Mixed][rng.gen_range(0..3)],
         zone: rng.gen_range(0..ZONES),
         cell: rng.gen_range(0..40),
         key: u64::from(server) * 7919,
@@ -36,8 +36,8 @@
     }
 }
 
-fn index_of(plain: &Plain, now: Time) -> Candidates {
-    let mut index = Candidates::default();
+fn index_of(plain: &Plain, now: Time) -> CandidateIndex {
+    let mut index = CandidateIndex::default();
     for (server, listing) in &plain.listings {
         index.set(now, *server, Some(listing.clone()));
     }
@@ -49,7 +49,7 @@
 fn the_index_is_that_of_its_list() {
     for seed in 0..8 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let (mut index, mut plain) = (Candidates::default(), Plain::default());
+        let (mut index, mut plain) = (CandidateIndex::default(), Plain::default());
         for step in 0..3000_u64 {
             let now = step;
             index.pass(now);
@@ -75,7 +75,7 @@
 #[test]
 fn looks_hold_listed_servers_of_their_side_only() {
     let mut rng = Pcg32::seed_from_u64(3);
-    let (mut index, mut plain) = (Candidates::default(), Plain::default());
+    let (mut index, mut plain) = (CandidateIndex::default(), Plain::default());
     for server in 0..500 {
         let listing = listing(&mut rng, 0, server);
         index.set(0, server, Some(listing.clone()));
@@ -95,7 +95,7 @@
             assert_eq!(index.bearing(side), (bears as f64, warm > 0));
         }
         for seed in 0..20 {
-            let look = Look {
+            let look = CandidateQuery {
                 zone: 1,
                 seed,
                 widened: seed as u32 % 4,
@@ -115,7 +115,7 @@
             }
             // Likely ones that have left are the caller's to find out: it has the list. All others are listed.
             let likely = BTreeSet::from([1, 2, 1_000]);
-            let found: BTreeSet<ServerId> =
+            let found: BTreeSet<EndpointId> =
                 index.readers(&look, likely.clone()).into_iter().collect();
             for server in found.difference(&likely) {
                 assert!(plain
@@ -127,20 +127,20 @@
     }
 }
 
-fn large(servers: ServerId, cold: bool) -> Candidates {
-    let mut index = Candidates::default();
+fn large(servers: EndpointId, cold: bool) -> CandidateIndex {
+    let mut index = CandidateIndex::default();
     for server in 0..servers {
         let role = if server % 4 == 0 {
-            Role::Reader
+            Role::Prefill
         } else {
-            Role::Writer
+            Role::Decode
         };
         let (zone, cell, key) = (server / 8 % ZONES, server / 8, u64::from(server) * 7919);
         let warm_at = if cold { 100 } else { 0 };
         index.set(
             0,
             server,
-            Some(Listing {
+            Some(IndexedEndpoint {
                 role,
                 zone,
                 cell,
@@ -160,7 +160,7 @@
         let mut widened = 0;
         let mut most = 0;
         loop {
-            let look = Look {
+            let look = CandidateQuery {
                 zone: 2,
                 seed: 99,
                 widened,
@@ -182,7 +182,7 @@
         assert!(widened <= 6, "{widened} steps for {servers}");
         assert!(index.is_whole(
             Side::Read,
-            &Look {
+            &CandidateQuery {
                 zone: 2,
                 seed: 99,
                 widened: u32::MAX
@@ -196,16 +196,16 @@
 #[test]
 fn homes_agree_and_move_little() {
     let index = large(3_000, false);
-    let mut other = Candidates::default();
+    let mut other = CandidateIndex::default();
     for (server, listing) in index.listings.iter().rev() {
         other.set(0, *server, Some(listing.clone()));
     }
-    let look = |seed| Look {
+    let look = |seed| CandidateQuery {
         zone: 1,
         seed,
         widened: 0,
     };
-    let home = |index: &Candidates, text, seed| {
+    let home = |index: &CandidateIndex, text, seed| {
         index.homes(&look(seed), Some(text), Some(text), 0.0, |_| 1.0)
     };
     let texts = 0..1_000_u64;
@@ -229,10 +229,10 @@
 #[test]
 fn homes_are_spread_evenly() {
     let index = large(11_000, false);
-    let mut homes: BTreeMap<ServerId, usize> = BTreeMap::new();
+    let mut homes: BTreeMap<EndpointId, usize> = BTreeMap::new();
     let texts = 50_000_u64;
     for text in 0..texts {
-        let look = Look {
+        let look = CandidateQuery {
             zone: 3,
             seed: text,
             widened: 0,
@@ -255,10 +255,10 @@
 fn lots_are_as_many_as_if_all_were_looked_at() {
     let index = large(3_000, true);
     let chance = 0.002; // of one lot
-    let mut won: BTreeMap<ServerId, f64> = BTreeMap::new();
+    let mut won: BTreeMap<EndpointId, f64> = BTreeMap::new();
     let requests = 200_000_u64;
     for seed in 0..requests {
-        let look = Look {
+        let look = CandidateQuery {
             zone: 0,
             seed: mix(seed, 5),
             widened: 0,
--- a/tests/unit/routing/prefix_cache_index.rs
+++ b/tests/unit/routing/prefix_cache_index.rs
@@ -2,20 +2,20 @@
 
 use super::*;
 
-fn ask(session: u64, prefix: u64) -> Ask {
-    Ask {
+fn ask(session: u64, prefix: u64) -> RequestMetadata {
+    RequestMetadata {
         session: Some(session),
         prefix: Some(prefix),
         prompt: 1_000.0,
         prefix_tokens: 400.0,
-        ..Ask::default()
+        ..RequestMetadata::default()
     }
 }
 
 /// What a server keeps is found by server and by text, and goes by age, by room, and with the server.
 #[test]
 fn both_ways_agree() {
-    let mut table = Prefixes::default();
+    let mut table = PrefixCacheIndex::default();
     for server in 0..8_u32 {
         table.note(u64::from(server), server, 1e9, &ask(u64::from(server), 77));
     }
@@ -23,15 +23,15 @@
     assert_eq!(table.kept(&ask(3, 77), 4), 400.0);
     assert_eq!(table.kept(&ask(3, 78), 4), 0.0);
     // All that keep the conversation, and some that keep the shared text: others for another seed.
-    let holders = |table: &Prefixes, seed| table.holders(&ask(3, 77), seed);
+    let holders = |table: &PrefixCacheIndex, seed| table.holders(&ask(3, 77), seed);
     assert!(holders(&table, 0).contains(&3) && holders(&table, 0).len() <= 1 + HOLDERS);
-    let all: BTreeSet<ServerId> = (0..8).flat_map(|seed| holders(&table, seed)).collect();
+    let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&table, seed)).collect();
     assert_eq!(all, (0..8).collect());
 
     table.forget(2);
     assert_eq!(table.kept(&ask(2, 77), 2), 0.0);
     table.forget_server(5);
-    let all: BTreeSet<ServerId> = (0..8).flat_map(|seed| holders(&table, seed)).collect();
+    let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&table, seed)).collect();
     assert_eq!(all, BTreeSet::from([3, 4, 6, 7]));
 
     // There is room for the tokens of one conversation that are in no shared text, and the oldest goes.
@@ -53,7 +53,7 @@
 /// A shared text's part of the traffic is told from the last requests only.
 #[test]
 fn the_part_of_the_traffic_is_that_of_recent_requests() {
-    let mut table = Prefixes::default();
+    let mut table = PrefixCacheIndex::default();
     (0..100).for_each(|_| table.arrived(&ask(1, 7)));
     assert_eq!(
         (table.share(&ask(2, 7)), table.share(&ask(2, 8))),
--- a/tests/unit/upgrade/coordinator.rs
+++ b/tests/unit/upgrade/coordinator.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::config::{Profile, Site};
+use crate::config::{SettingsObject, Deployment};
 use slog::{o, Discard};
 
 struct Folder(PathBuf);
@@ -17,17 +17,17 @@
     Folder(path)
 }
 
-fn post(folder: &Folder, born: u64) -> Handover {
-    Handover::start(&folder.0, "n1", born, Logger::root(Discard, o!())).unwrap()
+fn post(folder: &Folder, born: u64) -> UpgradeCoordinator {
+    UpgradeCoordinator::start(&folder.0, "n1", born, Logger::root(Discard, o!())).unwrap()
 }
 
-fn marks(at: u64) -> Marks {
-    Marks::from([(Arc::from("r1"), Mark { at, banned: true })])
+fn marks(at: u64) -> BanRecords {
+    BanRecords::from([(Arc::from("r1"), BanRecord { at, banned: true })])
 }
 
 struct Free;
 
-impl Limits for Free {
+impl ResourceLimits for Free {
     fn set(&self, _: u32) -> u32 {
         0
     }
@@ -39,16 +39,16 @@
     let folder = folder("starts");
     let (old, mut new) = (post(&folder, 1), post(&folder, 2));
     fs::write(old.bans_path(), "{\"version\":").unwrap();
-    assert_eq!(new.new_bans(), Some(Marks::new()));
+    assert_eq!(new.new_bans(), Some(BanRecords::new()));
     old.write_bans(&marks(5)).unwrap();
-    let profile: Profile = json::from_str("{}").unwrap();
-    let (door, mut inbox) = crate::dispatcher::door(Arc::new(Site::new(&profile).unwrap()));
-    let (_phase, phase) = watch::channel(Phase::Starting);
-    let (view, _seen) = watch::channel(View::default());
+    let profile: SettingsObject = json::from_str("{}").unwrap();
+    let (door, mut inbox) = crate::dispatcher::door(Arc::new(Deployment::new(&profile).unwrap()));
+    let (_phase, phase) = watch::channel(ProcessState::Starting);
+    let (view, _seen) = watch::channel(PeerProcesses::default());
     tokio::spawn(run(new, Free, door, phase, view));
     let heard = async {
         loop {
-            if let Some(Event::Marks(told)) = inbox.next().await {
+            if let Some(Event::BanRecordsReceived(told)) = inbox.next().await {
                 return told;
             }
         }
@@ -67,7 +67,7 @@
     let mut old = post(&folder, 1);
     assert_eq!(
         old.view(),
-        View {
+        PeerProcesses {
             part: 1,
             processes: 1,
             predecessor: false,
@@ -96,17 +96,17 @@
 
 #[test]
 fn the_file_of_bans_is_read_as_written_and_nothing_is_lifted_by_another() {
-    let both = Marks::from([
+    let both = BanRecords::from([
         (
             Arc::from("a"),
-            Mark {
+            BanRecord {
                 at: 5,
                 banned: true,
             },
         ),
         (
             Arc::from("b \"x\""),
-            Mark {
+            BanRecord {
                 at: 6,
                 banned: false,
             },
@@ -122,19 +122,19 @@
         assert!(parse_marks(bad).is_err(), "{bad}");
     }
     // Who finds its word missing writes it again; who knows no more than the file says writes nothing.
-    assert_eq!(merged(&both, &Marks::new()), Some(both.clone()));
+    assert_eq!(merged(&both, &BanRecords::new()), Some(both.clone()));
     assert_eq!(merged(&both, &both), None);
-    assert_eq!(merged(&Marks::new(), &marks(5)), None);
-    let newer = Marks::from([(
+    assert_eq!(merged(&BanRecords::new(), &marks(5)), None);
+    let newer = BanRecords::from([(
         Arc::from("a"),
-        Mark {
+        BanRecord {
             at: 9,
             banned: false,
         },
     )]);
     assert_eq!(
         merged(&both, &newer).unwrap()["a"],
-        Mark {
+        BanRecord {
             at: 9,
             banned: false
         }
@@ -162,10 +162,10 @@
     let path = handover.bans_path();
     // A folder with something in it can't be replaced by a file.
     fs::create_dir_all(path.join("full")).unwrap();
-    let profile: Profile = json::from_str("{}").unwrap();
-    let (door, inbox) = crate::dispatcher::door(Arc::new(Site::new(&profile).unwrap()));
-    let (_phase, phase) = watch::channel(Phase::Serving);
-    let (view, _seen) = watch::channel(View::default());
+    let profile: SettingsObject = json::from_str("{}").unwrap();
+    let (door, inbox) = crate::dispatcher::door(Arc::new(Deployment::new(&profile).unwrap()));
+    let (_phase, phase) = watch::channel(ProcessState::Serving);
+    let (view, _seen) = watch::channel(PeerProcesses::default());
     tokio::spawn(run(handover, Free, door, phase, view));
     inbox.marks.send_replace(marks(5));
     tokio::time::sleep(Duration::from_secs(3)).await;
--- a/tests/unit/upgrade/resource_shares.rs
+++ b/tests/unit/upgrade/resource_shares.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-fn notice(born: u64, phase: Phase, part: u32) -> Notice {
-    Notice { born, phase, part }
+fn notice(born: u64, phase: ProcessState, part: u32) -> ProcessAnnouncement {
+    ProcessAnnouncement { born, phase, part }
 }
 
 #[test]
 fn a_notice_is_read_as_it_was_written_and_nothing_else_is() {
-    for phase in [Phase::Starting, Phase::Serving, Phase::Leaving] {
+    for phase in [ProcessState::Starting, ProcessState::Serving, ProcessState::Leaving] {
         let notice = notice(1_700_000_000_000_000, phase, 15);
-        assert_eq!(Notice::parse(&notice.line()), Some(notice));
+        assert_eq!(ProcessAnnouncement::parse(&notice.line()), Some(notice));
         assert_eq!(notice.line().len(), 35);
         let line = notice.line();
         for cut in 0..line.len() {
-            assert_eq!(Notice::parse(&line[..cut]), None);
+            assert_eq!(ProcessAnnouncement::parse(&line[..cut]), None);
         }
     }
     for bad in [
@@ -22,7 +22,7 @@
         "1 5 serving 03 04\n",
         "1 x serving 1\n",
     ] {
-        assert_eq!(Notice::parse(bad), None);
+        assert_eq!(ProcessAnnouncement::parse(bad), None);
     }
 }
 
@@ -37,45 +37,45 @@
                 .wrapping_add(1442695040888963407);
             (state >> 33) % below
         };
-        let mut alive = vec![notice(1, Phase::Serving, PARTS - START)];
+        let mut alive = vec![notice(1, ProcessState::Serving, SHARE_UNITS - START)];
         let mut born = 1;
         for _ in 0..200 {
             match draw(12) {
-                0 if alive.len() < 3 && alive.iter().all(|it| it.phase != Phase::Starting) => {
+                0 if alive.len() < 3 && alive.iter().all(|it| it.phase != ProcessState::Starting) => {
                     // A second one starts only when the first has come down, as a third one's does.
                     let kept: u32 = alive.iter().map(|it| it.part).sum();
-                    if kept < PARTS {
+                    if kept < SHARE_UNITS {
                         born += 1;
-                        alive.push(notice(born, Phase::Starting, START));
+                        alive.push(notice(born, ProcessState::Starting, START));
                     }
                 }
                 1 if alive.len() > 1 => drop(alive.remove(0)),
                 2 => {
                     alive[0].phase = if alive.len() > 1 {
-                        Phase::Leaving
+                        ProcessState::Leaving
                     } else {
-                        Phase::Serving
+                        ProcessState::Serving
                     }
                 }
                 _ => {
                     let at = draw(alive.len() as u64) as usize;
                     let own = alive.remove(at);
                     let to = wanted(&own, &alive);
-                    alive.insert(at, Notice { part: to, ..own });
+                    alive.insert(at, ProcessAnnouncement { part: to, ..own });
                 }
             }
             let kept: u32 = alive.iter().map(|it| it.part).sum();
-            assert!(kept <= PARTS, "seed {seed}: {alive:?}");
+            assert!(kept <= SHARE_UNITS, "seed {seed}: {alive:?}");
         }
     }
 }
 
 #[test]
 fn the_young_one_gets_half_beside_one_that_serves_and_more_beside_one_that_leaves() {
-    let own = notice(2, Phase::Starting, START);
-    assert_eq!(wanted(&own, &[notice(1, Phase::Serving, 15)]), 1);
-    assert_eq!(wanted(&notice(1, Phase::Serving, 15), &[own]), 7);
-    assert_eq!(wanted(&own, &[notice(1, Phase::Serving, 7)]), 9);
-    assert_eq!(wanted(&own, &[notice(1, Phase::Leaving, 4)]), 12);
+    let own = notice(2, ProcessState::Starting, START);
+    assert_eq!(wanted(&own, &[notice(1, ProcessState::Serving, 15)]), 1);
+    assert_eq!(wanted(&notice(1, ProcessState::Serving, 15), &[own]), 7);
+    assert_eq!(wanted(&own, &[notice(1, ProcessState::Serving, 7)]), 9);
+    assert_eq!(wanted(&own, &[notice(1, ProcessState::Leaving, 4)]), 12);
     assert_eq!(wanted(&own, &[]), 15);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use axum::http::Uri;
 use axum::routing::get;
 use axum::Router;
-use quartzhall_recording::{Answer, Reader, Record};
+use quartzhall_recording::{RecordedOutcome, Reader, Record};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -457,7 +457,7 @@
         count(|record| matches!(
             record,
             Record::Final {
-                answer: Answer::Served,
+                answer: RecordedOutcome::Served,
                 ..
             }
         )),
