--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -131,7 +131,9 @@
                 seen.attempts += 1;
                 seen.failed += usize::from(!matches!(
                     status,
-                    RecordedStatus::Served | RecordedStatus::PrefillDone | RecordedStatus::Cancelled
+                    RecordedStatus::Served
+                        | RecordedStatus::PrefillDone
+                        | RecordedStatus::Cancelled
                 ));
                 let left = prompts
                     .get(&request)
@@ -186,7 +188,12 @@
             wait_s: figure(&seen.waits, wait, seed),
         }
     };
-    let all = [RecordedRole::Prefill, RecordedRole::Decode, RecordedRole::Mixed].map(of);
+    let all = [
+        RecordedRole::Prefill,
+        RecordedRole::Decode,
+        RecordedRole::Mixed,
+    ]
+    .map(of);
     let roles = all.into_iter().filter(|nodes| nodes.nodes > 0).collect();
     Calibration {
         roles,
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -2,7 +2,7 @@
 
 use quartzhall_calibration::calibrate::{calibrate, Calibration};
 use quartzhall_calibration::estimate::Figure;
-use quartzhall_recording::{RecordedOutcome, Record, RecordedRole, RecordedStatus, Writer};
+use quartzhall_recording::{Record, RecordedOutcome, RecordedRole, RecordedStatus, Writer};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::process::Command;
@@ -23,7 +23,10 @@
         ready: true,
         started: 0,
     };
-    let mut all = vec![node(0, RecordedRole::Prefill), node(1, RecordedRole::Decode)];
+    let mut all = vec![
+        node(0, RecordedRole::Prefill),
+        node(1, RecordedRole::Decode),
+    ];
     let mut at = clock;
     for request in 0..requests {
         at += 600_000;
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -1,7 +1,8 @@
 //! Recordings that are whole, cut off, damaged, or newer.
 
 use quartzhall_recording::{
-    RecordedOutcome, Digest, Key, Reader, Record, Recorder, DigestKind, RecordedStatus, Table, Writer, MARK, VERSION,
+    Digest, DigestKind, Key, Reader, Record, RecordedOutcome, RecordedStatus, Recorder, Table,
+    Writer, MARK, VERSION,
 };
 use quickcheck::{Gen, QuickCheck};
 use std::io::{self, Write};
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -7,10 +7,15 @@
 use crate::world::UNITS_PER_MICROSECOND;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use quartzhall::config::{hash, Config, Deployment};
-use quartzhall::dispatcher::{Outcome, Command, Core, EndReason, Event, DiscoveredEndpoint, UpstreamRequest};
+use quartzhall::config::{fnv1a_hash, Config, Deployment};
+use quartzhall::dispatcher::{
+    Command, Core, DiscoveredEndpoint, EndReason, Event, Outcome, UpstreamRequest,
+};
 use quartzhall::gossip::Gossip;
-use quartzhall::routing::api::{RequestMetadata, EndpointRecord, LoadReport, RequestId, EndpointId, EndpointStatus, AttemptStatus, Time};
+use quartzhall::routing::api::{
+    AttemptStatus, EndpointId, EndpointRecord, EndpointStatus, LoadReport, RequestId,
+    RequestMetadata, Time,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use slog::{o, Discard, Logger};
@@ -55,25 +60,25 @@
 }
 
 fn name(entry: &EndpointRecord) -> String {
-    format!("replica-{}", entry.server)
+    format!("replica-{}", entry.endpoint)
 }
 
 fn member(entry: &EndpointRecord) -> DiscoveredEndpoint {
     let [_, _, high, low] = (entry.cell + 1).to_be_bytes();
-    let address = format!("127.1.{high}.{low}:{}", 10_000 + entry.server);
+    let address = format!("127.1.{high}.{low}:{}", 10_000 + entry.endpoint);
     DiscoveredEndpoint {
-        name: name(entry).into(),
+        id: name(entry).into(),
         address: address.into(),
-        entry: entry.clone(),
-        partial: false,
+        record: entry.clone(),
+        is_partial: false,
     }
 }
 
 impl Bench {
     fn time(&mut self, step: &str, event: Event) -> Vec<Command> {
         let began = Instant::now();
-        self.core.hear(self.now, event);
-        let commands = self.core.commands();
+        self.core.handle_event(self.now, event);
+        let commands = self.core.take_commands();
         self.record(step, began);
         commands
     }
@@ -90,8 +95,8 @@
 
     fn members(&self, complete: bool, which: &[usize]) -> Event {
         Event::EndpointsChanged {
-            complete,
-            members: which.iter().map(|at| member(&self.entries[*at])).collect(),
+            is_full: complete,
+            endpoints: which.iter().map(|at| member(&self.entries[*at])).collect(),
         }
     }
 
@@ -130,7 +135,7 @@
             self.now += 100 * MS;
             let at = rng.gen_range(0..self.entries.len());
             for state in [EndpointStatus::Draining, EndpointStatus::Ready] {
-                self.entries[at].state = state;
+                self.entries[at].status = state;
                 let change = self.members(false, &[at]);
                 self.time("core: change of one replica", change);
             }
@@ -145,14 +150,19 @@
         let mut other = Gossip::new(dispatchers as usize, config::PEER_PRICE);
         for turn in 0..TURNS {
             self.now += 20 * MS;
-            (0..EARNED_BY).for_each(|_| other.request());
+            (0..EARNED_BY).for_each(|_| other.on_request());
             let at = rng.gen_range(0..self.entries.len());
             let load = LoadReport {
                 in_flight: Some(50.0 + turn as f64),
                 ..LoadReport::default()
             };
-            other.report(self.now, at as u32, hash(&name(&self.entries[at])), &load);
-            let Some(message) = other.message(self.now) else {
+            other.record_load(
+                self.now,
+                at as u32,
+                fnv1a_hash(&name(&self.entries[at])),
+                &load,
+            );
+            let Some(message) = other.next_message(self.now) else {
                 continue;
             };
             self.time(
@@ -170,19 +180,26 @@
         let ask = RequestMetadata {
             id,
             session: Some(id),
-            expires_in: 4_000 * MS,
-            prompt: 2_000.0,
-            max_tokens: 300.0,
+            time_left: 4_000 * MS,
+            prompt_tokens: 2_000.0,
+            max_output_tokens: 300.0,
             ..RequestMetadata::default()
         };
         let work = UpstreamRequest {
-            name: format!("r{id}").into(),
+            client_request_id: format!("r{id}").into(),
             target: "/v1/chat/completions".into(),
             body: Bytes::new(),
         };
         let (answer, answered) = oneshot::channel();
         self.answers.push(answered);
-        let commands = self.time("core: request", Event::RequestArrived { ask, work, answer });
+        let commands = self.time(
+            "core: request",
+            Event::RequestArrived {
+                metadata: ask,
+                upstream: work,
+                outcome: answer,
+            },
+        );
         let commands = self.ask_servers(commands);
         is_sent(&commands, id, 0)
     }
@@ -193,22 +210,22 @@
         for server in probed {
             let load = Some(LoadReport {
                 in_flight: Some(1.0),
-                memory: Some(0.1),
+                kv_memory_share: Some(0.1),
                 ..LoadReport::default()
             });
             commands.extend(self.time(
                 "core: probe's answer",
                 Event::ProbeCompleted {
-                    server,
-                    ok: true,
+                    endpoint: server,
+                    is_healthy: true,
                     load,
                 },
             ));
         }
         let began = Instant::now();
         self.now += 10 * MS; // by then answers are due
-        self.core.wake(self.now);
-        commands.extend(self.core.commands());
+        self.core.on_timer(self.now);
+        commands.extend(self.core.take_commands());
         self.record("core: wake, a request is sent", began);
         commands
     }
@@ -224,16 +241,25 @@
                 id,
                 attempt: 0,
                 reason: EndReason::PrefillDone,
-                note: 0.0,
-                written: 0.0,
+                cached_tokens: 0.0,
+                completion_tokens: 0.0,
                 load: None,
             };
             self.time("core: read's end", ended);
             self.time(
                 "core: client left, lease let go",
-                Event::ClientDisconnected { id, fate: None },
+                Event::ClientDisconnected {
+                    id,
+                    may_have_run: None,
+                },
+            );
+            self.core.handle_event(
+                self.now,
+                Event::ReleaseCompleted {
+                    id,
+                    confirmed: true,
+                },
             );
-            self.core.hear(self.now, Event::ReleaseCompleted { id, done: true });
         }
     }
 
@@ -242,8 +268,8 @@
         for _ in 0..TURNS {
             self.now += 20 * MS;
             let began = Instant::now();
-            self.core.wake(self.now);
-            self.core.commands();
+            self.core.on_timer(self.now);
+            self.core.take_commands();
             self.record("core: wake with 585 streams", began);
         }
     }
@@ -256,23 +282,23 @@
                 continue;
             }
             let (status, note, written, load) = (AttemptStatus::PrefillDone, 0.0, 0.0, None);
-            self.core.hear(
+            self.core.handle_event(
                 self.now,
                 Event::AttemptEnded {
                     id,
                     attempt: 0,
                     reason: EndReason::of(status),
-                    note,
-                    written,
+                    cached_tokens: note,
+                    completion_tokens: written,
                     load,
                 },
             );
-            let commands = self.core.commands();
+            let commands = self.core.take_commands();
             if !is_sent(&self.ask_servers(commands), id, 1) {
                 continue;
             }
             let stream = mpsc::channel(1).1;
-            self.core.hear(
+            self.core.handle_event(
                 self.now,
                 Event::FirstEvent {
                     id,
@@ -280,7 +306,7 @@
                     stream,
                 },
             );
-            self.core.commands();
+            self.core.take_commands();
         }
     }
 }
@@ -292,7 +318,9 @@
 
 fn probed(command: &Command) -> Option<EndpointId> {
     match command {
-        Command::Probe { server, .. } => Some(*server),
+        Command::Probe {
+            endpoint: server, ..
+        } => Some(*server),
         _ => None,
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of replicas as it is drawn for a measurement: roles, zones, racks.
 
-use quartzhall::routing::api::{EndpointRecord, Role, EndpointId, EndpointStatus, Time};
+use quartzhall::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use rand::Rng;
 use rand_pcg::Pcg32;
 
@@ -55,18 +55,18 @@
             let server = entries.len() as EndpointId;
             let cold = rng.gen_bool(shape.cold);
             entries.push(EndpointRecord {
-                server,
-                key: quartzhall::config::hash(&format!("replica-{server}")),
+                endpoint: server,
+                key: quartzhall::config::fnv1a_hash(&format!("replica-{server}")),
                 role,
-                memory: if role == Role::Prefill {
+                kv_capacity_tokens: if role == Role::Prefill {
                     READER_MEMORY
                 } else {
                     WRITER_MEMORY
                 },
                 zone: cell % shape.zones.max(1),
                 cell,
-                state: EndpointStatus::Ready,
-                started: cold.then_some(now),
+                status: EndpointStatus::Ready,
+                started_at: cold.then_some(now),
             });
         }
         cell += 1;
--- a/crates/scale/src/hollow/discovery.rs
+++ b/crates/scale/src/hollow/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! Each dispatcher calls an address of its own, so that it is known to whom a change was written, and when.
 
-use quartzhall::routing::api::{EndpointRecord, Role, EndpointStatus};
+use quartzhall::routing::api::{EndpointRecord, EndpointStatus, Role};
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -38,14 +38,14 @@
         } else {
             "decode"
         };
-        let phase = match self.entry.state {
+        let phase = match self.entry.status {
             EndpointStatus::Ready => "Ready",
             EndpointStatus::Draining => "Terminating",
             EndpointStatus::Removed => "Gone",
         };
         format!(
             r#"{{"id":"replica-{}","host_port":"{}","locality":"zone-{}","flavor":"{flavor}","cell":{},"phase":"{phase}","size":1.0,"up_since_ms":{}}}"#,
-            self.entry.server, self.address, self.entry.zone, self.entry.cell, self.up_since_ms
+            self.entry.endpoint, self.address, self.entry.zone, self.entry.cell, self.up_since_ms
         )
     }
 }
@@ -94,7 +94,7 @@
         text.push_str("]}");
         let told = numbers
             .iter()
-            .map(|number| (*number, self.members[*number].entry.state))
+            .map(|number| (*number, self.members[*number].entry.status))
             .collect();
         List { text, whole, told }
     }
@@ -254,7 +254,11 @@
             text.len()
         );
         // Who is back may be sent to as soon as the list is written, and is no longer told to drain before that.
-        for (number, _) in list.told.iter().filter(|(_, state)| *state == EndpointStatus::Ready) {
+        for (number, _) in list
+            .told
+            .iter()
+            .filter(|(_, state)| *state == EndpointStatus::Ready)
+        {
             written.told().remove(number);
         }
         stream.write_all(answer.as_bytes()).await?;
@@ -267,7 +271,11 @@
             .fetch_add(u64::from(list.whole), Ordering::Relaxed);
         let now = Instant::now();
         let mut known = written.told();
-        for (number, _) in list.told.iter().filter(|(_, state)| *state != EndpointStatus::Ready) {
+        for (number, _) in list
+            .told
+            .iter()
+            .filter(|(_, state)| *state != EndpointStatus::Ready)
+        {
             known.entry(*number).or_insert(now);
         }
         Ok(())
--- a/crates/scale/src/hollow/peers.rs
+++ b/crates/scale/src/hollow/peers.rs
@@ -54,15 +54,15 @@
     sleep(TURN.mul_f64(rng.gen())).await;
     loop {
         for _ in 0..(peers.rate * TURN.as_secs_f64()) as usize {
-            gossip.request();
+            gossip.on_request();
             let number = rng.gen_range(0..peers.keys.len());
             let load = LoadReport {
                 in_flight: Some(rng.gen_range(0.0..MOST_IN_FLIGHT)),
                 ..LoadReport::default()
             };
-            gossip.report(now(), number as u32, peers.keys[number], &load);
+            gossip.record_load(now(), number as u32, peers.keys[number], &load);
         }
-        if let Some(message) = gossip.message(now()) {
+        if let Some(message) = gossip.next_message(now()) {
             peers
                 .bytes
                 .fetch_add(message.len() as u64, Ordering::Relaxed);
@@ -78,11 +78,11 @@
 /// Follows discovery with the program's own watch and pauses, and discards the lists, for as long as the task runs. It has
 /// been running for long and knows the first list.
 pub async fn follow(address: String, dispatchers: u32, seed: u64) {
-    let mut watch = WatchState::from(Some(FIRST_REVISION), false);
+    let mut watch = WatchState::starting_at(Some(FIRST_REVISION), false);
     let mut backoff = Backoff::new(dispatchers, seed);
-    sleep(backoff.first()).await;
+    sleep(backoff.initial_delay()).await;
     loop {
-        let call = watch.call();
+        let call = watch.next_poll();
         let began = Instant::now();
         match timeout(call.patience, revision(&address, &call.target))
             .await
@@ -90,10 +90,10 @@
             .flatten()
         {
             Some(revision) => {
-                backoff.succeeded();
-                watch.answered(revision);
+                backoff.reset();
+                watch.on_response(revision);
             }
-            None => sleep(backoff.pause_within(watch.longest_pause(began.elapsed()))).await,
+            None => sleep(backoff.next_delay_within(watch.max_backoff(began.elapsed()))).await,
         }
     }
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{self, Addresses};
 use crate::fleet;
-use crate::hollow::discovery::{Discovery, DiscoveredEndpoint, Written};
+use crate::hollow::discovery::{DiscoveredEndpoint, Discovery, Written};
 use crate::hollow::peers::{self, GossipTransport};
 use crate::hollow::replica::{ColdRule, DrainTold, Ledger, Replica};
 use crate::load;
@@ -129,8 +129,8 @@
                 .await
                 .map_err(failed)?;
             let address = listener.local_addr().map_err(failed)?.to_string();
-            let started = entry.started.map(|_| Instant::now());
-            let up_since_ms = entry.started.map_or(0, |_| unix_ms());
+            let started = entry.started_at.map(|_| Instant::now());
+            let up_since_ms = entry.started_at.map_or(0, |_| unix_ms());
             let replica = Replica::new(
                 number,
                 entry.role,
@@ -176,7 +176,8 @@
     ) -> Result<GossipTransport, String> {
         let agent = self.agent(Arc::default()).await?;
         let count = self.replicas.len();
-        let keys = (0..count).map(|number| quartzhall::config::hash(&format!("replica-{number}")));
+        let keys =
+            (0..count).map(|number| quartzhall::config::fnv1a_hash(&format!("replica-{number}")));
         let peers = GossipTransport {
             told: scenario.dispatchers.told,
             price: config::PEER_PRICE,
@@ -216,8 +217,9 @@
 
     fn drain(&self, which: impl Fn(&DiscoveredEndpoint) -> bool) {
         let members = self.discovery.members(which);
-        self.discovery
-            .change(&members, |member| member.entry.state = EndpointStatus::Draining);
+        self.discovery.change(&members, |member| {
+            member.entry.status = EndpointStatus::Draining
+        });
     }
 }
 
@@ -233,7 +235,7 @@
         .for_each(|number| replicas[*number].restart());
     let now = unix_ms();
     discovery.change(numbers, |member| {
-        member.entry.state = EndpointStatus::Ready;
+        member.entry.status = EndpointStatus::Ready;
         member.up_since_ms = now;
     });
 }
@@ -254,7 +256,9 @@
         draining = (0..each_second)
             .map(|_| rng.gen_range(0..replicas.len()))
             .collect();
-        discovery.change(&draining, |member| member.entry.state = EndpointStatus::Draining);
+        discovery.change(&draining, |member| {
+            member.entry.status = EndpointStatus::Draining
+        });
     }
 }
 
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -198,39 +198,39 @@
 /// The settings of a fleet of so many dispatchers, with the target's aims.
 pub fn settings(dispatchers: u32) -> RoutingSettings {
     let class = |worth, aim, effect| RequestClass {
-        aim,
-        aim_per_1000_tokens: 20 * MS,
-        token_aim: 60 * MS,
-        worth,
-        effect,
-        open: true,
+        ttft_objective: aim,
+        ttft_objective_per_1000_tokens: 20 * MS,
+        inter_token_objective: 60 * MS,
+        priority_weight: worth,
+        idempotency: effect,
+        is_active: true,
     };
     RoutingSettings {
-        balancers: dispatchers,
+        dispatchers: dispatchers,
         zone: 0,
         classes: vec![
             class(3.0, 510 * MS, Idempotency::Idempotent),
             class(1.0, 2 * SECOND, Idempotency::Idempotent),
         ],
         tenants: vec![],
-        over_share_worth: 0.2,
-        reports: LoadReporting::WithResponses,
-        must_watch: false,
-        may_probe: true,
-        may_cancel: true,
-        second_copies: true,
+        over_quota_weight: 0.2,
+        load_reporting: LoadReporting::WithResponses,
+        must_poll_endpoints: false,
+        probes_allowed: true,
+        cancellation_allowed: true,
+        hedging_allowed: true,
         max_retry_after: 500 * MS,
         max_attempts: 5,
         tick: 2 * MS,
-        answer_slack: 8 * MS,
+        response_slack: 8 * MS,
         drain_grace: 250 * MS,
-        release_within: SECOND,
-        cold_from: 0.3,
-        warm_within: 30 * SECOND,
-        fall_multiple: 2.5,
-        fall: 1500 * MS,
-        cross_zone_price: 0.01,
-        far_price: 0.01,
+        reservation_ttl: SECOND,
+        slow_start_initial_share: 0.3,
+        slow_start_duration: 30 * SECOND,
+        overload_threshold: 2.5,
+        overload_window: 1500 * MS,
+        cross_zone_cost: 0.01,
+        kv_transfer_cost: 0.01,
     }
 }
 
@@ -288,8 +288,8 @@
                 at,
                 Step::FirstList,
                 Event::EndpointsChanged {
-                    complete: true,
-                    entries,
+                    is_full: true,
+                    endpoints: entries,
                 },
             );
             let gap = world.gap();
@@ -358,15 +358,17 @@
             Happening::Wake(at) => self.tell(at, Step::Wake, Event::TimerFired),
             Happening::Read(id, attempt, kept) => self.read_ends(id, attempt, kept as f64),
             Happening::First(id, attempt) => self.first(id, attempt),
-            Happening::End(id, attempt) => self.end(id, attempt, AttemptStatus::Served, Step::AttemptEnd, 0.0),
+            Happening::End(id, attempt) => {
+                self.end(id, attempt, AttemptStatus::Served, Step::AttemptEnd, 0.0)
+            }
             Happening::Probed(at, server) => {
                 let load = Some(self.load(server));
                 self.tell(
                     at,
                     Step::ProbeAnswer,
                     Event::ProbeCompleted {
-                        server,
-                        ok: true,
+                        endpoint: server,
+                        is_healthy: true,
                         load,
                     },
                 );
@@ -374,7 +376,14 @@
             Happening::Report(at) => {
                 let server = self.rng.gen_range(0..self.machines.len()) as EndpointId;
                 let load = Some(self.load(server));
-                self.tell(at, Step::Report, Event::PeerLoadReport { server, load });
+                self.tell(
+                    at,
+                    Step::Report,
+                    Event::PeerLoadReport {
+                        endpoint: server,
+                        load,
+                    },
+                );
                 self.push(REPORT_EACH, Happening::Report(at));
             }
             Happening::WholeList(at) => {
@@ -383,8 +392,8 @@
                     at,
                     Step::WholeList,
                     Event::EndpointsChanged {
-                        complete: true,
-                        entries,
+                        is_full: true,
+                        endpoints: entries,
                     },
                 );
                 self.push(WHOLE_LIST_EACH, Happening::WholeList(at));
@@ -414,7 +423,7 @@
             (Some(server), EndpointStatus::Draining),
         ] {
             let Some(server) = server else { continue };
-            self.machines[server as usize].entry.state = state;
+            self.machines[server as usize].entry.status = state;
             changed.push(self.machines[server as usize].entry.clone());
         }
         self.draining = Some(server);
@@ -424,8 +433,8 @@
                 at,
                 Step::Change,
                 Event::EndpointsChanged {
-                    complete: false,
-                    entries,
+                    is_full: false,
+                    endpoints: entries,
                 },
             );
         }
@@ -456,10 +465,10 @@
             class,
             session: Some(spoken.session),
             prefix: Some(spoken.text),
-            expires_in: 6 * SECOND,
-            prompt,
+            time_left: 6 * SECOND,
+            prompt_tokens: prompt,
             prefix_tokens: SHARED_TOKENS,
-            max_tokens,
+            max_output_tokens: max_tokens,
             ..RequestMetadata::default()
         };
         let next = Conversation {
@@ -470,8 +479,9 @@
             self.conversations[at].push(next);
         }
         let class = &self.settings.classes[class];
-        let aim = class.aim + (class.aim_per_1000_tokens as f64 * prompt / 1000.0) as Time;
-        let (aim_at, worth) = (self.now + aim, class.worth);
+        let aim = class.ttft_objective
+            + (class.ttft_objective_per_1000_tokens as f64 * prompt / 1000.0) as Time;
+        let (aim_at, worth) = (self.now + aim, class.priority_weight);
         self.worth_came += worth;
         let job = Job {
             router: at,
@@ -488,7 +498,11 @@
 
     fn act(&mut self, at: usize, action: Action) {
         match action {
-            Action::StartAttempt { id, server, .. } => self.send(id, server),
+            Action::StartAttempt {
+                id,
+                endpoint: server,
+                ..
+            } => self.send(id, server),
             Action::CancelAttempt { id, attempt } => {
                 self.end(id, attempt, AttemptStatus::Cancelled, Step::AttemptEnd, 0.0);
             }
@@ -502,7 +516,9 @@
                 let after = when.saturating_sub(self.now);
                 self.push(after, Happening::Wake(at));
             }
-            Action::Probe { server } => self.push(PROBE_TIME, Happening::Probed(at, server)),
+            Action::Probe { endpoint: server } => {
+                self.push(PROBE_TIME, Happening::Probed(at, server))
+            }
             Action::ReleaseReservation { .. } | Action::WatchEndpoints => {}
         }
     }
@@ -522,10 +538,10 @@
         let machine = &self.machines[server as usize];
         let age = machine
             .entry
-            .started
+            .started_at
             .map_or(Time::MAX, |started| self.now - started);
-        let age = (age as f64 / self.settings.warm_within as f64).min(1.0);
-        let capacity = 1.0 - (1.0 - self.settings.cold_from) * (1.0 - age);
+        let age = (age as f64 / self.settings.slow_start_duration as f64).min(1.0);
+        let capacity = 1.0 - (1.0 - self.settings.slow_start_initial_share) * (1.0 - age);
         if machine.entry.role == Role::Prefill {
             self.read(id, attempt, server, &ask, capacity);
         } else {
@@ -534,7 +550,14 @@
         }
     }
 
-    fn read(&mut self, id: RequestId, attempt: u32, server: EndpointId, ask: &RequestMetadata, capacity: f64) {
+    fn read(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: EndpointId,
+        ask: &RequestMetadata,
+        capacity: f64,
+    ) {
         let others = match self.options.others {
             true => (self.rng.gen_range(0.0..2.0) * OTHERS_WAIT as f64) as Time,
             false => 0,
@@ -548,8 +571,8 @@
         };
         let kept = found(ask.session)
             .max(found(ask.prefix).min(ask.prefix_tokens))
-            .min(ask.prompt);
-        let took = ((ask.prompt - kept) / rate / capacity * 1e6) as Time;
+            .min(ask.prompt_tokens);
+        let took = ((ask.prompt_tokens - kept) / rate / capacity * 1e6) as Time;
         machine.busy_until = machine.busy_until.max(self.now + others) + took;
         let ends_in = machine.busy_until - self.now + MS;
         machine.running += 1.0;
@@ -558,7 +581,7 @@
             .extend(ask.prefix.map(|text| (text, ask.prefix_tokens)));
         machine
             .kept
-            .extend(ask.session.map(|text| (text, ask.prompt)));
+            .extend(ask.session.map(|text| (text, ask.prompt_tokens)));
         self.push(ends_in, Happening::Read(id, attempt, kept as u64));
     }
 
@@ -571,16 +594,22 @@
         capacity: f64,
         from: Option<u32>,
     ) {
-        let held = ask.prompt + ask.max_tokens * 0.33;
+        let held = ask.prompt_tokens + ask.max_output_tokens * 0.33;
         let machine = &mut self.machines[server as usize];
-        if machine.held + held > machine.entry.memory {
-            return self.end(id, attempt, AttemptStatus::Overloaded, Step::AttemptEnd, 0.0);
+        if machine.held + held > machine.entry.kv_capacity_tokens {
+            return self.end(
+                id,
+                attempt,
+                AttemptStatus::Overloaded,
+                Step::AttemptEnd,
+                0.0,
+            );
         }
         machine.held += held;
         machine.running += 1.0;
         let far = from.is_some_and(|cell| cell != machine.entry.cell);
         let moved = if far {
-            (MOVE_PER_1000 as f64 * ask.prompt / 1000.0) as Time
+            (MOVE_PER_1000 as f64 * ask.prompt_tokens / 1000.0) as Time
         } else {
             0
         };
@@ -610,7 +639,7 @@
         let (at, server, tokens) = (
             job.router,
             job.tries[attempt as usize].server,
-            job.ask.max_tokens * 0.33,
+            job.ask.max_output_tokens * 0.33,
         );
         let others = if self.options.others {
             OTHERS_RUNNING
@@ -650,9 +679,9 @@
             Event::AttemptEnded {
                 id,
                 attempt,
-                server,
+                endpoint: server,
                 status,
-                closed,
+                request_closed: closed,
                 note,
                 load,
             },
@@ -677,30 +706,43 @@
             * self.options.read_rate
             / 1000.0;
         let memory = if writes {
-            running * 1_500.0 / machine.entry.memory
+            running * 1_500.0 / machine.entry.kv_capacity_tokens
         } else {
             0.4
         };
         LoadReport {
             in_flight: Some(running),
-            queue: None,
-            memory: Some(memory.min(1.0)),
-            to_read: Some(if writes { 0.0 } else { waits + others }),
+            queued: None,
+            kv_memory_share: Some(memory.min(1.0)),
+            pending_prefill_kilotokens: Some(if writes { 0.0 } else { waits + others }),
         }
     }
 }
 
-/// What a router decides, as the digests have it: without the reason that it gives for the log.
+/// An action as text for the digest. The words are those with which the expected digests were made, whatever the types are called.
 fn decision(action: &Action) -> String {
     match action {
+        Action::StartAttempt {
+            id,
+            endpoint,
+            timeout,
+        } => {
+            format!("Send {{ id: {id}, server: {endpoint}, timeout: {timeout} }}")
+        }
+        Action::CancelAttempt { id, attempt } => {
+            format!("Cancel {{ id: {id}, attempt: {attempt} }}")
+        }
         Action::Shed {
             id,
             retry_after,
-            why: _,
+            reason: _,
         } => {
             format!("Refuse {{ id: {id}, retry_after: {retry_after} }}")
         }
-        Action::Fail { id, why: _ } => format!("Fail {{ id: {id} }}"),
-        action => format!("{action:?}"),
+        Action::Fail { id, reason: _ } => format!("Fail {{ id: {id} }}"),
+        Action::ReleaseReservation { id } => format!("Release {{ id: {id} }}"),
+        Action::SetTimer { at } => format!("Wake {{ at: {at} }}"),
+        Action::Probe { endpoint } => format!("Probe {{ server: {endpoint} }}"),
+        Action::WatchEndpoints => "Watch".to_owned(),
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,8 +6,8 @@
 use crate::schedule::{self, Fault, Planned, Shape};
 use crate::server::{DrainTold, Server};
 use crate::wire;
-use quartzhall::routing::api::{EndpointRecord, Role, EndpointStatus};
-use quartzhall_scale::hollow::discovery::{Discovery, Member, Written};
+use quartzhall::routing::api::{EndpointRecord, EndpointStatus, Role};
+use quartzhall_scale::hollow::discovery::{DiscoveredEndpoint, Discovery, Written};
 use quartzhall_scale::process::Dispatcher;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -181,13 +181,13 @@
                 let listener = wire::listen(address).map_err(failed)?;
                 tasks.spawn(server.clone().serve(number, address, listener));
                 let entry = EndpointRecord {
-                    server: at as u32,
+                    endpoint: at as u32,
                     key: at as u64,
                     role: role(at),
                     cell: at as u32 % 3,
                     ..EndpointRecord::default()
                 };
-                members.push(Member {
+                members.push(DiscoveredEndpoint {
                     entry,
                     address: address.to_string(),
                     up_since_ms: 0,
@@ -329,7 +329,7 @@
         for process in &self.processes {
             process
                 .discovery
-                .change(&[server], |member| member.entry.state = state);
+                .change(&[server], |member| member.entry.status = state);
         }
     }
 
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -5,10 +5,10 @@
 //! Each request goes through both stages to its good end. Printed are microseconds a request for each round and mode,
 //! then the medians and what recording adds.
 
-use quartzhall::config::{SettingsObject, Deployment};
-use quartzhall::dispatcher::{Core, EndReason, Event, DiscoveredEndpoint, UpstreamRequest};
+use quartzhall::config::{Deployment, SettingsObject};
+use quartzhall::dispatcher::{Core, DiscoveredEndpoint, EndReason, Event, UpstreamRequest};
 use quartzhall::recording::TraceRecorder;
-use quartzhall::routing::api::{RequestMetadata, EndpointRecord, Role, EndpointStatus, Time};
+use quartzhall::routing::api::{EndpointRecord, EndpointStatus, RequestMetadata, Role, Time};
 use quartzhall_recording::{Key, Recorder};
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
@@ -33,7 +33,12 @@
     );
     let recorder = match file {
         Some(file) => {
-            core.take_notes(TraceRecorder::new(Key::from_secret(b"cost"), now, "n1", &site));
+            core.set_trace_recorder(TraceRecorder::new(
+                Key::from_secret(b"cost"),
+                now,
+                "n1",
+                &site,
+            ));
             Some(Recorder::start(std::fs::File::create(file)?, 8192)?)
         }
         None => None,
@@ -47,8 +52,8 @@
         let entry = EndpointRecord {
             key: number as u64,
             role,
-            state: EndpointStatus::Ready,
-            memory: 2e5,
+            status: EndpointStatus::Ready,
+            kv_capacity_tokens: 2e5,
             ..EndpointRecord::default()
         };
         let (name, address) = (
@@ -56,50 +61,57 @@
             format!("127.0.0.1:{}", 7000 + number).into(),
         );
         DiscoveredEndpoint {
-            name,
+            id: name,
             address,
-            entry,
-            partial: false,
+            record: entry,
+            is_partial: false,
         }
     };
-    core.hear(
+    core.handle_event(
         now,
         Event::EndpointsChanged {
-            complete: true,
-            members: (0..10).map(member).collect(),
+            is_full: true,
+            endpoints: (0..10).map(member).collect(),
         },
     );
     let began = Instant::now();
     for id in 1..=requests {
         now += 2_000;
-        core.wake(now);
+        core.on_timer(now);
         let session = Some(id / 4);
         let ask = RequestMetadata {
             id,
             session,
-            expires_in: 7_500_000,
-            prompt: 4e3,
-            max_tokens: 5e2,
+            time_left: 7_500_000,
+            prompt_tokens: 4e3,
+            max_output_tokens: 5e2,
             ..RequestMetadata::default()
         };
         let work = UpstreamRequest {
-            name: format!("r{id}").into(),
+            client_request_id: format!("r{id}").into(),
             target: "/".into(),
             body: "{}".into(),
         };
         let (answer, _answered) = oneshot::channel();
-        core.hear(now, Event::RequestArrived { ask, work, answer });
+        core.handle_event(
+            now,
+            Event::RequestArrived {
+                metadata: ask,
+                upstream: work,
+                outcome: answer,
+            },
+        );
         let ended = |attempt, reason| Event::AttemptEnded {
             id,
             attempt,
             reason,
-            note: 2e3,
-            written: 1e2,
+            cached_tokens: 2e3,
+            completion_tokens: 1e2,
             load: None,
         };
-        core.hear(now + 500, ended(0, EndReason::PrefillDone));
+        core.handle_event(now + 500, ended(0, EndReason::PrefillDone));
         let (_pieces, stream) = mpsc::channel(1);
-        core.hear(
+        core.handle_event(
             now + 900,
             Event::FirstEvent {
                 id,
@@ -107,10 +119,10 @@
                 stream,
             },
         );
-        core.hear(now + 1500, ended(1, EndReason::Served));
-        core.commands();
+        core.handle_event(now + 1500, ended(1, EndReason::Served));
+        core.take_commands();
         if let Some(recorder) = &recorder {
-            core.notes()
+            core.take_records()
                 .into_iter()
                 .for_each(|note| recorder.note(note));
         }
--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::{DispatcherHandle, EndReason, Event, StreamChunk, UpstreamRequest};
 use crate::net::message_framing::ChunkedDecoder;
 use crate::routing::api::{LoadReport, RequestId};
-use crate::upgrade::stream_migration::{UpstreamHalf, MigrationSignal};
+use crate::upgrade::stream_migration::{MigrationSignal, UpstreamHalf};
 use bytes::Bytes;
 use slog::{info, Logger};
 use std::future::Future;
@@ -76,7 +76,12 @@
 
 impl StreamForwarder {
     /// For this attempt.
-    pub fn new(door: DispatcherHandle, trial: &AttemptRequest, moving: MigrationSignal, log: Logger) -> Self {
+    pub fn new(
+        door: DispatcherHandle,
+        trial: &AttemptRequest,
+        moving: MigrationSignal,
+        log: Logger,
+    ) -> Self {
         StreamForwarder {
             door,
             id: trial.id,
@@ -120,7 +125,7 @@
     /// Waits until the stream is to move to another process, and for its turn; for ever, before it has begun.
     pub async fn to_move(&self) -> OwnedSemaphorePermit {
         match self.begun() {
-            true => self.moving.turn().await,
+            true => self.moving.acquire().await,
             false => std::future::pending().await,
         }
     }
@@ -129,10 +134,10 @@
     pub async fn moves(&self, node: OwnedFd, chunks: ChunkedDecoder) -> bool {
         let (moved, told) = oneshot::channel();
         let half = UpstreamHalf {
-            node,
+            upstream: node,
             chunks,
-            part: self.events.part(),
-            moved,
+            partial_event: self.events.part(),
+            migrated: moved,
         };
         match &self.pieces {
             Some(pieces) if pieces.send(StreamChunk::Migrate(half)).await.is_ok() => {
@@ -184,7 +189,7 @@
                 self.pieces = Some(pieces);
                 self.mark.store(true, Ordering::Relaxed);
                 self.door
-                    .tell(Event::FirstEvent {
+                    .send(Event::FirstEvent {
                         id: self.id,
                         attempt: self.attempt,
                         stream,
@@ -200,8 +205,9 @@
     /// it as broken. A stream without an event is no answer.
     pub async fn end(mut self) -> Result<(), EndReason> {
         let rest = std::mem::take(&mut self.events).rest();
-        let rest =
-            rest.map_err(|MalformedEvent| self.given_up("spoilt at its end", EndReason::MalformedStream))?;
+        let rest = rest.map_err(|MalformedEvent| {
+            self.given_up("spoilt at its end", EndReason::MalformedStream)
+        })?;
         if !self.begun() {
             return Err(EndReason::UnreadableResponse);
         }
@@ -217,7 +223,7 @@
 pub fn parse_load(text: &str) -> Option<LoadReport> {
     let text = text.trim();
     let text = text
-        .strip_prefix("Endpoint-LoadReport-Metrics:")
+        .strip_prefix("Endpoint-Load-Metrics:")
         .unwrap_or(text)
         .trim_start();
     let mut load = LoadReport::default();
@@ -236,9 +242,9 @@
         };
         match name.trim() {
             "inflight" => load.in_flight = Some(value),
-            "queue" => load.queue = Some(value),
-            "x0" => load.memory = Some(value),
-            "x1" => load.to_read = Some(value),
+            "queue" => load.queued = Some(value),
+            "x0" => load.kv_memory_share = Some(value),
+            "x1" => load.pending_prefill_kilotokens = Some(value),
             _ => continue,
         }
         any = true;
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: opened within the dial time and the descriptors allowed.
 
-use crate::net::connection_limit::{ConnectionPermit, ConnectionLimit};
-use crate::net::message_framing::{ResponseFraming, ChunkedDecoder};
+use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
+use crate::net::message_framing::{ChunkedDecoder, ResponseFraming};
 use crate::net::system_errors::is_local_shortage;
 use hyper::Uri;
 use hyper_util::client::legacy::connect::{Connected, Connection};
@@ -352,7 +352,7 @@
     /// it tells nothing of the node.
     pub async fn dial(&self, address: &str) -> io::Result<Transport> {
         let target: SocketAddr = address.parse().map_err(io::Error::other)?;
-        let place = timeout(self.limit, self.places.take(1))
+        let place = timeout(self.limit, self.places.acquire(1))
             .await
             .ok()
             .flatten();
@@ -469,7 +469,9 @@
         let dialer = self.clone();
         Box::pin(async move {
             let address = uri.authority().map_or("", |authority| authority.as_str());
-            Ok(HttpTransport(TokioIo::new(dialer.dial_in_time(address).await?)))
+            Ok(HttpTransport(TokioIo::new(
+                dialer.dial_in_time(address).await?,
+            )))
         })
     }
 }
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -78,6 +78,8 @@
     /// What came after the last event when the stream has ended well.
     pub fn rest(mut self) -> Result<Bytes, MalformedEvent> {
         let whole = is_line(&self.part[self.read..]);
-        whole.then(|| self.part.split().freeze()).ok_or(MalformedEvent)
+        whole
+            .then(|| self.part.split().freeze())
+            .ok_or(MalformedEvent)
     }
 }
--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -3,8 +3,8 @@
 //! "It never ran" is said only where that is certain: the connection never came up, the node said so, or the
 //! last byte was never written to a connection.
 
-use super::attempt::{parse_load, AttemptResult, StreamForwarder, AttemptRequest};
-use super::connector::{LateConnect, TrackedConnection, Connector, CROWDED};
+use super::attempt::{parse_load, AttemptRequest, AttemptResult, StreamForwarder};
+use super::connector::{Connector, LateConnect, TrackedConnection, CROWDED};
 use crate::dispatcher::EndReason;
 use crate::routing::api::LoadReport;
 use crate::variants::{breaks, Variant};
@@ -244,7 +244,11 @@
     unwritten: bool,
 }
 
-fn client(dialer: &Connector, idle_time: Duration, most_idle: usize) -> Client<Connector, SingleFrameBody> {
+fn client(
+    dialer: &Connector,
+    idle_time: Duration,
+    most_idle: usize,
+) -> Client<Connector, SingleFrameBody> {
     Client::builder(TokioExecutor::new())
         // A resend is an attempt of its own, which only the core may order.
         .retry_canceled_requests(false)
@@ -377,7 +381,11 @@
     }
 
     /// The request of an attempt, which tells the server the time that is left now.
-    fn request(trial: &AttemptRequest, until: Instant, taken: &Arc<AtomicBool>) -> Option<Request<SingleFrameBody>> {
+    fn request(
+        trial: &AttemptRequest,
+        until: Instant,
+        taken: &Arc<AtomicBool>,
+    ) -> Option<Request<SingleFrameBody>> {
         let body = SingleFrameBody {
             body: Some(trial.work.body.clone()),
             taken: taken.clone(),
@@ -391,7 +399,7 @@
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{}", trial.address, trial.work.target))
-            .header("x-trace-id", &*trial.work.name)
+            .header("x-trace-id", &*trial.work.client_request_id)
             .header("x-expires-in-ms", left.as_millis().to_string())
             .header(header::CONTENT_TYPE, "application/json")
             .body(body);
@@ -399,7 +407,11 @@
     }
 
     /// Runs an attempt to its end.
-    pub async fn attempt(&self, mut trial: AttemptRequest, passing: StreamForwarder) -> AttemptResult {
+    pub async fn attempt(
+        &self,
+        mut trial: AttemptRequest,
+        passing: StreamForwarder,
+    ) -> AttemptResult {
         let until = Instant::now() + trial.timeout;
         let taken = Arc::new(AtomicBool::new(false));
         let mut open = OpenExchange::default();
@@ -480,10 +492,12 @@
                 load,
                 ..EndReason::KvStateMissing.into()
             },
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => AttemptResult {
-                load,
-                ..EndReason::Overloaded.into()
-            },
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+                AttemptResult {
+                    load,
+                    ..EndReason::Overloaded.into()
+                }
+            }
             StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND | StatusCode::PAYLOAD_TOO_LARGE => {
                 debug!(self.log, "a bad request, says a node"; "id" => trial.id, "address" => %trial.address);
                 AttemptResult {
@@ -595,7 +609,11 @@
 
     /// Has the stream go on in another process: nothing more is read, and what was read is passed on first. False:
     /// it goes on here.
-    async fn move_on(&self, stream: &mut Stream, carried: &TrackedConnection) -> Result<bool, EndReason> {
+    async fn move_on(
+        &self,
+        stream: &mut Stream,
+        carried: &TrackedConnection,
+    ) -> Result<bool, EndReason> {
         carried.freeze(true);
         let until = Instant::now() + DRAINED;
         loop {
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -12,9 +12,9 @@
 use crate::config::Bounds;
 use crate::dispatcher::{Command, DispatcherHandle, EndReason, Event};
 use crate::net::connection_limit::ConnectionLimit;
-use crate::routing::api::{RequestId, EndpointId};
+use crate::routing::api::{EndpointId, RequestId};
 use crate::upgrade::stream_migration::MigrationSignal;
-use attempt::{AttemptResult, StreamForwarder, AttemptRequest};
+use attempt::{AttemptRequest, AttemptResult, StreamForwarder};
 use connector::Connector;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http::Http;
@@ -107,7 +107,13 @@
         // A session carries no probes: its reports come with its answers.
         let answer = timeout(PROBE, self.http.probe(address)).await;
         let (ok, load) = answer.ok().flatten().unwrap_or((false, None));
-        self.door.tell(Event::ProbeCompleted { server, ok, load }).await;
+        self.door
+            .send(Event::ProbeCompleted {
+                endpoint: server,
+                is_healthy: ok,
+                load,
+            })
+            .await;
     }
 }
 
@@ -146,10 +152,10 @@
     moving: MigrationSignal,
     log: Logger,
 ) {
-    let most_idle = (places.whole() / IDLE_PART).max(1);
-    let dialer = Connector::new(Duration::from_micros(bounds.dial), places);
+    let most_idle = (places.capacity() / IDLE_PART).max(1);
+    let dialer = Connector::new(Duration::from_micros(bounds.connect_timeout), places);
     // Nodes close what was idle for the settings' time; a request written then would be lost.
-    let idle = Duration::from_micros(bounds.idle * 7 / 10);
+    let idle = Duration::from_micros(bounds.endpoint_idle_timeout * 7 / 10);
     let http = Http::new(dialer.clone(), idle, most_idle, log.clone());
     let sessions = SessionPool::new(dialer.clone(), idle, log.clone());
     let shared = Shared {
@@ -170,9 +176,9 @@
                     break;
                 }
                 // What waits is taken at once, and bars are up before any of it is sent.
-                Command::bars_first(&mut taken);
+                Command::blocks_first(&mut taken);
                 for command in taken.drain(..) { match command {
-                Command::StartAttempt { id, attempt, address, work, timeout, alone } => {
+                Command::StartAttempt { id, attempt, address, upstream: work, timeout, needs_new_connection: alone } => {
                     let (cancel, cancelled) = oneshot::channel::<()>();
                     let shared = shared.clone();
                     let trial = AttemptRequest { id, attempt, address, work, timeout, alone };
@@ -192,7 +198,7 @@
                             // Dropping the exchange closes its connection.
                             () = cancelled => EndReason::Cancelled.into(),
                         };
-                        shared.door.tell(Event::AttemptEnded { id, attempt, reason, note, written, load }).await;
+                        shared.door.send(Event::AttemptEnded { id, attempt, reason, cached_tokens: note, completion_tokens: written, load }).await;
                     });
                     trials.insert(handle.id(), (id, attempt));
                     cancels.insert((id, attempt), cancel);
@@ -202,18 +208,18 @@
                         let _ = cancel.send(());
                     }
                 }
-                Command::ReleaseReservation { id, name, addresses } => {
+                Command::ReleaseReservation { id, client_request_id: name, addresses } => {
                     let shared = shared.clone();
                     tasks.spawn(async move {
                         let done = shared.release(&name, &addresses).await;
-                        shared.door.tell(Event::ReleaseCompleted { id, done }).await;
+                        shared.door.send(Event::ReleaseCompleted { id, confirmed: done }).await;
                     });
                 }
-                Command::Probe { server, address } => {
+                Command::Probe { endpoint: server, address } => {
                     let shared = shared.clone();
                     tasks.spawn(async move { shared.probe(server, &address).await });
                 }
-                Command::BlockAddress { address, barred } => {
+                Command::BlockAddress { address, is_blocked: barred } => {
                     if barred {
                         shared.sessions.forget(&address);
                     }
@@ -231,7 +237,7 @@
                     // A task that died has told nothing: the core must not wait for it.
                     error!(shared.log, "an attempt's task died"; "error" => %error);
                     let reason = EndReason::TaskPanicked;
-                    shared.door.post(Event::AttemptEnded { id, attempt, reason, note: 0.0, written: 0.0, load: None });
+                    shared.door.send_detached(Event::AttemptEnded { id, attempt, reason, cached_tokens: 0.0, completion_tokens: 0.0, load: None });
                 }
             }
         }
--- a/src/backend/websocket.rs
+++ b/src/backend/websocket.rs
@@ -3,7 +3,7 @@
 //! Giving an attempt up closes its session, as it closes an HTTP/1.1 connection. A session that has stood idle is
 //! looked at before it is used again, and none goes to a node that drains.
 
-use super::attempt::{parse_load, AttemptResult, StreamForwarder, AttemptRequest};
+use super::attempt::{parse_load, AttemptRequest, AttemptResult, StreamForwarder};
 use super::connector::{Connector, Transport, CROWDED};
 use crate::dispatcher::EndReason;
 use crate::routing::api::AttemptStatus;
@@ -170,7 +170,11 @@
                 .map_err(|error| debug!(self.log, "no session"; "error" => %error))
                 .ok()
         });
-        let (session, _) = opened.await.ok().flatten().ok_or(EndReason::ConnectFailed)?;
+        let (session, _) = opened
+            .await
+            .ok()
+            .flatten()
+            .ok_or(EndReason::ConnectFailed)?;
         // The drain rule counts from a send's first byte: one that waited here is checked again.
         if self.dialer.is_barred(address) {
             return Err(EndReason::EndpointBlocked);
@@ -179,7 +183,11 @@
     }
 
     /// Runs an attempt to its end.
-    pub async fn attempt(&self, mut trial: AttemptRequest, mut passing: StreamForwarder) -> AttemptResult {
+    pub async fn attempt(
+        &self,
+        mut trial: AttemptRequest,
+        mut passing: StreamForwarder,
+    ) -> AttemptResult {
         let until = Instant::now() + trial.timeout;
         if self.dialer.is_barred(&trial.address) {
             return EndReason::NotSent.into();
@@ -212,7 +220,7 @@
         };
         let request = format!(
             r#"{{"type":"request","id":{},"target":{},"expires_in_ms":{},"body":{}}}"#,
-            json::to_string(&*trial.work.name),
+            json::to_string(&*trial.work.client_request_id),
             json::to_string(&*trial.work.target),
             until.saturating_duration_since(Instant::now()).as_millis(),
             json::to_string(body),
@@ -239,7 +247,7 @@
                 Message::Binary(_) => return EndReason::UnreadableResponse.into(),
             };
             broken = EndReason::ConnectionReset;
-            match parse(&text, &trial.work.name) {
+            match parse(&text, &trial.work.client_request_id) {
                 NodeMessage::Data(data) => {
                     if let Err(reason) = passing.data(&data).await {
                         return reason.into();
@@ -248,13 +256,19 @@
                 NodeMessage::End(end) => {
                     let begun = passing.begun();
                     let end = match end.reason {
-                        EndReason::Served => passing.end().await.map_or_else(AttemptResult::from, |()| end),
+                        EndReason::Served => passing
+                            .end()
+                            .await
+                            .map_or_else(AttemptResult::from, |()| end),
                         EndReason::ErrorResponse | EndReason::UnreadableResponse => end,
                         // A stream that ends otherwise has broken.
                         _ if begun => EndReason::ConnectionReset.into(),
                         _ => end,
                     };
-                    if !matches!(end.reason.status(), AttemptStatus::Error | AttemptStatus::Reset) {
+                    if !matches!(
+                        end.reason.status(),
+                        AttemptStatus::Error | AttemptStatus::Reset
+                    ) {
                         self.keep(&trial.address, session);
                     }
                     return end;
--- a/src/bin/quartzhall-simhost.rs
+++ b/src/bin/quartzhall-simhost.rs
@@ -3,7 +3,7 @@
 //! It translates and decides nothing. Bad input ends it with one line on standard error.
 
 use miniserde::{json, Deserialize};
-use quartzhall::config::{micros, NameTable, SettingsObject, Deployment};
+use quartzhall::config::{micros, Deployment, NameTable, SettingsObject};
 use quartzhall::routing::api::*;
 use quartzhall::routing::Router;
 use std::collections::HashMap;
@@ -96,9 +96,9 @@
 fn load(metrics: Option<Metrics>) -> Option<LoadReport> {
     metrics.map(|told| LoadReport {
         in_flight: told.inflight,
-        queue: told.queue,
-        memory: told.x0,
-        to_read: told.x1,
+        queued: told.queue,
+        kv_memory_share: told.x0,
+        pending_prefill_kilotokens: told.x1,
     })
 }
 
@@ -122,13 +122,13 @@
         Ok(EndpointRecord {
             zone: self.site.zone(line.zone.as_deref()),
             cell: line.pack.unwrap_or(u32::MAX),
-            state: match line.readiness {
+            status: match line.readiness {
                 0 => EndpointStatus::Ready,
                 1 => EndpointStatus::Draining,
                 2 => EndpointStatus::Removed,
                 other => return Err(format!("unknown readiness {other}")),
             },
-            started: line.born.filter(|born| *born != 0.0).map(micros),
+            started_at: line.born.filter(|born| *born != 0.0).map(micros),
             ..entry
         })
     }
@@ -152,11 +152,11 @@
             tenant,
             session: key(&input.session, "session")?,
             prefix: key(&input.system_prompt, "system_prompt")?,
-            expires_in: micros(given(input.expires_in, "expires_in")?),
-            prompt: input.prompt_len.unwrap_or(0.0),
+            time_left: micros(given(input.expires_in, "expires_in")?),
+            prompt_tokens: input.prompt_len.unwrap_or(0.0),
             prefix_tokens: input.prefix_len.unwrap_or(0.0),
-            max_tokens: input.max_out.unwrap_or(0.0),
-            hint: input.cost.map(micros),
+            max_output_tokens: input.max_out.unwrap_or(0.0),
+            output_time_hint: input.cost.map(micros),
         }))
     }
 
@@ -166,7 +166,7 @@
         let rest = match *action {
             Action::StartAttempt {
                 id,
-                server,
+                endpoint: server,
                 timeout,
             } => {
                 let (limit, worker) = (millis(timeout), worker(server));
@@ -191,7 +191,7 @@
                     millis(at)
                 )
             }
-            Action::Probe { server } => {
+            Action::Probe { endpoint: server } => {
                 format!(r#""ask_load","who":{who},"worker":{}"#, worker(server))
             }
             Action::WatchEndpoints => format!(r#""stream_changes","who":{who},"enable":true"#),
@@ -264,8 +264,8 @@
                 return self.tell(&who()?, |instance| {
                     let entries = lines.iter().map(|line| instance.entry(line));
                     Ok(Event::EndpointsChanged {
-                        complete,
-                        entries: entries.collect::<Result<_, String>>()?,
+                        is_full: complete,
+                        endpoints: entries.collect::<Result<_, String>>()?,
                     })
                 });
             }
@@ -279,9 +279,9 @@
                     Ok(Event::AttemptEnded {
                         id: given(input.rid, "rid")?,
                         attempt: given(input.trial, "trial")?,
-                        server: instance.servers.number(&given(input.worker, "worker")?),
+                        endpoint: instance.servers.number(&given(input.worker, "worker")?),
                         status: status(&given(input.status, "status")?)?,
-                        closed: input.closed.unwrap_or(false),
+                        request_closed: input.closed.unwrap_or(false),
                         note: input.remark.unwrap_or(0.0),
                         load: load(input.metrics),
                     })
@@ -296,8 +296,8 @@
                     let ok = status(&given(input.status, "status")?)? == AttemptStatus::Served;
                     let server = instance.servers.number(&given(input.worker, "worker")?);
                     Ok(Event::ProbeCompleted {
-                        server,
-                        ok,
+                        endpoint: server,
+                        is_healthy: ok,
                         load: load(input.metrics),
                     })
                 })
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -29,7 +29,9 @@
     let text = std::fs::read_to_string(file).map_err(|error| error.to_string())?;
     let config = Config::parse_next(running, &text)?;
     let site = Deployment::new(&config.settings)?;
-    door.settings(site).await.ok_or("the dispatcher ends")??;
+    door.apply_settings(site)
+        .await
+        .ok_or("the dispatcher ends")??;
     discovery.send_if_modified(|old| {
         let new = config.discovery != *old;
         *old = config.discovery;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -151,7 +151,7 @@
 }
 
 /// The FNV-1a hash of a name: the same at every dispatcher.
-pub fn hash(name: &str) -> u64 {
+pub fn fnv1a_hash(name: &str) -> u64 {
     let next = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     name.bytes().fold(0xcbf2_9ce4_8422_2325, next)
 }
@@ -186,7 +186,7 @@
                 Some(word) => return Err(format!("unknown group {word:?}")),
             };
             Ok(Idempotency::IdempotencyKey {
-                group,
+                scope: group,
                 window: span(class.key_ttl),
             })
         }
@@ -198,13 +198,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// A connection that is not up by then has failed.
-    pub dial: Time,
+    pub connect_timeout: Time,
     /// A node closes connections that were idle so long.
-    pub idle: Time,
+    pub endpoint_idle_timeout: Time,
     /// Requests that may be open at once.
-    pub most_held: usize,
+    pub max_open_requests: usize,
     /// The longest that a client waits.
-    pub longest: Time,
+    pub max_deadline: Time,
 }
 
 /// So many classes may be known at once, those that are gone and have requests open among them.
@@ -222,7 +222,7 @@
     /// NameTable of tenants.
     pub tenants: NameTable,
     /// What a full message costs for each receiver and request, where dispatchers may tell each other things.
-    pub peer_price: Option<f64>,
+    pub gossip_cost: Option<f64>,
     zones: NameTable,
     kinds: NameTable,
     roles: Vec<Role>,
@@ -244,20 +244,20 @@
         };
         let class = |(number, class): (usize, &ClassLine)| {
             Ok(RequestClass {
-                aim: span(class.aim),
-                aim_per_1000_tokens: at(&family.aim_us_per_1000_prompt_tokens, number)
+                ttft_objective: span(class.aim),
+                ttft_objective_per_1000_tokens: at(&family.aim_us_per_1000_prompt_tokens, number)
                     .map_or(0, |us| us.max(0.0) as Time),
-                token_aim: span(at(&family.token_aim, number)),
-                worth: class.worth.unwrap_or(0.0),
-                effect: effect(class)?,
-                open: true,
+                inter_token_objective: span(at(&family.token_aim, number)),
+                priority_weight: class.worth.unwrap_or(0.0),
+                idempotency: effect(class)?,
+                is_active: true,
             })
         };
         let tenant = |tenant: &TenantLine| Tenant {
-            quota_per_s: tenant.quota_per_s.unwrap_or(0.0),
+            requests_per_second: tenant.quota_per_s.unwrap_or(0.0),
         };
         let settings = RoutingSettings {
-            balancers: profile.balancers.unwrap_or(0),
+            dispatchers: profile.balancers.unwrap_or(0),
             zone: profile
                 .zone
                 .as_ref()
@@ -268,8 +268,8 @@
                 .map(class)
                 .collect::<Result<_, String>>()?,
             tenants: tenant_lines.iter().map(tenant).collect(),
-            over_share_worth: profile.over_share_worth.unwrap_or(0.0),
-            reports: match profile
+            over_quota_weight: profile.over_share_worth.unwrap_or(0.0),
+            load_reporting: match profile
                 .reporting
                 .as_ref()
                 .and_then(|reporting| reporting.via.as_deref())
@@ -279,10 +279,10 @@
                 None | Some("none") => LoadReporting::Never,
                 Some(word) => return Err(format!("unknown way of reporting {word:?}")),
             },
-            must_watch: profile.membership_mode.as_deref() == Some("subscribe"),
-            may_probe: limits.may_probe.unwrap_or(false),
-            may_cancel: limits.cancel.unwrap_or(false),
-            second_copies: limits.second_copies.unwrap_or(false),
+            must_poll_endpoints: profile.membership_mode.as_deref() == Some("subscribe"),
+            probes_allowed: limits.may_probe.unwrap_or(false),
+            cancellation_allowed: limits.cancel.unwrap_or(false),
+            hedging_allowed: limits.second_copies.unwrap_or(false),
             max_retry_after: if limits.retry_after == Some(true) {
                 span(limits.max_retry_after)
             } else {
@@ -290,27 +290,27 @@
             },
             max_attempts: limits.most_tries.unwrap_or(0),
             tick: span(profile.tick),
-            answer_slack: span(rules.answer_slack),
+            response_slack: span(rules.answer_slack),
             drain_grace: span(rules.drain_grace),
-            release_within: span(family.release_within),
-            cold_from: rules.cold_from.unwrap_or(0.0),
-            warm_within: span(rules.warm_within),
-            fall_multiple: rules.tip_multiple.unwrap_or(0.0),
-            fall: span(rules.fall),
-            cross_zone_price: profile
+            reservation_ttl: span(family.release_within),
+            slow_start_initial_share: rules.cold_from.unwrap_or(0.0),
+            slow_start_duration: span(rules.warm_within),
+            overload_threshold: rules.tip_multiple.unwrap_or(0.0),
+            overload_window: span(rules.fall),
+            cross_zone_cost: profile
                 .deductions
                 .as_ref()
                 .and_then(|it| it.cross_zone)
                 .unwrap_or(0.0),
-            far_price: family.move_fee.unwrap_or(0.0),
+            kv_transfer_cost: family.move_fee.unwrap_or(0.0),
         };
         Ok(Deployment {
             settings,
             bounds: Bounds {
-                dial: limits.dial_timeout.map_or(250_000, micros),
-                idle: limits.conn_idle.map_or(30_000_000, micros),
-                most_held: limits.most_held.map_or(usize::MAX, |most| most as usize),
-                longest: class_lines
+                connect_timeout: limits.dial_timeout.map_or(250_000, micros),
+                endpoint_idle_timeout: limits.conn_idle.map_or(30_000_000, micros),
+                max_open_requests: limits.most_held.map_or(usize::MAX, |most| most as usize),
+                max_deadline: class_lines
                     .iter()
                     .filter_map(|it| it.deadline)
                     .map(micros)
@@ -318,7 +318,7 @@
                     .unwrap_or(Time::MAX),
             },
             classes: NameTable::new(class_lines.iter().map(|class| &class.name)),
-            peer_price: limits.peers.filter(|may| *may).map(|_| {
+            gossip_cost: limits.peers.filter(|may| *may).map(|_| {
                 profile
                     .deductions
                     .as_ref()
@@ -340,9 +340,13 @@
 
     /// What holds after this one was read while `old` held. A class that means the same keeps its number; any other one
     /// gets a number that is not `used`. Zone, kinds, roles and memory hold until a restart.
-    pub fn after(mut self, old: &Deployment, used: impl Fn(usize) -> bool) -> Result<Deployment, String> {
+    pub fn following(
+        mut self,
+        old: &Deployment,
+        used: impl Fn(usize) -> bool,
+    ) -> Result<Deployment, String> {
         let mut classes: Vec<RequestClass> = old.settings.classes.clone();
-        classes.iter_mut().for_each(|class| class.open = false);
+        classes.iter_mut().for_each(|class| class.is_active = false);
         let mut numbers = Vec::new();
         for (name, class) in self.classes.names.iter().zip(&self.settings.classes) {
             let same = old
@@ -353,7 +357,9 @@
                 Some(number) => number as usize,
                 None => {
                     let free = |at: &usize| {
-                        !classes[*at].open && !used(*at) && !old.settings.classes[*at].open
+                        !classes[*at].is_active
+                            && !used(*at)
+                            && !old.settings.classes[*at].is_active
                     };
                     (0..old.settings.classes.len())
                         .find(free)
@@ -389,10 +395,10 @@
         let number = kind.map_or(Some(0), |kind| self.kinds.known(kind));
         let number = number.ok_or_else(|| format!("unknown kind {kind:?}"))? as usize;
         Ok(EndpointRecord {
-            server,
-            key: hash(name),
+            endpoint: server,
+            key: fnv1a_hash(name),
             role: *self.roles.get(number).ok_or("a kind without a role")?,
-            memory: self.memory.get(number).copied().unwrap_or(0.0),
+            kv_capacity_tokens: self.memory.get(number).copied().unwrap_or(0.0),
             ..EndpointRecord::default()
         })
     }
@@ -476,7 +482,7 @@
 impl MachineLimits {
     /// Descriptors for clients' connections, and for those to nodes. Clients get five eighths: beside an open
     /// request, which needs one on either side, there are those that stand idle or mute until they may be closed.
-    pub fn shares(&self) -> (usize, usize) {
+    pub fn socket_budgets(&self) -> (usize, usize) {
         let sockets = self
             .sockets
             .unwrap_or(1024)
@@ -571,25 +577,25 @@
     /// Where balancers ask for an agent check; `None`: off.
     pub agent_check: Option<String>,
     /// Addresses of nodes that speak WebSocket.
-    pub nodes: Vec<String>,
+    pub websocket_endpoints: Vec<String>,
     /// SessionConfig at once.
-    pub most_sessions: usize,
+    pub max_sessions: usize,
     /// Requests of one session at once.
-    pub most_requests: usize,
+    pub max_requests: usize,
     /// Bytes of a message.
-    pub most_message: usize,
+    pub max_message_bytes: usize,
     /// Between two pings.
-    pub ping_ms: u64,
+    pub ping_interval_ms: u64,
     /// A session that was not heard for so long is over.
-    pub silent_ms: u64,
+    pub session_timeout_ms: u64,
     /// A request outlives its socket so long.
-    pub reattach_ms: u64,
+    pub reattach_window_ms: u64,
     /// Requests that are remembered after their end ...
-    pub record_entries: usize,
+    pub max_cached_responses: usize,
     /// ... with their answers where they are no longer than this ...
-    pub record_text: usize,
+    pub max_cached_response_bytes: usize,
     /// ... and this in all.
-    pub record_bytes: usize,
+    pub max_cache_bytes: usize,
 }
 
 impl SessionConfig {
@@ -601,25 +607,25 @@
         let sessions = SessionConfig {
             listen: file.listen,
             agent_check: file.agent_check,
-            nodes: file.nodes.unwrap_or_default(),
-            most_sessions: file.most_sessions.unwrap_or(128),
-            most_requests: file.most_requests.unwrap_or(32),
-            most_message: file.most_message.unwrap_or(300 * 1024),
-            ping_ms: file.ping_ms.unwrap_or(15_000),
-            silent_ms: file.silent_ms.unwrap_or(40_000),
-            reattach_ms: file.reattach_ms.unwrap_or(400),
-            record_entries: file.record_entries.unwrap_or(4096),
-            record_text: file.record_text.unwrap_or(16 * 1024),
-            record_bytes: file.record_bytes.unwrap_or(8 * 1024 * 1024),
+            websocket_endpoints: file.nodes.unwrap_or_default(),
+            max_sessions: file.most_sessions.unwrap_or(128),
+            max_requests: file.most_requests.unwrap_or(32),
+            max_message_bytes: file.most_message.unwrap_or(300 * 1024),
+            ping_interval_ms: file.ping_ms.unwrap_or(15_000),
+            session_timeout_ms: file.silent_ms.unwrap_or(40_000),
+            reattach_window_ms: file.reattach_ms.unwrap_or(400),
+            max_cached_responses: file.record_entries.unwrap_or(4096),
+            max_cached_response_bytes: file.record_text.unwrap_or(16 * 1024),
+            max_cache_bytes: file.record_bytes.unwrap_or(8 * 1024 * 1024),
         };
         let counts = [
-            sessions.most_sessions,
-            sessions.most_requests,
-            sessions.most_message,
+            sessions.max_sessions,
+            sessions.max_requests,
+            sessions.max_message_bytes,
         ];
         if counts.contains(&0)
             || counts.iter().any(|count| *count > 1 << 24)
-            || sessions.ping_ms == 0
+            || sessions.ping_interval_ms == 0
         {
             return Err(wrong("a bound that bounds nothing"));
         }
@@ -631,14 +637,14 @@
     /// session yet.
     pub fn within(self, sockets: usize, memory: usize) -> (SessionConfig, usize) {
         let most = self
-            .most_sessions
+            .max_sessions
             .min(sockets * 3 / 8)
-            .min(memory / 4 / self.most_message);
-        let record_bytes = self.record_bytes.min(memory / 8);
+            .min(memory / 4 / self.max_message_bytes);
+        let record_bytes = self.max_cache_bytes.min(memory / 8);
         (
             SessionConfig {
-                most_sessions: most.max(1),
-                record_bytes,
+                max_sessions: most.max(1),
+                max_cache_bytes: record_bytes,
                 ..self
             },
             (sockets / 8).max(1),
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -40,7 +40,7 @@
     }
 
     /// How long to wait before the first call, lest all that start at once call at once.
-    pub fn first(&mut self) -> Duration {
+    pub fn initial_delay(&mut self) -> Duration {
         match self.callers {
             0..=1 => Duration::ZERO,
             _ => self
@@ -51,12 +51,12 @@
     }
 
     /// A call has failed: how long to wait before the next. Doubled with each failure in turn.
-    pub fn pause(&mut self) -> Duration {
-        self.pause_within(Duration::MAX)
+    pub fn next_delay(&mut self) -> Duration {
+        self.next_delay_within(Duration::MAX)
     }
 
     /// The same, and no longer than this.
-    pub fn pause_within(&mut self, longest: Duration) -> Duration {
+    pub fn next_delay_within(&mut self, longest: Duration) -> Duration {
         let (least, most) = (
             ALONE.0.max(self.turn()),
             ALONE.1.max(self.turn() * 2).min(MEAN_MOST),
@@ -68,7 +68,7 @@
     }
 
     /// A call has succeeded: the next failure is a first one.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -2,10 +2,10 @@
 //!
 //! The agent may be silent or talk nonsense; both are logged and tried again, and the list held stays valid.
 
-use crate::config::{EndpointLine, EndpointList, Deployment};
+use crate::config::{Deployment, EndpointLine, EndpointList};
 use crate::discovery::backoff::Backoff;
 use crate::discovery::watch_state::WatchState;
-use crate::dispatcher::{DispatcherHandle, Event, DiscoveredEndpoint};
+use crate::dispatcher::{DiscoveredEndpoint, DispatcherHandle, Event};
 use crate::routing::api::{EndpointRecord, EndpointStatus};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -26,7 +26,10 @@
 
 /// A member's line in the core's terms; an error where it makes no sense. Who is announced as leaving leaves, whatever
 /// else its line says: where the rest can't be read, that stays as it was told before.
-pub fn member(site: &mut Deployment, line: &EndpointLine) -> Result<DiscoveredEndpoint, String> {
+pub fn parse_endpoint(
+    site: &mut Deployment,
+    line: &EndpointLine,
+) -> Result<DiscoveredEndpoint, String> {
     let id = line
         .id
         .as_deref()
@@ -58,24 +61,24 @@
     let entry = EndpointRecord {
         zone,
         cell: line.cell.unwrap_or(u32::MAX),
-        state,
-        started,
+        status: state,
+        started_at: started,
         ..entry
     };
     Ok(DiscoveredEndpoint {
-        name: id.into(),
+        id: id.into(),
         address: address.into(),
-        entry,
-        partial,
+        record: entry,
+        is_partial: partial,
     })
 }
 
 /// A list in the core's terms. A line that makes no sense is logged and left out.
-pub fn members(site: &mut Deployment, list: &EndpointList, log: &Logger) -> Event {
+pub fn endpoints_changed(site: &mut Deployment, list: &EndpointList, log: &Logger) -> Event {
     let mut members = Vec::new();
     for line in &list.members {
         let line = EndpointLine::from(line);
-        match member(site, &line) {
+        match parse_endpoint(site, &line) {
             Ok(member) => members.push(member),
             Err(error) => {
                 warn!(log, "a member makes no sense"; "member" => line.id, "error" => error)
@@ -83,13 +86,13 @@
         }
     }
     Event::EndpointsChanged {
-        complete: list.complete,
-        members,
+        is_full: list.complete,
+        endpoints: members,
     }
 }
 
 /// Reads a list as discovery writes it.
-pub fn parse(text: &[u8]) -> Result<EndpointList, String> {
+pub fn parse_list(text: &[u8]) -> Result<EndpointList, String> {
     let text = std::str::from_utf8(text).map_err(|_| "not UTF-8")?;
     json::from_str(text).map_err(|_| "not a list of members".to_owned())
 }
@@ -126,7 +129,7 @@
     if status != StatusCode::OK {
         return Err(Failure::Answered(format!("status {status}")));
     }
-    parse(&body).map_err(Failure::Answered)
+    parse_list(&body).map_err(Failure::Answered)
 }
 
 /// Watches discovery for as long as the dispatcher runs, at the address that it was last told of.
@@ -139,10 +142,10 @@
     door: DispatcherHandle,
     log: Logger,
 ) {
-    let mut backoff = Backoff::new(site.settings.balancers, seed);
+    let mut backoff = Backoff::new(site.settings.dispatchers, seed);
     // Where lists must be asked for, that costs discovery work, and all that were ended together start together.
-    if site.settings.must_watch && known.is_some() {
-        sleep(backoff.first()).await;
+    if site.settings.must_poll_endpoints && known.is_some() {
+        sleep(backoff.initial_delay()).await;
     }
     loop {
         let now = address.borrow_and_update().clone();
@@ -153,7 +156,7 @@
         }
         // Another agent's revisions need not be this one's.
         known = None;
-        backoff.succeeded();
+        backoff.reset();
     }
 }
 
@@ -167,34 +170,34 @@
     log: &Logger,
 ) {
     let agent = agent();
-    let mut watch = WatchState::from(known, !site.settings.must_watch);
+    let mut watch = WatchState::starting_at(known, !site.settings.must_poll_endpoints);
     loop {
-        let next = watch.call();
+        let next = watch.next_poll();
         let began = Instant::now();
         let called = timeout(next.patience, call(&agent, address, &next.target)).await;
         match called.unwrap_or_else(|_| Err(Failure::Silent("no answer in time".into()))) {
             Ok(list) => {
-                backoff.succeeded();
+                backoff.reset();
                 debug!(log, "a list"; "revision" => list.revision, "complete" => list.complete,
                     "members" => list.members.len());
                 let news = !list.members.is_empty() || list.complete;
-                let newer = watch.answered(list.revision);
+                let newer = watch.on_response(list.revision);
                 if newer || news {
                     // Who leaves is not to be sent what comes meanwhile.
-                    door.tell_first(members(site, &list, log)).await;
+                    door.send_urgent(endpoints_changed(site, &list, log)).await;
                 }
                 if !newer && began.elapsed() < IDLE {
                     sleep(IDLE).await;
                 }
             }
             Err(failure) => {
-                let heard_before = watch.is_heard();
+                let heard_before = watch.is_synced();
                 let (error, pause) = match failure {
                     Failure::Answered(error) => (
                         error,
-                        backoff.pause_within(watch.longest_pause(began.elapsed())),
+                        backoff.next_delay_within(watch.max_backoff(began.elapsed())),
                     ),
-                    Failure::Silent(error) => (error, watch.unanswered()),
+                    Failure::Silent(error) => (error, watch.on_timeout()),
                 };
                 let again_in_ms = pause.as_millis() as u64;
                 if heard_before {
@@ -202,7 +205,7 @@
                 } else {
                     debug!(log, "discovery is still silent"; "error" => error, "again_in_ms" => again_in_ms);
                 }
-                door.tell(Event::EndpointListFailed).await;
+                door.send(Event::EndpointListFailed).await;
                 sleep(pause).await;
             }
         }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -4,4 +4,4 @@
 mod client;
 pub mod watch_state;
 
-pub use client::{member, members, parse, run};
+pub use client::{endpoints_changed, parse_endpoint, parse_list, run};
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -50,7 +50,7 @@
 
 impl WatchState {
     /// A watch from a revision that is known on, or from a full list. `pushed`: lists come to an agent on this machine.
-    pub fn from(revision: Option<u64>, pushed: bool) -> Self {
+    pub fn starting_at(revision: Option<u64>, pushed: bool) -> Self {
         WatchState {
             revision,
             pushed,
@@ -59,7 +59,7 @@
     }
 
     /// The next call.
-    pub fn call(&self) -> PollRequest {
+    pub fn next_poll(&self) -> PollRequest {
         let patient = self.silent > 0 && self.silent.is_multiple_of(TURNS);
         let late = if self.pushed && !patient {
             LATE_HERE
@@ -85,18 +85,18 @@
     }
 
     /// A list of this revision has come; true where it is another than the last.
-    pub fn answered(&mut self, revision: u64) -> bool {
+    pub fn on_response(&mut self, revision: u64) -> bool {
         self.silent = 0;
         self.revision.replace(revision) != Some(revision)
     }
 
     /// Whether the last call was answered.
-    pub fn is_heard(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         self.silent == 0
     }
 
     /// Nobody has answered. When to call again.
-    pub fn unanswered(&mut self) -> Duration {
+    pub fn on_timeout(&mut self) -> Duration {
         self.silent = self.silent.saturating_add(1);
         if self.pushed && !self.silent.is_multiple_of(TURNS) {
             RETRY_HERE
@@ -106,7 +106,7 @@
     }
 
     /// What was answered, so long after the call, is no list. The longest pause before the next call.
-    pub fn longest_pause(&self, after: Duration) -> Duration {
+    pub fn max_backoff(&self, after: Duration) -> Duration {
         match self.pushed {
             true => RETRY_HERE,
             false if after < QUEUED => PAUSE_MOST,
--- a/src/dispatcher/bans.rs
+++ b/src/dispatcher/bans.rs
@@ -46,7 +46,7 @@
 
 impl BanList {
     /// An id has left the list; it stays known.
-    pub fn has_left(&mut self, id: Arc<str>) {
+    pub fn on_endpoint_removed(&mut self, id: Arc<str>) {
         if self.left_set.insert(id.clone()) {
             self.left.push_back(id);
         }
@@ -59,7 +59,7 @@
 
     /// Takes an id out of use, or back. `listed`: the list has it now. Tells whether anything changes: calls may
     /// come more than once.
-    pub fn call(
+    pub fn set(
         &mut self,
         now: Time,
         id: &Arc<str>,
@@ -79,7 +79,7 @@
         }
         // A word is newer than the one that it replaces, also where another process's clock ran ahead.
         let at = self.marks.get(id).map_or(now, |old| now.max(old.at + 1));
-        self.set(now, id, BanRecord { at, banned });
+        self.store(now, id, BanRecord { at, banned });
         Ok(true)
     }
 
@@ -98,12 +98,12 @@
             if self.is_banned(id) != mark.banned {
                 changed.push(id.clone());
             }
-            self.set(now, id, *mark);
+            self.store(now, id, *mark);
         }
         changed
     }
 
-    fn set(&mut self, now: Time, id: &Arc<str>, mark: BanRecord) {
+    fn store(&mut self, now: Time, id: &Arc<str>, mark: BanRecord) {
         match mark.banned {
             true => drop(self.ended_at.remove(id)),
             false => drop(self.ended_at.insert(id.clone(), now)),
@@ -125,12 +125,12 @@
 
     /// When the end of an id's ban was heard of here, where that is remembered: by this process's own clock, for that of who
     /// said it may be off.
-    pub fn ended(&self, id: &str) -> Option<Time> {
+    pub fn ended_at(&self, id: &str) -> Option<Time> {
         self.ended_at.get(id).copied()
     }
 
     /// What was said of each id.
-    pub fn marks(&self) -> &BanRecords {
+    pub fn records(&self) -> &BanRecords {
         &self.marks
     }
 }
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -2,7 +2,9 @@
 
 use super::endpoint_table::{EndpointChanges, EndpointTable};
 use super::guard::Guard;
-use super::messages::{Outcome, Command, Event, DiscoveredEndpoint, StreamChunk, Readiness, UpstreamRequest};
+use super::messages::{
+    Command, DiscoveredEndpoint, Event, Outcome, Readiness, StreamChunk, UpstreamRequest,
+};
 use super::reasons::{CloseReason, EndReason, ReleaseReason};
 use super::report::{Kind, Report};
 use super::request::{Attempt, Ended, Request};
@@ -14,12 +16,13 @@
 use crate::net::connection_limit::SHARE_UNITS;
 use crate::recording::TraceRecorder;
 use crate::routing::api::{
-    self, Action, RequestMetadata, Idempotency, FailureReason, LoadReport, RequestId, Role, EndpointId, RoutingSettings, AttemptStatus, Time,
+    self, Action, AttemptStatus, EndpointId, FailureReason, Idempotency, LoadReport, RequestId,
+    RequestMetadata, Role, RoutingSettings, Time,
 };
 use crate::routing::Router;
 use crate::variants::{breaks, Variant};
 use bytes::Bytes;
-use quartzhall_recording::{RecordedOutcome, Record};
+use quartzhall_recording::{Record, RecordedOutcome};
 use slog::{debug, info, warn, Logger};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -38,7 +41,7 @@
 /// as long as a place and then a connection are waited for: the module is told of a window that is shorter by that.
 fn in_time(mut settings: RoutingSettings, dial: Time) -> RoutingSettings {
     for class in &mut settings.classes {
-        if let Idempotency::IdempotencyKey { window, .. } = &mut class.effect {
+        if let Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
             *window = window.saturating_sub(2 * dial + ON_THE_WAY);
         }
     }
@@ -72,12 +75,18 @@
 impl Core {
     /// A core as it starts. `now` is Unix time in microseconds, as are all its times.
     /// `most_places`: so many requests can be open at once.
-    pub fn new(site: Arc<Deployment>, most_places: usize, seed: u64, now: Time, log: Logger) -> Self {
-        let rules = in_time(site.settings.clone(), site.bounds.dial);
+    pub fn new(
+        site: Arc<Deployment>,
+        most_places: usize,
+        seed: u64,
+        now: Time,
+        log: Logger,
+    ) -> Self {
+        let rules = in_time(site.settings.clone(), site.bounds.connect_timeout);
         let mut core = Core {
             router: Router::new(rules.clone(), seed, now),
             rules,
-            most_held: site.bounds.most_held.min(most_places),
+            most_held: site.bounds.max_open_requests.min(most_places),
             retired: vec![now; site.settings.classes.len()],
             site,
             site_changed: true,
@@ -101,7 +110,7 @@
     }
 
     /// TraceRecorder from now on what it hears and does.
-    pub fn take_notes(&mut self, notes: TraceRecorder) {
+    pub fn set_trace_recorder(&mut self, notes: TraceRecorder) {
         self.notes = Some(notes);
     }
 
@@ -111,8 +120,8 @@
     }
 
     /// What other dispatchers are to be told now.
-    pub fn to_tell(&mut self, now: Time) -> Option<Bytes> {
-        self.gossip.as_mut()?.message(now).map(Bytes::from)
+    pub fn next_gossip_message(&mut self, now: Time) -> Option<Bytes> {
+        self.gossip.as_mut()?.next_message(now).map(Bytes::from)
     }
 
     /// A message from another dispatcher. Servers that are not listed here, and keys that two have, tell nothing.
@@ -120,7 +129,7 @@
         let Some(read) = self
             .gossip
             .as_mut()
-            .map(|gossip| gossip.hear(now, from, message))
+            .map(|gossip| gossip.receive(now, from, message))
         else {
             return;
         };
@@ -135,8 +144,14 @@
             let load = observation.load;
             self.gossip
                 .iter_mut()
-                .for_each(|gossip| gossip.heard(now, server, &observation));
-            self.step(now, api::Event::PeerLoadReport { server, load });
+                .for_each(|gossip| gossip.accept(now, server, &observation));
+            self.step(
+                now,
+                api::Event::PeerLoadReport {
+                    endpoint: server,
+                    load,
+                },
+            );
         }
     }
 
@@ -147,15 +162,18 @@
             return;
         };
         load.into_iter()
-            .for_each(|load| gossip.report(now, server, hash, load));
+            .for_each(|load| gossip.record_load(now, server, hash, load));
         if failed {
-            gossip.failure(hash);
+            gossip.record_failure(hash);
         }
     }
 
     /// What was noted since the last call.
-    pub fn notes(&mut self) -> Vec<Record> {
-        self.notes.as_mut().map(TraceRecorder::take).unwrap_or_default()
+    pub fn take_records(&mut self) -> Vec<Record> {
+        self.notes
+            .as_mut()
+            .map(TraceRecorder::take_records)
+            .unwrap_or_default()
     }
 
     fn note(&mut self, note: impl FnOnce(&mut TraceRecorder)) {
@@ -165,15 +183,22 @@
     }
 
     /// Is not ready until it hears [`Event::AcceptClients`].
-    pub fn hold_back(&mut self) {
+    pub fn start_in_standby(&mut self) {
         self.held_back = true;
     }
 
     /// Hears one event.
-    pub fn hear(&mut self, now: Time, event: Event) {
+    pub fn handle_event(&mut self, now: Time, event: Event) {
         match event {
-            Event::RequestArrived { ask, work, answer } => self.request(now, ask, work, answer),
-            Event::ClientDisconnected { id, fate } => self.gone(now, id, fate),
+            Event::RequestArrived {
+                metadata: ask,
+                upstream: work,
+                outcome: answer,
+            } => self.request(now, ask, work, answer),
+            Event::ClientDisconnected {
+                id,
+                may_have_run: fate,
+            } => self.gone(now, id, fate),
             Event::FirstEvent {
                 id,
                 attempt,
@@ -183,14 +208,19 @@
                 id,
                 attempt,
                 reason,
-                note,
-                written,
+                cached_tokens: note,
+                completion_tokens: written,
                 load,
             } => {
-                self.note(|notes| notes.ended(now, id, attempt, reason.status(), note, written));
+                self.note(|notes| {
+                    notes.record_attempt_end(now, id, attempt, reason.status(), note, written)
+                });
                 self.ended(now, id, attempt, reason, note, load)
             }
-            Event::ReleaseCompleted { id, done } => {
+            Event::ReleaseCompleted {
+                id,
+                confirmed: done,
+            } => {
                 if !done {
                     self.report.count(now, Kind::ReleaseFailed);
                     self.violation(now, Rule::HeldState, id);
@@ -200,20 +230,34 @@
                 }
                 self.settle(now, id);
             }
-            Event::ProbeCompleted { server, ok, load } => {
+            Event::ProbeCompleted {
+                endpoint: server,
+                is_healthy: ok,
+                load,
+            } => {
                 if ok {
                     self.nodes.heard_from(now, server);
                 }
                 self.tell(now, server, false, load.as_ref());
-                self.step(now, api::Event::ProbeCompleted { server, ok, load });
+                self.step(
+                    now,
+                    api::Event::ProbeCompleted {
+                        endpoint: server,
+                        is_healthy: ok,
+                        load,
+                    },
+                );
             }
             Event::GossipReceived { from, message } => self.peer(now, from, &message),
-            Event::EndpointsChanged { complete, members } => self.members(now, complete, members),
+            Event::EndpointsChanged {
+                is_full: complete,
+                endpoints: members,
+            } => self.members(now, complete, members),
             Event::EndpointListFailed => self.step(now, api::Event::EndpointListFailed),
             Event::BanRequested {
-                name,
+                endpoint_id: name,
                 banned,
-                answer,
+                reply: answer,
             } => {
                 let called = self.nodes.ban(now, name, banned, &self.log);
                 let _ = answer.send(called.map(|news| self.banned(now, news)));
@@ -222,12 +266,18 @@
                 let news = self.nodes.merge(now, &marks, &self.log);
                 self.banned(now, news);
             }
-            Event::SettingsChanged { site, answer } => {
+            Event::SettingsChanged {
+                deployment: site,
+                reply: answer,
+            } => {
                 let taken = self.settings(now, *site);
                 let _ = answer.send(taken);
             }
             Event::AcceptClients => self.held_back = false,
-            Event::ResourceShareChanged { part, processes } => {
+            Event::ResourceShareChanged {
+                share: part,
+                processes,
+            } => {
                 (self.part, self.processes) = (part, processes);
                 self.follow(now);
             }
@@ -240,7 +290,7 @@
     }
 
     /// Does what is due: the module's timers, and what the table says.
-    pub fn wake(&mut self, now: Time) {
+    pub fn on_timer(&mut self, now: Time) {
         while self.timers.peek().is_some_and(|Reverse(at)| *at <= now) {
             self.timers.pop();
             self.step(now, api::Event::TimerFired);
@@ -256,30 +306,30 @@
     }
 
     /// When [`Core::wake`] is to be called next.
-    pub fn due(&self) -> Option<Time> {
+    pub fn next_wakeup(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse(at)| *at);
         let sweep = (self.requests.len() > 0).then_some(self.next_sweep);
         timer.into_iter().chain(sweep).min()
     }
 
     /// What is to be done, in order; bars come first, so that nothing goes to a node that has been told to leave.
-    pub fn commands(&mut self) -> Vec<Command> {
-        Command::bars_first(&mut self.commands);
+    pub fn take_commands(&mut self) -> Vec<Command> {
+        Command::blocks_first(&mut self.commands);
         std::mem::take(&mut self.commands)
     }
 
     /// Logs all counts that are not logged yet.
-    pub fn summarize(&mut self) {
+    pub fn log_summary(&mut self) {
         self.report.summarize(self.requests.len(), &self.log);
     }
 
     /// Requests in the table.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// EndpointTable in the table: those of the list, and those that are gone and still have attempts out.
-    pub fn nodes(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.nodes.len()
     }
 
@@ -298,49 +348,56 @@
     fn settings(&mut self, now: Time, site: Deployment) -> Result<(), String> {
         let open = self.requests.classes();
         for (class, at) in self.site.settings.classes.iter().zip(&mut self.retired) {
-            *at = if class.open { now } else { *at };
+            *at = if class.is_active { now } else { *at };
         }
         // What a front read by the old names may still be on its way.
         let used =
             |at: usize| open.contains(&at) || now < self.retired[at].saturating_add(CLASS_QUIET);
-        let site = site.after(&self.site, used)?;
+        let site = site.following(&self.site, used)?;
         self.retired.resize(site.settings.classes.len(), now);
         let names = site
             .settings
             .classes
             .iter()
-            .filter(|class| class.open)
+            .filter(|class| class.is_active)
             .count();
         info!(self.log, "new settings"; "classes" => names, "most_tries" => site.settings.max_attempts);
         (self.site, self.site_changed) = (Arc::new(site), true);
         let site = self.site.clone();
-        self.note(|notes| notes.settings(&site));
+        self.note(|notes| notes.record_names(&site));
         self.follow(now);
         Ok(())
     }
 
     /// The module's settings and the bound on what is held: another process is one more dispatcher to the servers.
     fn follow(&mut self, now: Time) {
-        let whole = self.site.bounds.most_held.min(self.most_places) as u128;
-        self.most_held = ((whole * u128::from(self.part) / u128::from(SHARE_UNITS)) as usize).max(1);
-        let mut settings = in_time(self.site.settings.clone(), self.site.bounds.dial);
-        settings.balancers = settings.balancers.saturating_mul(self.processes.max(1));
+        let whole = self.site.bounds.max_open_requests.min(self.most_places) as u128;
+        self.most_held =
+            ((whole * u128::from(self.part) / u128::from(SHARE_UNITS)) as usize).max(1);
+        let mut settings = in_time(self.site.settings.clone(), self.site.bounds.connect_timeout);
+        settings.dispatchers = settings.dispatchers.saturating_mul(self.processes.max(1));
         self.rules = settings.clone();
         self.step(now, api::Event::SettingsChanged(settings));
     }
 
     /// The settings, where they are new since the last call.
-    pub fn new_site(&mut self) -> Option<Arc<Deployment>> {
+    pub fn take_changed_deployment(&mut self) -> Option<Arc<Deployment>> {
         std::mem::take(&mut self.site_changed).then(|| self.site.clone())
     }
 
-    fn request(&mut self, now: Time, ask: RequestMetadata, work: UpstreamRequest, answer: oneshot::Sender<Outcome>) {
+    fn request(
+        &mut self,
+        now: Time,
+        ask: RequestMetadata,
+        work: UpstreamRequest,
+        answer: oneshot::Sender<Outcome>,
+    ) {
         let id = ask.id;
         // An id that is in flight is never a second request: nodes know requests by it alone.
-        if self.requests.is_in_flight(&work.name) {
+        if self.requests.is_in_flight(&work.client_request_id) {
             return self.turn_away(
                 now,
-                &work.name,
+                &work.client_request_id,
                 CloseReason::DuplicateId,
                 answer,
                 Outcome::DuplicateId,
@@ -348,11 +405,11 @@
         }
         // A client that comes again with an id of which something may have run is never told that it may try again.
         let class = self.site.settings.classes.get(ask.class);
-        let is_safe = class.is_some_and(|class| class.effect == Idempotency::Idempotent);
-        if !is_safe && self.requests.may_have_run(&work.name) {
+        let is_safe = class.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
+        if !is_safe && self.requests.may_have_run(&work.client_request_id) {
             return self.turn_away(
                 now,
-                &work.name,
+                &work.client_request_id,
                 CloseReason::MayHaveRun,
                 answer,
                 Outcome::DuplicateId,
@@ -360,15 +417,20 @@
         }
         // More than may be held never reaches the module. Nothing was sent, so a refusal is true.
         if self.requests.len() >= self.most_held {
-            let refused =
-                Outcome::Shed(Duration::from_micros(self.site.settings.max_retry_after));
-            return self.turn_away(now, &work.name, CloseReason::TableFull, answer, refused);
-        }
-        self.gossip.iter_mut().for_each(Gossip::request);
-        debug!(self.log, "request"; "id" => id, "name" => %work.name, "class" => ask.class,
-            "expires_in" => ask.expires_in, "prompt" => ask.prompt, "shared" => ask.prefix_tokens);
-        let once = class.is_none_or(|class| class.effect == Idempotency::NonIdempotent);
-        self.note(|notes| notes.arrival(now, &ask));
+            let refused = Outcome::Shed(Duration::from_micros(self.site.settings.max_retry_after));
+            return self.turn_away(
+                now,
+                &work.client_request_id,
+                CloseReason::TableFull,
+                answer,
+                refused,
+            );
+        }
+        self.gossip.iter_mut().for_each(Gossip::on_request);
+        debug!(self.log, "request"; "id" => id, "name" => %work.client_request_id, "class" => ask.class,
+            "expires_in" => ask.time_left, "prompt" => ask.prompt_tokens, "shared" => ask.prefix_tokens);
+        let once = class.is_none_or(|class| class.idempotency == Idempotency::NonIdempotent);
+        self.note(|notes| notes.record_arrival(now, &ask));
         self.requests
             .enter(id, Request::new(now, &ask, work, once, answer));
         self.step(now, api::Event::RequestArrived(ask));
@@ -377,7 +439,10 @@
     /// Counts and logs that a rule was about to be broken.
     fn violation(&mut self, now: Time, rule: Rule, id: RequestId) {
         if self.report.count(now, Kind::Violation(rule)) {
-            let name = self.requests.get(id).map(|held| held.work.name.to_string());
+            let name = self
+                .requests
+                .get(id)
+                .map(|held| held.work.client_request_id.to_string());
             warn!(self.log, "violation"; "rule" => ?rule, "id" => id, "name" => name);
         }
     }
@@ -409,15 +474,22 @@
         // A stream that has begun ends at its node when its receiver is dropped, as the client's side does.
         if held.close() {
             held.answer = None;
-            self.report.count(now, Kind::Close(CloseReason::ClientDisconnected));
+            self.report
+                .count(now, Kind::Close(CloseReason::ClientDisconnected));
             debug!(self.log, "client left"; "id" => id);
-            self.note(|notes| notes.over(now, id, RecordedOutcome::ClientDisconnected));
+            self.note(|notes| notes.record_outcome(now, id, RecordedOutcome::ClientDisconnected));
             self.step(now, api::Event::ClientDisconnected { id });
         }
         self.settle(now, id);
     }
 
-    fn first(&mut self, now: Time, id: RequestId, attempt: u32, stream: mpsc::Receiver<StreamChunk>) {
+    fn first(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u32,
+        stream: mpsc::Receiver<StreamChunk>,
+    ) {
         let guard = Guard {
             settings: &self.rules,
             target: |server| self.nodes.target(server),
@@ -442,7 +514,7 @@
             self.nodes.heard_from(now, server);
         }
         debug!(self.log, "first event"; "id" => id, "attempt" => attempt);
-        self.note(|notes| notes.first(now, id, attempt));
+        self.note(|notes| notes.record_first_event(now, id, attempt));
         self.step(now, api::Event::FirstEvent { id, attempt });
     }
 
@@ -469,7 +541,7 @@
         }
         if let Some(notes) = self.notes.as_mut().filter(|_| streamed) {
             // By its good end, or by its break; its client may have left before.
-            notes.over(
+            notes.record_outcome(
                 now,
                 id,
                 if status == AttemptStatus::Served {
@@ -484,7 +556,7 @@
             .get(id)
             .filter(|_| streamed && status != AttemptStatus::Served)
         {
-            info!(self.log, "a stream broke"; "id" => id, "name" => %held.work.name, "server" => server,
+            info!(self.log, "a stream broke"; "id" => id, "name" => %held.work.client_request_id, "server" => server,
                 "status" => ?status);
         }
         // While sends reach nobody, the module may send again at once, each time: what a broken read may have left is let
@@ -494,7 +566,12 @@
         }
         // What one node finds bad the others would too: it would go round the whole fleet, and they be blamed.
         if status == AttemptStatus::InvalidRequest {
-            self.close(now, id, CloseReason::InvalidRequest, Outcome::InvalidRequest);
+            self.close(
+                now,
+                id,
+                CloseReason::InvalidRequest,
+                Outcome::InvalidRequest,
+            );
         }
         let closed = self.requests.get(id).is_some_and(Request::is_closed);
         self.log_end(now, id, attempt, reason);
@@ -510,9 +587,9 @@
             api::Event::AttemptEnded {
                 id,
                 attempt,
-                server,
+                endpoint: server,
                 status,
-                closed,
+                request_closed: closed,
                 note,
                 load,
             },
@@ -536,7 +613,7 @@
             .nodes
             .get(ended.server)
             .map(|node| node.name.to_string());
-        info!(self.log, "attempt ended early"; "id" => id, "name" => %held.work.name, "attempt" => attempt,
+        info!(self.log, "attempt ended early"; "id" => id, "name" => %held.work.client_request_id, "attempt" => attempt,
             "server" => server, "reason" => ?reason, "after_ms" => now.saturating_sub(ended.sent) / 1000);
     }
 
@@ -546,15 +623,15 @@
         for server in self.nodes.forget_gone(&self.requests.busy()) {
             self.gossip
                 .iter_mut()
-                .for_each(|gossip| gossip.keep(|it| it != server));
-            self.note(|notes| notes.node_gone(server));
+                .for_each(|gossip| gossip.retain(|it| it != server));
+            self.note(|notes| notes.forget_endpoint(server));
         }
         self.commands.extend(self.nodes.bars());
         self.step(
             now,
             api::Event::EndpointsChanged {
-                complete,
-                entries: news.entries,
+                is_full: complete,
+                endpoints: news.entries,
             },
         );
     }
@@ -567,8 +644,8 @@
             self.step(
                 now,
                 api::Event::EndpointsChanged {
-                    complete: false,
-                    entries: news.entries,
+                    is_full: false,
+                    endpoints: news.entries,
                 },
             );
         }
@@ -578,12 +655,12 @@
         if let Some(notes) = &mut self.notes {
             news.noted
                 .iter()
-                .for_each(|(name, entry)| notes.node(now, name, entry));
+                .for_each(|(name, entry)| notes.record_endpoint(now, name, entry));
         }
     }
 
     /// What operators have said, where that is new since the last call.
-    pub fn new_marks(&mut self) -> Option<BanRecords> {
+    pub fn take_changed_bans(&mut self) -> Option<BanRecords> {
         self.nodes.new_marks()
     }
 
@@ -595,7 +672,7 @@
             match action {
                 Action::StartAttempt {
                     id,
-                    server,
+                    endpoint: server,
                     timeout,
                 } => self.send(now, id, server, timeout),
                 Action::CancelAttempt { id, attempt } => {
@@ -610,12 +687,12 @@
                 Action::Shed {
                     id,
                     retry_after,
-                    why,
+                    reason: why,
                 } => {
                     self.refuse(now, id, why, Duration::from_micros(retry_after));
                     self.settle(now, id);
                 }
-                Action::Fail { id, why } => {
+                Action::Fail { id, reason: why } => {
                     let answer = match breaks(Variant::Duplicate) {
                         true => Outcome::Shed(Duration::ZERO),
                         false => Outcome::Failed,
@@ -630,10 +707,13 @@
                     self.settle(now, id);
                 }
                 Action::SetTimer { at } => self.timers.push(Reverse(at)),
-                Action::Probe { server } => {
+                Action::Probe { endpoint: server } => {
                     let address = self.nodes.get(server).map(|node| node.address.clone());
                     match address {
-                        Some(address) => self.commands.push(Command::Probe { server, address }),
+                        Some(address) => self.commands.push(Command::Probe {
+                            endpoint: server,
+                            address,
+                        }),
                         None => warn!(self.log, "a probe of an unknown node"; "server" => server),
                     }
                 }
@@ -675,21 +755,23 @@
         let timeout = if timeout == 0 { Time::MAX } else { timeout }.min(held.deadline - now);
         debug!(self.log, "send"; "id" => id, "attempt" => attempt, "server" => server);
         // One that follows a good read is the second stage, and one beside another that is out is a hedge.
-        let retries = before.flatten().filter(|reason| *reason != EndReason::PrefillDone);
+        let retries = before
+            .flatten()
+            .filter(|reason| *reason != EndReason::PrefillDone);
         if let Some(after) = retries.filter(|after| self.report.count(now, Kind::Retry(*after))) {
-            info!(self.log, "retry"; "id" => id, "name" => %held.work.name, "attempt" => attempt,
+            info!(self.log, "retry"; "id" => id, "name" => %held.work.client_request_id, "attempt" => attempt,
                 "server" => %node.name, "after" => ?after, "left_ms" => (held.deadline - now) / 1000);
         }
         if let Some(notes) = &mut self.notes {
-            notes.sent(now, id, attempt, server);
+            notes.record_attempt(now, id, attempt, server);
         }
         self.commands.push(Command::StartAttempt {
             id,
             attempt,
             address: node.address.clone(),
-            work: held.work.clone(),
+            upstream: held.work.clone(),
             timeout: Duration::from_micros(timeout),
-            alone: held.once && target.role != Role::Prefill, // reading has no effect
+            needs_new_connection: held.once && target.role != Role::Prefill, // reading has no effect
         });
     }
 
@@ -708,12 +790,7 @@
             Ok(()) if !guard.is_safe(request) && guard.was_given_up_just_now(request) => {
                 self.close(now, id, CloseReason::Failed(why), Outcome::Failed);
             }
-            Ok(()) => self.close(
-                now,
-                id,
-                CloseReason::Shed(why),
-                Outcome::Shed(retry_after),
-            ),
+            Ok(()) => self.close(now, id, CloseReason::Shed(why), Outcome::Shed(retry_after)),
             Err(rule) => {
                 self.violation(now, rule, id);
                 self.close(now, id, CloseReason::Failed(why), Outcome::Failed);
@@ -728,7 +805,7 @@
         };
         held.close();
         if self.report.count(now, Kind::Close(reason)) {
-            info!(self.log, "request closed"; "id" => id, "name" => %held.work.name, "reason" => ?reason,
+            info!(self.log, "request closed"; "id" => id, "name" => %held.work.client_request_id, "reason" => ?reason,
                 "attempts" => held.attempts.len(), "last_end" => ?held.attempts.last().and_then(|it| it.ended));
         }
         debug!(self.log, "closed"; "id" => id, "answer" => ?answer);
@@ -742,7 +819,7 @@
                 false => drop(waiting.send(answer)),
             }
         }
-        self.note(|notes| notes.over(now, id, noted));
+        self.note(|notes| notes.record_outcome(now, id, noted));
     }
 
     /// Looks after one request: its deadline, and what was held for too long.
@@ -755,7 +832,7 @@
             if now
                 >= held
                     .deadline
-                    .saturating_add(self.site.settings.answer_slack)
+                    .saturating_add(self.site.settings.response_slack)
             {
                 self.violation(now, Rule::FinalAnswer, id);
             }
@@ -775,22 +852,25 @@
         if attempt_out && breaks(Variant::HeldState) {
             return;
         }
-        let (is_needed, release_within) = (request.is_waiting(), self.site.settings.release_within);
+        let (is_needed, release_within) =
+            (request.is_waiting(), self.site.settings.reservation_ttl);
         if let Some(reason) =
             request
                 .lease
                 .start_release(now, release_within, is_needed, attempt_out)
         {
-            let name = request.work.name.clone();
+            let name = request.work.client_request_id.clone();
             // Any server passes it on.
             let addresses = self.nodes.addresses(request.tried());
-            if self.report.count(now, Kind::Release(reason)) && reason != ReleaseReason::NoLongerNeeded {
+            if self.report.count(now, Kind::Release(reason))
+                && reason != ReleaseReason::NoLongerNeeded
+            {
                 info!(self.log, "release"; "id" => id, "name" => %name, "reason" => ?reason,
                     "attempts" => request.attempts.len(), "left_ms" => request.deadline.saturating_sub(now) / 1000);
             }
             self.commands.push(Command::ReleaseReservation {
                 id,
-                name,
+                client_request_id: name,
                 addresses,
             });
         }
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -3,9 +3,9 @@
 
 use super::guard::EndpointTarget;
 use super::messages::{Command, DiscoveredEndpoint};
-use crate::dispatcher::bans::{BanList, BanRecords, BanError};
+use crate::dispatcher::bans::{BanError, BanList, BanRecords};
 use crate::gossip;
-use crate::routing::api::{EndpointRecord, Role, EndpointId, EndpointStatus, Time};
+use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use crate::variants::{breaks, Variant};
 use slog::{debug, info, Logger};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -24,19 +24,19 @@
     pub name: Arc<str>,
     pub address: Arc<str>,
     pub role: Role,
-    pub state: EndpointStatus,  // what holds: operators' word comes before the list's
+    pub state: EndpointStatus, // what holds: operators' word comes before the list's
     pub listed: EndpointRecord, // what the list says
     listed_start: Option<Time>, // when it started, as the list has it
-    back_at: Option<Time>, // when operators let it be used again
-    past: Option<Arc<str>>, // where it was before it moved
+    back_at: Option<Time>,     // when operators let it be used again
+    past: Option<Arc<str>>,    // where it was before it moved
 }
 
 impl Endpoint {
     /// What the module is told: one that is out of use drains, and one that is back has started then.
     pub fn entry(&self) -> EndpointRecord {
         EndpointRecord {
-            state: self.state,
-            started: self.listed.started.max(self.back_at),
+            status: self.state,
+            started_at: self.listed.started_at.max(self.back_at),
             ..self.listed.clone()
         }
     }
@@ -128,7 +128,9 @@
             .values()
             .filter(|node| node.state == EndpointStatus::Ready);
         let mut seen = HashSet::new();
-        let known = known.chain(rest).filter(|node| node.state != EndpointStatus::Removed);
+        let known = known
+            .chain(rest)
+            .filter(|node| node.state != EndpointStatus::Removed);
         let addresses = known
             .map(|node| &node.address)
             .filter(|address| seen.insert(*address));
@@ -139,14 +141,14 @@
     fn complement(&self, member: &mut DiscoveredEndpoint) -> bool {
         let Some(node) = self
             .numbers
-            .get(&member.name)
+            .get(&member.id)
             .and_then(|it| self.nodes.get(it))
         else {
             return false;
         };
         member.address = node.address.clone();
-        member.entry = EndpointRecord {
-            state: member.entry.state,
+        member.record = EndpointRecord {
+            status: member.record.status,
             ..node.listed.clone()
         };
         true
@@ -158,7 +160,7 @@
         let told = told?;
         let same = before.filter(|node| node.listed_start == Some(told));
         if let Some(node) = same {
-            return node.listed.started;
+            return node.listed.started_at;
         }
         let earliest = if self.has_list {
             now.saturating_sub(NEWS_TAKES)
@@ -169,31 +171,37 @@
     }
 
     /// What the list says now: all of it, or what has changed.
-    pub fn list(&mut self, now: Time, complete: bool, members: Vec<DiscoveredEndpoint>, log: &Logger) -> EndpointChanges {
+    pub fn list(
+        &mut self,
+        now: Time,
+        complete: bool,
+        members: Vec<DiscoveredEndpoint>,
+        log: &Logger,
+    ) -> EndpointChanges {
         let mut news = EndpointChanges::default();
         let mut named = HashSet::new();
         for mut member in members {
-            if member.partial && !self.complement(&mut member) {
+            if member.is_partial && !self.complement(&mut member) {
                 continue;
             }
             let DiscoveredEndpoint {
-                name,
+                id: name,
                 address,
-                mut entry,
-                partial,
+                record: mut entry,
+                is_partial: partial,
             } = member;
             let server = *self.numbers.entry(name.clone()).or_insert_with(|| {
                 self.next_number += 1;
                 self.next_number - 1
             });
             named.insert(server);
-            entry.server = server;
+            entry.endpoint = server;
             let before = self.nodes.remove(&server);
             let back_at = before
                 .as_ref()
                 .and_then(|it| it.back_at)
-                .max(self.bans.ended(&name));
-            let state = self.state_of(&name, entry.state);
+                .max(self.bans.ended_at(&name));
+            let state = self.state_of(&name, entry.status);
             let role = entry.role;
             let moved = before
                 .as_ref()
@@ -203,7 +211,7 @@
                 debug!(log, "a node has moved"; "server" => server, "address" => %address);
             }
             let past = moved.or_else(|| before.as_ref().and_then(|it| it.past.clone()));
-            let told = entry.started;
+            let told = entry.started_at;
             // Of one that leaves only that could be read: its start is as it was.
             let listed_start = if partial {
                 before.as_ref().and_then(|it| it.listed_start)
@@ -211,7 +219,7 @@
                 told
             };
             if !partial {
-                entry.started = self.started_at(now, before.as_ref(), told);
+                entry.started_at = self.started_at(now, before.as_ref(), told);
             }
             let address_here = address.clone();
             let node = Endpoint {
@@ -230,11 +238,11 @@
                 .is_none_or(|it| it.state != state || it.address != address)
             {
                 debug!(log, "a node's state"; "server" => server, "name" => %node.name,
-                    "address" => %address, "role" => ?role, "state" => ?state, "started" => ?node.listed.started);
+                    "address" => %address, "role" => ?role, "state" => ?state, "started" => ?node.listed.started_at);
                 news.noted.push((node.name.clone(), entry.clone()));
             }
             self.hashed
-                .entry(gossip::key(entry.key))
+                .entry(gossip::endpoint_hash(entry.key))
                 .or_default()
                 .insert(server);
             self.nodes.insert(server, node);
@@ -247,7 +255,8 @@
                 .iter_mut()
                 .filter(|(server, _)| !named.contains(server))
             {
-                (node.listed.state, node.state) = (EndpointStatus::Removed, EndpointStatus::Removed);
+                (node.listed.status, node.state) =
+                    (EndpointStatus::Removed, EndpointStatus::Removed);
             }
         }
         news
@@ -273,7 +282,10 @@
             changed.sort();
             changed
                 .into_iter()
-                .map(move |address| Command::BlockAddress { address, barred })
+                .map(move |address| Command::BlockAddress {
+                    address,
+                    is_blocked: barred,
+                })
         };
         changed(&before, &self.barred, true)
             .chain(changed(&self.barred, &before, false))
@@ -298,7 +310,7 @@
         log: &Logger,
     ) -> Result<EndpointChanges, BanError> {
         let listed = self.numbers.contains_key(&name);
-        if !self.bans.call(now, &name, banned, listed)? {
+        if !self.bans.set(now, &name, banned, listed)? {
             return Ok(EndpointChanges::default());
         }
         self.bans_changed = true;
@@ -324,12 +336,12 @@
             let state = self
                 .nodes
                 .get(server)
-                .map(|node| self.state_of(name, node.listed.state));
+                .map(|node| self.state_of(name, node.listed.status));
             let (Some(node), Some(state)) = (self.nodes.get_mut(server), state) else {
                 continue;
             };
             node.state = state;
-            node.back_at = node.back_at.max(self.bans.ended(name));
+            node.back_at = node.back_at.max(self.bans.ended_at(name));
             let entry = node.entry();
             news.noted.push((name.clone(), entry.clone()));
             news.entries.push(entry);
@@ -339,7 +351,7 @@
 
     /// What operators have said, where that is new since the last call.
     pub fn new_marks(&mut self) -> Option<BanRecords> {
-        std::mem::take(&mut self.bans_changed).then(|| self.bans.marks().clone())
+        std::mem::take(&mut self.bans_changed).then(|| self.bans.records().clone())
     }
 
     /// Lets go of nodes that are gone and have no attempt out: names and addresses are ever new, and the table
@@ -362,7 +374,7 @@
                 self.heard.remove(&(at, *server));
             }
             self.numbers.remove(&node.name);
-            let hash = gossip::key(node.listed.key);
+            let hash = gossip::endpoint_hash(node.listed.key);
             let named = self.hashed.get_mut(&hash).is_some_and(|named| {
                 named.remove(server);
                 !named.is_empty()
@@ -370,7 +382,7 @@
             if !named {
                 self.hashed.remove(&hash);
             }
-            self.bans.has_left(node.name);
+            self.bans.on_endpoint_removed(node.name);
         }
         over
     }
--- a/src/dispatcher/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -4,7 +4,9 @@
 use super::request::{Attempt, Request};
 use super::reservation::CLOSE_ARRIVES;
 use super::rules::Rule;
-use crate::routing::api::{Idempotency, DeduplicationScope, Role, EndpointId, RoutingSettings, EndpointStatus, Time};
+use crate::routing::api::{
+    DeduplicationScope, EndpointId, EndpointStatus, Idempotency, Role, RoutingSettings, Time,
+};
 
 /// What the rules ask of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +26,11 @@
 
 impl<F: Fn(EndpointId) -> Option<EndpointTarget>> Guard<'_, F> {
     /// Whether one more attempt may go to a server; a retry and a hedged request are such as any other.
-    pub fn check_send(&self, request: &Request, server: EndpointId) -> Result<EndpointTarget, Rule> {
+    pub fn check_send(
+        &self,
+        request: &Request,
+        server: EndpointId,
+    ) -> Result<EndpointTarget, Rule> {
         if !request.is_waiting() || self.now >= request.deadline {
             return Err(Rule::RequestOver);
         }
@@ -33,7 +39,7 @@
             .ok_or(Rule::Drain)?;
         let is_hedge = request.has_attempt_out();
         if request.attempts.len() as u32 >= self.settings.max_attempts.max(1)
-            || is_hedge && !self.settings.second_copies
+            || is_hedge && !self.settings.hedging_allowed
         {
             return Err(Rule::Attempts);
         }
@@ -64,7 +70,7 @@
         self.settings
             .classes
             .get(request.class)
-            .is_some_and(|class| class.effect == Idempotency::Idempotent)
+            .is_some_and(|class| class.idempotency == Idempotency::Idempotent)
     }
 
     /// Whether an attempt was given up so short a time ago that its server may not have seen the close yet: to that server it
@@ -86,7 +92,12 @@
     }
 
     /// Whether the request may run once more, at a server or wherever its client sends it, for all that this attempt did.
-    fn may_repeat(&self, request: &Request, attempt: &Attempt, at: Option<&EndpointTarget>) -> bool {
+    fn may_repeat(
+        &self,
+        request: &Request,
+        attempt: &Attempt,
+        at: Option<&EndpointTarget>,
+    ) -> bool {
         let was = attempt.target;
         let reads = was.is_some_and(|was| was.role == Role::Prefill);
         // However an attempt at a reader ends, it has had no effect; while it is out, nothing is known.
@@ -97,17 +108,20 @@
             .settings
             .classes
             .get(request.class)
-            .map_or(Idempotency::NonIdempotent, |class| class.effect);
+            .map_or(Idempotency::NonIdempotent, |class| class.idempotency);
         let is_within = |window: Time| self.now < attempt.sent.saturating_add(window);
         is_harmless
             || match effect {
                 Idempotency::Idempotent => true,
                 Idempotency::NonIdempotent => false,
                 Idempotency::IdempotencyKey {
-                    group: DeduplicationScope::AllEndpoints,
+                    scope: DeduplicationScope::AllEndpoints,
                     window,
                 } => is_within(window),
-                Idempotency::IdempotencyKey { group, window } => {
+                Idempotency::IdempotencyKey {
+                    scope: group,
+                    window,
+                } => {
                     let same = |was: EndpointTarget, here: &EndpointTarget| match group {
                         DeduplicationScope::Zone => was.zone == here.zone,
                         _ => was.cell == here.cell,
--- a/src/dispatcher/handle.rs
+++ b/src/dispatcher/handle.rs
@@ -1,9 +1,9 @@
 //! The bounded queue before the core: [`DispatcherHandle`] is the way in for socket code, [`EventReceiver`] what it leads to.
 
-use super::messages::{Outcome, Event, Readiness, UpstreamRequest};
+use super::messages::{Event, Outcome, Readiness, UpstreamRequest};
 use crate::config::Deployment;
-use crate::dispatcher::bans::{BanRecords, BanError};
-use crate::routing::api::{RequestMetadata, RequestId};
+use crate::dispatcher::bans::{BanError, BanRecords};
+use crate::routing::api::{RequestId, RequestMetadata};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -34,16 +34,20 @@
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.door.post(Event::ClientDisconnected {
+        self.door.send_detached(Event::ClientDisconnected {
             id: self.id,
-            fate: self.fate.take(),
+            may_have_run: self.fate.take(),
         });
     }
 }
 
 impl DispatcherHandle {
     /// Takes a request in; its answer comes on the channel.
-    pub async fn ask(&self, ask: RequestMetadata, work: UpstreamRequest) -> (PendingRequest, oneshot::Receiver<Outcome>) {
+    pub async fn submit(
+        &self,
+        ask: RequestMetadata,
+        work: UpstreamRequest,
+    ) -> (PendingRequest, oneshot::Receiver<Outcome>) {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (answer, answered) = oneshot::channel();
         // The ticket comes first: a client that leaves while the queue is full is told of all the same.
@@ -53,16 +57,16 @@
             fate: None,
         };
         let event = Event::RequestArrived {
-            ask: RequestMetadata { id, ..ask },
-            work,
-            answer,
+            metadata: RequestMetadata { id, ..ask },
+            upstream: work,
+            outcome: answer,
         };
         let _ = self.events.send(event).await;
         (ticket, answered)
     }
 
     /// Leaves a request; when all of it is over, tells whether it may have run. `None`: nobody knows.
-    pub async fn leave(&self, mut ticket: PendingRequest) -> Option<bool> {
+    pub async fn disconnect(&self, mut ticket: PendingRequest) -> Option<bool> {
         let (fate, told) = oneshot::channel();
         ticket.fate = Some(fate);
         drop(ticket);
@@ -70,12 +74,12 @@
     }
 
     /// Tells the core; waits while the queue is full.
-    pub async fn tell(&self, event: Event) {
+    pub async fn send(&self, event: Event) {
         let _ = self.events.send(event).await;
     }
 
     /// Tells the core from where nothing can wait. A full queue loses nothing: a task waits instead.
-    pub fn post(&self, event: Event) {
+    pub fn send_detached(&self, event: Event) {
         if let Err(mpsc::error::TrySendError::Full(event)) = self.events.try_send(event) {
             let events = self.events.clone();
             if let Ok(runtime) = tokio::runtime::Handle::try_current() {
@@ -85,13 +89,13 @@
     }
 
     /// Takes a replica out of use, or back, ahead of all that waits. `None`: the core has ended.
-    pub async fn ban(&self, name: Arc<str>, banned: bool) -> Option<Result<(), BanError>> {
+    pub async fn set_ban(&self, name: Arc<str>, banned: bool) -> Option<Result<(), BanError>> {
         let (answer, answered) = oneshot::channel();
         self.urgent
             .send(Event::BanRequested {
-                name,
+                endpoint_id: name,
                 banned,
-                answer,
+                reply: answer,
             })
             .await
             .ok()?;
@@ -99,17 +103,17 @@
     }
 
     /// Tells the core ahead of all that waits.
-    pub async fn tell_first(&self, event: Event) {
+    pub async fn send_urgent(&self, event: Event) {
         let _ = self.urgent.send(event).await;
     }
 
     /// Takes new settings. `None`: the core has ended.
-    pub async fn settings(&self, site: Deployment) -> Option<Result<(), String>> {
+    pub async fn apply_settings(&self, site: Deployment) -> Option<Result<(), String>> {
         let (answer, answered) = oneshot::channel();
         self.urgent
             .send(Event::SettingsChanged {
-                site: Box::new(site),
-                answer,
+                deployment: Box::new(site),
+                reply: answer,
             })
             .await
             .ok()?;
@@ -117,12 +121,12 @@
     }
 
     /// The settings that hold now.
-    pub fn site(&self) -> Arc<Deployment> {
+    pub fn deployment(&self) -> Arc<Deployment> {
         self.site.borrow().clone()
     }
 
     /// What operators have said of replicas.
-    pub fn marks(&self) -> watch::Receiver<BanRecords> {
+    pub fn ban_records(&self) -> watch::Receiver<BanRecords> {
         self.marks.clone()
     }
 
@@ -132,18 +136,18 @@
     }
 
     /// Waits until the core's state is the given one.
-    pub async fn becomes(&self, readiness: Readiness) {
+    pub async fn wait_for_readiness(&self, readiness: Readiness) {
         let mut watched = self.readiness.clone();
         let _ = watched.wait_for(|now| *now == readiness).await;
     }
 
     /// Requests in the core's table, with those whose states are being let go.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         *self.open.borrow()
     }
 
     /// Waits until the core's table is empty.
-    pub async fn empty(&self) {
+    pub async fn wait_until_idle(&self) {
         let mut watched = self.open.clone();
         let _ = watched.wait_for(|open| *open == 0).await;
     }
@@ -161,7 +165,7 @@
 
 impl EventReceiver {
     /// The next event, urgent ones first; `None` when every door is gone.
-    pub async fn next(&mut self) -> Option<Event> {
+    pub async fn recv(&mut self) -> Option<Event> {
         tokio::select! {
             biased;
             Some(event) = self.urgent.recv() => Some(event),
@@ -169,7 +173,7 @@
         }
     }
 
-    pub(super) fn at_once(&mut self) -> Option<Event> {
+    pub(super) fn try_recv(&mut self) -> Option<Event> {
         self.urgent
             .try_recv()
             .or_else(|_| self.events.try_recv())
@@ -178,7 +182,7 @@
 }
 
 /// Makes the queue of a core.
-pub fn door(site: Arc<Deployment>) -> (DispatcherHandle, EventReceiver) {
+pub fn channel(site: Arc<Deployment>) -> (DispatcherHandle, EventReceiver) {
     let (events, queue) = mpsc::channel(QUEUE);
     let (urgent, urgent_queue) = mpsc::channel(URGENT);
     let (set_site, site) = watch::channel(site);
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -2,8 +2,8 @@
 
 use super::reasons::EndReason;
 use crate::config::Deployment;
-use crate::dispatcher::bans::{BanRecords, BanError};
-use crate::routing::api::{RequestMetadata, EndpointRecord, LoadReport, RequestId, EndpointId};
+use crate::dispatcher::bans::{BanError, BanRecords};
+use crate::routing::api::{EndpointId, EndpointRecord, LoadReport, RequestId, RequestMetadata};
 use crate::upgrade::stream_migration::UpstreamHalf;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
     /// The name by which the client, and so every node, knows the request.
-    pub name: Arc<str>,
+    pub client_request_id: Arc<str>,
     /// What is asked for: the client's own path and query.
     pub target: Arc<str>,
     /// The request's body.
@@ -51,14 +51,14 @@
 #[derive(Clone, Debug)]
 pub struct DiscoveredEndpoint {
     /// Its name, the same at every dispatcher.
-    pub name: Arc<str>,
+    pub id: Arc<str>,
     /// Where it listens.
     pub address: Arc<str>,
     /// What the module is told; the core sets its number.
-    pub entry: EndpointRecord,
+    pub record: EndpointRecord,
     /// Only its name and its state could be read: the rest is as it was told before, and where nothing was, it is no
     /// member.
-    pub partial: bool,
+    pub is_partial: bool,
 }
 
 /// What the core hears.
@@ -67,11 +67,11 @@
     /// A client's request.
     RequestArrived {
         /// What the module is told, with the number that the door gave.
-        ask: RequestMetadata,
+        metadata: RequestMetadata,
         /// What nodes are told.
-        work: UpstreamRequest,
+        upstream: UpstreamRequest,
         /// Where the answer goes.
-        answer: oneshot::Sender<Outcome>,
+        outcome: oneshot::Sender<Outcome>,
     },
     /// The client has left, or the request's ticket was let go after its end. When all of it is over, `fate`
     /// is told whether it may have run.
@@ -79,7 +79,7 @@
         /// The request.
         id: RequestId,
         /// Who wants to know.
-        fate: Option<oneshot::Sender<bool>>,
+        may_have_run: Option<oneshot::Sender<bool>>,
     },
     /// An attempt's answer has begun.
     FirstEvent {
@@ -99,9 +99,9 @@
         /// Why, and with what outcome.
         reason: EndReason,
         /// Tokens found kept, or 1 where no state was there.
-        note: f64,
+        cached_tokens: f64,
         /// Tokens of the answer, where that was told.
-        written: f64,
+        completion_tokens: f64,
         /// The node's load, where it was told.
         load: Option<LoadReport>,
     },
@@ -110,14 +110,14 @@
         /// The request.
         id: RequestId,
         /// A server said that it has let go; else none did in time.
-        done: bool,
+        confirmed: bool,
     },
     /// A probe's answer.
     ProbeCompleted {
         /// The node.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// It answered.
-        ok: bool,
+        is_healthy: bool,
         /// Its load, where it was told.
         load: Option<LoadReport>,
     },
@@ -131,34 +131,34 @@
     /// The list of members, whole or what changed in it.
     EndpointsChanged {
         /// Members that are absent are gone.
-        complete: bool,
+        is_full: bool,
         /// The members.
-        members: Vec<DiscoveredEndpoint>,
+        endpoints: Vec<DiscoveredEndpoint>,
     },
     /// A call for the list failed.
     EndpointListFailed,
     /// An operator takes a replica out of use, or back.
     BanRequested {
         /// Its name.
-        name: Arc<str>,
+        endpoint_id: Arc<str>,
         /// Out, or back.
         banned: bool,
         /// Whether that holds now.
-        answer: oneshot::Sender<Result<(), BanError>>,
+        reply: oneshot::Sender<Result<(), BanError>>,
     },
     /// New settings. The snapshot that holds from now on goes to whoever watches it.
     SettingsChanged {
         /// As read, with numbers of its own.
-        site: Box<Deployment>,
+        deployment: Box<Deployment>,
         /// Whether they were taken.
-        answer: oneshot::Sender<Result<(), String>>,
+        reply: oneshot::Sender<Result<(), String>>,
     },
     /// Clients are taken from now on.
     AcceptClients,
     /// The part of its limits that this process keeps to, of [`SHARE_UNITS`], and how many processes there are.
     ResourceShareChanged {
         /// The part.
-        part: u32,
+        share: u32,
         /// Processes of this dispatcher.
         processes: u32,
     },
@@ -181,12 +181,12 @@
         /// The node's address.
         address: Arc<str>,
         /// What it is given.
-        work: UpstreamRequest,
+        upstream: UpstreamRequest,
         /// How long the first event is waited for.
         timeout: Duration,
         /// It must not run twice, and so must not go on a kept connection, which its node may have closed: what
         /// breaks there may have run.
-        alone: bool,
+        needs_new_connection: bool,
     },
     /// Stop waiting for an attempt whose first event the core has not been told of.
     CancelAttempt {
@@ -200,14 +200,14 @@
         /// The request.
         id: RequestId,
         /// Its name.
-        name: Arc<str>,
+        client_request_id: Arc<str>,
         /// Where it may be told, best first.
         addresses: Vec<Arc<str>>,
     },
     /// RequestMetadata a node for its load.
     Probe {
         /// The node.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// Its address.
         address: Arc<str>,
     },
@@ -216,14 +216,14 @@
         /// The address.
         address: Arc<str>,
         /// Whether it is barred.
-        barred: bool,
+        is_blocked: bool,
     },
 }
 
 impl Command {
     /// Bars before all else, each sort in its order: what was commanded before a node was told to leave is not sent
     /// there afterwards.
-    pub fn bars_first(commands: &mut [Command]) {
+    pub fn blocks_first(commands: &mut [Command]) {
         commands.sort_by_key(|command| !matches!(command, Command::BlockAddress { .. }));
     }
 }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -20,8 +20,10 @@
 
 pub use self::clock::Clock;
 pub use self::core::Core;
-pub use self::handle::{door, DispatcherHandle, EventReceiver, PendingRequest};
-pub use self::messages::{Outcome, Command, Event, DiscoveredEndpoint, StreamChunk, Readiness, UpstreamRequest};
+pub use self::handle::{channel, DispatcherHandle, EventReceiver, PendingRequest};
+pub use self::messages::{
+    Command, DiscoveredEndpoint, Event, Outcome, Readiness, StreamChunk, UpstreamRequest,
+};
 pub use self::reasons::{CloseReason, EndReason, ReleaseReason};
 pub use self::rules::Rule;
 
@@ -41,7 +43,7 @@
     others: Option<mpsc::Sender<Bytes>>,
 ) {
     loop {
-        let due = core.due().map(|at| clock.instant(at));
+        let due = core.next_wakeup().map(|at| clock.instant(at));
         let sleep = async {
             match due {
                 Some(at) => tokio::time::sleep_until(at).await,
@@ -50,35 +52,35 @@
         };
         tokio::select! {
             biased;
-            event = inbox.next() => match event {
-                Some(event) => core.hear(clock.now(), event),
+            event = inbox.recv() => match event {
+                Some(event) => core.handle_event(clock.now(), event),
                 None => break,
             },
             () = sleep => {}
         }
         // Everything that has come in by now is one batch, heard in the order in which it came.
         let now = clock.now();
-        while let Some(event) = inbox.at_once() {
-            core.hear(now, event);
+        while let Some(event) = inbox.try_recv() {
+            core.handle_event(now, event);
         }
-        core.wake(now);
-        for command in core.commands() {
+        core.on_timer(now);
+        for command in core.take_commands() {
             if commands.send(command).await.is_err() {
                 return;
             }
         }
-        if let (Some(others), Some(message)) = (&others, core.to_tell(now)) {
+        if let (Some(others), Some(message)) = (&others, core.next_gossip_message(now)) {
             let _ = others.try_send(message); // where it would have to wait it is not worth it
         }
         if let Some(recorder) = &recorder {
-            core.notes()
+            core.take_records()
                 .into_iter()
                 .for_each(|note| recorder.note(note));
         }
-        if let Some(site) = core.new_site() {
+        if let Some(site) = core.take_changed_deployment() {
             inbox.site.send_replace(site);
         }
-        if let Some(marks) = core.new_marks() {
+        if let Some(marks) = core.take_changed_bans() {
             inbox.marks.send_replace(marks);
         }
         let ready = core.readiness();
@@ -88,9 +90,9 @@
         {
             info!(core.log, "readiness"; "state" => ?ready);
         }
-        let open = core.open();
+        let open = core.open_requests();
         if ready == Readiness::Draining && open == 0 {
-            core.summarize();
+            core.log_summary();
         }
         inbox
             .open
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -2,7 +2,7 @@
 //!
 //! They are what the log and the counters name, so that the cause of an answer can be read without a second run.
 
-use crate::routing::api::{FailureReason, AttemptStatus};
+use crate::routing::api::{AttemptStatus, FailureReason};
 
 /// Why an attempt ended. Each reason belongs to one [`AttemptStatus`], which is all that the decision module is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -57,12 +57,14 @@
             EndReason::PrefillDone => AttemptStatus::PrefillDone,
             EndReason::Overloaded | EndReason::KvStateMissing => AttemptStatus::Overloaded,
             EndReason::InvalidRequest => AttemptStatus::InvalidRequest,
-            EndReason::ErrorResponse | EndReason::UnreadableResponse | EndReason::MalformedStream => {
-                AttemptStatus::Error
-            }
+            EndReason::ErrorResponse
+            | EndReason::UnreadableResponse
+            | EndReason::MalformedStream => AttemptStatus::Error,
             EndReason::Timeout => AttemptStatus::Timeout,
             EndReason::ConnectFailed | EndReason::EndpointBlocked => AttemptStatus::ConnectFailed,
-            EndReason::NoConnectionPermit | EndReason::RequestNotWritten | EndReason::NotSent => AttemptStatus::NotSent,
+            EndReason::NoConnectionPermit | EndReason::RequestNotWritten | EndReason::NotSent => {
+                AttemptStatus::NotSent
+            }
             EndReason::ConnectionReset | EndReason::StreamIdleTimeout | EndReason::TaskPanicked => {
                 AttemptStatus::Reset
             }
@@ -111,7 +113,10 @@
 
     /// Whether it is certain that no server had the whole request.
     pub fn never_arrived(self) -> bool {
-        matches!(self.status(), AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
+        matches!(
+            self.status(),
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent
+        )
     }
 
     /// Whether it is certain that the request had no effect by this attempt.
@@ -132,7 +137,10 @@
     pub fn is_ordinary(self) -> bool {
         matches!(
             self,
-            EndReason::Served | EndReason::PrefillDone | EndReason::Cancelled | EndReason::ClientDisconnected
+            EndReason::Served
+                | EndReason::PrefillDone
+                | EndReason::Cancelled
+                | EndReason::ClientDisconnected
         )
     }
 }
--- a/src/dispatcher/request.rs
+++ b/src/dispatcher/request.rs
@@ -4,7 +4,7 @@
 use super::messages::{Outcome, UpstreamRequest};
 use super::reasons::EndReason;
 use super::reservation::Reservation;
-use crate::routing::api::{RequestMetadata, Role, EndpointId, Time};
+use crate::routing::api::{EndpointId, RequestMetadata, Role, Time};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
@@ -73,7 +73,7 @@
             work,
             once,
             answer: Some(answer),
-            deadline: now.saturating_add(ask.expires_in),
+            deadline: now.saturating_add(ask.time_left),
             attempts: Vec::new(),
             lease: Reservation::default(),
             may_have_run: false,
--- a/src/dispatcher/request_table.rs
+++ b/src/dispatcher/request_table.rs
@@ -1,7 +1,7 @@
 //! The request table: requests by number and by name, and the names of those that ended of late and may have run.
 
 use super::request::{Attempt, Request};
-use crate::routing::api::{RequestId, EndpointId, Time};
+use crate::routing::api::{EndpointId, RequestId, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
     }
 
     pub fn enter(&mut self, id: RequestId, request: Request) {
-        self.names.insert(request.work.name.clone());
+        self.names.insert(request.work.client_request_id.clone());
         self.requests.insert(id, request);
     }
 
@@ -96,9 +96,9 @@
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        self.names.remove(&request.work.name);
+        self.names.remove(&request.work.client_request_id);
         if request.may_have_run {
-            self.note_end(now, request.work.name.clone());
+            self.note_end(now, request.work.client_request_id.clone());
         }
         if let Some(fate) = request.fate {
             let _ = fate.send(request.may_have_run);
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -89,7 +89,7 @@
         Call::Disable(id) => (id, true),
         Call::Enable(id) => (id, false),
     };
-    match door.ban(id, banned).await {
+    match door.set_ban(id, banned).await {
         Some(Ok(())) => Ok(()),
         Some(Err(BanError::Unknown)) => Err("no replica of this id was listed"),
         Some(Err(BanError::TooMany)) => Err("too many replicas are out of use"),
@@ -134,7 +134,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                pauses.succeeded();
+                pauses.reset();
                 callers.retain(|caller| !caller.is_finished());
                 if callers.len() >= MOST_CALLERS {
                     if let Some(first) = callers.pop_front() {
@@ -147,7 +147,7 @@
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(pauses.after(&error)).await;
+                sleep(pauses.delay_after(&error)).await;
             }
         }
     }
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -154,7 +154,9 @@
     /// Returns when the dispatcher ends and no request has begun to come: a new client has its request at hand, and half
     /// a head becomes a whole one, or its time is up.
     pub(super) async fn is_at_rest(&self, course: &mut watch::Receiver<ShutdownPhase>) {
-        let _ = course.wait_for(|course| *course == ShutdownPhase::Closing).await;
+        let _ = course
+            .wait_for(|course| *course == ShutdownPhase::Closing)
+            .await;
         loop {
             // What has come by now is read first.
             tokio::task::yield_now().await;
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -67,7 +67,7 @@
         match accepted {
             // One at a time: a check is one short line, and a balancer comes back.
             Ok((mut stream, _)) => {
-                pauses.succeeded();
+                pauses.reset();
                 let line = agent_line(door.readiness());
                 let _ = timeout(PATIENCE, async {
                     stream.write_all(line.as_bytes()).await?;
@@ -77,7 +77,7 @@
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(pauses.after(&error)).await;
+                sleep(pauses.delay_after(&error)).await;
             }
         }
     }
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,7 +1,7 @@
 //! The platform's HTTP/1.1: a thin front on axum.
 
 use crate::config::{micros, Deployment};
-use crate::dispatcher::{Outcome, DispatcherHandle, StreamChunk, PendingRequest, UpstreamRequest};
+use crate::dispatcher::{DispatcherHandle, Outcome, PendingRequest, StreamChunk, UpstreamRequest};
 use crate::frontend::health_check::ready;
 use crate::frontend::identifiers::{is_name, key};
 use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
@@ -73,13 +73,16 @@
             _ => {}
         }
     }
-    ask.prompt = prompt.ok_or("X-Props lacks prompt_len")?;
-    ask.max_tokens = most.ok_or("X-Props lacks max_out")?;
+    ask.prompt_tokens = prompt.ok_or("X-Props lacks prompt_len")?;
+    ask.max_output_tokens = most.ok_or("X-Props lacks max_out")?;
     Ok(())
 }
 
 /// Reads a request's head: its name and what the module is told.
-pub fn parse_head(headers: &HeaderMap, site: &Deployment) -> Result<(Arc<str>, RequestMetadata), String> {
+pub fn parse_head(
+    headers: &HeaderMap,
+    site: &Deployment,
+) -> Result<(Arc<str>, RequestMetadata), String> {
     let text = |name: &str| {
         let value = headers
             .get(name)
@@ -112,7 +115,7 @@
     let expires: u32 = text("x-expires-in-ms")?
         .parse()
         .map_err(|_| "X-Expires-In-Ms is not a number")?;
-    ask.expires_in = micros(f64::from(expires));
+    ask.time_left = micros(f64::from(expires));
     parse_props(text("x-props")?, &mut ask)?;
     Ok((name.into(), ask))
 }
@@ -134,7 +137,7 @@
 async fn complete(State(shared): State<Shared>, request: Request) -> Response {
     let came = Instant::now();
     let (head, body) = request.into_parts();
-    let site = shared.door.site();
+    let site = shared.door.deployment();
     let (name, mut ask) = match parse_head(&head.headers, &site) {
         Ok(parsed) => parsed,
         Err(error) => {
@@ -150,11 +153,11 @@
     }
     let until = came + BODY_TIME;
     // Nothing was done for a request that finds no room: it may come again.
-    let Ok(Some(room)) = timeout_at(until, shared.rooms.wait(length as usize)).await else {
+    let Ok(Some(room)) = timeout_at(until, shared.rooms.reserve(length as usize)).await else {
         return refused(Duration::from_micros(site.settings.max_retry_after));
     };
     let body = match timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-        Ok(Ok(body)) => room.keep(body.to_bytes()),
+        Ok(Ok(body)) => room.attach(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             return says(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 256 KiB");
         }
@@ -167,14 +170,14 @@
         .path_and_query()
         .map_or("/", |target| target.as_str());
     let work = UpstreamRequest {
-        name,
+        client_request_id: name,
         target: target.into(),
         body,
     };
-    ask.expires_in = ask
-        .expires_in
+    ask.time_left = ask
+        .time_left
         .saturating_sub(came.elapsed().as_micros() as u64);
-    let (ticket, answered) = shared.door.ask(ask, work).await;
+    let (ticket, answered) = shared.door.submit(ask, work).await;
     match answered.await {
         Ok(Outcome::Stream(pieces)) => {
             let body = Body::new(Pieces {
@@ -195,7 +198,9 @@
         }
         Ok(Outcome::Shed(after)) => refused(after),
         Ok(Outcome::Failed) => says(StatusCode::BAD_GATEWAY, "failed"),
-        Ok(Outcome::InvalidRequest) => says(StatusCode::BAD_REQUEST, "a node found the request bad"),
+        Ok(Outcome::InvalidRequest) => {
+            says(StatusCode::BAD_REQUEST, "a node found the request bad")
+        }
         Ok(Outcome::DuplicateId) => says(StatusCode::CONFLICT, "a request of this id is in flight"),
         Err(_) => says(StatusCode::INTERNAL_SERVER_ERROR, "no answer"),
     }
--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -1,10 +1,10 @@
 //! NameTable and keys, as clients of every front write them.
 
-use crate::config::hash;
+use crate::config::fnv1a_hash;
 
 /// A session's or a text's key: 16 hexadecimal digits, and any other word by its hash.
 pub fn key(word: &str) -> u64 {
-    u64::from_str_radix(word, 16).unwrap_or_else(|_| hash(word))
+    u64::from_str_radix(word, 16).unwrap_or_else(|_| fnv1a_hash(word))
 }
 
 /// A name that may stand in a node's path as it is.
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -5,7 +5,7 @@
 
 use super::connection::{ClientConnection, Phase, MUTE_TIME, REPLACEABLE_TIME};
 use super::ShutdownPhase;
-use crate::net::connection_limit::{ConnectionPermit, ConnectionLimit};
+use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
 use crate::net::message_framing::DeclaredBody;
 use crate::net::system_errors::AcceptPauses;
 use crate::upgrade::stream_migration::MigrationSender;
@@ -194,7 +194,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.stream).poll_flush(context);
         if flushed.is_ready() {
-            self.client.exit.flushed(&self.stream);
+            self.client.exit.on_flushed(&self.stream);
         }
         flushed
     }
@@ -263,7 +263,7 @@
     fn is_full(&self) -> bool {
         self.waited()
             .is_some_and(|at| at.elapsed() < REPLACEABLE_TIME)
-            || self.places.over() > 0
+            || self.places.over_limit() > 0
     }
 
     fn leaves(&self) -> bool {
@@ -353,7 +353,7 @@
             _ = connection.as_mut() => return,
             () = client.over() => return,
             // DropReason as it is, without an end: the successor has the socket too.
-            moved = client.exit.moves(&mover) => if moved { return },
+            moved = client.exit.migrate(&mover) => if moved { return },
         }
     }
 }
@@ -386,7 +386,7 @@
     /// A place for a new connection. At the limit a mute one, or the one that has stood idle longest, is closed for
     /// it; where none has done so for long enough, the new one waits in the listener's queue.
     async fn place(&self) -> Option<ConnectionPermit> {
-        let free = self.listener_state.places.take(1);
+        let free = self.listener_state.places.acquire(1);
         let mut free = pin!(free);
         loop {
             let replaceable = self
@@ -395,7 +395,7 @@
                 .filter_map(|client| Some((client.replaceable_at()?, client)));
             let first = replaceable.min_by_key(|(at, _)| *at);
             let wait = first.map_or_else(|| Instant::now() + MUTE_TIME, |(at, _)| at);
-            if self.listener_state.places.free() == 0 && wait > Instant::now() {
+            if self.listener_state.places.available() == 0 && wait > Instant::now() {
                 *self.listener_state.waited() = Some(Instant::now());
             }
             tokio::select! {
@@ -451,20 +451,20 @@
         let (stream, place) = match accepted {
             (Ok((stream, _)), Some(place)) => (stream, place),
             (Err(error), _) => {
-                let pause = pauses.after(&error);
+                let pause = pauses.delay_after(&error);
                 warn!(log, "accept failed"; "error" => %error, "pause_ms" => pause.as_millis() as u64);
                 sleep(pause).await;
                 continue;
             }
             (_, None) => break,
         };
-        pauses.succeeded();
+        pauses.reset();
         tracked.serve(&mut connections, stream, place, &routes);
     }
     if *course.borrow() == ShutdownPhase::Closing {
         // Nobody else takes those that came before this and wait in the queue.
         while let (Some(place), Some(Ok((stream, _)))) = (
-            tracked.listener_state.places.take_now(1),
+            tracked.listener_state.places.try_acquire(1),
             listener.accept().now_or_never(),
         ) {
             tracked.serve(&mut connections, stream, place, &routes);
@@ -472,6 +472,8 @@
     }
     drop(listener);
     info!(log, "no more connections are taken"; "open" => connections.len());
-    let _ = course.wait_for(|course| *course == ShutdownPhase::Closing).await;
+    let _ = course
+        .wait_for(|course| *course == ShutdownPhase::Closing)
+        .await;
     while connections.join_next().await.is_some() {}
 }
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,6 +1,6 @@
 //! The memory that the bodies of requests may take, all fronts together.
 
-use crate::net::connection_limit::{ConnectionPermit, ConnectionLimit};
+use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
 use bytes::Bytes;
 
 /// A request's body may have so many bytes.
@@ -40,29 +40,29 @@
     }
 
     /// Keeps to so many parts of the memory, though to enough for one body at least.
-    pub fn set_part(&self, part: u32) {
-        self.0.set_part(part, LEAST);
+    pub fn set_share(&self, part: u32) {
+        self.0.set_share(part, LEAST);
     }
 
     /// MemoryReservation for a body of this length; waits for it.
-    pub async fn wait(&self, bytes: usize) -> Option<MemoryReservation> {
+    pub async fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         self.0
-            .take(kilobytes(bytes))
+            .acquire(kilobytes(bytes))
             .await
             .map(|place| MemoryReservation { place })
     }
 
     /// MemoryReservation for a body of this length, if there is some now.
-    pub fn at_once(&self, bytes: usize) -> Option<MemoryReservation> {
+    pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         self.0
-            .take_now(kilobytes(bytes))
+            .try_acquire(kilobytes(bytes))
             .map(|place| MemoryReservation { place })
     }
 }
 
 impl MemoryReservation {
     /// The body, with as much of the room as it needs: that is free again when nobody holds the body any more.
-    pub fn keep(mut self, body: Bytes) -> Bytes {
+    pub fn attach(mut self, body: Bytes) -> Bytes {
         let spare = self
             .place
             .num_permits()
--- a/src/frontend/websocket.rs
+++ b/src/frontend/websocket.rs
@@ -4,12 +4,12 @@
 //! sent again, keeps the first deadline and is answered from the record. The record is bounded, and it is this
 //! dispatcher's own: another one does not know it. The messages are described in `docs/websocket.md`.
 
-use crate::config::{hash, micros, SessionConfig, Deployment};
-use crate::dispatcher::{Outcome, DispatcherHandle, StreamChunk, UpstreamRequest};
+use crate::config::{fnv1a_hash, micros, Deployment, SessionConfig};
+use crate::dispatcher::{DispatcherHandle, Outcome, StreamChunk, UpstreamRequest};
 use crate::frontend::identifiers::{is_name, key};
 use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
 use crate::frontend::ShutdownPhase;
-use crate::routing::api::{RequestMetadata, RequestClass, Idempotency};
+use crate::routing::api::{Idempotency, RequestClass, RequestMetadata};
 use axum::extract::ws::{close_code, CloseFrame, Message, WebSocket, WebSocketUpgrade};
 use axum::extract::State;
 use axum::http::StatusCode;
@@ -108,12 +108,12 @@
         tenant,
         session: Some(key(&said.session.ok_or("session is missing")?)),
         prefix: said.prefix.as_deref().map(key),
-        expires_in: micros(f64::from(
+        time_left: micros(f64::from(
             said.expires_in_ms.ok_or("expires_in_ms is missing")?,
         )),
-        prompt: f64::from(said.prompt_len.ok_or("prompt_len is missing")?),
+        prompt_tokens: f64::from(said.prompt_len.ok_or("prompt_len is missing")?),
         prefix_tokens: f64::from(said.prefix_len.unwrap_or(0)),
-        max_tokens: f64::from(said.max_out.ok_or("max_out is missing")?),
+        max_output_tokens: f64::from(said.max_out.ok_or("max_out is missing")?),
         ..RequestMetadata::default()
     };
     let body = said.body.ok_or("body is missing")?;
@@ -180,7 +180,9 @@
         }
         // Live requests are never forgotten: they are bounded by the sessions and their limits.
         for _ in 0..self.order.len() {
-            if self.order.len() <= options.record_entries && self.text <= options.record_bytes {
+            if self.order.len() <= options.max_cached_responses
+                && self.text <= options.max_cache_bytes
+            {
                 break;
             }
             let Some(oldest) = self.order.pop_front() else {
@@ -245,11 +247,11 @@
             door,
             rooms,
             records: Arc::default(),
-            places: Arc::new(Semaphore::new(options.most_sessions)),
+            places: Arc::new(Semaphore::new(options.max_sessions)),
             options,
             stands: Arc::default(),
             names: Arc::default(),
-            boot: hash(&seed.to_string()),
+            boot: fnv1a_hash(&seed.to_string()),
             stop,
             log,
         }
@@ -259,7 +261,7 @@
     pub async fn over(&self) {
         let _ = self
             .places
-            .acquire_many(self.options.most_sessions as u32)
+            .acquire_many(self.options.max_sessions as u32)
             .await;
     }
 
@@ -277,7 +279,7 @@
             let stands = self.stands();
             let idle = stands
                 .values()
-                .filter(|it| it.places.available_permits() == self.options.most_requests);
+                .filter(|it| it.places.available_permits() == self.options.max_requests);
             idle.min_by_key(|it| *it.since())
                 .filter(|it| it.since().elapsed() >= SPARED_TIME)
                 .cloned()
@@ -308,13 +310,13 @@
     let Some(place) = shared.place().await else {
         return (StatusCode::SERVICE_UNAVAILABLE, "too many sessions\n").into_response();
     };
-    let most = shared.options.most_message;
+    let most = shared.options.max_message_bytes;
     let upgrade = upgrade
         .max_message_size(most)
         .max_frame_size(most)
         .read_buffer_size(BUFFER);
     upgrade.on_upgrade(move |socket| async move {
-        let places = Arc::new(Semaphore::new(shared.options.most_requests));
+        let places = Arc::new(Semaphore::new(shared.options.max_requests));
         let stand = Stand {
             since: Mutex::new(Instant::now()),
             places,
@@ -365,8 +367,8 @@
 /// One socket: reads calls, writes answers, pings, and ends it with the close code that fits.
 async fn session(shared: &Shared, stand: &Stand, mut socket: WebSocket) {
     let options = &shared.options;
-    let silent = Duration::from_millis(options.silent_ms);
-    let every = Duration::from_millis(options.ping_ms);
+    let silent = Duration::from_millis(options.session_timeout_ms);
+    let every = Duration::from_millis(options.ping_interval_ms);
     let (outgoing, mut waiting) = mpsc::channel::<Message>(OUTGOING);
     let places = stand.places.clone();
     let mut cancels: HashMap<String, mpsc::Sender<()>> = HashMap::new();
@@ -375,7 +377,7 @@
     let mut stop = shared.stop.clone();
     let mut stopping = false;
     let code = loop {
-        if stopping && places.available_permits() == options.most_requests && waiting.is_empty() {
+        if stopping && places.available_permits() == options.max_requests && waiting.is_empty() {
             break Some((close_code::AWAY, "the dispatcher ends"));
         }
         let message = tokio::select! {
@@ -386,9 +388,9 @@
                 None
             }
             // A request that ends frees its place: while stopping, that may be the last one.
-            Ok(_) = places.acquire_many(options.most_requests as u32), if stopping => None,
+            Ok(_) = places.acquire_many(options.max_requests as u32), if stopping => None,
             () = stand.close.notified() => {
-                if places.available_permits() == options.most_requests && waiting.is_empty() {
+                if places.available_permits() == options.max_requests && waiting.is_empty() {
                     break Some((close_code::AGAIN, "no session is free"));
                 }
                 None
@@ -456,7 +458,7 @@
     cancels: &mut HashMap<String, mpsc::Sender<()>>,
     stopping: bool,
 ) -> Option<Message> {
-    let site = shared.door.site();
+    let site = shared.door.deployment();
     let (id, ask, body) = match parse(text_said, &site) {
         Ok(Call::Request(id, ask, body)) => (id, ask, body),
         Ok(Call::Cancel(id)) => {
@@ -482,7 +484,7 @@
     let now = Instant::now();
     let mut records = shared.records();
     let deadline = match records.by_key.get(&key) {
-        None => now + Duration::from_micros(ask.expires_in),
+        None => now + Duration::from_micros(ask.time_left),
         Some(record) => {
             let deadline = record.deadline;
             match &record.stage {
@@ -523,12 +525,12 @@
     // Over the bounds of the session or of the memory, nothing is done: the same id may come again.
     let bounds = (
         places.clone().try_acquire_owned(),
-        shared.rooms.at_once(body.len()),
+        shared.rooms.try_reserve(body.len()),
     );
     let (Ok(place), Some(room)) = bounds else {
         return Some(refused(&key.1, BUSY));
     };
-    let body = room.keep(body);
+    let body = room.attach(body);
     let (attach, attached) = mpsc::channel(ATTACHING);
     let (cancel, cancelled) = mpsc::channel(1);
     cancels.insert(key.1.clone(), cancel);
@@ -582,7 +584,7 @@
     async fn run(mut self, place: OwnedSemaphorePermit) {
         loop {
             let tried = self.attempt().await;
-            let safe = self.class.effect == Idempotency::Idempotent;
+            let safe = self.class.idempotency == Idempotency::Idempotent;
             let outcome = match tried {
                 Tried::Final(outcome) => outcome,
                 // What may have run is never sent again, unless its class allows a repeat.
@@ -636,18 +638,18 @@
     /// Gives the request to the core and passes its answer on.
     async fn attempt(&mut self) -> Tried {
         let shared = self.shared.clone();
-        let reattach = Duration::from_millis(shared.options.reattach_ms);
+        let reattach = Duration::from_millis(shared.options.reattach_window_ms);
         // A request that waited for its terminal may find its class's number given to another.
         let class = shared
             .door
-            .site()
+            .deployment()
             .settings
             .classes
             .get(self.ask.class)
             .cloned();
         if class.is_none_or(|class| {
             RequestClass {
-                open: true,
+                is_active: true,
                 ..class
             } != self.class
         }) {
@@ -657,15 +659,15 @@
         let name = format!("ws-{:016x}-{number}", shared.boot);
         let left = self.deadline.saturating_duration_since(Instant::now());
         let ask = RequestMetadata {
-            expires_in: left.as_micros() as u64,
+            time_left: left.as_micros() as u64,
             ..self.ask.clone()
         };
         let work = UpstreamRequest {
-            name: name.into(),
+            client_request_id: name.into(),
             target: "/v1/chat/completions".into(),
             body: self.body.clone(),
         };
-        let (ticket, mut answered) = shared.door.ask(ask, work).await;
+        let (ticket, mut answered) = shared.door.submit(ask, work).await;
         let mut lost: Option<Instant> = None;
         let mut stream: Option<mpsc::Receiver<StreamChunk>> = None;
         let mut partial: Vec<u8> = Vec::new();
@@ -699,7 +701,7 @@
                         drop(ticket);
                         return Tried::Final(FinalOutcome::Failed("the session closed while the answer streamed"));
                     }
-                    let fate = timeout(FATE, shared.door.leave(ticket)).await;
+                    let fate = timeout(FATE, shared.door.disconnect(ticket)).await;
                     return Tried::Left(fate.ok().flatten().unwrap_or(true));
                 }
                 answer = &mut answered, if !begun => match answer {
@@ -724,7 +726,7 @@
                             continue;
                         }
                         let sent = self.out.send(event(&self.key.1, &text)).await;
-                        self.whole &= self.text.len() + text.len() <= shared.options.record_text;
+                        self.whole &= self.text.len() + text.len() <= shared.options.max_cached_response_bytes;
                         if self.whole {
                             self.text.push_str(&text);
                         }
--- a/src/gossip/state.rs
+++ b/src/gossip/state.rs
@@ -5,7 +5,7 @@
 //! costs is bounded by the price in the settings and by the own requests. A message is a mark, the time it was sent at, and
 //! five bytes a server; one that is spoilt, late, or no newer than the last of its sender changes nothing and is counted.
 
-use crate::routing::api::{LoadReport, EndpointId, Time};
+use crate::routing::api::{EndpointId, LoadReport, Time};
 use std::collections::BTreeMap;
 
 /// The first byte of a message: what it is, and its version.
@@ -58,7 +58,7 @@
 }
 
 /// The key by which a server is told of.
-pub fn key(hash: u64) -> u32 {
+pub fn endpoint_hash(hash: u64) -> u32 {
     (hash & 0x00ff_ffff) as u32
 }
 
@@ -94,7 +94,7 @@
     }
 
     /// A request has come: a little more may be told.
-    pub fn request(&mut self) {
+    pub fn on_request(&mut self) {
         let save = |left: f64, earned: f64| {
             (left + earned).min((SAVED * earned).max((HEAD + NOTE) as f64))
         };
@@ -107,7 +107,7 @@
         self.dropped
     }
 
-    fn believe(&mut self, now: Time, server: EndpointId, in_flight: f64) -> f64 {
+    fn update_belief(&mut self, now: Time, server: EndpointId, in_flight: f64) -> f64 {
         let before = self
             .believed
             .insert(server, (in_flight, now))
@@ -118,16 +118,16 @@
     }
 
     /// A server's own report; it is told on if it would surprise the others.
-    pub fn report(&mut self, now: Time, server: EndpointId, hash: u64, load: &LoadReport) {
+    pub fn record_load(&mut self, now: Time, server: EndpointId, hash: u64, load: &LoadReport) {
         let Some(in_flight) = load.in_flight.filter(|it| *it >= 0.0) else {
             return;
         };
-        let before = self.believe(now, server, in_flight);
+        let before = self.update_belief(now, server, in_flight);
         let off = (in_flight - before).abs();
         if self.receivers >= 1.0 && off > OFF && off > OFF_PART * before {
-            let memory = load.memory.unwrap_or(0.0).clamp(0.0, 1.0) * MEMORY_SCALE;
+            let memory = load.kv_memory_share.unwrap_or(0.0).clamp(0.0, 1.0) * MEMORY_SCALE;
             self.note(
-                key(hash),
+                endpoint_hash(hash),
                 in_flight.min(MOST_IN_FLIGHT).round() as u8,
                 memory.round() as u8,
             );
@@ -135,8 +135,8 @@
     }
 
     /// An attempt has failed by its server's fault.
-    pub fn failure(&mut self, hash: u64) {
-        self.note(key(hash), FAILED, 0);
+    pub fn record_failure(&mut self, hash: u64) {
+        self.note(endpoint_hash(hash), FAILED, 0);
     }
 
     fn note(&mut self, key: u32, what: u8, memory: u8) {
@@ -159,7 +159,7 @@
     }
 
     /// What is to be told now. What can't be afforded is not told later either: it would be old.
-    pub fn message(&mut self, now: Time) -> Option<Vec<u8>> {
+    pub fn next_message(&mut self, now: Time) -> Option<Vec<u8>> {
         let pending = std::mem::take(&mut self.pending);
         let affordable = |left: f64| ((left - HEAD as f64) / NOTE as f64).max(0.0) as usize;
         // Failures come first: they are rarer, and nobody else may have seen them.
@@ -183,7 +183,7 @@
     }
 
     /// What a message from another dispatcher says.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         now: Time,
         from: usize,
@@ -200,7 +200,9 @@
         from: usize,
         message: &[u8],
     ) -> Result<Vec<Observation>, DropReason> {
-        let (head, notes) = message.split_at_checked(HEAD).ok_or(DropReason::Malformed)?;
+        let (head, notes) = message
+            .split_at_checked(HEAD)
+            .ok_or(DropReason::Malformed)?;
         let spoilt = head[0] != MARK
             || notes.is_empty()
             || notes.len() % NOTE != 0
@@ -224,7 +226,7 @@
         let observation = |note: &[u8]| {
             let load = (note[3] != FAILED).then(|| LoadReport {
                 in_flight: Some(f64::from(note[3])),
-                memory: Some((f64::from(note[4]) / MEMORY_SCALE).min(1.0)),
+                kv_memory_share: Some((f64::from(note[4]) / MEMORY_SCALE).min(1.0)),
                 ..LoadReport::default()
             });
             Observation {
@@ -236,14 +238,14 @@
     }
 
     /// An observation is taken over: what others now believe of this server.
-    pub fn heard(&mut self, now: Time, server: EndpointId, observation: &Observation) {
+    pub fn accept(&mut self, now: Time, server: EndpointId, observation: &Observation) {
         if let Some(in_flight) = observation.load.as_ref().and_then(|load| load.in_flight) {
-            self.believe(now, server, in_flight);
+            self.update_belief(now, server, in_flight);
         }
     }
 
     /// Servers that are gone are forgotten.
-    pub fn keep(&mut self, known: impl Fn(EndpointId) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(EndpointId) -> bool) {
         self.believed.retain(|server, _| known(*server));
     }
 }
--- a/src/gossip/transport.rs
+++ b/src/gossip/transport.rs
@@ -53,12 +53,12 @@
     }
 
     /// How many dispatchers there are beside this one.
-    pub fn others(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.numbers.len()
     }
 
     /// Listens as soon as the address is free. What would be told meanwhile is not: it would be old.
-    async fn open(&self, tell: &mut mpsc::Receiver<Bytes>, log: &Logger) -> Option<UdpSocket> {
+    async fn bind(&self, tell: &mut mpsc::Receiver<Bytes>, log: &Logger) -> Option<UdpSocket> {
         let mut logged = false;
         loop {
             match UdpSocket::bind(&self.listen).await {
@@ -83,7 +83,7 @@
 
     /// Carries messages to all others, and theirs to the core, until nobody sends any more.
     pub async fn run(self, mut tell: mpsc::Receiver<Bytes>, door: DispatcherHandle, log: Logger) {
-        let Some(socket) = self.open(&mut tell, &log).await else {
+        let Some(socket) = self.bind(&mut tell, &log).await else {
             return;
         };
         // One byte more than allowed shows what is longer.
@@ -105,7 +105,7 @@
                     };
                     if let Some(from) = self.numbers.get(&address) {
                         let message = Bytes::copy_from_slice(&buffer[..length]);
-                        door.tell(Event::GossipReceived { from: *from, message }).await;
+                        door.send(Event::GossipReceived { from: *from, message }).await;
                     }
                 }
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,65 +12,65 @@
 //! use quartzhall::routing::Router;
 //!
 //! let class = RequestClass {
-//!     aim: 1_000_000,
-//!     aim_per_1000_tokens: 40_000,
-//!     token_aim: 60_000,
-//!     worth: 1.0,
-//!     open: true,
-//!     effect: Idempotency::Idempotent,
+//!     ttft_objective: 1_000_000,
+//!     ttft_objective_per_1000_tokens: 40_000,
+//!     inter_token_objective: 60_000,
+//!     priority_weight: 1.0,
+//!     is_active: true,
+//!     idempotency: Idempotency::Idempotent,
 //! };
 //! let settings = RoutingSettings {
-//!     balancers: 1,
+//!     dispatchers: 1,
 //!     zone: 0,
 //!     classes: vec![class],
 //!     tenants: vec![],
-//!     over_share_worth: 0.1,
-//!     reports: LoadReporting::WithResponses,
-//!     must_watch: false,
-//!     may_probe: false,
-//!     may_cancel: true,
-//!     second_copies: true,
+//!     over_quota_weight: 0.1,
+//!     load_reporting: LoadReporting::WithResponses,
+//!     must_poll_endpoints: false,
+//!     probes_allowed: false,
+//!     cancellation_allowed: true,
+//!     hedging_allowed: true,
 //!     max_retry_after: 0,
 //!     max_attempts: 5,
 //!     tick: 2_000,
-//!     answer_slack: 8_000,
+//!     response_slack: 8_000,
 //!     drain_grace: 500_000,
-//!     release_within: 500_000,
-//!     cold_from: 0.3,
-//!     warm_within: 13_000_000,
-//!     fall_multiple: 2.5,
-//!     fall: 1_000_000,
-//!     cross_zone_price: 0.0,
-//!     far_price: 0.0,
+//!     reservation_ttl: 500_000,
+//!     slow_start_initial_share: 0.3,
+//!     slow_start_duration: 13_000_000,
+//!     overload_threshold: 2.5,
+//!     overload_window: 1_000_000,
+//!     cross_zone_cost: 0.0,
+//!     kv_transfer_cost: 0.0,
 //! };
 //! let mut router = Router::new(settings, 7, 0);
 //! let mut actions = Vec::new();
-//! let server = |server, role| EndpointRecord {
-//!     server,
-//!     key: server.into(),
+//! let endpoint = |endpoint, role| EndpointRecord {
+//!     endpoint,
+//!     key: endpoint.into(),
 //!     role,
-//!     memory: 200_000.0,
+//!     kv_capacity_tokens: 200_000.0,
 //!     zone: 0,
 //!     cell: 0,
-//!     state: EndpointStatus::Ready,
-//!     started: None,
+//!     status: EndpointStatus::Ready,
+//!     started_at: None,
 //! };
-//! let entries = vec![server(1, Role::Prefill), server(2, Role::Decode)];
-//! router.handle(1_000, Event::EndpointsChanged { complete: true, entries }, &mut actions);
-//! let ask = RequestMetadata {
+//! let endpoints = vec![endpoint(1, Role::Prefill), endpoint(2, Role::Decode)];
+//! router.handle(1_000, Event::EndpointsChanged { is_full: true, endpoints }, &mut actions);
+//! let metadata = RequestMetadata {
 //!     id: 1,
 //!     class: 0,
 //!     tenant: None,
 //!     session: Some(5),
 //!     prefix: None,
-//!     expires_in: 4_000_000,
-//!     prompt: 1_500.0,
+//!     time_left: 4_000_000,
+//!     prompt_tokens: 1_500.0,
 //!     prefix_tokens: 0.0,
-//!     max_tokens: 200.0,
-//!     hint: None,
+//!     max_output_tokens: 200.0,
+//!     output_time_hint: None,
 //! };
-//! router.handle(2_000, Event::RequestArrived(ask), &mut actions);
-//! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { id: 1, server: 1, .. })));
+//! router.handle(2_000, Event::RequestArrived(metadata), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { id: 1, endpoint: 1, .. })));
 //! ```
 
 #![deny(unsafe_code)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use quartzhall::config::reload;
-use quartzhall::config::{Config, SessionConfig, Deployment};
+use quartzhall::config::{Config, Deployment, SessionConfig};
 use quartzhall::dispatcher::{Clock, Core, DispatcherHandle, Event, Readiness};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{admin, health_check, http, listener, websocket, ShutdownPhase};
@@ -12,7 +12,7 @@
 use quartzhall::recording::TraceRecorder;
 use quartzhall::upgrade::resource_shares::ProcessState;
 use quartzhall::upgrade::stream_migration;
-use quartzhall::upgrade::{UpgradeCoordinator, ResourceLimits, PeerProcesses};
+use quartzhall::upgrade::{PeerProcesses, ResourceLimits, UpgradeCoordinator};
 use quartzhall::{backend, discovery, dispatcher, upgrade};
 use quartzhall_recording::{Key, Recorder};
 use slog::{info, o, warn, Drain, Level, Logger};
@@ -170,10 +170,10 @@
 
 impl ResourceLimits for Shares {
     fn set(&self, part: u32) -> u32 {
-        self.rooms.set_part(part);
+        self.rooms.set_share(part);
         let used = [&self.clients, &self.nodes].map(|places| {
-            places.set_part(part, 4);
-            (places.taken() * SHARE_UNITS as usize).div_ceil(places.whole().max(1)) as u32
+            places.set_share(part, 4);
+            (places.in_use() * SHARE_UNITS as usize).div_ceil(places.capacity().max(1)) as u32
         });
         used[0].max(used[1])
     }
@@ -209,17 +209,25 @@
 
 /// Waits until a successor can take clients: it has a list, discovery's own if that comes soon, and its part of the
 /// limits, if the predecessor comes down to its own soon.
-async fn take_over(door: &DispatcherHandle, known: Option<Event>, view: &mut watch::Receiver<PeerProcesses>) {
-    if timeout(LIST_TIME, door.becomes(Readiness::Standby))
+async fn take_over(
+    door: &DispatcherHandle,
+    known: Option<Event>,
+    view: &mut watch::Receiver<PeerProcesses>,
+) {
+    if timeout(LIST_TIME, door.wait_for_readiness(Readiness::Standby))
         .await
         .is_err()
     {
         if let Some(known) = known {
-            door.tell(known).await;
+            door.send(known).await;
         }
-        door.becomes(Readiness::Standby).await;
+        door.wait_for_readiness(Readiness::Standby).await;
     }
-    let _ = timeout(SHARE_TIME, view.wait_for(|view| view.part >= SHARE_UNITS / 4)).await;
+    let _ = timeout(
+        SHARE_TIME,
+        view.wait_for(|view| view.share >= SHARE_UNITS / 4),
+    )
+    .await;
 }
 
 async fn serve(
@@ -239,9 +247,8 @@
         .ok()
         .filter(|it| !it.is_empty());
     let platform_listener = match &inherited {
-        Some(descriptor) => {
-            TcpListener::from_std(upgrade::inherited(descriptor)?).map_err(|it| it.to_string())?
-        }
+        Some(descriptor) => TcpListener::from_std(upgrade::inherited_listener(descriptor)?)
+            .map_err(|it| it.to_string())?,
         None => listen(&config.listen).await?,
     };
     info!(log, "start"; "stage" => "listening");
@@ -250,7 +257,9 @@
         .is_some()
         .then(|| post(&config.name, clock, &log))
         .flatten();
-    let view = handover.as_ref().map_or(PeerProcesses::default(), UpgradeCoordinator::view);
+    let view = handover
+        .as_ref()
+        .map_or(PeerProcesses::default(), UpgradeCoordinator::peer_processes);
     let session_listener = Late::bind(sessions.listen.clone(), view.predecessor).await?;
     let agent_listener = Late::bind(sessions.agent_check.clone(), view.predecessor).await?;
     let mut management_listener = None;
@@ -262,36 +271,39 @@
         management_listener = Some(listen(address).await?);
     }
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| "the seed is not hexadecimal")?;
-    let (client_sockets, node_sockets) = config.limits.shares();
+    let (client_sockets, node_sockets) = config.limits.socket_budgets();
     let memory = (config.limits.memory_mb.unwrap_or(192) as usize).saturating_mul(1 << 20);
     let (sessions, shaking) = sessions.within(client_sockets, memory);
     // SessionConfig, where they are taken, get theirs out of the clients' part.
     let for_sessions = session_listener
         .as_ref()
-        .map_or(0, |_| sessions.most_sessions + shaking);
+        .map_or(0, |_| sessions.max_sessions + shaking);
 
     let site = Arc::new(site);
-    let (door, inbox) = dispatcher::door(site.clone());
+    let (door, inbox) = dispatcher::channel(site.clone());
     let mut core = Core::new(site.clone(), node_sockets, seed, clock.now(), log.clone());
     let mut recorder = None;
     if let Some(path) = &record {
         let (notes, to) = recording(path, &config.name, clock, &site)?;
-        core.take_notes(notes);
+        core.set_trace_recorder(notes);
         recorder = Some(to);
     }
-    if let Some(marks) = handover.as_mut().and_then(UpgradeCoordinator::new_bans) {
-        core.hear(clock.now(), Event::BanRecordsReceived(marks));
+    if let Some(marks) = handover
+        .as_mut()
+        .and_then(UpgradeCoordinator::read_changed_bans)
+    {
+        core.handle_event(clock.now(), Event::BanRecordsReceived(marks));
     }
     let mut members_site = Deployment::new(&config.settings)?;
     let known = config
         .known
         .as_ref()
-        .map(|known| discovery::members(&mut members_site, known, &log));
+        .map(|known| discovery::endpoints_changed(&mut members_site, known, &log));
     // A successor hears discovery first: what it was told at its start may be as old as its predecessor.
     let (mut known_later, mut revision) = (None, None);
     match known {
         Some(known) if !view.predecessor => {
-            core.hear(clock.now(), known);
+            core.handle_event(clock.now(), known);
             revision = config
                 .known
                 .as_ref()
@@ -301,12 +313,12 @@
         known => known_later = known,
     }
     if view.predecessor {
-        core.hold_back();
+        core.start_in_standby();
     }
-    info!(log, "start"; "stage" => "the core is made", "members" => core.nodes());
+    info!(log, "start"; "stage" => "the core is made", "members" => core.endpoint_count());
     let (commands, commanded) = mpsc::channel(1024);
-    let (set_moving, moving) = stream_migration::signal();
-    let speak_sessions = sessions.nodes.iter().cloned().collect();
+    let (set_moving, moving) = stream_migration::migration_signal();
+    let speak_sessions = sessions.websocket_endpoints.iter().cloned().collect();
     let bounds = site.bounds;
     let limits = Shares {
         clients: ConnectionLimit::new(client_sockets - for_sessions),
@@ -314,7 +326,7 @@
         rooms: BodyMemoryBudget::new(memory / 1024 / 3),
     };
     if view.predecessor {
-        limits.set(view.part);
+        limits.set(view.share);
     }
     let Shares {
         clients,
@@ -334,12 +346,12 @@
     ));
     let mut others = None;
     if let Some((price, peers)) = site
-        .peer_price
+        .gossip_cost
         .zip(GossipTransport::new(&config))
-        .filter(|(_, it)| it.others() > 0)
+        .filter(|(_, it)| it.peer_count() > 0)
     {
         let (tell, telling) = GossipTransport::queue();
-        core.set_gossip(Gossip::new(peers.others() + 1, price));
+        core.set_gossip(Gossip::new(peers.peer_count() + 1, price));
         others = Some(tell);
         tokio::spawn(peers.run(telling, door.clone(), log.clone()));
     }
@@ -373,7 +385,7 @@
     if let Some(handover) = handover {
         // Streams come in from a predecessor, and go out to a successor.
         match handover.listen() {
-            Ok(at) => drop(vital.spawn(stream_migration::take_in(
+            Ok(at) => drop(vital.spawn(stream_migration::receive_streams(
                 at,
                 clients.clone(),
                 to_nodes,
@@ -382,9 +394,9 @@
             Err(error) => warn!(log, "no streams can be taken in"; "error" => %error),
         }
         let (streams, whole) = mpsc::channel(64);
-        let (doors, seen) = (handover.doors(), view.clone());
+        let (doors, seen) = (handover.stream_socket_path(), view.clone());
         let path = move || seen.borrow().successor.map(&doors);
-        vital.spawn(stream_migration::carry(path, whole, log.clone()));
+        vital.spawn(stream_migration::send_streams(path, whole, log.clone()));
         mover = Some(streams);
         vital.spawn(upgrade::run(
             handover,
@@ -398,7 +410,7 @@
     info!(log, "start"; "stage" => "tasks run", "tasks" => vital.len());
     let (set_course, course) = watch::channel(ShutdownPhase::Serving);
     let routes = http::routes(door.clone(), rooms.clone(), log.clone());
-    let most = clients.whole();
+    let most = clients.capacity();
     let mut fronts = JoinSet::new();
     let options = Arc::new(sessions);
     let shared = websocket::Shared::new(
@@ -428,7 +440,7 @@
             health_check::serve_agent(at, door, course, log).await;
         });
     }
-    info!(log, "serving"; "name" => config.name, "listen" => config.listen, "most_held" => site.bounds.most_held.min(node_sockets),
+    info!(log, "serving"; "name" => config.name, "listen" => config.listen, "most_held" => site.bounds.max_open_requests.min(node_sockets),
         "from_clients" => most, "to_nodes" => node_sockets);
 
     let work = async {
@@ -445,7 +457,7 @@
                 info!(log, "takes over"; "view" => ?*view.borrow());
             }
             let _ = set_phase.send(ProcessState::Serving);
-            door.tell(Event::AcceptClients).await;
+            door.send(Event::AcceptClients).await;
         };
         let ended_early = tokio::select! {
             () = ends.as_mut() => true,
@@ -463,9 +475,9 @@
             ends.await;
         }
         let succeeded = view.borrow_and_update().successor.is_some();
-        info!(log, "draining"; "open" => door.open(), "succeeded" => succeeded);
-        let longest = Duration::from_micros(door.site().bounds.longest).min(LONGEST);
-        door.tell(Event::Drain(longest + KILL_AFTER - LAST)).await;
+        info!(log, "draining"; "open" => door.open_requests(), "succeeded" => succeeded);
+        let longest = Duration::from_micros(door.deployment().bounds.max_deadline).min(LONGEST);
+        door.send(Event::Drain(longest + KILL_AFTER - LAST)).await;
         let _ = set_phase.send(ProcessState::Leaving);
         if succeeded {
             let _ = set_course.send(ShutdownPhase::Draining);
@@ -475,7 +487,7 @@
         let _ = set_moving.send(succeeded);
         while fronts.join_next().await.is_some() {}
         shared.over().await;
-        door.empty().await;
+        door.wait_until_idle().await;
     };
     tokio::select! {
         () = work => {}
--- a/src/net/connection_limit.rs
+++ b/src/net/connection_limit.rs
@@ -41,39 +41,39 @@
     }
 
     /// How many there are when this process has the limits for itself.
-    pub fn whole(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.whole
     }
 
     /// Waits for so many.
-    pub async fn take(&self, count: u32) -> Option<ConnectionPermit> {
+    pub async fn acquire(&self, count: u32) -> Option<ConnectionPermit> {
         self.free.clone().acquire_many_owned(count).await.ok()
     }
 
     /// So many, if they are free now.
-    pub fn take_now(&self, count: u32) -> Option<ConnectionPermit> {
+    pub fn try_acquire(&self, count: u32) -> Option<ConnectionPermit> {
         self.free.clone().try_acquire_many_owned(count).ok()
     }
 
     /// How many are free.
-    pub fn free(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.free.available_permits()
     }
 
     /// How many are taken.
-    pub fn taken(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         let most = self.most();
         (most.most + most.owed).saturating_sub(self.free.available_permits())
     }
 
     /// How many are taken beyond the number.
-    pub fn over(&self) -> usize {
-        self.taken().saturating_sub(self.most().most)
+    pub fn over_limit(&self) -> usize {
+        self.in_use().saturating_sub(self.most().most)
     }
 
     /// From now on there are so many of [`SHARE_UNITS`] parts, though not fewer than `least`. What is taken beyond
     /// goes as it comes free: call again, until nothing is [`ConnectionLimit::over`].
-    pub fn set_part(&self, part: u32, least: usize) {
+    pub fn set_share(&self, part: u32, least: usize) {
         let wanted = (self.whole * part.min(SHARE_UNITS) as usize / SHARE_UNITS as usize)
             .max(least)
             .min(self.whole);
--- a/src/net/message_framing.rs
+++ b/src/net/message_framing.rs
@@ -52,7 +52,11 @@
 impl ChunkedDecoder {
     /// Reads on, and hands each piece of data on. Tells how many bytes belong to the body; fewer than all where it has
     /// ended.
-    pub fn feed(&mut self, bytes: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, FramingLost> {
+    pub fn feed(
+        &mut self,
+        bytes: &[u8],
+        mut data: impl FnMut(&[u8]),
+    ) -> Result<usize, FramingLost> {
         let mut read = 0;
         while read < bytes.len() && self.at != At::End {
             if self.at == At::Data {
--- a/src/net/system_errors.rs
+++ b/src/net/system_errors.rs
@@ -72,12 +72,12 @@
 
 impl AcceptPauses {
     /// A connection was taken.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         *self = AcceptPauses::default();
     }
 
     /// The pause after this error; none where others may wait behind the connection that has broken.
-    pub fn after(&mut self, error: &io::Error) -> Duration {
+    pub fn delay_after(&mut self, error: &io::Error) -> Duration {
         if is_of_one_connection(error) && self.at_once < MOST_AT_ONCE {
             self.at_once += 1;
             return Duration::ZERO;
