--- a/src/recording.rs
+++ b/src/recording.rs
@@ -1,8 +1,10 @@
 //! What the core notes for a recording, in the recording's terms. It holds no file: whoever owns the core takes the notes.
 
-use crate::config::{NameTable, Deployment};
-use crate::routing::api::{RequestMetadata, EndpointRecord, Role, EndpointId, EndpointStatus, AttemptStatus, Time};
-use quartzhall_recording::{RecordedOutcome, Key, Record, DigestKind, Table};
+use crate::config::{Deployment, NameTable};
+use crate::routing::api::{
+    AttemptStatus, EndpointId, EndpointRecord, EndpointStatus, RequestMetadata, Role, Time,
+};
+use quartzhall_recording::{DigestKind, Key, Record, RecordedOutcome, Table};
 use std::collections::HashSet;
 use std::sync::Arc;
 
@@ -48,19 +50,19 @@
         let start = Record::Start {
             at,
             dispatcher: dispatcher.into(),
-            dispatchers: site.settings.balancers,
+            dispatchers: site.settings.dispatchers,
         };
         let mut notes = TraceRecorder {
             key,
             notes: vec![start],
             nodes: HashSet::new(),
         };
-        notes.settings(site);
+        notes.record_names(site);
         notes
     }
 
     /// The numbers of classes and tenants mean this from now on.
-    pub fn settings(&mut self, site: &Deployment) {
+    pub fn record_names(&mut self, site: &Deployment) {
         for (table, names) in [
             (Table::Class, &site.classes),
             (Table::Tenant, &site.tenants),
@@ -75,8 +77,8 @@
     }
 
     /// A node is as told here.
-    pub fn node(&mut self, at: Time, name: &Arc<str>, entry: &EndpointRecord) {
-        let node = entry.server;
+    pub fn record_endpoint(&mut self, at: Time, name: &Arc<str>, entry: &EndpointRecord) {
+        let node = entry.endpoint;
         if self.nodes.insert(node) {
             self.notes.push(Record::Name {
                 table: Table::Node,
@@ -84,8 +86,8 @@
                 name: name.to_string(),
             });
         }
-        let ready = entry.state == EndpointStatus::Ready;
-        let started = entry.started.unwrap_or(0);
+        let ready = entry.status == EndpointStatus::Ready;
+        let started = entry.started_at.unwrap_or(0);
         self.notes.push(Record::Node {
             at,
             node,
@@ -97,12 +99,12 @@
     }
 
     /// A node is gone; its number is not used again.
-    pub fn node_gone(&mut self, node: EndpointId) {
+    pub fn forget_endpoint(&mut self, node: EndpointId) {
         self.nodes.remove(&node);
     }
 
     /// A request has come.
-    pub fn arrival(&mut self, at: Time, ask: &RequestMetadata) {
+    pub fn record_arrival(&mut self, at: Time, ask: &RequestMetadata) {
         let digest =
             |sort, name: Option<u64>| name.map(|name| self.key.digest(sort, &name.to_le_bytes()));
         self.notes.push(Record::Arrival {
@@ -112,15 +114,15 @@
             tenant: ask.tenant.map(|tenant| tenant as u32),
             session: digest(DigestKind::Session, ask.session),
             opening: digest(DigestKind::Opening, ask.prefix),
-            prompt: tokens(ask.prompt),
+            prompt: tokens(ask.prompt_tokens),
             prefix: tokens(ask.prefix_tokens),
-            most: tokens(ask.max_tokens),
-            expires_in: ask.expires_in,
+            most: tokens(ask.max_output_tokens),
+            expires_in: ask.time_left,
         });
     }
 
     /// An attempt has been sent.
-    pub fn sent(&mut self, at: Time, request: u64, attempt: u32, node: EndpointId) {
+    pub fn record_attempt(&mut self, at: Time, request: u64, attempt: u32, node: EndpointId) {
         self.notes.push(Record::Sent {
             at,
             request,
@@ -130,7 +132,7 @@
     }
 
     /// An attempt's first event has come.
-    pub fn first(&mut self, at: Time, request: u64, attempt: u32) {
+    pub fn record_first_event(&mut self, at: Time, request: u64, attempt: u32) {
         self.notes.push(Record::First {
             at,
             request,
@@ -139,7 +141,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(
+    pub fn record_attempt_end(
         &mut self,
         at: Time,
         request: u64,
@@ -160,7 +162,7 @@
     }
 
     /// A request is over.
-    pub fn over(&mut self, at: Time, request: u64, answer: RecordedOutcome) {
+    pub fn record_outcome(&mut self, at: Time, request: u64, answer: RecordedOutcome) {
         self.notes.push(Record::Final {
             at,
             request,
@@ -169,7 +171,7 @@
     }
 
     /// Takes what was noted.
-    pub fn take(&mut self) -> Vec<Record> {
+    pub fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.notes)
     }
 }
--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -41,7 +41,7 @@
     /// Repeats are dropped inside `group` for `window` after the first send.
     IdempotencyKey {
         /// Who drops repeats.
-        group: DeduplicationScope,
+        scope: DeduplicationScope,
         /// For how long.
         window: Time,
     },
@@ -53,24 +53,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// The first token is wanted within this time.
-    pub aim: Time,
+    pub ttft_objective: Time,
     /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000_tokens: Time,
+    pub ttft_objective_per_1000_tokens: Time,
     /// Tokens are wanted this far apart on average; 0 where it is not told.
-    pub token_aim: Time,
+    pub inter_token_objective: Time,
     /// Worth of a request answered in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What a repeat would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// New requests may be of it; else only some that are under way are.
-    pub open: bool,
+    pub is_active: bool,
 }
 
 /// One tenant: what it may ask of all routers together.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Requests a second, over all routers; 0 where it is not told.
-    pub quota_per_s: f64,
+    pub requests_per_second: f64,
 }
 
 /// How servers tell their load.
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
     /// Routers that share the servers.
-    pub balancers: u32,
+    pub dispatchers: u32,
     /// This router's zone.
     pub zone: u32,
     /// Classes, by number.
@@ -96,17 +96,17 @@
     /// Tenants, by number; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of traffic over a tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// How load is reported.
-    pub reports: LoadReporting,
+    pub load_reporting: LoadReporting,
     /// The list of servers has to be asked for.
-    pub must_watch: bool,
+    pub must_poll_endpoints: bool,
     /// Probes are allowed.
-    pub may_probe: bool,
+    pub probes_allowed: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Clients heed advice on when to come back, up to this long; 0 where they do not.
     pub max_retry_after: Time,
     /// Attempts allowed for a request.
@@ -114,23 +114,23 @@
     /// The least time between two calls of the module.
     pub tick: Time,
     /// A final answer counts until this long after the client's time.
-    pub answer_slack: Time,
+    pub response_slack: Time,
     /// Sends to a leaving server end this long after it was told.
     pub drain_grace: Time,
     /// A held state is taken or let go within this time.
-    pub release_within: Time,
+    pub reservation_ttl: Time,
     /// Share of its capacity that a server has when it starts.
-    pub cold_from: f64,
+    pub slow_start_initial_share: f64,
     /// It is warm after this time at most.
-    pub warm_within: Time,
+    pub slow_start_duration: Time,
     /// A cold server sent this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_threshold: f64,
     /// ... for this time falls over.
-    pub fall: Time,
+    pub overload_window: Time,
     /// Price of an attempt that crosses zones, in parts of a request's worth.
-    pub cross_zone_price: f64,
+    pub cross_zone_cost: f64,
     /// Price of moving a state out of its cell, in parts of a request's worth.
-    pub far_price: f64,
+    pub kv_transfer_cost: f64,
 }
 
 /// Whether a server of the list takes work.
@@ -149,21 +149,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRecord {
     /// The server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// The same number for this server at every router, and for no other.
     pub key: u64,
     /// What it does.
     pub role: Role,
     /// Its memory in tokens; 0 where it is not told.
-    pub memory: f64,
+    pub kv_capacity_tokens: f64,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
     /// Whether it takes work.
-    pub state: EndpointStatus,
+    pub status: EndpointStatus,
     /// When it last started; `None`: long ago.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// A load report; every value may be missing.
@@ -172,11 +172,11 @@
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// Requests that wait.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of its memory that is held.
-    pub memory: Option<f64>,
+    pub kv_memory_share: Option<f64>,
     /// Prompt tokens to read or to fetch, in thousands.
-    pub to_read: Option<f64>,
+    pub pending_prefill_kilotokens: Option<f64>,
 }
 
 /// A request as it arrives.
@@ -193,15 +193,15 @@
     /// The shared text with which it begins.
     pub prefix: Option<u64>,
     /// The client's remaining time.
-    pub expires_in: Time,
+    pub time_left: Time,
     /// Tokens of its prompt.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Tokens of the shared text.
     pub prefix_tokens: f64,
     /// The most tokens that the answer may have.
-    pub max_tokens: f64,
+    pub max_output_tokens: f64,
     /// A rough guess of the answer's time at the token aim, where there is one.
-    pub hint: Option<Time>,
+    pub output_time_hint: Option<Time>,
 }
 
 /// How an attempt ended.
@@ -255,9 +255,9 @@
     /// The list of servers, whole or what changed in it.
     EndpointsChanged {
         /// Servers that are absent are gone.
-        complete: bool,
+        is_full: bool,
         /// Its lines.
-        entries: Vec<EndpointRecord>,
+        endpoints: Vec<EndpointRecord>,
     },
     /// What it was told at its start has changed. A class's number means what it meant while it is in use.
     SettingsChanged(RoutingSettings),
@@ -281,11 +281,11 @@
         /// Which of its attempts, from 0.
         attempt: u32,
         /// The server.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// How it ended.
         status: AttemptStatus,
         /// The request is over, by this or before it.
-        closed: bool,
+        request_closed: bool,
         /// Prompt tokens found kept (`Ok`, `Read`); 1 with `Full` where no state was there.
         note: f64,
         /// The server's load, where it was told.
@@ -301,16 +301,16 @@
     /// What another router has told of a server.
     PeerLoadReport {
         /// The server.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// Its load; without one, an attempt there has failed.
         load: Option<LoadReport>,
     },
     /// A probe's answer.
     ProbeCompleted {
         /// The server.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// It answered.
-        ok: bool,
+        is_healthy: bool,
         /// Its load, where it was told.
         load: Option<LoadReport>,
     },
@@ -324,7 +324,7 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// The attempt's time-out.
         timeout: Time,
     },
@@ -342,14 +342,14 @@
         /// Advice on when to come back; 0: none.
         retry_after: Time,
         /// Why.
-        why: FailureReason,
+        reason: FailureReason,
     },
     /// Final answer that promises nothing.
     Fail {
         /// The request.
         id: RequestId,
         /// Why.
-        why: FailureReason,
+        reason: FailureReason,
     },
     /// Let go of every state that is held for the request.
     ReleaseReservation {
@@ -364,7 +364,7 @@
     /// RequestMetadata a server for its load.
     Probe {
         /// The server.
-        server: EndpointId,
+        endpoint: EndpointId,
     },
     /// Subscribe to changes of the list of servers.
     WatchEndpoints,
--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -7,7 +7,7 @@
 //!
 //! The index follows each change of the list of servers. `docs/candidates.md` has the reasons and the figures.
 
-use crate::routing::api::{EndpointRecord, Role, EndpointId, EndpointStatus, Time};
+use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -201,14 +201,14 @@
     }
 
     /// A server is as this line of the list says; it is warm so long after its start.
-    pub fn list(&mut self, now: Time, entry: &EndpointRecord, warm_within: Time) {
+    pub fn update(&mut self, now: Time, entry: &EndpointRecord, warm_within: Time) {
         let EndpointRecord {
-            server,
+            endpoint: server,
             role,
             zone,
             cell,
             key,
-            started,
+            started_at: started,
             ..
         } = *entry;
         let warm_at = started.map_or(0, |it| it.saturating_add(warm_within.max(1)));
@@ -222,7 +222,7 @@
         self.set(
             now,
             server,
-            (entry.state == EndpointStatus::Ready).then_some(listing),
+            (entry.status == EndpointStatus::Ready).then_some(listing),
         );
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Time has passed: servers have become warm.
-    pub fn pass(&mut self, now: Time) {
+    pub fn advance_to(&mut self, now: Time) {
         self.now = now;
         while let Some((warm_at, server)) =
             self.warming.first().copied().filter(|(at, _)| *at <= now)
@@ -289,7 +289,7 @@
     }
 
     /// Whether a look of this kind has all servers.
-    pub fn is_whole(&self, side: Side, look: &CandidateQuery) -> bool {
+    pub fn covers_all(&self, side: Side, look: &CandidateQuery) -> bool {
         let drawn = look.of(READERS_NEAR.min(WRITERS_NEAR));
         self.listings.len() <= self.whole || drawn >= self.group(side).all.len()
     }
@@ -298,7 +298,7 @@
     /// alike by a hash of the text, so that it comes back to the same ones. `share` is the text's part of the traffic,
     /// `warm` the part of a server's capacity that it has: a cold reader is home to what it can take. A zone with too few
     /// readers has further homes in the others.
-    pub fn homes(
+    pub fn prefix_affinity(
         &self,
         look: &CandidateQuery,
         prefix: Option<u64>,
@@ -388,7 +388,12 @@
 
     /// What a lot of a request at a cold server is to be multiplied by, so that each cold server is sent as much as if
     /// every request drew a lot at every one: a request draws lots only at a few of them.
-    pub fn lot_factor(&self, side: Side, look: &CandidateQuery, server: EndpointId) -> f64 {
+    pub fn slow_start_sampling_factor(
+        &self,
+        side: Side,
+        look: &CandidateQuery,
+        server: EndpointId,
+    ) -> f64 {
         let group = self.group(side);
         let count = group.cold.len();
         if self.listings.len() <= self.whole || count <= COLD {
@@ -409,8 +414,12 @@
     }
 
     /// CandidateIndex for a read: those that are likely to keep its texts, and some that are drawn. In order, each once.
-    pub fn readers(&self, look: &CandidateQuery, mut likely: BTreeSet<EndpointId>) -> Vec<EndpointId> {
-        if self.is_whole(Side::Read, look) {
+    pub fn readers(
+        &self,
+        look: &CandidateQuery,
+        mut likely: BTreeSet<EndpointId>,
+    ) -> Vec<EndpointId> {
+        if self.covers_all(Side::Read, look) {
             return self.all(Side::Read, |_| true);
         }
         likely.extend(self.drawn(Side::Read, look, READERS_NEAR, READERS_ANYWHERE));
@@ -419,7 +428,7 @@
 
     /// CandidateIndex for a write where the state is in one of these cells. In order, each once.
     pub fn writers(&self, look: &CandidateQuery, cells: &BTreeSet<u32>) -> Vec<EndpointId> {
-        if self.is_whole(Side::Write, look) {
+        if self.covers_all(Side::Write, look) {
             return self.all(Side::Write, |_| true);
         }
         let mut found = self.drawn(Side::Write, look, WRITERS_NEAR, WRITERS_ANYWHERE);
@@ -429,7 +438,13 @@
     }
 
     /// Servers that are drawn: from the own zone, from all, and cold ones at which a lot may be drawn.
-    fn drawn(&self, side: Side, look: &CandidateQuery, near: usize, anywhere: usize) -> BTreeSet<EndpointId> {
+    fn drawn(
+        &self,
+        side: Side,
+        look: &CandidateQuery,
+        near: usize,
+        anywhere: usize,
+    ) -> BTreeSet<EndpointId> {
         let group = self.group(side);
         let near = group
             .zones
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -3,7 +3,7 @@
 //! Entries age, and each server has a bounded number of them. The table is held both ways, by server and by text, so that
 //! the servers that keep a text are found without looking at all.
 
-use crate::routing::api::{RequestMetadata, EndpointId, Time};
+use crate::routing::api::{EndpointId, RequestMetadata, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// Servers that are told of for one text.
@@ -29,14 +29,14 @@
 
 impl PrefixCacheIndex {
     /// A request has arrived.
-    pub fn arrived(&mut self, ask: &RequestMetadata) {
+    pub fn on_arrival(&mut self, ask: &RequestMetadata) {
         self.recent.push_back(ask.prefix.unwrap_or(0));
         self.recent
             .drain(..self.recent.len().saturating_sub(RECENT));
     }
 
     /// The part of recent requests that begin with the same shared text.
-    pub fn share(&self, ask: &RequestMetadata) -> f64 {
+    pub fn traffic_share(&self, ask: &RequestMetadata) -> f64 {
         let same = |prefix| {
             self.recent
                 .iter()
@@ -52,9 +52,11 @@
     }
 
     /// Tokens of a request's prompt that a server is known to keep.
-    pub fn kept(&self, ask: &RequestMetadata, server: EndpointId) -> f64 {
+    pub fn cached_tokens(&self, ask: &RequestMetadata, server: EndpointId) -> f64 {
         let shared = self.tokens(ask.prefix, server).min(ask.prefix_tokens);
-        self.tokens(ask.session, server).max(shared).min(ask.prompt)
+        self.tokens(ask.session, server)
+            .max(shared)
+            .min(ask.prompt_tokens)
     }
 
     /// Some servers that keep a request's texts; of a text that many keep, others for each seed.
@@ -79,14 +81,23 @@
 
     /// A server has read a request. No more tokens that are in no shared text are noted than `room`, where that is told:
     /// a full server lets the oldest go.
-    pub fn note(&mut self, now: Time, server: EndpointId, room: f64, ask: &RequestMetadata) {
+    pub fn record_prefill(
+        &mut self,
+        now: Time,
+        server: EndpointId,
+        room: f64,
+        ask: &RequestMetadata,
+    ) {
         let shared = if ask.prefix.is_some() {
             ask.prefix_tokens
         } else {
             0.0
         };
-        let own = (ask.prompt - shared).max(0.0);
-        let texts = [(ask.prefix, shared, shared), (ask.session, ask.prompt, own)];
+        let own = (ask.prompt_tokens - shared).max(0.0);
+        let texts = [
+            (ask.prefix, shared, shared),
+            (ask.session, ask.prompt_tokens, own),
+        ];
         let table = self.by_server.entry(server).or_default();
         for (text, tokens, own) in texts {
             let Some(text) = text else { continue };
@@ -115,7 +126,7 @@
     }
 
     /// What was noted at this moment or before is forgotten.
-    pub fn forget(&mut self, before: Time) {
+    pub fn expire(&mut self, before: Time) {
         for (server, table) in &mut self.by_server {
             table.retain(|text, kept| {
                 let keeps = kept.at > before;
@@ -129,7 +140,7 @@
     }
 
     /// A server has gone, or has started anew.
-    pub fn forget_server(&mut self, server: EndpointId) {
+    pub fn forget_endpoint(&mut self, server: EndpointId) {
         for text in self
             .by_server
             .remove(&server)
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -49,7 +49,7 @@
     settings
         .classes
         .iter()
-        .filter(|it| it.open)
+        .filter(|it| it.is_active)
         .map(of)
         .filter(|it| *it > 0)
         .min()
@@ -139,10 +139,10 @@
     ends_at: Time, // this router ends, and no request lasts longer
     watching: bool,
     usual: f64,
-    spare: f64,              // second copies and moves that may be made
+    spare: f64,               // second copies and moves that may be made
     home_match: Vec<f64>, // per class: part of a prompt that its session's home was found to keep
     usual_load: [Counts; 2], // told by servers that write, and by readers
-    quotas: Vec<TokenBucket>,   // per tenant: this router's part
+    quotas: Vec<TokenBucket>, // per tenant: this router's part
     flow: [[f64; 2]; 3],  // by side, fading at each refit: FINISHED, BORNE, STARTED
     salt: u64,
 }
@@ -150,11 +150,15 @@
 impl Router {
     /// A router as it starts: it knows nothing but its settings. `seed` settles all its draws.
     pub fn new(settings: RoutingSettings, seed: u64, now: Time) -> Self {
-        let share = f64::from(settings.balancers.max(1));
+        let share = f64::from(settings.dispatchers.max(1));
         // Priors, from the aims: reading takes some of what the aim adds for it, waits a little of the aim.
-        let pause = least(&settings, |it| it.aim);
-        let (aim, pace) = (seconds(pause), seconds(least(&settings, |it| it.token_aim)));
-        let read = 1.5 * seconds(least(&settings, |it| it.aim_per_1000_tokens)).min(0.05 * aim);
+        let pause = least(&settings, |it| it.ttft_objective);
+        let (aim, pace) = (
+            seconds(pause),
+            seconds(least(&settings, |it| it.inter_token_objective)),
+        );
+        let read =
+            1.5 * seconds(least(&settings, |it| it.ttft_objective_per_1000_tokens)).min(0.05 * aim);
         let covariance = SMatrix::identity() * COVARIANCE;
         let prior = |weights, mean| Model {
             weights,
@@ -181,7 +185,7 @@
             quotas: settings
                 .tenants
                 .iter()
-                .map(|it| TokenBucket::new(it.quota_per_s / share, now))
+                .map(|it| TokenBucket::new(it.requests_per_second / share, now))
                 .collect(),
             home_match: vec![HOME_MATCH; settings.classes.len()],
             settings,
@@ -216,9 +220,12 @@
     /// Hears one event and appends what is to be done.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = now.max(self.now);
-        self.candidates.pass(self.now);
+        self.candidates.advance_to(self.now);
         match event {
-            Event::EndpointsChanged { complete, entries } => self.members(complete, entries),
+            Event::EndpointsChanged {
+                is_full: complete,
+                endpoints: entries,
+            } => self.members(complete, entries),
             Event::SettingsChanged(settings) => self.changed(settings),
             Event::ShutdownDeadline(at) => {
                 self.ends_at = at;
@@ -234,9 +241,9 @@
             Event::AttemptEnded {
                 id,
                 attempt,
-                server,
+                endpoint: server,
                 status,
-                closed,
+                request_closed: closed,
                 note,
                 load,
             } => {
@@ -245,7 +252,10 @@
                     it.outcome(request, attempt as usize, status, closed, note)
                 });
             }
-            Event::PeerLoadReport { server, load } => {
+            Event::PeerLoadReport {
+                endpoint: server,
+                load,
+            } => {
                 self.told_load(server, load);
                 if let Some(server) = self.servers.get_mut(&server).filter(|_| load.is_none()) {
                     let all = 0..self.settings.classes.len();
@@ -256,7 +266,11 @@
                 request.answered = true;
                 it.cancel_all(request, |_| true);
             }),
-            Event::ProbeCompleted { server, ok, load } => {
+            Event::ProbeCompleted {
+                endpoint: server,
+                is_healthy: ok,
+                load,
+            } => {
                 self.told_load(server, load);
                 self.servers
                     .entry(server)
@@ -312,10 +326,10 @@
         self.servers
             .values_mut()
             .take_while(|_| complete)
-            .for_each(|it| it.entry.state = EndpointStatus::Removed);
+            .for_each(|it| it.entry.status = EndpointStatus::Removed);
         for entry in entries {
-            let mut old = self.servers.remove(&entry.server).unwrap_or_default();
-            if old.entry.started != entry.started {
+            let mut old = self.servers.remove(&entry.endpoint).unwrap_or_default();
+            if old.entry.started_at != entry.started_at {
                 // A restarted server is a new one, but for what this router still has out there.
                 old = TrackedEndpoint {
                     own: old.own,
@@ -323,11 +337,12 @@
                     sent: old.sent,
                     ..TrackedEndpoint::default()
                 };
-                self.prefixes.forget_server(entry.server);
+                self.prefixes.forget_endpoint(entry.endpoint);
             }
             self.candidates
-                .list(self.now, &entry, self.settings.warm_within);
-            self.servers.insert(entry.server, TrackedEndpoint { entry, ..old });
+                .update(self.now, &entry, self.settings.slow_start_duration);
+            self.servers
+                .insert(entry.endpoint, TrackedEndpoint { entry, ..old });
         }
         if complete {
             self.list_all();
@@ -335,21 +350,21 @@
     }
 
     fn list_all(&mut self) {
-        let (now, warm_within) = (self.now, self.settings.warm_within);
+        let (now, warm_within) = (self.now, self.settings.slow_start_duration);
         self.servers
             .values()
-            .for_each(|it| self.candidates.list(now, &it.entry, warm_within));
+            .for_each(|it| self.candidates.update(now, &it.entry, warm_within));
     }
 
     /// New settings; what was learned stays. Requests under way have their class by its number.
     fn changed(&mut self, settings: RoutingSettings) {
-        self.share = f64::from(settings.balancers.max(1));
-        self.pause = least(&settings, |it| it.aim);
+        self.share = f64::from(settings.dispatchers.max(1));
+        self.pause = least(&settings, |it| it.ttft_objective);
         self.home_match.resize(settings.classes.len(), HOME_MATCH);
         self.quotas
             .resize(settings.tenants.len(), TokenBucket::new(0.0, self.now));
         let quotas = self.quotas.iter_mut().zip(&settings.tenants);
-        quotas.for_each(|(quota, tenant)| quota.set_rate(tenant.quota_per_s / self.share));
+        quotas.for_each(|(quota, tenant)| quota.set_rate(tenant.requests_per_second / self.share));
         self.settings = settings;
         self.list_all();
     }
@@ -358,7 +373,11 @@
         let (Some(server), Some(load)) = (self.servers.get_mut(&id), load) else {
             return;
         };
-        let told = [load.in_flight, load.to_read, load.memory];
+        let told = [
+            load.in_flight,
+            load.pending_prefill_kilotokens,
+            load.kv_memory_share,
+        ];
         server.told = told.map(|told| told.filter(|it| (0.0..1e6).contains(it)));
         (server.told_at, server.own_then) = (Some(self.now), server.own);
         let usual = &mut self.usual_load[usize::from(server.entry.role == Role::Prefill)];
@@ -371,28 +390,32 @@
         let Some(class) = self.settings.classes.get(ask.class) else {
             return self.out.push(Action::Fail {
                 id,
-                why: FailureReason::UnknownClass,
+                reason: FailureReason::UnknownClass,
             });
         };
-        let (aim, worth) = (seconds(class.aim).max(1e-3), class.worth);
-        let aim_at =
-            self.now + class.aim + (class.aim_per_1000_tokens as f64 * ask.prompt / 1000.0) as Time;
+        let (aim, worth) = (
+            seconds(class.ttft_objective).max(1e-3),
+            class.priority_weight,
+        );
+        let aim_at = self.now
+            + class.ttft_objective
+            + (class.ttft_objective_per_1000_tokens as f64 * ask.prompt_tokens / 1000.0) as Time;
         let worth = worth
             * if self.over_share(ask.tenant) {
-                self.settings.over_share_worth
+                self.settings.over_quota_weight
             } else {
                 1.0
             };
         let end_at = self
             .now
-            .saturating_add(ask.expires_in)
+            .saturating_add(ask.time_left)
             .saturating_sub(2 * self.settings.tick);
         self.spare = (self.spare + SPARE_PER_REQUEST).min(SPARE_MOST);
         let (end_at, aim_at) = (
             end_at.min(self.ends_at),
             aim_at.min(end_at).min(self.ends_at),
         );
-        self.prefixes.arrived(&ask);
+        self.prefixes.on_arrival(&ask);
         self.requests.insert(
             id,
             Request {
@@ -477,7 +500,8 @@
             status,
             AttemptStatus::ConnectFailed | AttemptStatus::NotSent | AttemptStatus::InvalidRequest
         );
-        attempt.harmless |= never || status == AttemptStatus::Overloaded || attempt.stage == Stage::Read;
+        attempt.harmless |=
+            never || status == AttemptStatus::Overloaded || attempt.stage == Stage::Read;
         let server = attempt.choice.server;
         if let Some(server) = self.servers.get_mut(&server) {
             server.waiting.remove(&(id, at));
@@ -497,7 +521,7 @@
             AttemptStatus::PrefillDone => {
                 // What was really left to read: after a flush the table is wrong, and the model must not be.
                 let mut inputs = attempt.choice.inputs;
-                inputs[TOKENS] = (request.ask.prompt - note).max(0.0) / 1000.0;
+                inputs[TOKENS] = (request.ask.prompt_tokens - note).max(0.0) / 1000.0;
                 self.observed(&request.ask, at, attempt, &inputs);
                 self.note_kept(&request.ask, attempt, note);
                 let wanted = request.state_at.is_none() && !request.begun;
@@ -513,7 +537,9 @@
             AttemptStatus::Served => self.streamed(&request.ask, attempt, note),
             AttemptStatus::Overloaded if note > 0.0 => request.state_at = None,
             // It may have taken the state: given up where too few attempts would be left to read and write.
-            AttemptStatus::Error | AttemptStatus::Reset | AttemptStatus::StaleConnection if attempt.stage == Stage::Write => {
+            AttemptStatus::Error | AttemptStatus::Reset | AttemptStatus::StaleConnection
+                if attempt.stage == Stage::Write =>
+            {
                 let left = self
                     .settings
                     .max_attempts
@@ -523,7 +549,8 @@
             _ => {}
         }
         // One that may have run and must not run twice is given up, and its client told so at once.
-        let unsafe_class = self.settings.classes[request.ask.class].effect == Idempotency::NonIdempotent;
+        let unsafe_class =
+            self.settings.classes[request.ask.class].idempotency == Idempotency::NonIdempotent;
         if unsafe_class
             && !request.begun
             && request.attempts.iter().any(|it| !it.out && !it.harmless)
@@ -538,13 +565,16 @@
         let Some(server) = self.servers.get(&attempt.choice.server) else {
             return;
         };
-        if attempt.choice.matched > ask.prefix_tokens / ask.prompt.max(1.0) {
-            blend(&mut self.home_match[ask.class], found / ask.prompt.max(1.0));
+        if attempt.choice.matched > ask.prefix_tokens / ask.prompt_tokens.max(1.0) {
+            blend(
+                &mut self.home_match[ask.class],
+                found / ask.prompt_tokens.max(1.0),
+            );
         }
-        self.prefixes.note(
+        self.prefixes.record_prefill(
             self.now,
-            server.entry.server,
-            ROOM * server.entry.memory,
+            server.entry.endpoint,
+            ROOM * server.entry.kv_capacity_tokens,
             ask,
         );
     }
@@ -569,7 +599,7 @@
             return;
         }
         let held_until =
-            request.held_since + (self.settings.release_within as f64 * HELD_PART) as Time;
+            request.held_since + (self.settings.reservation_ttl as f64 * HELD_PART) as Time;
         let held_too_long = request.state_at.is_some() && self.now >= held_until;
         if held_too_long {
             return self.end(request, FailureReason::KvStateExpired);
@@ -586,7 +616,7 @@
         request.retry_at = self.now + self.asking(request);
         if choices.is_empty() && request.widened > 0 && self.looks_at_all(request) {
             // All in vain, which is much work: lots are drawn anew before long.
-            (request.retry_at, request.widened) = (self.now + self.settings.fall / 8, 0);
+            (request.retry_at, request.widened) = (self.now + self.settings.overload_window / 8, 0);
         }
         if self.asks_first(request, &choices) {
             return;
@@ -616,19 +646,22 @@
             .servers
             .get(&choice.server)
             .is_some_and(|to| to.entry.role == Role::Prefill);
-        let stage = request
-            .state_at
-            .map_or(if reads { Stage::Read } else { Stage::MigratingStream }, |_| {
-                Stage::Write
-            });
+        let stage = request.state_at.map_or(
+            if reads {
+                Stage::Read
+            } else {
+                Stage::MigratingStream
+            },
+            |_| Stage::Write,
+        );
         self.send(request, stage, choice);
     }
 
     /// Asks likely servers for their load before the choice; true while it waits for answers.
     fn asks_first(&mut self, request: &mut Request, choices: &[Choice]) -> bool {
         if request.asked.is_none()
-            && self.settings.may_probe
-            && self.settings.reports != LoadReporting::Never
+            && self.settings.probes_allowed
+            && self.settings.load_reporting != LoadReporting::Never
         {
             let (now, due) = (self.now, self.now + self.asking(request));
             request.asked = Some(now);
@@ -643,7 +676,7 @@
                 };
                 if server.asked_at.is_none() && server.told_at.is_none_or(|at| at + FRESH <= now) {
                     (server.asked_at, request.asked) = (Some(now), Some(due));
-                    self.out.push(Action::Probe { server: id });
+                    self.out.push(Action::Probe { endpoint: id });
                 }
             }
         }
@@ -660,7 +693,7 @@
             .servers
             .get(&server)
             .is_some_and(|server| self.may_send(request, server, stage));
-        let held = request.ask.prompt
+        let held = request.ask.prompt_tokens
             + if stage == Stage::Read {
                 0.0
             } else {
@@ -673,7 +706,7 @@
             .extend((to.age(&self.settings, sent) < 1.0).then_some(sent));
         let work = [
             1.0,
-            (request.ask.prompt - choice.kept) / 1000.0,
+            (request.ask.prompt_tokens - choice.kept) / 1000.0,
             to.part_of_memory(held),
         ];
         add(&mut to.own, &work, 1.0);
@@ -694,7 +727,7 @@
         });
         self.out.push(Action::StartAttempt {
             id,
-            server,
+            endpoint: server,
             timeout: request.end_at.saturating_sub(sent),
         });
     }
@@ -702,8 +735,8 @@
     fn may_send(&self, request: &Request, server: &TrackedEndpoint, stage: Stage) -> bool {
         let live = !request.answered && !request.begun && self.now < request.end_at;
         let tries = (request.attempts.len() as u32) < self.settings.max_attempts.max(1);
-        let alone = self.settings.second_copies || !request.out();
-        let open = live && tries && alone && server.entry.state == EndpointStatus::Ready;
+        let alone = self.settings.hedging_allowed || !request.out();
+        let open = live && tries && alone && server.entry.status == EndpointStatus::Ready;
         open && self.effect_allows(request, server, stage)
             && self.cold_allows(request, server, stage)
     }
@@ -712,7 +745,7 @@
     fn act(&mut self, request: &mut Request, action: Action) -> bool {
         let open = !request.answered && !request.begun;
         let allowed = match action {
-            Action::CancelAttempt { .. } => self.settings.may_cancel,
+            Action::CancelAttempt { .. } => self.settings.cancellation_allowed,
             // A refusal says that trying again is harmless.
             Action::Shed { .. } => open && self.may_repeat(request, None),
             Action::Fail { .. } => open,
@@ -767,7 +800,7 @@
 
     /// An attempt is overdue and another server fits: a second read, or another writer for the waiting state.
     fn help(&mut self, request: &mut Request, at: usize) {
-        let (tries, copies) = (request.attempts.len() as u32, self.settings.second_copies);
+        let (tries, copies) = (request.attempts.len() as u32, self.settings.hedging_allowed);
         let attempt = &mut request.attempts[at];
         let (server, writes) = (attempt.choice.server, attempt.stage == Stage::Write);
         // Where no second copy may be, one is given up once later ones there are over: its answer is lost.
@@ -822,24 +855,26 @@
             .as_flattened_mut()
             .iter_mut()
             .for_each(|it| *it *= 1.0 - NEWEST);
-        let ask = self.settings.must_watch && !std::mem::replace(&mut self.watching, true);
+        let ask = self.settings.must_poll_endpoints && !std::mem::replace(&mut self.watching, true);
         self.out.extend(ask.then_some(Action::WatchEndpoints));
         for server in self.servers.values_mut() {
             server
                 .sent
-                .retain(|at| *at + self.settings.fall >= self.now);
+                .retain(|at| *at + self.settings.overload_window >= self.now);
             server
                 .health
                 .values_mut()
                 .for_each(|it| it.failing *= 1.0 - NEWEST);
         }
         self.prefixes
-            .forget(self.now.saturating_sub(KEPT_AIMS * self.pause));
-        let over = |it: &TrackedEndpoint| it.entry.state == EndpointStatus::Removed && it.own[REQUESTS] <= 0.0;
+            .expire(self.now.saturating_sub(KEPT_AIMS * self.pause));
+        let over = |it: &TrackedEndpoint| {
+            it.entry.status == EndpointStatus::Removed && it.own[REQUESTS] <= 0.0
+        };
         self.servers
             .values()
             .filter(|it| over(it))
-            .for_each(|it| self.prefixes.forget_server(it.entry.server));
+            .for_each(|it| self.prefixes.forget_endpoint(it.entry.endpoint));
         self.servers.retain(|_, server| !over(server));
     }
 }
--- a/src/routing/router/decode.rs
+++ b/src/routing/router/decode.rs
@@ -10,7 +10,11 @@
 const MEMORY_SPREAD: f64 = 0.1; // what is known of a writer's memory is off by about this part of it
 
 impl super::Router {
-    pub(super) fn writers(&self, request: &Request, reader: Option<&TrackedEndpoint>) -> Vec<Choice> {
+    pub(super) fn writers(
+        &self,
+        request: &Request,
+        reader: Option<&TrackedEndpoint>,
+    ) -> Vec<Choice> {
         let cell = reader.map(|reader| reader.entry.cell);
         let far = |it: &TrackedEndpoint| cell.is_some_and(|cell| cell != it.entry.cell);
         let open = self
@@ -20,7 +24,11 @@
             .collect()
     }
 
-    pub(super) fn open_writers(&self, request: &Request, cells: &BTreeSet<u32>) -> Vec<&TrackedEndpoint> {
+    pub(super) fn open_writers(
+        &self,
+        request: &Request,
+        cells: &BTreeSet<u32>,
+    ) -> Vec<&TrackedEndpoint> {
         self.open(
             request,
             Stage::Write,
@@ -28,10 +36,15 @@
         )
     }
 
-    pub(super) fn writer_choice(&self, request: &Request, server: &TrackedEndpoint, far: bool) -> Choice {
+    pub(super) fn writer_choice(
+        &self,
+        request: &Request,
+        server: &TrackedEndpoint,
+        far: bool,
+    ) -> Choice {
         let [running, to_fetch, memory] =
             [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
-        let prompt = request.ask.prompt / 1000.0;
+        let prompt = request.ask.prompt_tokens / 1000.0;
         let inputs = Inputs::new(
             1.0,
             running / 10.0,
@@ -44,13 +57,17 @@
             self.tokens(&request.ask),
             self.models[PACE].predict(&inputs),
         );
-        let over =
-            (memory + server.part_of_memory(request.ask.prompt + tokens) - 1.0) / MEMORY_SPREAD;
+        let over = (memory + server.part_of_memory(request.ask.prompt_tokens + tokens) - 1.0)
+            / MEMORY_SPREAD;
         let over = MEMORY_SPREAD * (over.max(0.0) + (-over.abs()).exp().ln_1p());
         let mut choice = self.judge(request, server, WRITE, inputs, over * tokens * pace);
-        choice.kept = request.ask.prompt;
-        choice.price += if far { self.settings.far_price } else { 0.0 };
-        let aim = seconds(self.settings.classes[request.ask.class].token_aim);
+        choice.kept = request.ask.prompt_tokens;
+        choice.price += if far {
+            self.settings.kv_transfer_cost
+        } else {
+            0.0
+        };
+        let aim = seconds(self.settings.classes[request.ask.class].inter_token_objective);
         if aim > 0.0 {
             let warm = server.warm_share(&self.settings, self.now).max(0.05);
             let room = 1.0 - pace / warm / aim;
@@ -65,11 +82,11 @@
     }
 
     pub(super) fn tokens(&self, ask: &RequestMetadata) -> f64 {
-        let aim = self.settings.classes[ask.class].token_aim;
+        let aim = self.settings.classes[ask.class].inter_token_objective;
         let hint = ask
-            .hint
+            .output_time_hint
             .filter(|hint| *hint > 0 && aim > 0)
             .map(|hint| hint as f64 / aim as f64);
-        hint.unwrap_or(ask.max_tokens * ANSWER_PART)
+        hint.unwrap_or(ask.max_output_tokens * ANSWER_PART)
     }
 }
--- a/src/routing/router/load_shedding.rs
+++ b/src/routing/router/load_shedding.rs
@@ -30,8 +30,10 @@
             self.usual += (1.0 - FORGET) * (wait - self.usual);
             return false;
         }
-        let open = self.settings.classes.iter().filter(|class| class.open);
-        let lowest = open.map(|class| class.worth).fold(f64::MAX, f64::min);
+        let open = self.settings.classes.iter().filter(|class| class.is_active);
+        let lowest = open
+            .map(|class| class.priority_weight)
+            .fold(f64::MAX, f64::min);
         wait > self.usual + ABOVE_USUAL * request.aim
             && (request.worth <= lowest || chance < HOPELESS)
     }
@@ -51,38 +53,49 @@
         let refuse = Action::Shed {
             id,
             retry_after,
-            why,
+            reason: why,
         };
-        let _ = self.act(request, refuse) || self.act(request, Action::Fail { id, why });
+        let _ = self.act(request, refuse) || self.act(request, Action::Fail { id, reason: why });
     }
 
     /// Unsafe: only when nothing ran. Keyed: only where and as long as repeats are dropped.
-    pub(super) fn effect_allows(&self, request: &Request, server: &TrackedEndpoint, stage: Stage) -> bool {
-        let safe = self.settings.classes[request.ask.class].effect != Idempotency::NonIdempotent;
+    pub(super) fn effect_allows(
+        &self,
+        request: &Request,
+        server: &TrackedEndpoint,
+        stage: Stage,
+    ) -> bool {
+        let safe =
+            self.settings.classes[request.ask.class].idempotency != Idempotency::NonIdempotent;
         stage == Stage::Read && safe || self.may_repeat(request, Some(&server.entry))
     }
 
     /// Whether the request may run once more at a server, or anywhere, whatever has run by now.
     pub(super) fn may_repeat(&self, request: &Request, here: Option<&EndpointRecord>) -> bool {
-        let effect = self.settings.classes[request.ask.class].effect;
+        let effect = self.settings.classes[request.ask.class].idempotency;
         let may = |it: &Attempt| match (effect, self.servers.get(&it.choice.server).zip(here)) {
             (Idempotency::Idempotent, _) => true,
-            (Idempotency::IdempotencyKey { window, .. }, _) if self.now >= it.sent + window => false,
+            (Idempotency::IdempotencyKey { window, .. }, _) if self.now >= it.sent + window => {
+                false
+            }
             (
                 Idempotency::IdempotencyKey {
-                    group: DeduplicationScope::AllEndpoints, ..
+                    scope: DeduplicationScope::AllEndpoints,
+                    ..
                 },
                 _,
             ) => true,
             (
                 Idempotency::IdempotencyKey {
-                    group: DeduplicationScope::Zone, ..
+                    scope: DeduplicationScope::Zone,
+                    ..
                 },
                 Some((it, here)),
             ) => it.entry.zone == here.zone,
             (
                 Idempotency::IdempotencyKey {
-                    group: DeduplicationScope::Cell, ..
+                    scope: DeduplicationScope::Cell,
+                    ..
                 },
                 Some((it, here)),
             ) => it.entry.cell == here.cell,
--- a/src/routing/router/prefill.rs
+++ b/src/routing/router/prefill.rs
@@ -62,7 +62,11 @@
                 .filter(|_| reads(&&it))
                 .copied()
                 .unwrap_or((0.0, 1.0));
-            let home = request.homes.get(&it.entry.server).copied().unwrap_or(0.0);
+            let home = request
+                .homes
+                .get(&it.entry.endpoint)
+                .copied()
+                .unwrap_or(0.0);
             self.reader_choice(request, it, home, after)
         };
         open.into_iter().map(choice).collect()
@@ -108,16 +112,20 @@
     /// Tokens that readers are presumed to keep of a prompt, where the table can't know.
     pub(super) fn homes(&self, request: &Request) -> BTreeMap<EndpointId, f64> {
         let ask = &request.ask;
-        let share = self.prefixes.share(ask);
+        let share = self.prefixes.traffic_share(ask);
         let warm = |it| {
             self.servers
                 .get(&it)
                 .map_or(0.0, |it| it.warm_share(&self.settings, self.now))
         };
-        let (shared, own) =
-            self.candidates
-                .homes(&self.look(request), ask.prefix, ask.session, share, warm);
-        let whole = (self.home_match[ask.class] * ask.prompt).max(ask.prefix_tokens);
+        let (shared, own) = self.candidates.prefix_affinity(
+            &self.look(request),
+            ask.prefix,
+            ask.session,
+            share,
+            warm,
+        );
+        let whole = (self.home_match[ask.class] * ask.prompt_tokens).max(ask.prefix_tokens);
         let shared = shared.into_iter().map(|it| (it, ask.prefix_tokens));
         shared
             .chain(own.map(|it| (it, whole)))
@@ -134,15 +142,15 @@
     ) -> Choice {
         let kept = self
             .prefixes
-            .kept(&request.ask, server.entry.server)
-            .max(home.min(request.ask.prompt));
-        let matched = kept / request.ask.prompt.max(1.0);
+            .cached_tokens(&request.ask, server.entry.endpoint)
+            .max(home.min(request.ask.prompt_tokens));
+        let matched = kept / request.ask.prompt_tokens.max(1.0);
         let [running, to_read, memory] =
             [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
         let inputs = Inputs::new(
             1.0,
             memory,
-            (request.ask.prompt - kept) / 1000.0,
+            (request.ask.prompt_tokens - kept) / 1000.0,
             running / 10.0,
             to_read,
         );
--- a/src/routing/router/selection.rs
+++ b/src/routing/router/selection.rs
@@ -45,7 +45,7 @@
 
     pub(super) fn looks_at_all(&self, request: &Request) -> bool {
         self.candidates
-            .is_whole(Side::of(request.state_at.is_some()), &self.look(request))
+            .covers_all(Side::of(request.state_at.is_some()), &self.look(request))
     }
 
     /// Chance and headroom of a server: the shared model, its own correction, and what is overdue there.
@@ -67,7 +67,7 @@
         let spread = model.spread.max(LEAST_SPREAD * request.aim)
             + request.state_at.map_or(0.0, |_| overdue);
         Choice {
-            server: server.entry.server,
+            server: server.entry.endpoint,
             inputs,
             predicted: corrected + overdue,
             headroom: left / request.aim,
@@ -75,7 +75,7 @@
             price: if server.entry.zone == self.settings.zone {
                 0.0
             } else {
-                self.settings.cross_zone_price
+                self.settings.cross_zone_cost
             },
             ..Choice::default()
         }
@@ -117,7 +117,8 @@
             let silent = server
                 .asked_at
                 .is_some_and(|at| at + self.asking(request) <= self.now);
-            let tried = |it: &Attempt| it.choice.server == server.entry.server && it.stage == stage;
+            let tried =
+                |it: &Attempt| it.choice.server == server.entry.endpoint && it.stage == stage;
             let health = server.health(request.ask.class);
             let on_trial =
                 health.pauses > 0 && server.waiting.values().any(|it| it.2 == request.ask.class);
--- a/src/routing/router/tracked_endpoint.rs
+++ b/src/routing/router/tracked_endpoint.rs
@@ -70,22 +70,22 @@
     }
 
     pub(super) fn part_of_memory(&self, tokens: f64) -> f64 {
-        Some(self.entry.memory)
+        Some(self.entry.kv_capacity_tokens)
             .filter(|told| *told > 0.0)
             .map_or(0.0, |memory| tokens / memory)
     }
 
     pub(super) fn warm_share(&self, settings: &RoutingSettings, now: Time) -> f64 {
-        1.0 - (1.0 - settings.cold_from) * (1.0 - self.age(settings, now))
+        1.0 - (1.0 - settings.slow_start_initial_share) * (1.0 - self.age(settings, now))
     }
 
     /// Time since its start as part of that in which it is warm, up to 1.
     pub(super) fn age(&self, settings: &RoutingSettings, now: Time) -> f64 {
         let age = self
             .entry
-            .started
+            .started_at
             .map_or(Time::MAX, |started| now.saturating_sub(started));
-        (age as f64 / settings.warm_within.max(1) as f64).min(1.0)
+        (age as f64 / settings.slow_start_duration.max(1) as f64).min(1.0)
     }
 }
 
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -39,7 +39,7 @@
 
 /// Takes the listening socket that was inherited as this descriptor; it is checked to be one.
 #[allow(unsafe_code)]
-pub fn inherited(descriptor: &str) -> Result<std::net::TcpListener, String> {
+pub fn inherited_listener(descriptor: &str) -> Result<std::net::TcpListener, String> {
     use std::os::fd::{FromRawFd, IntoRawFd};
     let wrong =
         |error: &dyn std::fmt::Display| format!("the inherited socket {descriptor:?}: {error}");
@@ -162,7 +162,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerProcesses {
     /// The part of the limits that this one keeps to.
-    pub part: u32,
+    pub share: u32,
     /// Processes of this dispatcher, this one included.
     pub processes: u32,
     /// An older one lives.
@@ -197,9 +197,14 @@
 impl UpgradeCoordinator {
     /// Posts a notice in this folder, for this name, and looks who is there. It comes after all that are there, whatever the
     /// wall clock said when they started and says now; `now` is its part of that order where it is alone.
-    pub fn start(folder: &Path, name: &str, now: u64, log: Logger) -> io::Result<UpgradeCoordinator> {
+    pub fn start(
+        folder: &Path,
+        name: &str,
+        now: u64,
+        log: Logger,
+    ) -> io::Result<UpgradeCoordinator> {
         // The name becomes part of a path.
-        let name = format!("quartzhall-{:016x}", crate::config::hash(name));
+        let name = format!("quartzhall-{:016x}", crate::config::fnv1a_hash(name));
         let youngest = born_of_living(folder, &name)?;
         let born = youngest.map_or(now, |youngest| now.max(youngest.saturating_add(1)));
         let unique = format!("{name}-{born:020}-{}", std::process::id());
@@ -214,9 +219,9 @@
             .open(&hidden)?;
         file.try_lock().map_err(io::Error::from)?;
         let own = ProcessAnnouncement {
-            born,
-            phase: ProcessState::Starting,
-            part: resource_shares::START,
+            started_at: born,
+            state: ProcessState::Starting,
+            share: resource_shares::START,
         };
         let folder = folder.to_owned();
         let mut handover = UpgradeCoordinator {
@@ -232,30 +237,30 @@
             warned_at: None,
             log,
         };
-        handover.write_notice()?;
+        handover.write_announcement()?;
         // Under its own name only now, when it is locked: nobody takes it for that of a dead process.
         fs::rename(&hidden, &handover.path)?;
-        handover.look()?;
+        handover.scan_announcements()?;
         Ok(handover)
     }
 
-    fn write_notice(&self) -> io::Result<()> {
-        self.file.write_all_at(self.own.line().as_bytes(), 0)
+    fn write_announcement(&self) -> io::Result<()> {
+        self.file.write_all_at(self.own.to_line().as_bytes(), 0)
     }
 
     /// Writes the notice where it does not say what holds; what could not be written is written the next time.
-    fn publish(&mut self, own: ProcessAnnouncement) {
+    fn update_announcement(&mut self, own: ProcessAnnouncement) {
         if own == self.own && self.published {
             return;
         }
         self.own = own;
-        let written = self.write_notice();
+        let written = self.write_announcement();
         self.published = written.is_ok();
         self.notes("notice", written);
     }
 
     /// Reads the others' notices and removes those of dead processes.
-    fn look(&mut self) -> io::Result<()> {
+    fn scan_announcements(&mut self) -> io::Result<()> {
         let looked = fs::metadata(&self.folder)?.modified()?;
         let (mut others, mut unfinished, mut living) =
             (Vec::new(), Vec::new(), vec![std::process::id()]);
@@ -287,7 +292,7 @@
                 Ok(()) => {
                     let _ = fs::remove_file(&path);
                     if let Some(born) = born {
-                        let _ = fs::remove_file(self.doors()(born));
+                        let _ = fs::remove_file(self.stream_socket_path()(born));
                     }
                 }
                 Err(TryLockError::WouldBlock) => {
@@ -295,9 +300,9 @@
                     let _ = file.read_to_string(&mut line);
                     // One that can't be read may be using all that an older process may.
                     let unread = ProcessAnnouncement {
-                        born: born.unwrap_or(0),
-                        phase: ProcessState::Serving,
-                        part: 15,
+                        started_at: born.unwrap_or(0),
+                        state: ProcessState::Serving,
+                        share: 15,
                     };
                     others.push(ProcessAnnouncement::parse(&line).unwrap_or(unread));
                     living.extend(process);
@@ -317,7 +322,7 @@
     }
 
     /// Whether anything can have changed since the last look: while alone, only a new file.
-    fn is_new(&self) -> bool {
+    fn needs_scan(&self) -> bool {
         let modified = fs::metadata(&self.folder).and_then(|it| it.modified()).ok();
         let is_as_it_was = |(at, looked): (SystemTime, Instant)| {
             modified == Some(at) && looked.elapsed() < LOOK_AT_LEAST
@@ -326,29 +331,32 @@
     }
 
     /// What this process sees now.
-    pub fn view(&self) -> PeerProcesses {
+    pub fn peer_processes(&self) -> PeerProcesses {
         PeerProcesses {
-            part: self.own.part,
+            share: self.own.share,
             processes: 1 + self.others.len() as u32,
-            predecessor: self.others.iter().any(|other| other.born < self.own.born),
+            predecessor: self
+                .others
+                .iter()
+                .any(|other| other.started_at < self.own.started_at),
             successor: self
                 .others
                 .iter()
-                .map(|other| other.born)
-                .filter(|born| *born > self.own.born)
+                .map(|other| other.started_at)
+                .filter(|born| *born > self.own.started_at)
                 .max(),
         }
     }
 
     /// Where processes of this dispatcher take streams in, by when they started.
-    pub fn doors(&self) -> impl Fn(u64) -> PathBuf + use<> {
+    pub fn stream_socket_path(&self) -> impl Fn(u64) -> PathBuf + use<> {
         let (folder, name) = (self.folder.clone(), self.name.clone());
         move |born| folder.join(format!("{name}-{born:020}.sock"))
     }
 
     /// Listens there for a predecessor's streams.
     pub fn listen(&self) -> io::Result<UnixListener> {
-        let path = self.doors()(self.own.born);
+        let path = self.stream_socket_path()(self.own.started_at);
         match UnixListener::bind(&path) {
             // No living process has this one's place in the order: a dead one has left it.
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
@@ -364,7 +372,7 @@
     }
 
     /// The file of bans, where there is one that was not read yet.
-    pub fn new_bans(&mut self) -> Option<BanRecords> {
+    pub fn read_changed_bans(&mut self) -> Option<BanRecords> {
         let path = self.bans_path();
         let metadata = fs::metadata(&path).ok()?;
         let stamp = FileStamp {
@@ -424,7 +432,7 @@
 impl Drop for UpgradeCoordinator {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.path);
-        let _ = fs::remove_file(self.doors()(self.own.born));
+        let _ = fs::remove_file(self.stream_socket_path()(self.own.started_at));
     }
 }
 
@@ -442,39 +450,40 @@
     mut phase: watch::Receiver<ProcessState>,
     view: watch::Sender<PeerProcesses>,
 ) {
-    let mut own_bans = door.marks();
+    let mut own_bans = door.ban_records();
     // What the file says is told to the core below, also what it said first: it may have changed since the start.
     let mut in_file = BanRecords::new();
     let log = handover.log.clone();
     loop {
-        if handover.is_new() {
-            let looked = handover.look();
+        if handover.needs_scan() {
+            let looked = handover.scan_announcements();
             handover.notes("others", looked);
         }
         let said = *phase.borrow_and_update();
-        let wanted = resource_shares::wanted(&handover.own, &handover.others);
+        let wanted = resource_shares::target_share(&handover.own, &handover.others);
         let used = limits.set(wanted);
         let own = ProcessAnnouncement {
-            phase: said,
-            part: wanted.max(used.min(handover.own.part)),
+            state: said,
+            share: wanted.max(used.min(handover.own.share)),
             ..handover.own
         };
         if own != handover.own {
-            info!(log, "share of the limits"; "part" => own.part, "phase" => ?own.phase, "others" => handover.others.len());
+            info!(log, "share of the limits"; "part" => own.share, "phase" => ?own.state, "others" => handover.others.len());
         }
-        handover.publish(own);
-        let now = handover.view();
+        handover.update_announcement(own);
+        let now = handover.peer_processes();
         if view.send_if_modified(|old| std::mem::replace(old, now) != now) {
-            door.tell_first(Event::ResourceShareChanged {
-                part: wanted,
+            door.send_urgent(Event::ResourceShareChanged {
+                share: wanted,
                 processes: now.processes,
             })
             .await;
         }
 
-        if let Some(marks) = handover.new_bans() {
+        if let Some(marks) = handover.read_changed_bans() {
             in_file = marks;
-            door.tell_first(Event::BanRecordsReceived(in_file.clone())).await;
+            door.send_urgent(Event::BanRecordsReceived(in_file.clone()))
+                .await;
         }
         let own_marks = own_bans.borrow_and_update().clone();
         if let Some(marks) = merged(&own_marks, &in_file) {
--- a/src/upgrade/resource_shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -24,22 +24,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessAnnouncement {
     /// When it started, in Unix microseconds; later ones come after earlier ones.
-    pub born: u64,
+    pub started_at: u64,
     /// What it is doing.
-    pub phase: ProcessState,
+    pub state: ProcessState,
     /// The part of the limits that it keeps to.
-    pub part: u32,
+    pub share: u32,
 }
 
 impl ProcessAnnouncement {
     /// The notice as a line, always of the same length: it is written over in one piece.
-    pub fn line(&self) -> String {
-        let phase = match self.phase {
+    pub fn to_line(&self) -> String {
+        let phase = match self.state {
             ProcessState::Starting => "starting",
             ProcessState::Serving => "serving ",
             ProcessState::Leaving => "leaving ",
         };
-        format!("1 {:020} {phase} {:02}\n", self.born, self.part)
+        format!("1 {:020} {phase} {:02}\n", self.started_at, self.share)
     }
 
     /// Reads a notice.
@@ -55,26 +55,26 @@
         };
         let part = part.parse().ok().filter(|part| *part <= SHARE_UNITS)?;
         (version == "1" && words.next().is_none()).then_some(ProcessAnnouncement {
-            born: born.parse().ok()?,
-            phase,
-            part,
+            started_at: born.parse().ok()?,
+            state: phase,
+            share: part,
         })
     }
 }
 
 /// The part to which a process is to come, given what it and the others keep to. No sum of what all of them come
 /// to is over the whole, and one part stays free for a process that starts.
-pub fn wanted(own: &ProcessAnnouncement, others: &[ProcessAnnouncement]) -> u32 {
-    let youngest = others.iter().all(|other| other.born < own.born);
+pub fn target_share(own: &ProcessAnnouncement, others: &[ProcessAnnouncement]) -> u32 {
+    let youngest = others.iter().all(|other| other.started_at < own.started_at);
     if !youngest {
-        return if own.phase == ProcessState::Leaving {
+        return if own.state == ProcessState::Leaving {
             LEAVING
         } else {
             OLDER
         }
-        .min(own.part.max(START));
+        .min(own.share.max(START));
     }
-    let kept: u32 = others.iter().map(|other| other.part).sum();
+    let kept: u32 = others.iter().map(|other| other.share).sum();
     let rest = SHARE_UNITS.saturating_sub(kept);
     if others.is_empty() {
         rest - START
--- a/src/upgrade/stream_migration.rs
+++ b/src/upgrade/stream_migration.rs
@@ -47,13 +47,13 @@
 #[derive(Debug)]
 pub struct UpstreamHalf {
     /// Its socket.
-    pub node: OwnedFd,
+    pub upstream: OwnedFd,
     /// Where its body stands.
     pub chunks: ChunkedDecoder,
     /// Bytes of an event that has not ended.
-    pub part: Bytes,
+    pub partial_event: Bytes,
     /// Told whether it has moved; where it is dropped, it has not.
-    pub moved: oneshot::Sender<bool>,
+    pub migrated: oneshot::Sender<bool>,
 }
 
 /// Says when streams are to move. Few move at a time: each needs descriptors beyond its own meanwhile.
@@ -65,7 +65,7 @@
 
 impl MigrationSignal {
     /// Waits until streams are to move, and for a turn.
-    pub async fn turn(&self) -> OwnedSemaphorePermit {
+    pub async fn acquire(&self) -> OwnedSemaphorePermit {
         let mut on = self.on.clone();
         if on.wait_for(|on| *on).await.is_ok() {
             if let Ok(turn) = self.turns.clone().acquire_owned().await {
@@ -77,7 +77,7 @@
 }
 
 /// A signal, and what turns it on.
-pub fn signal() -> (watch::Sender<bool>, MigrationSignal) {
+pub fn migration_signal() -> (watch::Sender<bool>, MigrationSignal) {
     let (turn_on, on) = watch::channel(false);
     (
         turn_on,
@@ -120,7 +120,7 @@
     }
 
     /// All that the connection was given is written.
-    pub fn flushed(&self, client: impl AsFd) {
+    pub fn on_flushed(&self, client: impl AsFd) {
         let mut ends = self.ends();
         if ends.0.is_some() && ends.1.is_none() {
             match client.as_fd().try_clone_to_owned() {
@@ -134,7 +134,7 @@
     }
 
     /// Waits until the stream is to move, and has it moved. True when it has: then this side is over.
-    pub async fn moves(&self, mover: &Option<mpsc::Sender<MigratingStream>>) -> bool {
+    pub async fn migrate(&self, mover: &Option<mpsc::Sender<MigratingStream>>) -> bool {
         loop {
             self.ready.notified().await;
             let (Some(half), Some(client)) = std::mem::take(&mut *self.ends()) else {
@@ -156,7 +156,7 @@
 }
 
 /// Hands streams over to the process that takes them in at this path, where there is one.
-pub async fn carry(
+pub async fn send_streams(
     path: impl Fn() -> Option<PathBuf>,
     mut streams: mpsc::Receiver<MigratingStream>,
     log: Logger,
@@ -178,7 +178,7 @@
                 warn!(log, "a stream could not be moved: it goes on here"; "error" => %error);
             }
             let _ = moved.send(done.is_ok());
-            let _ = half.moved.send(done.is_ok());
+            let _ = half.migrated.send(done.is_ok());
         });
     }
     // All connections are over; the process may have something else to end.
@@ -187,9 +187,9 @@
 
 async fn hand_over(path: PathBuf, half: &UpstreamHalf, client: OwnedFd) -> io::Result<()> {
     let mut stream = UnixStream::connect(path).await?;
-    let length = u32::try_from(half.part.len()).map_err(io::Error::other)?;
+    let length = u32::try_from(half.partial_event.len()).map_err(io::Error::other)?;
     let head = [&MARK[..], &half.chunks.to_bytes(), &length.to_be_bytes()].concat();
-    let descriptors = [client.as_fd(), half.node.as_fd()];
+    let descriptors = [client.as_fd(), half.upstream.as_fd()];
     let sent = stream.async_io(Interest::WRITABLE, || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -204,7 +204,7 @@
     if sent.await? != HEAD {
         return Err(ErrorKind::WriteZero.into());
     }
-    stream.write_all(&half.part).await?;
+    stream.write_all(&half.partial_event).await?;
     // Without an end to the waiting: a yes that is not waited for would leave two that pass the stream on.
     match stream.read_u8().await? {
         TAKEN => Ok(()),
@@ -280,21 +280,26 @@
 }
 
 /// Takes in the streams of a predecessor. They take places where there are some; for want of one none is cut.
-pub async fn take_in(listener: UnixListener, clients: ConnectionLimit, nodes: ConnectionLimit, log: Logger) {
+pub async fn receive_streams(
+    listener: UnixListener,
+    clients: ConnectionLimit,
+    nodes: ConnectionLimit,
+    log: Logger,
+) {
     let mut pauses = AcceptPauses::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => {
-                pauses.succeeded();
+                pauses.reset();
                 stream
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(pauses.after(&error)).await;
+                sleep(pauses.delay_after(&error)).await;
                 continue;
             }
         };
-        let (log, places) = (log.clone(), (clients.take_now(1), nodes.take_now(1)));
+        let (log, places) = (log.clone(), (clients.try_acquire(1), nodes.try_acquire(1)));
         tokio::spawn(async move {
             let _places = places;
             match timeout(SAYING, take(stream))
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -4,7 +4,7 @@
 
 use futures_util::FutureExt;
 use quartzhall::dispatcher::{Command, Event, EventReceiver, StreamChunk, UpstreamRequest};
-use quartzhall::routing::api::{RequestId, AttemptStatus};
+use quartzhall::routing::api::{AttemptStatus, RequestId};
 use std::time::Duration;
 use testbed::{node_side, node_side_for, Fleet, Way, ANSWER};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -14,7 +14,7 @@
 
 fn work(name: &str) -> UpstreamRequest {
     UpstreamRequest {
-        name: name.into(),
+        client_request_id: name.into(),
         target: "/v1/chat/completions".into(),
         body: "{}".into(),
     }
@@ -26,23 +26,28 @@
         id,
         attempt: 0,
         address: address.into(),
-        work,
+        upstream: work,
         timeout,
-        alone: false,
+        needs_new_connection: false,
     }
 }
 
 fn send_alone(id: RequestId, address: &str) -> Command {
-    let Command::StartAttempt { work, timeout, .. } = send(id, address) else {
+    let Command::StartAttempt {
+        upstream: work,
+        timeout,
+        ..
+    } = send(id, address)
+    else {
         unreachable!()
     };
     Command::StartAttempt {
         id,
         attempt: 0,
         address: address.into(),
-        work,
+        upstream: work,
         timeout,
-        alone: true,
+        needs_new_connection: true,
     }
 }
 
@@ -67,7 +72,7 @@
 }
 
 async fn next(inbox: &mut EventReceiver) -> Event {
-    timeout(Duration::from_secs(10), inbox.next())
+    timeout(Duration::from_secs(10), inbox.recv())
         .await
         .expect("an event")
         .expect("an open queue")
@@ -81,7 +86,9 @@
 }
 
 /// A stream that has begun at a writer, which pauses after the first event.
-async fn begun(over_sessions: bool) -> (Fleet, Sender<Command>, EventReceiver, Receiver<StreamChunk>) {
+async fn begun(
+    over_sessions: bool,
+) -> (Fleet, Sender<Command>, EventReceiver, Receiver<StreamChunk>) {
     let fleet = Fleet::start(over_sessions).await;
     let speak = if over_sessions {
         fleet.addresses.clone()
@@ -112,13 +119,16 @@
         // Once a later command has been done, so has the cancel.
         let probe = Command::ReleaseReservation {
             id: 9,
-            name: "none".into(),
+            client_request_id: "none".into(),
             addresses: vec![],
         };
         commands.send(probe).await.unwrap();
         assert!(matches!(
             next(&mut inbox).await,
-            Event::ReleaseCompleted { id: 9, done: false }
+            Event::ReleaseCompleted {
+                id: 9,
+                confirmed: false
+            }
         ));
         fleet.go.notify_one();
         let mut text = Vec::new();
@@ -150,7 +160,7 @@
     commands
         .send(Command::BlockAddress {
             address: address.as_str().into(),
-            barred: true,
+            is_blocked: true,
         })
         .await
         .unwrap();
@@ -161,14 +171,17 @@
     commands
         .send(Command::ReleaseReservation {
             id: 2,
-            name: "x".into(),
+            client_request_id: "x".into(),
             addresses,
         })
         .await
         .unwrap();
     assert!(matches!(
         next(&mut inbox).await,
-        Event::ReleaseCompleted { id: 2, done: true }
+        Event::ReleaseCompleted {
+            id: 2,
+            confirmed: true
+        }
     ));
     assert_eq!(fleet.ledger.lock().unwrap().released, 1);
 }
@@ -186,7 +199,7 @@
     commands
         .try_send(Command::BlockAddress {
             address: address.as_str().into(),
-            barred: true,
+            is_blocked: true,
         })
         .unwrap();
     for _ in 0..600 {
@@ -238,14 +251,17 @@
         commands
             .send(Command::ReleaseReservation {
                 id: 2,
-                name: "x".into(),
+                client_request_id: "x".into(),
                 addresses,
             })
             .await
             .unwrap();
         assert!(matches!(
             next(&mut inbox).await,
-            Event::ReleaseCompleted { id: 2, done: true }
+            Event::ReleaseCompleted {
+                id: 2,
+                confirmed: true
+            }
         ));
         assert_eq!(fleet.ledger.lock().unwrap().released, 1);
     }
@@ -272,14 +288,17 @@
     commands
         .send(Command::ReleaseReservation {
             id: 2,
-            name: "x".into(),
+            client_request_id: "x".into(),
             addresses,
         })
         .await
         .unwrap();
     assert!(matches!(
         next(&mut inbox).await,
-        Event::ReleaseCompleted { id: 2, done: true }
+        Event::ReleaseCompleted {
+            id: 2,
+            confirmed: true
+        }
     ));
     assert_eq!(fleet.ledger.lock().unwrap().released, 1);
     assert!(
@@ -359,7 +378,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (commands, mut inbox) = node_side(&[]);
-    let Command::StartAttempt { work, timeout, .. } = send(1, &address) else {
+    let Command::StartAttempt {
+        upstream: work,
+        timeout,
+        ..
+    } = send(1, &address)
+    else {
         unreachable!()
     };
     let body = vec![b' '; 64 << 20].into(); // more than sockets take
@@ -367,9 +391,9 @@
         id: 1,
         attempt: 0,
         address: address.as_str().into(),
-        work: UpstreamRequest { body, ..work },
+        upstream: UpstreamRequest { body, ..work },
         timeout,
-        alone: true,
+        needs_new_connection: true,
     };
     commands.send(long).await.unwrap();
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -429,7 +453,7 @@
     commands
         .send(Command::BlockAddress {
             address: address.as_str().into(),
-            barred: true,
+            is_blocked: true,
         })
         .await
         .unwrap();
@@ -482,8 +506,8 @@
             id,
             attempt,
             address,
-            work,
-            alone,
+            upstream: work,
+            needs_new_connection: alone,
             ..
         } = send(2, &address)
         else {
@@ -493,9 +517,9 @@
             id,
             attempt,
             address,
-            work,
+            upstream: work,
             timeout: limit,
-            alone,
+            needs_new_connection: alone,
         };
         // Wakes together with the attempt, and so runs before what that one wakes.
         let mut with_attempt = std::pin::pin!(sleep_until(began + limit));
@@ -583,7 +607,10 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string().into();
     commands
-        .send(Command::Probe { server: 9, address })
+        .send(Command::Probe {
+            endpoint: 9,
+            address,
+        })
         .await
         .unwrap();
     tokio::task::yield_now().await;
@@ -606,7 +633,11 @@
     let _answered = tokio::task::spawn_blocking(answers).await.unwrap();
     loop {
         match next(&mut inbox).await {
-            Event::ProbeCompleted { server, ok, .. } => return assert_eq!((server, ok), (9, true)),
+            Event::ProbeCompleted {
+                endpoint: server,
+                is_healthy: ok,
+                ..
+            } => return assert_eq!((server, ok), (9, true)),
             Event::AttemptEnded { .. } => {}
             other => panic!("{other:?}"),
         }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -8,8 +8,8 @@
 #[test]
 fn reads_stay_in_the_own_zone_by_the_price_of_crossing() {
     let zone = |it: EndpointRecord| EndpointRecord {
-        zone: it.server % 2,
-        cell: it.server % 2,
+        zone: it.endpoint % 2,
+        cell: it.endpoint % 2,
         ..it
     };
     let readers = (1..=4).map(|id| server(id, Role::Prefill));
@@ -19,7 +19,7 @@
         .collect();
     let own = |cross_zone_price| {
         let rules = RoutingSettings {
-            cross_zone_price,
+            cross_zone_cost: cross_zone_price,
             ..settings(vec![class(2.0, Idempotency::Idempotent)])
         };
         let mut desk = RouterHarness::new(rules, fleet.clone());
@@ -52,7 +52,7 @@
     let fleet: Vec<_> = readers.chain(writers).collect();
     let near = |far_price| {
         let rules = RoutingSettings {
-            far_price,
+            kv_transfer_cost: far_price,
             ..settings(vec![class(2.0, Idempotency::Idempotent)])
         };
         let mut desk = RouterHarness::new(rules, fleet.clone());
@@ -85,14 +85,19 @@
 fn traffic_over_a_share_is_refused_by_its_worth() {
     let refused = |over_share_worth| {
         let tenants = vec![
-            Tenant { quota_per_s: 20.0 },
             Tenant {
-                quota_per_s: 1_000.0,
+                requests_per_second: 20.0,
             },
+            Tenant {
+                requests_per_second: 1_000.0,
+            },
+        ];
+        let classes = vec![
+            class(3.0, Idempotency::Idempotent),
+            class(2.0, Idempotency::Idempotent),
         ];
-        let classes = vec![class(3.0, Idempotency::Idempotent), class(2.0, Idempotency::Idempotent)];
         let rules = RoutingSettings {
-            over_share_worth,
+            over_quota_weight: over_share_worth,
             tenants,
             ..settings(classes)
         };
@@ -114,7 +119,7 @@
         let mut refused = [0; 2];
         for id in 1_000..1_160 {
             let actions = desk.ask(RequestMetadata {
-                prompt: 100.0,
+                prompt_tokens: 100.0,
                 ..of(id)
             });
             refused[(id % 2) as usize] += finals(&actions, id);
@@ -140,7 +145,7 @@
 fn a_state_is_let_go_in_the_time_that_the_settings_give() {
     for (release_within, drain_grace) in [(1_000 * MS, 250 * MS), (500 * MS, 500 * MS)] {
         let rules = RoutingSettings {
-            release_within,
+            reservation_ttl: release_within,
             drain_grace,
             ..settings(vec![class(2.0, Idempotency::Idempotent)])
         };
@@ -151,9 +156,9 @@
         desk.serve(ask(0, 0), 40 * MS, 30 * MS, 50 * MS);
         assert_eq!(sent_to(&desk.ask(ask(1, 1)), 1), Some(1));
         desk.hear(Event::EndpointsChanged {
-            complete: false,
-            entries: vec![EndpointRecord {
-                state: EndpointStatus::Draining,
+            is_full: false,
+            endpoints: vec![EndpointRecord {
+                status: EndpointStatus::Draining,
                 ..server(11, Role::Decode)
             }],
         });
@@ -164,7 +169,9 @@
         );
         let (read_at, mut let_go) = (desk.now, None);
         while let_go.is_none() && desk.now < read_at + 2 * SECOND {
-            let released = desk.pass(2 * MS).contains(&Action::ReleaseReservation { id: 1 });
+            let released = desk
+                .pass(2 * MS)
+                .contains(&Action::ReleaseReservation { id: 1 });
             let_go = released.then_some(desk.now - read_at);
         }
         assert!(
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1,13 +1,16 @@
 //! The core by itself: no wire, no clock but the numbers given to it.
 
-use quartzhall::config::{SettingsObject, Deployment};
+use quartzhall::config::{Deployment, SettingsObject};
 use quartzhall::dispatcher::bans::BanError;
 use quartzhall::dispatcher::{
-    self, Outcome, Command, Core, EndReason, Event, DiscoveredEndpoint, StreamChunk, Readiness, UpstreamRequest,
+    self, Command, Core, DiscoveredEndpoint, EndReason, Event, Outcome, Readiness, StreamChunk,
+    UpstreamRequest,
 };
 use quartzhall::gossip::Gossip;
 use quartzhall::recording::TraceRecorder;
-use quartzhall::routing::api::{RequestMetadata, EndpointRecord, LoadReport, Role, EndpointStatus, AttemptStatus, Time};
+use quartzhall::routing::api::{
+    AttemptStatus, EndpointRecord, EndpointStatus, LoadReport, RequestMetadata, Role, Time,
+};
 use quartzhall_recording::{Key, Record, Table};
 use slog::{o, Discard, Logger};
 use std::collections::BTreeSet;
@@ -31,16 +34,16 @@
     let entry = EndpointRecord {
         key: name.len() as u64,
         role,
-        state,
-        memory: 200_000.0,
+        status: state,
+        kv_capacity_tokens: 200_000.0,
         ..EndpointRecord::default()
     };
     let address = format!("127.0.0.1:{}", 7000 + name.len()).into();
     DiscoveredEndpoint {
-        name: name.into(),
+        id: name.into(),
         address,
-        entry,
-        partial: false,
+        record: entry,
+        is_partial: false,
     }
 }
 
@@ -69,25 +72,25 @@
             member("ww", Role::Decode, EndpointStatus::Ready),
         ];
         bench.hear(Event::EndpointsChanged {
-            complete: true,
-            members,
+            is_full: true,
+            endpoints: members,
         });
         assert_eq!(bench.core.readiness(), Readiness::Ready);
         bench
     }
 
     fn hear(&mut self, event: Event) {
-        self.core.hear(self.now, event);
-        self.commands.extend(self.core.commands());
+        self.core.handle_event(self.now, event);
+        self.commands.extend(self.core.take_commands());
     }
 
     /// Lets time pass, waking the core whenever it wants to.
     fn pass(&mut self, time: Time) {
         let until = self.now + time;
-        while let Some(due) = self.core.due().filter(|due| *due <= until) {
+        while let Some(due) = self.core.next_wakeup().filter(|due| *due <= until) {
             self.now = due.max(self.now + 1);
-            self.core.wake(self.now);
-            self.commands.extend(self.core.commands());
+            self.core.on_timer(self.now);
+            self.commands.extend(self.core.take_commands());
         }
         self.now = until;
     }
@@ -96,18 +99,22 @@
         let ask = RequestMetadata {
             id,
             class,
-            expires_in: 2_000 * MS,
-            prompt: 500.0,
-            max_tokens: 100.0,
+            time_left: 2_000 * MS,
+            prompt_tokens: 500.0,
+            max_output_tokens: 100.0,
             ..RequestMetadata::default()
         };
         let work = UpstreamRequest {
-            name: name.into(),
+            client_request_id: name.into(),
             target: "/v1/chat/completions".into(),
             body: "{}".into(),
         };
         let (answer, answered) = oneshot::channel();
-        self.hear(Event::RequestArrived { ask, work, answer });
+        self.hear(Event::RequestArrived {
+            metadata: ask,
+            upstream: work,
+            outcome: answer,
+        });
         answered
     }
 
@@ -117,8 +124,8 @@
             id,
             attempt,
             reason,
-            note: 0.0,
-            written: 0.0,
+            cached_tokens: 0.0,
+            completion_tokens: 0.0,
             load: None,
         });
     }
@@ -141,11 +148,17 @@
     /// has arrived, and taken again.
     fn released_twice(&mut self, id: u64) {
         let before = self.releases();
-        self.hear(Event::ReleaseCompleted { id, done: true });
+        self.hear(Event::ReleaseCompleted {
+            id,
+            confirmed: true,
+        });
         assert_eq!(self.releases(), before, "the repeat comes later");
         self.pass(120 * MS);
         assert!(self.releases() > before, "it is repeated");
-        self.hear(Event::ReleaseCompleted { id, done: true });
+        self.hear(Event::ReleaseCompleted {
+            id,
+            confirmed: true,
+        });
     }
 
     fn cancels(&self) -> Vec<(u64, u32)> {
@@ -176,9 +189,9 @@
     assert_eq!(stream.try_recv(), Ok(StreamChunk::End));
     // A stream has no deadline.
     bench.pass(60_000 * MS);
-    assert_eq!((bench.core.open(), bench.cancels()), (1, vec![]));
+    assert_eq!((bench.core.open_requests(), bench.cancels()), (1, vec![]));
     bench.ended(1, 1, AttemptStatus::Served);
-    assert_eq!((bench.core.open(), bench.releases()), (0, 0));
+    assert_eq!((bench.core.open_requests(), bench.releases()), (0, 0));
 }
 
 #[test]
@@ -197,9 +210,9 @@
             bench.ended(id, attempt, AttemptStatus::Cancelled);
         }
         // The read may have ended well as it was cancelled: its state is let go, and then all is forgotten.
-        assert_eq!((bench.core.open(), bench.releases()), (1, 1));
+        assert_eq!((bench.core.open_requests(), bench.releases()), (1, 1));
         bench.released_twice(1);
-        assert_eq!((bench.core.open(), bench.releases()), (0, 2));
+        assert_eq!((bench.core.open_requests(), bench.releases()), (0, 2));
     }
 }
 
@@ -228,10 +241,13 @@
         bench.ask(2, 0, "same").try_recv(),
         Ok(Outcome::DuplicateId)
     ));
-    assert_eq!((bench.core.open(), bench.sends()), (1, 1));
+    assert_eq!((bench.core.open_requests(), bench.sends()), (1, 1));
     assert!(first.try_recv().is_err());
     // While the client's leaving is being cleaned up, the name is still in use at the nodes.
-    bench.hear(Event::ClientDisconnected { id: 1, fate: None });
+    bench.hear(Event::ClientDisconnected {
+        id: 1,
+        may_have_run: None,
+    });
     assert!(matches!(
         bench.ask(3, 0, "same").try_recv(),
         Ok(Outcome::DuplicateId)
@@ -259,8 +275,8 @@
     // Nobody can take the request any more: it waits without an attempt.
     let members = vec![member("r", Role::Prefill, EndpointStatus::Draining)];
     bench.hear(Event::EndpointsChanged {
-        complete: false,
-        members,
+        is_full: false,
+        endpoints: members,
     });
     bench.ended(1, 0, AttemptStatus::Reset);
     assert_eq!((bench.sends(), bench.releases()), (1, 0));
@@ -272,7 +288,10 @@
 #[test]
 fn a_send_that_reached_nobody_gives_a_state_no_new_time() {
     // A state that the module knows of, and one that only the core does: a read that broke may have ended well.
-    for (read, within) in [(AttemptStatus::PrefillDone, 900), (AttemptStatus::Reset, 750)] {
+    for (read, within) in [
+        (AttemptStatus::PrefillDone, 900),
+        (AttemptStatus::Reset, 750),
+    ] {
         let mut bench = Bench::new(10);
         let _answered = bench.ask(1, 0, "a");
         bench.ended(1, 0, read);
@@ -283,8 +302,8 @@
             member("ww", Role::Decode, EndpointStatus::Draining),
         ];
         bench.hear(Event::EndpointsChanged {
-            complete: false,
-            members,
+            is_full: false,
+            endpoints: members,
         });
         bench.ended(1, 1, AttemptStatus::ConnectFailed);
         bench.pass((within - 700) * MS);
@@ -320,7 +339,10 @@
     // The attempt goes on: it may have arrived.
     assert_eq!(bench.cancels(), vec![]);
     assert!(answered.try_recv().is_err());
-    bench.hear(Event::ReleaseCompleted { id: 1, done: true });
+    bench.hear(Event::ReleaseCompleted {
+        id: 1,
+        confirmed: true,
+    });
     let (_pieces, stream) = mpsc::channel(4);
     bench.hear(Event::FirstEvent {
         id: 1,
@@ -329,7 +351,7 @@
     });
     assert!(matches!(answered.try_recv(), Ok(Outcome::Stream(_))));
     bench.ended(1, 1, AttemptStatus::Served);
-    assert_eq!((bench.core.open(), bench.releases()), (0, 1));
+    assert_eq!((bench.core.open_requests(), bench.releases()), (0, 1));
 }
 
 #[test]
@@ -338,10 +360,18 @@
     let _answered = bench.ask(1, 0, "a");
     let members = vec![member("ww", Role::Decode, EndpointStatus::Draining)];
     bench.hear(Event::EndpointsChanged {
-        complete: false,
-        members,
+        is_full: false,
+        endpoints: members,
     });
-    let barred = |command: &Command| matches!(command, Command::BlockAddress { barred: true, .. });
+    let barred = |command: &Command| {
+        matches!(
+            command,
+            Command::BlockAddress {
+                is_blocked: true,
+                ..
+            }
+        )
+    };
     assert!(
         bench.commands.iter().any(barred),
         "what waits for a connection is told"
@@ -371,12 +401,15 @@
         let (fate, mut told) = oneshot::channel();
         bench.hear(Event::ClientDisconnected {
             id: 1,
-            fate: Some(fate),
+            may_have_run: Some(fate),
         });
         bench.ended(1, attempt, status);
         match status {
             AttemptStatus::Cancelled => bench.released_twice(1),
-            _ => bench.hear(Event::ReleaseCompleted { id: 1, done: true }),
+            _ => bench.hear(Event::ReleaseCompleted {
+                id: 1,
+                confirmed: true,
+            }),
         }
         assert_eq!(told.try_recv(), Ok(ran), "{status:?}");
     }
@@ -389,7 +422,10 @@
         let _answered = bench.ask(1, class, "a");
         bench.ended(1, 0, AttemptStatus::PrefillDone);
         let sent = bench.commands.iter().filter_map(|command| match command {
-            Command::StartAttempt { alone, .. } => Some(*alone),
+            Command::StartAttempt {
+                needs_new_connection: alone,
+                ..
+            } => Some(*alone),
             _ => None,
         });
         assert_eq!(sent.collect::<Vec<_>>(), alone);
@@ -432,16 +468,16 @@
 #[tokio::test]
 async fn a_full_queue_drops_nothing() {
     let site = Arc::new(site(profile::PROFILE));
-    let (door, inbox) = dispatcher::door(site.clone());
+    let (door, inbox) = dispatcher::channel(site.clone());
     for _ in 0..10_000 {
-        door.post(Event::EndpointListFailed);
+        door.send_detached(Event::EndpointListFailed);
     }
     let clock = dispatcher::Clock::start();
     let core = Core::new(site, 10, 7, clock.now(), Logger::root(Discard, o!()));
-    door.post(Event::Drain(std::time::Duration::from_secs(3)));
+    door.send_detached(Event::Drain(std::time::Duration::from_secs(3)));
     let (commands, _commanded) = mpsc::channel(16);
     tokio::spawn(dispatcher::run(core, clock, inbox, commands, None, None));
-    door.becomes(Readiness::Draining).await;
+    door.wait_for_readiness(Readiness::Draining).await;
 }
 
 /// What one node finds bad the others would too: the request ends there, and the node is not held to blame.
@@ -453,7 +489,7 @@
         assert_eq!(bench.sends(), id as usize, "the reader is still trusted");
         bench.ended(id, 0, AttemptStatus::InvalidRequest);
         assert!(matches!(answered.try_recv(), Ok(Outcome::InvalidRequest)));
-        assert_eq!(bench.core.open(), 0);
+        assert_eq!(bench.core.open_requests(), 0);
     }
     bench.pass(5_000 * MS);
     assert_eq!((bench.sends(), bench.releases()), (19, 0));
@@ -470,7 +506,7 @@
         let place = |name: &str, port: usize, role, state| {
             let address = format!("127.0.{}.{}:{port}", round / 200, round % 200).into();
             DiscoveredEndpoint {
-                name: format!("{name}{round}").into(),
+                id: format!("{name}{round}").into(),
                 address,
                 ..member(name, role, state)
             }
@@ -486,18 +522,18 @@
             place("d", 2, Role::Decode, EndpointStatus::Draining),
         ];
         bench.hear(Event::EndpointsChanged {
-            complete: true,
-            members,
+            is_full: true,
+            endpoints: members,
         });
         bench.hear(Event::EndpointsChanged {
-            complete: false,
-            members: old.into(),
+            is_full: false,
+            endpoints: old.into(),
         });
         for command in bench.commands.drain(..) {
             match command {
                 Command::BlockAddress {
                     address,
-                    barred: true,
+                    is_blocked: true,
                 } => barred.insert(address),
                 Command::BlockAddress { address, .. } => barred.remove(&address),
                 _ => continue,
@@ -509,9 +545,9 @@
         );
         // The list's, and the reader that the request is out at.
         assert!(
-            bench.core.nodes() <= 3 + 2 && barred.len() <= 4,
+            bench.core.endpoint_count() <= 3 + 2 && barred.len() <= 4,
             "{}, {barred:?}",
-            bench.core.nodes()
+            bench.core.endpoint_count()
         );
         bench.pass(1_100 * MS);
     }
@@ -521,9 +557,9 @@
     fn ban(&mut self, name: &str, banned: bool) -> Result<(), BanError> {
         let (answer, mut answered) = oneshot::channel();
         self.hear(Event::BanRequested {
-            name: name.into(),
+            endpoint_id: name.into(),
             banned,
-            answer,
+            reply: answer,
         });
         answered.try_recv().unwrap()
     }
@@ -532,7 +568,7 @@
         let bar = |command| match command {
             &Command::BlockAddress {
                 ref address,
-                barred,
+                is_blocked: barred,
             } => Some((&**address, barred)),
             _ => None,
         };
@@ -562,8 +598,12 @@
     assert_eq!(bench.ban("r", true), Ok(()));
     let told = |state, complete| {
         let mut members = vec![member("ww", Role::Decode, EndpointStatus::Ready)];
-        members.extend((state != EndpointStatus::Removed).then(|| member("r", Role::Prefill, state)));
-        Event::EndpointsChanged { complete, members }
+        members
+            .extend((state != EndpointStatus::Removed).then(|| member("r", Role::Prefill, state)));
+        Event::EndpointsChanged {
+            is_full: complete,
+            endpoints: members,
+        }
     };
     // It leaves the list and its node is forgotten, comes back, drains, is ready again, and moves.
     bench.commands.clear();
@@ -587,8 +627,8 @@
         ..member("r", Role::Prefill, EndpointStatus::Ready)
     };
     bench.hear(Event::EndpointsChanged {
-        complete: false,
-        members: vec![moved],
+        is_full: false,
+        endpoints: vec![moved],
     });
     assert_eq!(
         bench.barred(),
@@ -616,18 +656,20 @@
 #[test]
 fn another_process_is_heard_and_told() {
     let mut bench = Bench::new(10);
-    assert_eq!(bench.core.new_marks(), None);
+    assert_eq!(bench.core.take_changed_bans(), None);
     bench.ban("r", true).unwrap();
-    let marks = bench.core.new_marks().unwrap();
-    assert_eq!(bench.core.new_marks(), None);
+    let marks = bench.core.take_changed_bans().unwrap();
+    assert_eq!(bench.core.take_changed_bans(), None);
     let mut other = Bench::new(10);
     other.hear(Event::BanRecordsReceived(marks.clone()));
     assert_eq!(other.core.readiness(), Readiness::Starting);
-    assert_eq!(other.core.new_marks().as_ref(), Some(&marks));
+    assert_eq!(other.core.take_changed_bans().as_ref(), Some(&marks));
     other.hear(Event::BanRecordsReceived(marks));
-    assert_eq!(other.core.new_marks(), None, "nothing new");
+    assert_eq!(other.core.take_changed_bans(), None, "nothing new");
     other.ban("r", false).unwrap();
-    bench.hear(Event::BanRecordsReceived(other.core.new_marks().unwrap()));
+    bench.hear(Event::BanRecordsReceived(
+        other.core.take_changed_bans().unwrap(),
+    ));
     assert_eq!(bench.core.readiness(), Readiness::Ready);
 }
 
@@ -635,8 +677,8 @@
     fn settings(&mut self, profile: &str) -> Result<(), String> {
         let (answer, mut answered) = oneshot::channel();
         self.hear(Event::SettingsChanged {
-            site: Box::new(site(profile)),
-            answer,
+            deployment: Box::new(site(profile)),
+            reply: answer,
         });
         answered.try_recv().unwrap()
     }
@@ -651,13 +693,16 @@
 #[test]
 fn requests_under_way_keep_their_class() {
     let mut bench = Bench::new(10);
-    assert!(bench.core.new_site().is_some() && bench.core.new_site().is_none());
+    assert!(
+        bench.core.take_changed_deployment().is_some()
+            && bench.core.take_changed_deployment().is_none()
+    );
     let mut safe = bench.ask(1, 0, "before");
     bench.ended(1, 0, AttemptStatus::PrefillDone);
     bench
         .settings(&profile::PROFILE.replace(STRICTER.0, STRICTER.1))
         .unwrap();
-    let site = bench.core.new_site().unwrap();
+    let site = bench.core.take_changed_deployment().unwrap();
     let number = site.classes.known("status-query").unwrap() as usize;
     assert_ne!(number, 0, "another meaning has another number");
     assert_eq!(site.classes.known("return-request"), Some(1));
@@ -708,7 +753,7 @@
         bench
             .settings(&profile::PROFILE.replace(STRICTER.0, &aim))
             .unwrap();
-        let site = bench.core.new_site().unwrap();
+        let site = bench.core.take_changed_deployment().unwrap();
         largest = largest.max(site.classes.known("status-query").unwrap());
         assert_ne!(
             site.classes.known("status-query"),
@@ -729,9 +774,12 @@
         taken += 1;
     }
     assert!((200..260).contains(&taken), "{taken}");
-    let aim = bench.core.new_site().unwrap();
+    let aim = bench.core.take_changed_deployment().unwrap();
     let number = aim.classes.known("status-query").unwrap() as usize;
-    assert_eq!(aim.settings.classes[number].aim, (taken - 1) * 1000 + 500);
+    assert_eq!(
+        aim.settings.classes[number].ttft_objective,
+        (taken - 1) * 1000 + 500
+    );
 }
 
 /// UpstreamHalf a second before the process is killed nothing is held any more, whatever the clients would have waited.
@@ -775,20 +823,26 @@
     }
     assert_eq!(bench.releases(), 3);
     for id in [1, 2, 4] {
-        bench.hear(Event::ReleaseCompleted { id, done: true });
+        bench.hear(Event::ReleaseCompleted {
+            id,
+            confirmed: true,
+        });
     }
     bench.pass(120 * MS);
     assert_eq!(
-        (bench.core.open(), bench.releases()),
+        (bench.core.open_requests(), bench.releases()),
         (4, 6),
         "each is repeated"
     );
     for id in [1, 2, 4] {
-        bench.hear(Event::ReleaseCompleted { id, done: true });
+        bench.hear(Event::ReleaseCompleted {
+            id,
+            confirmed: true,
+        });
     }
-    assert_eq!(bench.core.open(), 1, "the stream goes on");
+    assert_eq!(bench.core.open_requests(), 1, "the stream goes on");
     bench.pass(5_000 * MS);
-    assert_eq!(bench.core.open(), 1);
+    assert_eq!(bench.core.open_requests(), 1);
 }
 
 /// A line of one that leaves may tell nothing but that: what was told before holds for the rest, and an unknown one
@@ -799,19 +853,19 @@
         let mut bench = Bench::new(10);
         let partial = |name: &str| {
             let entry = EndpointRecord {
-                state,
+                status: state,
                 ..EndpointRecord::default()
             };
             DiscoveredEndpoint {
-                name: name.into(),
+                id: name.into(),
                 address: "".into(),
-                entry,
-                partial: true,
+                record: entry,
+                is_partial: true,
             }
         };
         bench.hear(Event::EndpointsChanged {
-            complete: false,
-            members: vec![partial("r"), partial("never")],
+            is_full: false,
+            endpoints: vec![partial("r"), partial("never")],
         });
         let barred: &[&str] = if state == EndpointStatus::Removed {
             &[]
@@ -845,24 +899,33 @@
             &[at("r", 7999, EndpointStatus::Draining)],
             &["127.0.0.1:7001", "127.0.0.1:7999"],
         ),
-        (&[at("new", 7999, EndpointStatus::Ready)], &["127.0.0.1:7001"]),
+        (
+            &[at("new", 7999, EndpointStatus::Ready)],
+            &["127.0.0.1:7001"],
+        ),
         (&[at("old", 7001, EndpointStatus::Ready)], &[]),
-        (&[at("old", 7001, EndpointStatus::Draining)], &["127.0.0.1:7001"]),
+        (
+            &[at("old", 7001, EndpointStatus::Draining)],
+            &["127.0.0.1:7001"],
+        ),
         (&[at("r", 7001, EndpointStatus::Ready)], &[]),
         (
             &[at("r", 7998, EndpointStatus::Draining)],
             &["127.0.0.1:7001", "127.0.0.1:7998"],
         ),
         (
-            &[at("old", 7001, EndpointStatus::Removed), at("r", 7001, EndpointStatus::Removed)],
+            &[
+                at("old", 7001, EndpointStatus::Removed),
+                at("r", 7001, EndpointStatus::Removed),
+            ],
             &[],
         ),
         (&[at("new", 7999, EndpointStatus::Removed)], &[]),
     ];
     for (members, barred) in steps {
         bench.hear(Event::EndpointsChanged {
-            complete: false,
-            members: members.into(),
+            is_full: false,
+            endpoints: members.into(),
         });
         assert_eq!(bench.barred(), barred, "{members:?}");
     }
@@ -882,25 +945,29 @@
             if renewed {
                 let (answer, _taken) = oneshot::channel();
                 bench.hear(Event::SettingsChanged {
-                    site: Box::new(site(&keyed)),
-                    answer,
+                    deployment: Box::new(site(&keyed)),
+                    reply: answer,
                 });
             }
             let ask = RequestMetadata {
                 id: 1,
                 class: 1,
-                expires_in: 9_000 * MS,
-                prompt: 500.0,
-                max_tokens: 9.0,
+                time_left: 9_000 * MS,
+                prompt_tokens: 500.0,
+                max_output_tokens: 9.0,
                 ..RequestMetadata::default()
             };
             let work = UpstreamRequest {
-                name: "a".into(),
+                client_request_id: "a".into(),
                 target: "/".into(),
                 body: "{}".into(),
             };
             let (answer, _waits) = oneshot::channel();
-            bench.hear(Event::RequestArrived { ask, work, answer });
+            bench.hear(Event::RequestArrived {
+                metadata: ask,
+                upstream: work,
+                outcome: answer,
+            });
             bench.ended(1, 0, AttemptStatus::PrefillDone);
             assert_eq!(bench.sends(), 2);
             bench.pass(after * MS);
@@ -909,10 +976,9 @@
             bench.pass(50 * MS);
             bench.ended(1, 2, AttemptStatus::PrefillDone);
             bench.pass(50 * MS);
-            let writes = bench
-                .commands
-                .iter()
-                .filter(|it| matches!(it, Command::StartAttempt { address, .. } if address.ends_with('2')));
+            let writes = bench.commands.iter().filter(
+                |it| matches!(it, Command::StartAttempt { address, .. } if address.ends_with('2')),
+            );
             let writes = writes.count();
             assert_eq!(
                 writes > 1,
@@ -930,37 +996,44 @@
     let mut bench = Bench::new(10);
     let ask = |id| RequestMetadata {
         id,
-        expires_in: 2_000 * MS,
-        prompt: 500.0,
-        max_tokens: 9.0,
+        time_left: 2_000 * MS,
+        prompt_tokens: 500.0,
+        max_output_tokens: 9.0,
         ..RequestMetadata::default()
     };
     let work = UpstreamRequest {
-        name: "a".into(),
+        client_request_id: "a".into(),
         target: "/".into(),
         body: "{}".into(),
     };
     let (answer, _waits) = oneshot::channel();
-    bench.core.hear(
+    bench.core.handle_event(
         START,
         Event::RequestArrived {
-            ask: ask(1),
-            work,
-            answer,
+            metadata: ask(1),
+            upstream: work,
+            outcome: answer,
         },
     );
-    bench.core.hear(
+    bench.core.handle_event(
         START,
         Event::EndpointsChanged {
-            complete: false,
-            members: vec![member("r", Role::Prefill, EndpointStatus::Draining)],
+            is_full: false,
+            endpoints: vec![member("r", Role::Prefill, EndpointStatus::Draining)],
         },
     );
-    let commands = bench.core.commands();
+    let commands = bench.core.take_commands();
     assert!(
         matches!(
             commands[..],
-            [Command::BlockAddress { barred: true, .. }, Command::StartAttempt { .. }, ..]
+            [
+                Command::BlockAddress {
+                    is_blocked: true,
+                    ..
+                },
+                Command::StartAttempt { .. },
+                ..
+            ]
         ),
         "{commands:?}"
     );
@@ -971,16 +1044,19 @@
 fn a_recording_tells_each_request_once_and_no_session() {
     let mut bench = Bench::new(10);
     let site = site(profile::PROFILE);
-    bench
-        .core
-        .take_notes(TraceRecorder::new(Key::from_secret(b"test"), START, "n1", &site));
+    bench.core.set_trace_recorder(TraceRecorder::new(
+        Key::from_secret(b"test"),
+        START,
+        "n1",
+        &site,
+    ));
     bench.hear(Event::EndpointsChanged {
-        complete: false,
-        members: vec![member("ww", Role::Decode, EndpointStatus::Draining)],
+        is_full: false,
+        endpoints: vec![member("ww", Role::Decode, EndpointStatus::Draining)],
     });
     bench.hear(Event::EndpointsChanged {
-        complete: false,
-        members: vec![member("ww", Role::Decode, EndpointStatus::Ready)],
+        is_full: false,
+        endpoints: vec![member("ww", Role::Decode, EndpointStatus::Ready)],
     });
     let (secret, mut waiting) = (0x7f3a_9c21_e0b4_d655, Vec::new());
     for (id, session) in [
@@ -992,19 +1068,23 @@
         let ask = RequestMetadata {
             id,
             session,
-            expires_in: 2_000 * MS,
-            prompt: 500.0,
-            max_tokens: 9.0,
+            time_left: 2_000 * MS,
+            prompt_tokens: 500.0,
+            max_output_tokens: 9.0,
             ..RequestMetadata::default()
         };
         let work = UpstreamRequest {
-            name: format!("r{id}").into(),
+            client_request_id: format!("r{id}").into(),
             target: "/".into(),
             body: "{}".into(),
         };
         let (answer, answered) = oneshot::channel();
         waiting.push(answered);
-        bench.hear(Event::RequestArrived { ask, work, answer });
+        bench.hear(Event::RequestArrived {
+            metadata: ask,
+            upstream: work,
+            outcome: answer,
+        });
         bench.ended(id, 0, AttemptStatus::PrefillDone);
     }
     // One is served, one breaks after its client has left, one is given up, one's client leaves.
@@ -1018,8 +1098,8 @@
         id: 1,
         attempt: 1,
         reason: EndReason::Served,
-        note: 4096.0,
-        written: 200.0,
+        cached_tokens: 4096.0,
+        completion_tokens: 200.0,
         load: None,
     });
     let (_pieces, stream) = mpsc::channel(4);
@@ -1028,12 +1108,18 @@
         attempt: 1,
         stream,
     });
-    bench.hear(Event::ClientDisconnected { id: 2, fate: None });
+    bench.hear(Event::ClientDisconnected {
+        id: 2,
+        may_have_run: None,
+    });
     bench.ended(2, 1, AttemptStatus::Reset);
-    bench.hear(Event::ClientDisconnected { id: 3, fate: None });
+    bench.hear(Event::ClientDisconnected {
+        id: 3,
+        may_have_run: None,
+    });
     bench.pass(3_000 * MS);
-    let mut records = bench.core.notes();
-    assert!(bench.core.notes().is_empty());
+    let mut records = bench.core.take_records();
+    assert!(bench.core.take_records().is_empty());
     let names = |wanted| {
         let name = |record: &Record| match record {
             Record::Name {
@@ -1089,7 +1175,15 @@
     let mut finals: Vec<_> = finals.collect();
     finals.sort_by_key(|it| it.0);
     use quartzhall_recording::RecordedOutcome::{ClientDisconnected, Served, Shed};
-    assert_eq!(finals, [(1, Served), (2, ClientDisconnected), (3, ClientDisconnected), (4, Shed)]);
+    assert_eq!(
+        finals,
+        [
+            (1, Served),
+            (2, ClientDisconnected),
+            (3, ClientDisconnected),
+            (4, Shed)
+        ]
+    );
 }
 
 /// What one dispatcher has seen of a server, another believes; what can't be a message, and servers that it does not know,
@@ -1108,11 +1202,11 @@
         }
         let server = 0;
         bench.hear(Event::ProbeCompleted {
-            server,
-            ok: true,
+            endpoint: server,
+            is_healthy: true,
             load: load(in_flight),
         });
-        bench.core.to_tell(bench.now)
+        bench.core.next_gossip_message(bench.now)
     };
     let pair = || {
         let mut bench = Bench::new(1_000);
@@ -1146,12 +1240,12 @@
     // Requests pay for what is told.
     (200..210).for_each(|id| drop(one.ask(id, 0, &format!("later-{id}"))));
     one.hear(Event::ProbeCompleted {
-        server: 0,
-        ok: true,
+        endpoint: 0,
+        is_healthy: true,
         load: load(2.0),
     });
     assert!(
-        one.core.to_tell(one.now).is_some(),
+        one.core.next_gossip_message(one.now).is_some(),
         "and that it has changed is news again"
     );
 }
@@ -1169,14 +1263,14 @@
         };
         let member = member("x", role, EndpointStatus::Ready);
         DiscoveredEndpoint {
-            name: format!("n{at}").into(),
+            id: format!("n{at}").into(),
             address: address(at),
             ..member
         }
     });
     bench.hear(Event::EndpointsChanged {
-        complete: true,
-        members: members.collect(),
+        is_full: true,
+        endpoints: members.collect(),
     });
     let _answer = bench.ask(1, 0, "a");
     let sent = bench.commands.iter().find_map(|it| match it {
@@ -1184,7 +1278,10 @@
         _ => None,
     });
     bench.ended(1, 0, AttemptStatus::PrefillDone);
-    bench.hear(Event::ClientDisconnected { id: 1, fate: None });
+    bench.hear(Event::ClientDisconnected {
+        id: 1,
+        may_have_run: None,
+    });
     for (id, attempt) in bench.cancels() {
         bench.ended(id, attempt, AttemptStatus::Cancelled);
     }
@@ -1216,7 +1313,7 @@
             stream: mpsc::channel(1).1,
         });
         bench.ended(1, 1, AttemptStatus::Served);
-        assert_eq!(bench.core.open(), 0);
+        assert_eq!(bench.core.open_requests(), 0);
         // As much is held as may be: another one is refused.
         let _other = bench.ask(2, class, "other");
         assert!(matches!(
@@ -1224,12 +1321,12 @@
             Ok(Outcome::Shed(_))
         ));
         let again = bench.ask(4, class, "again").try_recv();
-        assert_eq!(matches!(again, Ok(Outcome::DuplicateId)), harmful, "{again:?}");
         assert_eq!(
-            matches!(again, Ok(Outcome::Shed(_))),
-            !harmful,
+            matches!(again, Ok(Outcome::DuplicateId)),
+            harmful,
             "{again:?}"
         );
+        assert_eq!(matches!(again, Ok(Outcome::Shed(_))), !harmful, "{again:?}");
     }
     let mut bench = Bench::new(1);
     let run = |bench: &mut Bench, id: u64, name: &str| {
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -3,7 +3,7 @@
 mod testbed;
 
 use futures_util::FutureExt;
-use quartzhall::config::{SettingsObject, Deployment};
+use quartzhall::config::{Deployment, SettingsObject};
 use quartzhall::discovery;
 use quartzhall::dispatcher::{self, Event, EventReceiver, UpstreamRequest};
 use quartzhall::routing::api::RequestMetadata;
@@ -85,7 +85,7 @@
     balancers: u32,
     known: Option<u64>,
 ) -> (dispatcher::DispatcherHandle, EventReceiver, JoinSet<()>) {
-    let (door, inbox) = dispatcher::door(Arc::new(site(pushed, balancers)));
+    let (door, inbox) = dispatcher::channel(Arc::new(site(pushed, balancers)));
     let (set, told) = watch::channel(address);
     std::mem::forget(set); // the address stays as it is
     let log = Logger::root(Discard, o!());
@@ -105,7 +105,7 @@
 async fn heard(inbox: &mut EventReceiver) -> Duration {
     let began = Instant::now();
     let told = timeout(Duration::from_secs(60), async {
-        while !matches!(inbox.next().await, Some(Event::EndpointsChanged { .. })) {}
+        while !matches!(inbox.recv().await, Some(Event::EndpointsChanged { .. })) {}
     });
     told.await.expect("the list");
     began.elapsed()
@@ -119,11 +119,11 @@
     let mut waiting = Vec::new();
     let ask = |number| {
         let work = UpstreamRequest {
-            name: format!("n{number}").into(),
+            client_request_id: format!("n{number}").into(),
             target: "/".into(),
             body: "{}".into(),
         };
-        tokio::task::unconstrained(door.ask(RequestMetadata::default(), work)).now_or_never()
+        tokio::task::unconstrained(door.submit(RequestMetadata::default(), work)).now_or_never()
     };
     while let Some(asked) = ask(waiting.len()) {
         waiting.push(asked);
@@ -137,7 +137,7 @@
     });
     told.await.expect("a list that waits for no request");
     assert!(
-        matches!(inbox.next().await, Some(Event::EndpointsChanged { .. })),
+        matches!(inbox.recv().await, Some(Event::EndpointsChanged { .. })),
         "a request came first"
     );
 }
@@ -235,7 +235,7 @@
     let (_door, mut inbox, _task) = follow(address, true, 1, None);
     let began = Instant::now();
     while calls.load(Ordering::SeqCst) < 100 {
-        inbox.next().await;
+        inbox.recv().await;
     }
     assert!(
         began.elapsed() > Duration::from_secs(1),
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -207,23 +207,28 @@
     #[test]
     fn datagram_is_unchanged() {
         let mut gossip = Gossip::new(3, 0.0028);
-        (0..20).for_each(|_| gossip.request());
+        (0..20).for_each(|_| gossip.on_request());
         let now = 1_700_000_000_000_000;
-        gossip.failure(0x1122_3344_5566_7788);
+        gossip.record_failure(0x1122_3344_5566_7788);
         for (server, in_flight) in [(1, 30.0), (2, 254.6), (3, 999.0)] {
             let load = LoadReport {
                 in_flight: Some(in_flight),
-                memory: Some(0.25),
+                kv_memory_share: Some(0.25),
                 ..LoadReport::default()
             };
-            gossip.report(now, server, 0xabcd_ef00 + u64::from(server), &load);
+            gossip.record_load(now, server, 0xabcd_ef00 + u64::from(server), &load);
         }
-        assert_golden("datagram.txt", &(hex(&gossip.message(now).unwrap()) + "\n"));
+        assert_golden(
+            "datagram.txt",
+            &(hex(&gossip.next_message(now).unwrap()) + "\n"),
+        );
     }
 
     #[test]
     fn recording_is_unchanged() {
-        use quartzhall_recording::{RecordedOutcome, Digest, Record, RecordedRole, RecordedStatus, Table, Writer};
+        use quartzhall_recording::{
+            Digest, Record, RecordedOutcome, RecordedRole, RecordedStatus, Table, Writer,
+        };
         let mut records = vec![
             Record::Start {
                 at: 1_700_000_000_000_000,
@@ -270,7 +275,11 @@
             },
             Record::Dropped { records: 4 },
         ];
-        for role in [RecordedRole::Prefill, RecordedRole::Decode, RecordedRole::Mixed] {
+        for role in [
+            RecordedRole::Prefill,
+            RecordedRole::Decode,
+            RecordedRole::Mixed,
+        ] {
             records.push(Record::Node {
                 at: 2,
                 node: 7,
@@ -346,7 +355,7 @@
     chunks.feed(b"1f\r\ndata: half of a ch", |_| {}).unwrap();
     let (streams, receiver) = tokio::sync::mpsc::channel(1);
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    tokio::spawn(stream_migration::carry(
+    tokio::spawn(stream_migration::send_streams(
         move || Some(path.clone()),
         receiver,
         log,
@@ -354,14 +363,14 @@
     let (moved, was_moved) = tokio::sync::oneshot::channel();
     let exit = MigrationSlot::default();
     exit.offer(UpstreamHalf {
-        node: upstream.into_std().unwrap().into(),
+        upstream: upstream.into_std().unwrap().into(),
         chunks,
-        part: bytes::Bytes::from_static(b"data: half"),
-        moved,
+        partial_event: bytes::Bytes::from_static(b"data: half"),
+        migrated: moved,
     });
-    exit.flushed(&client);
+    exit.on_flushed(&client);
     let mover = Some(streams);
-    let (moves, frame) = tokio::join!(exit.moves(&mover), async {
+    let (moves, frame) = tokio::join!(exit.migrate(&mover), async {
         let (mut stream, _) = successor.accept().await.unwrap();
         // Descriptors end a read, whatever follows them: the head is read by itself.
         let mut frame = vec![0; 18];
@@ -446,7 +455,7 @@
             "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":7}";
         const STREAM: &str =
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
-            e\r\ndata: {\"n\":1}\n\r\n1\r\n\n\r\n2a\r\n: Endpoint-LoadReport-Metrics: TEXT inflight=3\n\n\r\n\
+            e\r\ndata: {\"n\":1}\n\r\n1\r\n\n\r\n2a\r\n: Endpoint-Load-Metrics: TEXT inflight=3\n\n\r\n\
             e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
         if request.starts_with("DELETE") {
             return "HTTP/1.1 204 No Content\r\n\r\n";
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -35,7 +35,7 @@
     let config = config(&listen, &["127.0.0.1:9", &known_at], &all_at);
     let peers = GossipTransport::new(&config).expect("it may listen");
     let site = Arc::new(Deployment::new(&config.settings).unwrap());
-    let (door, mut inbox) = dispatcher::door(site);
+    let (door, mut inbox) = dispatcher::channel(site);
     let (tell, telling) = GossipTransport::queue();
     let run = tokio::spawn(peers.run(telling, door, log));
 
@@ -65,7 +65,7 @@
     known.send_to(b"news", &listen).await.unwrap();
     known.send_to(&[7; 300], &listen).await.unwrap();
     for length in [4, 257] {
-        match inbox.next().await {
+        match inbox.recv().await {
             Some(Event::GossipReceived { from: 1, message }) => assert_eq!(message.len(), length),
             other => panic!("{other:?}"),
         }
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -2,8 +2,8 @@
 
 mod testbed;
 
-use quartzhall::config::{SettingsObject, Deployment};
-use quartzhall::dispatcher::{self, Outcome, Event, StreamChunk};
+use quartzhall::config::{Deployment, SettingsObject};
+use quartzhall::dispatcher::{self, Event, Outcome, StreamChunk};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{http, listener, ShutdownPhase};
 use quartzhall::net::connection_limit::ConnectionLimit;
@@ -239,13 +239,13 @@
         .starts_with("HTTP/1.1 200"));
     fleet
         .door
-        .tell(quartzhall::dispatcher::Event::Drain(
+        .send(quartzhall::dispatcher::Event::Drain(
             std::time::Duration::from_secs(3),
         ))
         .await;
     fleet
         .door
-        .becomes(quartzhall::dispatcher::Readiness::Draining)
+        .wait_for_readiness(quartzhall::dispatcher::Readiness::Draining)
         .await;
     assert!(Client::exchange(&fleet, &get("/ready"))
         .await
@@ -279,21 +279,21 @@
 #[test]
 fn room_is_free_again_when_the_last_holder_lets_a_body_go() {
     let rooms = quartzhall::frontend::memory_budget::BodyMemoryBudget::new(0);
-    let room = rooms.at_once(200 * 1024).expect("room for one body");
+    let room = rooms.try_reserve(200 * 1024).expect("room for one body");
     let text = "x".repeat(200 * 1024);
-    let body = room.keep(text.clone().into());
+    let body = room.attach(text.clone().into());
     let held = body.clone();
-    assert!(rooms.at_once(200 * 1024).is_none());
+    assert!(rooms.try_reserve(200 * 1024).is_none());
     drop(body);
-    assert!(rooms.at_once(200 * 1024).is_none());
+    assert!(rooms.try_reserve(200 * 1024).is_none());
     assert_eq!(&held[..], text.as_bytes());
     drop(held);
     // What was set aside for a longer one than came is free at once.
     let _short = rooms
-        .at_once(200 * 1024)
+        .try_reserve(200 * 1024)
         .expect("room for one body")
-        .keep("text".into());
-    assert!(rooms.at_once(200 * 1024).is_some());
+        .attach("text".into());
+    assert!(rooms.try_reserve(200 * 1024).is_some());
 }
 
 /// A client that never ends its body holds no place for ever.
@@ -326,7 +326,7 @@
 async fn what_came_before_a_break_is_sent() {
     let log = Logger::root(Discard, o!());
     let profile: SettingsObject = miniserde::json::from_str(PROFILE).unwrap();
-    let (door, mut inbox) = dispatcher::door(Arc::new(Deployment::new(&profile).unwrap()));
+    let (door, mut inbox) = dispatcher::channel(Arc::new(Deployment::new(&profile).unwrap()));
     let taken = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = taken.local_addr().unwrap();
     let (_serving, course) = watch::channel(ShutdownPhase::Serving);
@@ -342,11 +342,16 @@
     let mut client = Client(TcpStream::connect(address).await.unwrap());
     client.write(&request("b")).await;
     // The test is in the core's place.
-    let Some(Event::RequestArrived { answer, .. }) = inbox.next().await else {
+    let Some(Event::RequestArrived {
+        outcome: answer, ..
+    }) = inbox.recv().await
+    else {
         panic!("no request")
     };
     let (pieces, stream) = mpsc::channel(4);
-    pieces.try_send(StreamChunk::Data(ANSWER[0].into())).unwrap();
+    pieces
+        .try_send(StreamChunk::Data(ANSWER[0].into()))
+        .unwrap();
     drop(pieces);
     answer.send(Outcome::Stream(stream)).unwrap();
     let text = client.read_until("").await;
--- a/tests/malformed_streams.rs
+++ b/tests/malformed_streams.rs
@@ -38,7 +38,7 @@
     fn send(&self, id: u64) -> Command {
         let name = format!("s{id}").as_str().into();
         let work = UpstreamRequest {
-            name,
+            client_request_id: name,
             target: "/v1/chat/completions".into(),
             body: "{}".into(),
         };
@@ -50,9 +50,9 @@
             id,
             attempt: 0,
             address: address.as_str().into(),
-            work,
+            upstream: work,
             timeout,
-            alone: false,
+            needs_new_connection: false,
         }
     }
 }
@@ -70,9 +70,10 @@
 
 /// How an attempt ended; what was passed on of its stream, and whether that has a good end.
 async fn outcome(inbox: &mut EventReceiver) -> (AttemptStatus, String, bool) {
-    let (mut stream, mut text, mut whole) = (None::<mpsc::Receiver<StreamChunk>>, Vec::new(), false);
+    let (mut stream, mut text, mut whole) =
+        (None::<mpsc::Receiver<StreamChunk>>, Vec::new(), false);
     loop {
-        match inbox.next().await.expect("an open queue") {
+        match inbox.recv().await.expect("an open queue") {
             Event::FirstEvent { stream: begun, .. } => stream = Some(begun),
             Event::AttemptEnded { reason, .. } => {
                 while let Some(piece) = stream.as_mut().and_then(|it| it.try_recv().ok()) {
@@ -188,10 +189,10 @@
     let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     let head = HEAD.replacen(
         "\r\n",
-        "\r\nEndpoint-LoadReport-Metrics: TEXT inflight=\u{ff}, ?\r\n",
+        "\r\nEndpoint-Load-Metrics: TEXT inflight=\u{ff}, ?\r\n",
         1,
     );
-    let body = format!("{EVENT}: Endpoint-LoadReport-Metrics: \u{1}TEXT x0=much\n\n");
+    let body = format!("{EVENT}: Endpoint-Load-Metrics: \u{1}TEXT x0=much\n\n");
     let good = format!("{early}{head}{}0\r\n\r\n", chunk(&body));
     let mut held = Vec::new();
     for (id, behind) in [
@@ -200,12 +201,18 @@
     ] {
         commands.send(node.send(id)).await.unwrap();
         held.push(node.says(format!("{good}{behind}").as_bytes()).await);
-        assert_eq!(outcome(&mut inbox).await, (AttemptStatus::Served, body.clone(), true));
+        assert_eq!(
+            outcome(&mut inbox).await,
+            (AttemptStatus::Served, body.clone(), true)
+        );
     }
     // With nothing behind, the connection serves again.
     commands.send(node.send(3)).await.unwrap();
     answer(&mut held[1], good.as_bytes()).await;
-    assert_eq!(outcome(&mut inbox).await, (AttemptStatus::Served, body, true));
+    assert_eq!(
+        outcome(&mut inbox).await,
+        (AttemptStatus::Served, body, true)
+    );
 }
 
 #[tokio::test]
@@ -246,7 +253,7 @@
         commands
             .send(Command::BlockAddress {
                 address,
-                barred: true,
+                is_blocked: true,
             })
             .await
             .unwrap();
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,14 +6,14 @@
 use quartzhall::backend::{
     attempt, event_stream, http as backend_http, websocket as backend_websocket,
 };
-use quartzhall::config::{Config, SettingsObject, SessionConfig, Deployment};
+use quartzhall::config::{Config, Deployment, SessionConfig, SettingsObject};
 use quartzhall::discovery;
 use quartzhall::frontend::{http, identifiers, websocket};
-use quartzhall::routing::api::{RequestMetadata, EndpointStatus};
+use quartzhall::routing::api::{EndpointStatus, RequestMetadata};
 use quickcheck::{Arbitrary, Gen};
 
 const MEMBERS: &str = r#"{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","cell":3,"phase":"Ready","size":1.0,"up_since_ms":0}]}"#;
-const TAIL: &str = "data: {\"choices\":[],\"usage\":{\"completion_tokens\":200,\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n: Endpoint-LoadReport-Metrics: TEXT inflight=7, x0=0.5\n\n";
+const TAIL: &str = "data: {\"choices\":[],\"usage\":{\"completion_tokens\":200,\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n: Endpoint-Load-Metrics: TEXT inflight=7, x0=0.5\n\n";
 const TOLD: &str = r#"{"type":"read","id":"n","cached_tokens":7,"load":"TEXT inflight=7"}"#;
 
 fn site() -> Deployment {
@@ -46,7 +46,7 @@
     let told = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::NodeMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
     let said = websocket::parse(&text, site).is_ok();
     told || said
-        || discovery::parse(bytes).is_ok()
+        || discovery::parse_list(bytes).is_ok()
         || Config::parse(&text).is_ok()
         || SessionConfig::parse(&text).is_ok()
 }
@@ -95,7 +95,7 @@
     let load = load.expect("a report");
     assert_eq!(written, 200.0);
     assert_eq!(
-        (kept, load.in_flight, load.memory, load.queue),
+        (kept, load.in_flight, load.kv_memory_share, load.queued),
         (4096.0, Some(7.0), Some(0.5), None)
     );
     assert!(
@@ -110,7 +110,7 @@
     )
     .unwrap();
     assert_eq!(
-        (ask.prefix, ask.prompt, ask.max_tokens),
+        (ask.prefix, ask.prompt_tokens, ask.max_output_tokens),
         (Some(0x5c), 5120.0, 800.0)
     );
     assert!(
@@ -124,12 +124,12 @@
 #[test]
 fn a_member_that_makes_no_sense_is_left_out() {
     let text = MEMBERS.replace("]}", r#",{"id":"s-2","host_port":"nowhere","phase":"Ready"},{"id":"s-3","host_port":"127.0.0.1:2","phase":"Dancing"}]}"#);
-    let list = discovery::parse(text.as_bytes()).unwrap();
+    let list = discovery::parse_list(text.as_bytes()).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let event = discovery::members(&mut site(), &list, &log);
+    let event = discovery::endpoints_changed(&mut site(), &list, &log);
     let quartzhall::dispatcher::Event::EndpointsChanged {
-        complete: true,
-        members,
+        is_full: true,
+        endpoints: members,
     } = event
     else {
         panic!("{event:?}")
@@ -153,26 +153,33 @@
     ];
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let whole = r#"{"id":"s-1","host_port":"127.0.0.1:1","flavor":"prefill","phase":"Ready"}"#;
-    for (phase, state) in [("Terminating", EndpointStatus::Draining), ("Gone", EndpointStatus::Removed)] {
+    for (phase, state) in [
+        ("Terminating", EndpointStatus::Draining),
+        ("Gone", EndpointStatus::Removed),
+    ] {
         for rest in rest {
             let odd = format!(r#"{{"id":"s-2","phase":"{phase}",{rest}}}"#);
             let text = format!(
                 r#"{{"revision":42,"complete":false,"members":[{odd},"what?",{{"phase":"Gone"}},{whole}]}}"#
             );
-            let list = discovery::parse(text.as_bytes()).unwrap();
-            let event = discovery::members(&mut site(), &list, &log);
+            let list = discovery::parse_list(text.as_bytes()).unwrap();
+            let event = discovery::endpoints_changed(&mut site(), &list, &log);
             let quartzhall::dispatcher::Event::EndpointsChanged {
-                complete: false,
-                members,
+                is_full: false,
+                endpoints: members,
             } = event
             else {
                 panic!("{event:?}")
             };
             let told: Vec<_> = members
                 .iter()
-                .map(|it| (&*it.name, it.entry.state))
+                .map(|it| (&*it.id, it.record.status))
                 .collect();
-            assert_eq!(told, [("s-2", state), ("s-1", EndpointStatus::Ready)], "{odd}");
+            assert_eq!(
+                told,
+                [("s-2", state), ("s-1", EndpointStatus::Ready)],
+                "{odd}"
+            );
         }
     }
 }
@@ -225,12 +232,17 @@
             r#""limits":{}"#,
             &format!(r#""limits":{{"sockets":{sockets}}}"#),
         );
-        let (clients, nodes) = Config::parse(&config).unwrap().limits.shares();
+        let (clients, nodes) = Config::parse(&config).unwrap().limits.socket_budgets();
         assert_eq!(clients + nodes + 32, sockets);
         // SessionConfig fit into the clients' part and a small memory.
-        let (sessions, shaking) = SessionConfig::parse("{}").unwrap().within(clients, 32 << 20);
-        assert!(sessions.most_sessions > 0 && sessions.most_sessions + shaking <= clients / 2);
-        assert!(sessions.most_sessions * sessions.most_message + sessions.record_bytes <= 12 << 20);
+        let (sessions, shaking) = SessionConfig::parse("{}")
+            .unwrap()
+            .within(clients, 32 << 20);
+        assert!(sessions.max_sessions > 0 && sessions.max_sessions + shaking <= clients / 2);
+        assert!(
+            sessions.max_sessions * sessions.max_message_bytes + sessions.max_cache_bytes
+                <= 12 << 20
+        );
         // A third is open requests: as many connections to nodes, and as many idle ones beside.
         assert!(
             sockets < 256 || nodes >= sockets / 3 - 2 && clients >= sockets / 2,
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -9,52 +9,52 @@
 
 pub fn class(worth: f64, effect: Idempotency) -> RequestClass {
     RequestClass {
-        aim: SECOND,
-        aim_per_1000_tokens: 40 * MS,
-        token_aim: 60 * MS,
-        worth,
-        effect,
-        open: true,
+        ttft_objective: SECOND,
+        ttft_objective_per_1000_tokens: 40 * MS,
+        inter_token_objective: 60 * MS,
+        priority_weight: worth,
+        idempotency: effect,
+        is_active: true,
     }
 }
 
 pub fn settings(classes: Vec<RequestClass>) -> RoutingSettings {
     RoutingSettings {
-        balancers: 2,
+        dispatchers: 2,
         zone: 0,
         classes,
         tenants: vec![],
-        over_share_worth: 0.1,
-        reports: LoadReporting::WithResponses,
-        must_watch: false,
-        may_probe: false,
-        may_cancel: true,
-        second_copies: true,
+        over_quota_weight: 0.1,
+        load_reporting: LoadReporting::WithResponses,
+        must_poll_endpoints: false,
+        probes_allowed: false,
+        cancellation_allowed: true,
+        hedging_allowed: true,
         max_retry_after: 500 * MS,
         max_attempts: 5,
         tick: 2 * MS,
-        answer_slack: 8 * MS,
+        response_slack: 8 * MS,
         drain_grace: 500 * MS,
-        release_within: 500 * MS,
-        cold_from: 0.3,
-        warm_within: 10 * SECOND,
-        fall_multiple: 2.5,
-        fall: SECOND,
-        cross_zone_price: 0.01,
-        far_price: 0.02,
+        reservation_ttl: 500 * MS,
+        slow_start_initial_share: 0.3,
+        slow_start_duration: 10 * SECOND,
+        overload_threshold: 2.5,
+        overload_window: SECOND,
+        cross_zone_cost: 0.01,
+        kv_transfer_cost: 0.02,
     }
 }
 
 pub fn server(server: EndpointId, role: Role) -> EndpointRecord {
     EndpointRecord {
-        server,
+        endpoint: server,
         key: server.into(),
         role,
-        memory: 200_000.0,
+        kv_capacity_tokens: 200_000.0,
         zone: 0,
         cell: 0,
-        state: EndpointStatus::Ready,
-        started: None,
+        status: EndpointStatus::Ready,
+        started_at: None,
     }
 }
 
@@ -62,9 +62,9 @@
     RequestMetadata {
         id,
         session: Some(session),
-        expires_in: 4 * SECOND,
-        prompt: 2_000.0,
-        max_tokens: 300.0,
+        time_left: 4 * SECOND,
+        prompt_tokens: 2_000.0,
+        max_output_tokens: 300.0,
         ..RequestMetadata::default()
     }
 }
@@ -88,8 +88,8 @@
         };
         desk.hear(Event::TimerFired);
         desk.hear(Event::EndpointsChanged {
-            complete: true,
-            entries: servers,
+            is_full: true,
+            endpoints: servers,
         });
         desk
     }
@@ -138,16 +138,22 @@
         self.hear(Event::AttemptEnded {
             id,
             attempt,
-            server,
+            endpoint: server,
             status,
-            closed,
+            request_closed: closed,
             note,
             load: None,
         })
     }
 
     /// Serves a request from start to end with these times, whatever servers are chosen; tells which.
-    pub fn serve(&mut self, ask: RequestMetadata, read: Time, wait: Time, stream: Time) -> Vec<EndpointId> {
+    pub fn serve(
+        &mut self,
+        ask: RequestMetadata,
+        read: Time,
+        wait: Time,
+        stream: Time,
+    ) -> Vec<EndpointId> {
         self.serve_by(ask, |_| read, 0.0, wait, stream)
     }
 
@@ -167,7 +173,9 @@
         };
         self.pass(read(reader));
         let actions = self.outcome_with(id, 0, reader, AttemptStatus::PrefillDone, kept);
-        let Some(Action::StartAttempt { server: writer, .. }) = actions
+        let Some(Action::StartAttempt {
+            endpoint: writer, ..
+        }) = actions
             .iter()
             .find(|action| matches!(action, Action::StartAttempt { .. }))
         else {
@@ -185,7 +193,9 @@
 pub fn sent_to(actions: &[Action], id: RequestId) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
-            id: sent, server, ..
+            id: sent,
+            endpoint: server,
+            ..
         } if *sent == id => Some(*server),
         _ => None,
     })
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -14,7 +14,10 @@
 
 fn desk() -> RouterHarness {
     RouterHarness::new(
-        settings(vec![class(3.0, Idempotency::Idempotent), class(1.0, Idempotency::Idempotent)]),
+        settings(vec![
+            class(3.0, Idempotency::Idempotent),
+            class(1.0, Idempotency::Idempotent),
+        ]),
         fleet(),
     )
 }
@@ -44,7 +47,7 @@
     for id in 1_000..1_050 {
         let home = desk.serve(ask(id, id), 40 * MS, 30 * MS, 50 * MS)[0];
         let next = RequestMetadata {
-            prompt: 2_200.0,
+            prompt_tokens: 2_200.0,
             ..ask(id + 1_000, id)
         };
         let reader = desk.serve_by(next, |_| 30 * MS, 2_000.0, 30 * MS, 50 * MS)[0];
@@ -58,17 +61,17 @@
     let mut desk = taught();
     let home = desk.serve(ask(1_000, 5_000), 40 * MS, 30 * MS, 50 * MS)[0];
     let restarted = EndpointRecord {
-        started: Some(1),
+        started_at: Some(1),
         ..server(home, Role::Prefill)
     };
     desk.hear(Event::EndpointsChanged {
-        complete: false,
-        entries: vec![restarted],
+        is_full: false,
+        endpoints: vec![restarted],
     });
     let away = (2_000..2_040).filter(|id| {
         let reader = sent_to(
             &desk.ask(RequestMetadata {
-                prompt: 2_200.0,
+                prompt_tokens: 2_200.0,
                 ..ask(*id, 5_000)
             }),
             *id,
@@ -105,7 +108,7 @@
 #[test]
 fn a_slow_reader_is_learned_and_avoided() {
     let alone = RoutingSettings {
-        second_copies: false,
+        hedging_allowed: false,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
     let mut desk = served(alone, fleet(), 50 * MS);
@@ -142,15 +145,16 @@
         cell(12, Role::Decode, 1),
     ];
     let alone = RoutingSettings {
-        far_price: 0.08,
-        reports: LoadReporting::Never,
+        kv_transfer_cost: 0.08,
+        load_reporting: LoadReporting::Never,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
     let mut desk = served(alone, fleet.to_vec(), 50 * MS);
     let mut written = |id, after| {
         let reader = sent_to(&desk.ask(ask(id, id)), id).expect("read");
         desk.pass(40 * MS);
-        let writer = sent_to(&desk.outcome(id, 0, reader, AttemptStatus::PrefillDone), id).expect("written");
+        let writer =
+            sent_to(&desk.outcome(id, 0, reader, AttemptStatus::PrefillDone), id).expect("written");
         desk.pass(after);
         writer
     };
@@ -171,7 +175,7 @@
     // Without reports own counts tell how full a writer is: 20 of these prompts fill one.
     let rack = |id, role, cell| EndpointRecord {
         cell,
-        memory: 50_000.0,
+        kv_capacity_tokens: 50_000.0,
         ..server(id, role)
     };
     let fleet = [
@@ -180,9 +184,9 @@
         rack(12, Role::Decode, 1),
     ];
     let settings = RoutingSettings {
-        balancers: 1,
-        far_price: 0.08,
-        reports: LoadReporting::Never,
+        dispatchers: 1,
+        kv_transfer_cost: 0.08,
+        load_reporting: LoadReporting::Never,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
     let mut desk = served(settings, fleet.to_vec(), 2 * SECOND);
@@ -190,7 +194,8 @@
     for id in 1_000..1_040 {
         let reader = sent_to(&desk.ask(ask(id, id)), id).expect("read");
         desk.pass(40 * MS);
-        let writer = sent_to(&desk.outcome(id, 0, reader, AttemptStatus::PrefillDone), id).expect("written");
+        let writer =
+            sent_to(&desk.outcome(id, 0, reader, AttemptStatus::PrefillDone), id).expect("written");
         desk.pass(30 * MS);
         desk.hear(Event::FirstEvent { id, attempt: 1 });
         writers.push(writer);
@@ -210,7 +215,7 @@
 /// What is done for a request whose read falls silent, where later ones at its reader come back or don't.
 fn after_silence(second_copies: bool, others_come_back: bool) -> Vec<Action> {
     let alone = RoutingSettings {
-        second_copies,
+        hedging_allowed: second_copies,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
     let mut desk = served(alone, fleet(), 50 * MS);
@@ -261,7 +266,10 @@
     );
     // A reader that is only slow answers in order: what waits there is not begun anew elsewhere.
     let waits = after_silence(false, false);
-    assert!(!matches!(waits[0], Action::CancelAttempt { .. }), "{waits:?}");
+    assert!(
+        !matches!(waits[0], Action::CancelAttempt { .. }),
+        "{waits:?}"
+    );
 }
 
 #[test]
@@ -299,9 +307,16 @@
 fn a_full_writer_hands_the_state_to_another() {
     let mut desk = taught();
     let reader = sent_to(&desk.ask(ask(1_000, 1_000)), 1_000).expect("sent");
-    let writer = sent_to(&desk.outcome(1_000, 0, reader, AttemptStatus::PrefillDone), 1_000).expect("a writer");
-    let next =
-        sent_to(&desk.outcome(1_000, 1, writer, AttemptStatus::Overloaded), 1_000).expect("another writer");
+    let writer = sent_to(
+        &desk.outcome(1_000, 0, reader, AttemptStatus::PrefillDone),
+        1_000,
+    )
+    .expect("a writer");
+    let next = sent_to(
+        &desk.outcome(1_000, 1, writer, AttemptStatus::Overloaded),
+        1_000,
+    )
+    .expect("another writer");
     assert!(next > 10 && next != writer);
 }
 
@@ -309,7 +324,11 @@
 fn a_lost_state_is_read_again() {
     let mut desk = taught();
     let reader = sent_to(&desk.ask(ask(1_000, 1_000)), 1_000).expect("sent");
-    let writer = sent_to(&desk.outcome(1_000, 0, reader, AttemptStatus::PrefillDone), 1_000).expect("a writer");
+    let writer = sent_to(
+        &desk.outcome(1_000, 0, reader, AttemptStatus::PrefillDone),
+        1_000,
+    )
+    .expect("a writer");
     let again = sent_to(
         &desk.outcome_with(1_000, 1, writer, AttemptStatus::Overloaded, 1.0),
         1_000,
@@ -353,7 +372,7 @@
 #[test]
 fn a_broken_subscription_is_made_again() {
     let rules = RoutingSettings {
-        must_watch: true,
+        must_poll_endpoints: true,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
     let mut desk = RouterHarness::new(rules, fleet());
@@ -372,14 +391,14 @@
     for value in [f64::NAN, f64::INFINITY, -1e300, 1e300, 0.0] {
         let load = LoadReport {
             in_flight: Some(value),
-            queue: Some(value),
-            memory: Some(value),
-            to_read: Some(value),
+            queued: Some(value),
+            kv_memory_share: Some(value),
+            pending_prefill_kilotokens: Some(value),
         };
         for server in 0..20 {
             desk.hear(Event::ProbeCompleted {
-                server,
-                ok: true,
+                endpoint: server,
+                is_healthy: true,
                 load: Some(load),
             });
         }
@@ -425,7 +444,8 @@
             continue;
         }
         let reader = sent_to(&desk.ask(ask(id, id)), id).expect("sent");
-        let again = sent_to(&desk.outcome(id, 0, reader, AttemptStatus::Reset), id).expect("sent again");
+        let again =
+            sent_to(&desk.outcome(id, 0, reader, AttemptStatus::Reset), id).expect("sent again");
         desk.hear(Event::ClientDisconnected { id });
         desk.outcome(id, 1, again, AttemptStatus::Cancelled);
     }
@@ -455,14 +475,23 @@
             let Some(server) = sent else { break };
             desk.pass(40 * MS);
             sent = match server {
-                1 => sent_to(&desk.outcome(id, attempt, 1, AttemptStatus::PrefillDone), id),
+                1 => sent_to(
+                    &desk.outcome(id, attempt, 1, AttemptStatus::PrefillDone),
+                    id,
+                ),
                 2..=4 => {
                     turned_away += usize::from(id >= 1_300);
-                    sent_to(&desk.outcome(id, attempt, server, AttemptStatus::Overloaded), id)
+                    sent_to(
+                        &desk.outcome(id, attempt, server, AttemptStatus::Overloaded),
+                        id,
+                    )
                 }
                 _ => {
                     desk.hear(Event::FirstEvent { id, attempt });
-                    sent_to(&desk.outcome(id, attempt, server, AttemptStatus::Served), id)
+                    sent_to(
+                        &desk.outcome(id, attempt, server, AttemptStatus::Served),
+                        id,
+                    )
                 }
             };
         }
@@ -485,7 +514,11 @@
     let mut desk = taught();
     for id in 1_000..1_010 {
         let reader = sent_to(&desk.ask(ask(id, 1_000)), id).expect("sent");
-        let again = sent_to(&desk.outcome(id, 0, reader, AttemptStatus::StaleConnection), id).expect("sent again");
+        let again = sent_to(
+            &desk.outcome(id, 0, reader, AttemptStatus::StaleConnection),
+            id,
+        )
+        .expect("sent again");
         desk.hear(Event::ClientDisconnected { id });
         desk.outcome(id, 1, again, AttemptStatus::Cancelled);
     }
@@ -501,7 +534,7 @@
     for (failures, most) in [(3, true), (10, false)] {
         let mut desk = taught();
         let alone = RequestMetadata {
-            prompt: 2_000.0,
+            prompt_tokens: 2_000.0,
             ..ask(0, 1_000)
         };
         let home = sent_to(&desk.ask(alone.clone()), 0).expect("sent");
@@ -559,7 +592,7 @@
     let back = early.into_iter().filter(|(session, reader)| {
         let next = sent_to(
             &desk.ask(RequestMetadata {
-                prompt: 2_200.0,
+                prompt_tokens: 2_200.0,
                 ..ask(session + 5_000, *session)
             }),
             session + 5_000,
@@ -567,7 +600,12 @@
         desk.hear(Event::ClientDisconnected {
             id: session + 5_000,
         });
-        desk.outcome(session + 5_000, 0, next.expect("sent"), AttemptStatus::Cancelled);
+        desk.outcome(
+            session + 5_000,
+            0,
+            next.expect("sent"),
+            AttemptStatus::Cancelled,
+        );
         next == Some(*reader)
     });
     assert!(back.count() <= 12);
@@ -577,12 +615,20 @@
 /// really left to read it is as quick as ever, and not to be avoided by others.
 /// How many of 60 requests go to a reader that was flushed, among four, once it has kept texts again.
 fn at_a_flushed_reader(seed: u64) -> usize {
-    let classes = vec![class(3.0, Idempotency::Idempotent), class(1.0, Idempotency::Idempotent)];
+    let classes = vec![
+        class(3.0, Idempotency::Idempotent),
+        class(1.0, Idempotency::Idempotent),
+    ];
     let mut desk = RouterHarness::seeded(settings(classes), fleet(), seed);
-    let read = |desk: &mut RouterHarness, id: u64, session: u64, prompt: f64, flushed: bool, known: bool| {
+    let read = |desk: &mut RouterHarness,
+                id: u64,
+                session: u64,
+                prompt: f64,
+                flushed: bool,
+                known: bool| {
         let reader = sent_to(
             &desk.ask(RequestMetadata {
-                prompt,
+                prompt_tokens: prompt,
                 ..ask(id, session)
             }),
             id,
@@ -631,7 +677,7 @@
 /// Where each text goes in a fleet of six readers, two of them started anew `age` ago.
 fn homes_with_cold_readers(age: Time) -> Vec<Option<EndpointId>> {
     let cold = |id| EndpointRecord {
-        started: Some(20 * SECOND),
+        started_at: Some(20 * SECOND),
         ..server(id, Role::Prefill)
     };
     let readers = (1..=4)
@@ -641,13 +687,13 @@
     let text = |text: u64| {
         // One router a text, and one in a hundred: none has sent to a cold reader before.
         let thin = RoutingSettings {
-            balancers: 100,
+            dispatchers: 100,
             ..settings(vec![class(1.0, Idempotency::Idempotent)])
         };
         let mut desk = RouterHarness::new(thin, fleet.clone());
         desk.now = 20 * SECOND + age;
         let ask = RequestMetadata {
-            prefix: Some(quartzhall::config::hash(&text.to_string())),
+            prefix: Some(quartzhall::config::fnv1a_hash(&text.to_string())),
             prefix_tokens: 1_800.0,
             ..ask(text, text)
         };
@@ -662,7 +708,8 @@
 fn texts_come_to_a_cold_reader_one_after_another_as_it_warms() {
     let young = homes_with_cold_readers(0);
     let older = homes_with_cold_readers(5 * SECOND);
-    let at_cold = |homes: &[Option<EndpointId>]| homes.iter().filter(|home| **home > Some(4)).count();
+    let at_cold =
+        |homes: &[Option<EndpointId>]| homes.iter().filter(|home| **home > Some(4)).count();
     let (few, more) = (at_cold(&young), at_cold(&older));
     assert!(
         (20..=90).contains(&few),
@@ -707,7 +754,7 @@
     let mut homes = std::collections::BTreeSet::new();
     for text in 0..12 {
         let of_text = |id| RequestMetadata {
-            prefix: Some(quartzhall::config::hash(&text.to_string())),
+            prefix: Some(quartzhall::config::fnv1a_hash(&text.to_string())),
             prefix_tokens: 1_800.0,
             ..ask(id, id)
         };
@@ -716,8 +763,8 @@
             let rules = settings(vec![class(1.0, Idempotency::Idempotent)]);
             let mut desk = RouterHarness::seeded(rules, fleet.clone(), seed);
             desk.hear(Event::ProbeCompleted {
-                server: 1,
-                ok: false,
+                endpoint: 1,
+                is_healthy: false,
                 load: None,
             });
             used.extend(sent_to(&desk.ask(of_text(seed)), seed));
@@ -739,12 +786,12 @@
     let before = at_bad(&mut desk, 1_000..1_060);
     (0..12).for_each(|_| {
         drop(desk.hear(Event::PeerLoadReport {
-            server: 11,
+            endpoint: 11,
             load: None,
         }))
     });
     desk.hear(Event::PeerLoadReport {
-        server: 999,
+        endpoint: 999,
         load: None,
     });
     let after = at_bad(&mut desk, 2_000..2_020);
@@ -765,8 +812,8 @@
         let mut desk = desk();
         desk.router = Router::new(settings(vec![class(3.0, Idempotency::Idempotent)]), seed, 0);
         desk.hear(Event::EndpointsChanged {
-            complete: true,
-            entries: fleet.clone(),
+            is_full: true,
+            endpoints: fleet.clone(),
         });
         let text = RequestMetadata {
             prefix: Some(77),
@@ -784,7 +831,7 @@
         for server in 1..=8 {
             let in_flight = Some(if homes.contains(&server) { 25.0 } else { 0.0 });
             desk.hear(Event::PeerLoadReport {
-                server,
+                endpoint: server,
                 load: Some(LoadReport {
                     in_flight,
                     ..LoadReport::default()
--- a/tests/routing_fleet_sizes.rs
+++ b/tests/routing_fleet_sizes.rs
@@ -19,8 +19,11 @@
 
 fn of(balancers: u32) -> RoutingSettings {
     RoutingSettings {
-        balancers,
-        ..settings(vec![class(3.0, Idempotency::Idempotent), class(1.0, Idempotency::Idempotent)])
+        dispatchers: balancers,
+        ..settings(vec![
+            class(3.0, Idempotency::Idempotent),
+            class(1.0, Idempotency::Idempotent),
+        ])
     }
 }
 
@@ -65,7 +68,7 @@
 fn a_session_has_one_home_at_all_routers() {
     let homes = (0..60).map(|seed| {
         let turn = RequestMetadata {
-            prompt: 4_000.0,
+            prompt_tokens: 4_000.0,
             ..warm_ask(1, 77)
         };
         sent_to(&desk(&of(60), fleet(40), seed).ask(turn), 1)
@@ -81,7 +84,7 @@
 #[test]
 fn homes_lie_in_the_own_zone_while_it_has_readers() {
     let entries = fleet(40).into_iter().map(|it| EndpointRecord {
-        zone: it.server % 2,
+        zone: it.endpoint % 2,
         ..it
     });
     let entries: Vec<_> = entries.collect();
@@ -95,7 +98,7 @@
 #[test]
 fn servers_are_asked_for_their_load_where_it_is_not_known_and_only_there() {
     let rules = RoutingSettings {
-        may_probe: true,
+        probes_allowed: true,
         ..of(200)
     };
     let mut desk = desk(&rules, fleet(40), 5);
@@ -103,7 +106,7 @@
         actions
             .iter()
             .filter_map(|it| {
-                if let Action::Probe { server } = it {
+                if let Action::Probe { endpoint: server } = it {
                     Some(*server)
                 } else {
                     None
@@ -121,13 +124,13 @@
         let to_read = if at == 0 { 0.0 } else { 60.0 };
         let load = LoadReport {
             in_flight: Some(to_read),
-            queue: None,
-            memory: Some(0.3),
-            to_read: Some(to_read),
+            queued: None,
+            kv_memory_share: Some(0.3),
+            pending_prefill_kilotokens: Some(to_read),
         };
         desk.hear(Event::ProbeCompleted {
-            server: *server,
-            ok: true,
+            endpoint: *server,
+            is_healthy: true,
             load: Some(load),
         });
     }
@@ -146,7 +149,7 @@
 #[test]
 fn a_server_that_does_not_answer_its_probe_is_passed_over() {
     let rules = RoutingSettings {
-        may_probe: true,
+        probes_allowed: true,
         ..of(200)
     };
     let mut silent = 0;
@@ -154,7 +157,7 @@
         let mut desk = desk(&rules, fleet(6), seed);
         let actions = desk.ask(ask(1, seed));
         let asked = actions.iter().find_map(|it| {
-            if let Action::Probe { server } = it {
+            if let Action::Probe { endpoint: server } = it {
                 Some(*server)
             } else {
                 None
@@ -173,14 +176,14 @@
     }
     let busy = LoadReport {
         in_flight: Some(2.0),
-        queue: None,
-        memory: Some(0.1),
-        to_read: Some(3.0),
+        queued: None,
+        kv_memory_share: Some(0.1),
+        pending_prefill_kilotokens: Some(3.0),
     };
     for server in 0..2 {
         desk.hear(Event::ProbeCompleted {
-            server,
-            ok: true,
+            endpoint: server,
+            is_healthy: true,
             load: Some(busy),
         });
     }
@@ -189,7 +192,7 @@
         "a patient client's request fits"
     );
     let actions = desk.ask(RequestMetadata {
-        expires_in: 250 * MS,
+        time_left: 250 * MS,
         ..ask(1_000, 1_000)
     });
     assert_eq!(
@@ -202,12 +205,12 @@
 #[test]
 fn a_long_prompt_alone_is_no_reason_to_refuse() {
     let class = RequestClass {
-        aim_per_1000_tokens: 0,
+        ttft_objective_per_1000_tokens: 0,
         ..class(3.0, Idempotency::Idempotent)
     };
     let mut desk = desk(
         &RoutingSettings {
-            balancers: 1,
+            dispatchers: 1,
             ..settings(vec![class])
         },
         fleet(4),
@@ -217,7 +220,7 @@
         desk.serve(ask(id, id), 50 * MS, 30 * MS, 50 * MS);
     }
     let actions = desk.ask(RequestMetadata {
-        prompt: 80_000.0,
+        prompt_tokens: 80_000.0,
         ..ask(1_000, 1_000)
     });
     assert!(
--- a/tests/routing_large_fleets.rs
+++ b/tests/routing_large_fleets.rs
@@ -31,7 +31,7 @@
 fn a_server_that_no_first_look_has_is_found() {
     for seed in 0..10 {
         let keyed = Idempotency::IdempotencyKey {
-            group: DeduplicationScope::Cell,
+            scope: DeduplicationScope::Cell,
             window: 3 * SECOND,
         };
         let mut desk = RouterHarness::seeded(settings(vec![class(1.0, keyed)]), fleet(), seed);
@@ -42,13 +42,13 @@
         let first = sent_to(&actions, 1).expect("it is written");
         desk.pass(5 * MS);
         let drains = EndpointRecord {
-            state: EndpointStatus::Draining,
+            status: EndpointStatus::Draining,
             cell: cell_of(first - FIRST_WRITER),
             ..server(first, Role::Decode)
         };
         desk.hear(Event::EndpointsChanged {
-            complete: false,
-            entries: vec![drains],
+            is_full: false,
+            endpoints: vec![drains],
         });
         let mut actions = desk.outcome(1, 1, first, AttemptStatus::Reset);
         actions.extend(desk.pass(200 * MS));
@@ -66,7 +66,11 @@
 #[test]
 fn nothing_is_refused_that_a_server_not_looked_at_would_serve() {
     for seed in 0..10 {
-        let mut desk = RouterHarness::seeded(settings(vec![class(1.0, Idempotency::Idempotent)]), fleet(), seed);
+        let mut desk = RouterHarness::seeded(
+            settings(vec![class(1.0, Idempotency::Idempotent)]),
+            fleet(),
+            seed,
+        );
         for id in 1..=40 {
             desk.serve(ask(id, 1_000 * id), 200 * MS, 10 * MS, 50 * MS);
         }
@@ -75,11 +79,11 @@
             let part = if server == idle { 0.0 } else { 1.0 };
             let load = LoadReport {
                 in_flight: Some(400.0 * part),
-                to_read: Some(4_000.0 * part),
+                pending_prefill_kilotokens: Some(4_000.0 * part),
                 ..LoadReport::default()
             };
             desk.hear(Event::PeerLoadReport {
-                server,
+                endpoint: server,
                 load: Some(load),
             });
         }
@@ -110,13 +114,17 @@
             } else {
                 Role::Decode
             };
-            let state = [EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Removed][(step + number) as usize % 3];
+            let state = [
+                EndpointStatus::Ready,
+                EndpointStatus::Draining,
+                EndpointStatus::Removed,
+            ][(step + number) as usize % 3];
             match state {
                 EndpointStatus::Ready => left.remove(&id),
                 _ => left.insert(id),
             };
             EndpointRecord {
-                state,
+                status: state,
                 cell: (step + number) % 50,
                 zone: step % 2,
                 ..server(id, role)
@@ -125,14 +133,14 @@
         let entries: Vec<EndpointRecord> = changes.collect();
         // The last word on a server is the one that counts.
         for entry in &entries {
-            match entry.state {
-                EndpointStatus::Ready => left.remove(&entry.server),
-                _ => left.insert(entry.server),
+            match entry.status {
+                EndpointStatus::Ready => left.remove(&entry.endpoint),
+                _ => left.insert(entry.endpoint),
             };
         }
         desk.hear(Event::EndpointsChanged {
-            complete: false,
-            entries,
+            is_full: false,
+            endpoints: entries,
         });
         let id = u64::from(step) + 1;
         let sends = desk.ask(ask(id, id));
--- a/tests/routing_rules.rs
+++ b/tests/routing_rules.rs
@@ -70,14 +70,17 @@
         actions = desk.outcome(1, attempt, 2, AttemptStatus::ConnectFailed);
     }
     assert_eq!((sent_to(&actions, 1), finals(&actions, 1)), (None, 1));
-    assert!(actions.contains(&Action::ReleaseReservation { id: 1 }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::ReleaseReservation { id: 1 }),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn expires_in_counts_and_not_the_class() {
     let mut desk = desk(Idempotency::Idempotent, pair());
     let mut actions = desk.ask(RequestMetadata {
-        expires_in: 300 * MS,
+        time_left: 300 * MS,
         ..ask(1, 1)
     });
     actions.extend(desk.pass(300 * MS));
@@ -112,7 +115,7 @@
         assert_eq!(sent_to(&actions, 1), None, "{status:?}");
         let failed = Action::Fail {
             id: 1,
-            why: FailureReason::NotRepeatable,
+            reason: FailureReason::NotRepeatable,
         };
         assert!(actions.contains(&failed), "{status:?}: {actions:?}");
     }
@@ -137,17 +140,23 @@
         (DeduplicationScope::Cell, 0, false),
         (DeduplicationScope::AllEndpoints, 2 * SECOND, false),
     ] {
-        let mut desk = desk(Idempotency::IdempotencyKey { group, window }, mixed());
+        let mut desk = desk(
+            Idempotency::IdempotencyKey {
+                scope: group,
+                window,
+            },
+            mixed(),
+        );
         let sent = sent_to(&desk.ask(ask(1, 1)), 1).expect("sent");
         desk.pass(wait);
         // The first server is gone, so only the other one could take the repeat.
         let gone = EndpointRecord {
-            state: EndpointStatus::Removed,
+            status: EndpointStatus::Removed,
             ..server(sent, Role::Mixed)
         };
         desk.hear(Event::EndpointsChanged {
-            complete: false,
-            entries: vec![EndpointRecord {
+            is_full: false,
+            endpoints: vec![EndpointRecord {
                 zone: sent - 1,
                 cell: sent - 1,
                 ..gone
@@ -182,7 +191,7 @@
     ] {
         let mut desk = desk(
             Idempotency::IdempotencyKey {
-                group,
+                scope: group,
                 window: SECOND,
             },
             mixed(),
@@ -206,7 +215,7 @@
 #[test]
 fn no_second_copy_where_none_is_allowed() {
     let rules = RoutingSettings {
-        second_copies: false,
+        hedging_allowed: false,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
     let mut desk = RouterHarness::new(
@@ -234,9 +243,9 @@
     for state in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut desk = desk(Idempotency::Idempotent, pair());
         desk.hear(Event::EndpointsChanged {
-            complete: false,
-            entries: vec![EndpointRecord {
-                state,
+            is_full: false,
+            endpoints: vec![EndpointRecord {
+                status: state,
                 ..server(1, Role::Prefill)
             }],
         });
@@ -246,8 +255,8 @@
     }
     let mut desk = desk(Idempotency::Idempotent, pair());
     desk.hear(Event::EndpointsChanged {
-        complete: true,
-        entries: vec![server(2, Role::Decode)],
+        is_full: true,
+        endpoints: vec![server(2, Role::Decode)],
     });
     assert_eq!(
         sent_to(&desk.ask(ask(1, 1)), 1),
@@ -263,12 +272,12 @@
         desk.serve(ask(id, id), 20 * MS, 20 * MS, 20 * MS);
     }
     let cold = EndpointRecord {
-        started: Some(desk.now),
+        started_at: Some(desk.now),
         ..server(1, Role::Prefill)
     };
     desk.hear(Event::EndpointsChanged {
-        complete: false,
-        entries: vec![cold],
+        is_full: false,
+        endpoints: vec![cold],
     });
     let sends = (100..150)
         .filter(|id| sent_to(&desk.ask(ask(*id, *id)), *id).is_some())
@@ -291,24 +300,24 @@
     );
     let leaving = (2..=6)
         .map(|id| EndpointRecord {
-            state: EndpointStatus::Draining,
+            status: EndpointStatus::Draining,
             ..server(id, Role::Prefill)
         })
         .collect();
     desk.hear(Event::EndpointsChanged {
-        complete: false,
-        entries: leaving,
+        is_full: false,
+        endpoints: leaving,
     });
     for id in 0..300 {
         desk.serve(ask(id, id), 20 * MS, 20 * MS, 20 * MS);
     }
     let cold = EndpointRecord {
-        started: Some(desk.now),
+        started_at: Some(desk.now),
         ..server(7, Role::Prefill)
     };
     desk.hear(Event::EndpointsChanged {
-        complete: false,
-        entries: vec![cold],
+        is_full: false,
+        endpoints: vec![cold],
     });
     let sent = (1_000..1_100).filter(|id| {
         let reader = sent_to(&desk.ask(ask(*id, *id)), *id).expect("sent");
@@ -328,7 +337,10 @@
     desk.pass(50 * MS);
     let mut actions = desk.outcome(1, 0, 1, AttemptStatus::PrefillDone);
     actions.extend(desk.pass(499 * MS));
-    assert!(actions.contains(&Action::ReleaseReservation { id: 1 }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::ReleaseReservation { id: 1 }),
+        "{actions:?}"
+    );
 }
 
 #[test]
@@ -365,7 +377,7 @@
 /// Tells what each of the cold ones got in each second from then on.
 fn sends_to_cold_readers(balancers: u32) -> Vec<[usize; 4]> {
     let rules = RoutingSettings {
-        balancers,
+        dispatchers: balancers,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
     let fleet: Vec<_> = (1..=8)
@@ -377,8 +389,8 @@
         desk.router = Router::new(rules.clone(), u64::from(seed), 0);
         desk.hear(Event::TimerFired);
         desk.hear(Event::EndpointsChanged {
-            complete: true,
-            entries: fleet.clone(),
+            is_full: true,
+            endpoints: fleet.clone(),
         });
         desk
     };
@@ -386,18 +398,19 @@
     let mut sent = vec![[0; 4]; 8];
     for id in 0..2_800 {
         let now = id * 10 * MS;
-        let turn = (quartzhall::config::hash(&id.to_string()) % u64::from(balancers)) as usize;
+        let turn =
+            (quartzhall::config::fnv1a_hash(&id.to_string()) % u64::from(balancers)) as usize;
         if now == 20 * SECOND {
             let cold = |id| EndpointRecord {
-                started: Some(now),
+                started_at: Some(now),
                 ..server(id, Role::Prefill)
             };
             let entries: Vec<_> = (1..=4).map(cold).collect();
             desks.iter_mut().for_each(|desk| {
                 desk.now = desk.now.max(now);
                 desk.hear(Event::EndpointsChanged {
-                    complete: false,
-                    entries: entries.clone(),
+                    is_full: false,
+                    endpoints: entries.clone(),
                 });
             });
         }
@@ -441,10 +454,10 @@
 /// any span of the rule, `N` being the multiple of what the reader can bear then.
 fn excess_at_cold_readers(balancers: u32, seed: u64) -> f64 {
     let rules = RoutingSettings {
-        balancers,
+        dispatchers: balancers,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
-    let mixed = |it: u64| quartzhall::config::hash(&format!("{seed}, {it}"));
+    let mixed = |it: u64| quartzhall::config::fnv1a_hash(&format!("{seed}, {it}"));
     let fleet: Vec<_> = (1..=8)
         .map(|id| server(id, Role::Prefill))
         .chain([server(12, Role::Decode)])
@@ -452,7 +465,7 @@
     let start = 20 * SECOND;
     let cold: Vec<_> = (1..=4)
         .map(|id| EndpointRecord {
-            started: Some(start),
+            started_at: Some(start),
             ..server(id, Role::Prefill)
         })
         .collect();
@@ -462,8 +475,8 @@
         desk.router = Router::new(rules.clone(), mixed(u64::from(number) + now), now);
         desk.hear(Event::TimerFired);
         desk.hear(Event::EndpointsChanged {
-            complete: true,
-            entries: fleet.clone(),
+            is_full: true,
+            endpoints: fleet.clone(),
         });
         desk
     };
@@ -496,8 +509,8 @@
         if now >= hears && !*told {
             *told = true;
             desk.hear(Event::EndpointsChanged {
-                complete: false,
-                entries: cold.clone(),
+                is_full: false,
+                endpoints: cold.clone(),
             });
         }
         let told = *told;
@@ -519,12 +532,14 @@
         for (at, from) in times.iter().enumerate() {
             let in_span = times[at..]
                 .iter()
-                .take_while(|time| **time < from + rules.fall)
+                .take_while(|time| **time < from + rules.overload_window)
                 .count() as f64;
-            let age = ((from - start) as f64 / rules.warm_within as f64).min(1.0);
+            let age = ((from - start) as f64 / rules.slow_start_duration as f64).min(1.0);
             // Eight warm readers bear a hundred requests a second between them.
-            let able = 100.0 / 8.0 * (rules.cold_from + (1.0 - rules.cold_from) * age);
-            let budget = rules.fall_multiple * able * rules.fall as f64 / SECOND as f64;
+            let able = 100.0 / 8.0
+                * (rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age);
+            let budget =
+                rules.overload_threshold * able * rules.overload_window as f64 / SECOND as f64;
             worst = worst.max(in_span - budget - 2.0 * budget.sqrt() - 2.0);
         }
     }
@@ -549,7 +564,10 @@
 /// read that is out had no effect.
 #[test]
 fn no_second_read_of_an_unsafe_request_while_the_first_is_out() {
-    for (effect, copies) in [(Idempotency::Idempotent, 1), (Idempotency::NonIdempotent, 0)] {
+    for (effect, copies) in [
+        (Idempotency::Idempotent, 1),
+        (Idempotency::NonIdempotent, 0),
+    ] {
         let servers = vec![
             server(1, Role::Prefill),
             server(3, Role::Prefill),
@@ -581,7 +599,10 @@
     let actions = desk.outcome(1, 0, first, AttemptStatus::PrefillDone);
     assert_eq!(sent_to(&actions, 1), Some(2));
     let actions = desk.outcome(1, 1, second, AttemptStatus::PrefillDone);
-    assert!(!actions.contains(&Action::ReleaseReservation { id: 1 }), "{actions:?}");
+    assert!(
+        !actions.contains(&Action::ReleaseReservation { id: 1 }),
+        "{actions:?}"
+    );
 }
 
 /// Nothing more can be done for it, and its client can act on that now, not when its time is nearly up.
@@ -599,11 +620,12 @@
             [pair(), vec![server(3, Role::Decode)]].concat(),
         );
         desk.ask(ask(1, 1));
-        let writer = sent_to(&desk.outcome(1, 0, 1, AttemptStatus::PrefillDone), 1).expect("a writer");
+        let writer =
+            sent_to(&desk.outcome(1, 0, 1, AttemptStatus::PrefillDone), 1).expect("a writer");
         let actions = desk.outcome(1, 1, writer, status);
         let failed = Action::Fail {
             id: 1,
-            why: FailureReason::NotRepeatable,
+            reason: FailureReason::NotRepeatable,
         };
         assert!(actions.contains(&failed), "{status:?}: {actions:?}");
         assert!(
@@ -630,8 +652,10 @@
         .concat();
         let mut desk = RouterHarness::new(tight, servers);
         let reader = sent_to(&desk.ask(ask(1, 1)), 1).expect("a reader");
-        let writer = sent_to(&desk.outcome(1, 0, reader, AttemptStatus::PrefillDone), 1).expect("a writer");
-        let next = sent_to(&desk.outcome(1, 1, writer, AttemptStatus::Error), 1).expect("sent again");
+        let writer =
+            sent_to(&desk.outcome(1, 0, reader, AttemptStatus::PrefillDone), 1).expect("a writer");
+        let next =
+            sent_to(&desk.outcome(1, 1, writer, AttemptStatus::Error), 1).expect("sent again");
         assert_eq!(matches!(next, 2 | 3), again == Role::Decode, "{next}");
     }
 }
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use miniserde::json;
-use quartzhall::config::{EndpointList, SettingsObject, SessionConfig, Deployment};
+use quartzhall::config::{Deployment, EndpointList, SessionConfig, SettingsObject};
 use quartzhall::dispatcher::{self, Clock, Core, DispatcherHandle, Event};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{admin, health_check, http, listener, websocket, ShutdownPhase};
@@ -268,7 +268,7 @@
     let profile: SettingsObject = json::from_str(PROFILE).unwrap();
     let site = Arc::new(Deployment::new(&profile).unwrap());
     let bounds = site.bounds;
-    let (door, inbox) = dispatcher::door(site);
+    let (door, inbox) = dispatcher::channel(site);
     let (commands, commanded) = mpsc::channel(waiting);
     let speak = over_sessions.iter().cloned().collect();
     tokio::spawn(backend::run(
@@ -277,7 +277,7 @@
         bounds,
         ConnectionLimit::new(10),
         speak,
-        quartzhall::upgrade::stream_migration::signal().1,
+        quartzhall::upgrade::stream_migration::migration_signal().1,
         Logger::root(Discard, o!()),
     ));
     (commands, inbox)
@@ -342,10 +342,13 @@
             addresses.push(address);
         }
         let profile: SettingsObject = json::from_str(PROFILE).unwrap();
-        let (site, second) = (Deployment::new(&profile).unwrap(), Deployment::new(&profile).unwrap());
+        let (site, second) = (
+            Deployment::new(&profile).unwrap(),
+            Deployment::new(&profile).unwrap(),
+        );
         let clock = Clock::start();
         let site = Arc::new(site);
-        let (door, inbox) = dispatcher::door(site.clone());
+        let (door, inbox) = dispatcher::channel(site.clone());
         let core = Core::new(site.clone(), 100, 7, clock.now(), log.clone());
         let (commands, commanded) = mpsc::channel(64);
         let speak = if over_sessions {
@@ -359,7 +362,7 @@
             site.bounds,
             ConnectionLimit::new(100),
             speak,
-            quartzhall::upgrade::stream_migration::signal().1,
+            quartzhall::upgrade::stream_migration::migration_signal().1,
             log.clone(),
         ));
         tokio::spawn(dispatcher::run(core, clock, inbox, commands, None, None));
@@ -420,7 +423,10 @@
         fleet
             .tell(&[(0, "Ready"), (1, "Ready"), (2, "Ready")])
             .await;
-        fleet.door.becomes(dispatcher::Readiness::Ready).await;
+        fleet
+            .door
+            .wait_for_readiness(dispatcher::Readiness::Ready)
+            .await;
         fleet
     }
 
@@ -442,9 +448,9 @@
             r#"{{"revision":1,"complete":false,"members":[{}]}}"#,
             lines.join(",")
         );
-        let list: EndpointList = discovery::parse(text.as_bytes()).unwrap();
-        let event = discovery::members(&mut self.site.lock().unwrap(), &list, &self.log);
-        self.door.tell(event).await;
+        let list: EndpointList = discovery::parse_list(text.as_bytes()).unwrap();
+        let event = discovery::endpoints_changed(&mut self.site.lock().unwrap(), &list, &self.log);
+        self.door.send(event).await;
     }
 
     pub fn sent_to(&self, number: usize) -> usize {
@@ -472,7 +478,7 @@
     /// Within 1 s nothing is left: no state, no place, nothing in the core's table.
     pub async fn nothing_left(&self) {
         let waits = async {
-            self.door.empty().await;
+            self.door.wait_until_idle().await;
             self.until("nothing held", |ledger| {
                 ledger.states.is_empty() && ledger.places == 0
             })
@@ -484,7 +490,7 @@
                 "{:?}, {} places, {} open",
                 ledger.states,
                 ledger.places,
-                self.door.open()
+                self.door.open_requests()
             )
         };
         tokio::time::timeout(Duration::from_secs(1), waits)
@@ -494,9 +500,11 @@
 
     pub async fn drain(&self) {
         self.door
-            .tell(Event::Drain(std::time::Duration::from_secs(3)))
+            .send(Event::Drain(std::time::Duration::from_secs(3)))
+            .await;
+        self.door
+            .wait_for_readiness(dispatcher::Readiness::Draining)
             .await;
-        self.door.becomes(dispatcher::Readiness::Draining).await;
         self.stop.send(ShutdownPhase::Closing).unwrap();
     }
 }
--- a/tests/unit/discovery/watch_state.rs
+++ b/tests/unit/discovery/watch_state.rs
@@ -22,10 +22,10 @@
         (None, true),
         (Some(41), true),
     ] {
-        let mut watch = WatchState::from(revision, pushed);
-        let call = watch.call();
+        let mut watch = WatchState::starting_at(revision, pushed);
+        let call = watch.next_poll();
         // The new call may find nobody at first, and is on its way for a while.
-        let noticed = call.patience + watch.unanswered() * 2 + ROUND_TRIP;
+        let noticed = call.patience + watch.on_timeout() * 2 + ROUND_TRIP;
         for silent in (0..3_000).step_by(50).map(Duration::from_millis) {
             assert!(
                 noticed <= told(silent, hold(&call)),
@@ -37,18 +37,18 @@
 
 /// An agent that is silent from `down` to `up` and answers no call that began before it was back.
 fn heard_after(pushed: bool, down: Duration, up: Duration) -> Duration {
-    let (mut watch, mut at) = (WatchState::from(Some(41), pushed), Duration::ZERO);
+    let (mut watch, mut at) = (WatchState::starting_at(Some(41), pushed), Duration::ZERO);
     loop {
-        let call = watch.call();
+        let call = watch.next_poll();
         if at >= up {
             return at + ROUND_TRIP - up;
         }
         let ends = at + hold(&call);
         at = if ends < down {
-            watch.answered(41);
+            watch.on_response(41);
             ends
         } else {
-            at + call.patience + watch.unanswered()
+            at + call.patience + watch.on_timeout()
         };
     }
 }
@@ -77,23 +77,23 @@
 
 #[test]
 fn an_agent_that_is_only_slow_is_given_time() {
-    let mut watch = WatchState::from(Some(41), true);
-    let pauses: Vec<_> = (0..TURNS).map(|_| watch.unanswered()).collect();
+    let mut watch = WatchState::starting_at(Some(41), true);
+    let pauses: Vec<_> = (0..TURNS).map(|_| watch.on_timeout()).collect();
     assert!(pauses[0] < RETRY && pauses[TURNS as usize - 1] == RETRY);
-    assert!(watch.call().patience >= LATE);
-    watch.answered(42);
-    assert!(watch.call().patience < HOLD + LATE);
+    assert!(watch.next_poll().patience >= LATE);
+    watch.on_response(42);
+    assert!(watch.next_poll().patience < HOLD + LATE);
 }
 
 #[test]
 fn a_watch_goes_on_from_the_list_that_has_come() {
     for pushed in [false, true] {
-        let mut watch = WatchState::from(None, pushed);
-        assert_eq!(watch.call().target, "/v1/endpoints");
-        assert!(watch.answered(7) && !watch.answered(7) && watch.answered(8));
+        let mut watch = WatchState::starting_at(None, pushed);
+        assert_eq!(watch.next_poll().target, "/v1/endpoints");
+        assert!(watch.on_response(7) && !watch.on_response(7) && watch.on_response(8));
         let hold = if pushed { HOLD_HERE } else { HOLD };
         assert_eq!(
-            watch.call().target,
+            watch.next_poll().target,
             format!("/v1/endpoints?from=8&hold_ms={}", hold.as_millis())
         );
     }
@@ -103,9 +103,9 @@
 /// the one that comes after a watch that fell silent.
 #[test]
 fn what_a_distant_watch_misses_is_told_in_time_though_the_next_call_waits_for_its_turn() {
-    let mut watch = WatchState::from(Some(41), false);
-    let call = watch.call();
-    let noticed = call.patience + watch.unanswered();
+    let mut watch = WatchState::starting_at(Some(41), false);
+    let call = watch.next_poll();
+    let noticed = call.patience + watch.on_timeout();
     assert!(
         noticed + LATE <= told(Duration::ZERO, hold(&call)),
         "{call:?}"
@@ -116,31 +116,31 @@
 #[test]
 fn a_call_that_was_turned_away_is_made_again_in_time() {
     let told = Duration::from_secs(6);
-    let watch = WatchState::from(Some(41), false);
+    let watch = WatchState::starting_at(Some(41), false);
     for after in (0..QUEUED.as_millis() as u64)
         .step_by(50)
         .map(Duration::from_millis)
     {
         assert!(
-            watch.longest_pause(after) + LATE + ROUND_TRIP <= told,
+            watch.max_backoff(after) + LATE + ROUND_TRIP <= told,
             "{after:?}"
         );
     }
     // What waited its turn only to be turned away leaves the others room: discovery can't be reached then.
-    assert_eq!(watch.longest_pause(QUEUED), Duration::MAX);
-    let here = WatchState::from(Some(41), true);
+    assert_eq!(watch.max_backoff(QUEUED), Duration::MAX);
+    let here = WatchState::starting_at(Some(41), true);
     for after in [Duration::ZERO, QUEUED] {
-        assert!(here.longest_pause(after) + LATE_HERE + ROUND_TRIP <= Duration::from_millis(250));
+        assert!(here.max_backoff(after) + LATE_HERE + ROUND_TRIP <= Duration::from_millis(250));
     }
 }
 
 /// An outage of any length is over for a pushed list when it is over: one call in a hundred is given more time.
 #[test]
 fn an_agent_that_was_silent_for_long_is_still_asked_in_short_turns() {
-    let mut watch = WatchState::from(Some(41), true);
+    let mut watch = WatchState::starting_at(Some(41), true);
     let patient = (0..10 * TURNS).filter(|_| {
-        watch.unanswered();
-        watch.call().patience >= LATE
+        watch.on_timeout();
+        watch.next_poll().patience >= LATE
     });
     assert_eq!(patient.count(), 10);
 }
--- a/tests/unit/dispatcher/bans.rs
+++ b/tests/unit/dispatcher/bans.rs
@@ -7,47 +7,47 @@
 #[test]
 fn a_call_out_holds_until_one_call_back() {
     let mut bans = BanList::default();
-    assert_eq!(bans.call(1, &id("a"), true, true), Ok(true));
-    assert_eq!(bans.call(2, &id("a"), true, false), Ok(false));
+    assert_eq!(bans.set(1, &id("a"), true, true), Ok(true));
+    assert_eq!(bans.set(2, &id("a"), true, false), Ok(false));
     assert!(bans.is_banned("a"));
-    assert_eq!(bans.call(3, &id("a"), false, false), Ok(true));
-    assert_eq!((bans.is_banned("a"), bans.ended("a")), (false, Some(3)));
-    assert_eq!(bans.call(4, &id("a"), false, true), Ok(false));
+    assert_eq!(bans.set(3, &id("a"), false, false), Ok(true));
+    assert_eq!((bans.is_banned("a"), bans.ended_at("a")), (false, Some(3)));
+    assert_eq!(bans.set(4, &id("a"), false, true), Ok(false));
 }
 
 #[test]
 fn only_an_id_that_was_listed_is_known_and_what_is_remembered_is_bounded() {
     let mut bans = BanList::default();
     assert_eq!(
-        bans.call(1, &id("never"), true, false),
+        bans.set(1, &id("never"), true, false),
         Err(BanError::Unknown)
     );
     assert_eq!(
-        bans.call(1, &id("never"), false, false),
+        bans.set(1, &id("never"), false, false),
         Err(BanError::Unknown)
     );
     for number in 0..2 * MOST_LEFT {
-        bans.has_left(id(&format!("r{number}")));
-        bans.has_left(id(&format!("r{number}")));
+        bans.on_endpoint_removed(id(&format!("r{number}")));
+        bans.on_endpoint_removed(id(&format!("r{number}")));
     }
     assert_eq!(
         (bans.left.len(), bans.left_set.len()),
         (MOST_LEFT, MOST_LEFT)
     );
-    assert_eq!(bans.call(1, &id("r0"), true, false), Err(BanError::Unknown));
+    assert_eq!(bans.set(1, &id("r0"), true, false), Err(BanError::Unknown));
     assert_eq!(
-        bans.call(1, &id(&format!("r{}", 2 * MOST_LEFT - 1)), true, false),
+        bans.set(1, &id(&format!("r{}", 2 * MOST_LEFT - 1)), true, false),
         Ok(true)
     );
     for number in 1..MOST_BANS {
         assert_eq!(
-            bans.call(2, &id(&format!("b{number}")), true, true),
+            bans.set(2, &id(&format!("b{number}")), true, true),
             Ok(true)
         );
     }
-    assert_eq!(bans.call(3, &id("more"), true, true), Err(BanError::TooMany));
+    assert_eq!(bans.set(3, &id("more"), true, true), Err(BanError::TooMany));
     assert_eq!(
-        bans.call(ENDED_KEPT * 9, &id("b1"), false, false),
+        bans.set(ENDED_KEPT * 9, &id("b1"), false, false),
         Ok(true),
         "no ban is ever forgotten"
     );
@@ -59,27 +59,27 @@
     for number in 0..100 {
         let name = id(&format!("r{number}"));
         let at = number * ENDED_KEPT;
-        bans.call(at, &name, true, true).unwrap();
-        bans.call(at + 1, &name, false, true).unwrap();
+        bans.set(at, &name, true, true).unwrap();
+        bans.set(at + 1, &name, false, true).unwrap();
     }
-    assert!(bans.marks().len() <= 2);
+    assert!(bans.records().len() <= 2);
 }
 
 #[test]
 fn two_processes_agree_whatever_the_order() {
     let (mut one, mut two) = (BanList::default(), BanList::default());
-    one.call(10, &id("a"), true, true).unwrap();
-    two.call(11, &id("b"), true, true).unwrap();
-    assert_eq!(two.merge(12, one.marks()), [id("a")]);
-    two.call(12, &id("a"), false, true).unwrap();
+    one.set(10, &id("a"), true, true).unwrap();
+    two.set(11, &id("b"), true, true).unwrap();
+    assert_eq!(two.merge(12, one.records()), [id("a")]);
+    two.set(12, &id("a"), false, true).unwrap();
     // The other one's file is older than what is known here: it lifts and sets nothing.
-    assert!(two.merge(13, &one.marks().clone()).is_empty());
-    assert_eq!(one.merge(13, two.marks()), [id("a"), id("b")]);
-    assert_eq!(one.marks(), two.marks());
+    assert!(two.merge(13, &one.records().clone()).is_empty());
+    assert_eq!(one.merge(13, two.records()), [id("a"), id("b")]);
+    assert_eq!(one.records(), two.records());
     assert!(!one.is_banned("a") && one.is_banned("b"));
     // A call here after one over there is the newer one, even if this clock is behind.
-    one.call(5, &id("b"), false, true).unwrap();
-    assert_eq!(two.merge(14, one.marks()), [id("b")]);
+    one.set(5, &id("b"), false, true).unwrap();
+    assert_eq!(two.merge(14, one.records()), [id("b")]);
 }
 
 /// Another process's clock is an hour behind, or ahead: what it says last counts all the same, and for no longer than a
@@ -89,21 +89,21 @@
     const HOUR: Time = 3_600_000_000;
     for (here, there) in [(10 * HOUR, 9 * HOUR), (9 * HOUR, 10 * HOUR)] {
         let (mut one, mut two) = (BanList::default(), BanList::default());
-        one.call(here, &id("a"), true, true).unwrap();
-        assert_eq!(two.merge(there, one.marks()), [id("a")]);
-        two.call(there + 1, &id("a"), false, true).unwrap();
+        one.set(here, &id("a"), true, true).unwrap();
+        assert_eq!(two.merge(there, one.records()), [id("a")]);
+        two.set(there + 1, &id("a"), false, true).unwrap();
         assert_eq!(
-            one.merge(here + 2 * ENDED_KEPT, two.marks()),
+            one.merge(here + 2 * ENDED_KEPT, two.records()),
             [id("a")],
             "{here} {there}"
         );
         assert!(!one.is_banned("a"));
         assert_eq!(
-            one.ended("a"),
+            one.ended_at("a"),
             Some(here + 2 * ENDED_KEPT),
             "by the clock of who hears it"
         );
         one.merge(here + 4 * ENDED_KEPT, &BanRecords::new());
-        assert!(one.marks().is_empty(), "forgotten in time");
+        assert!(one.records().is_empty(), "forgotten in time");
     }
 }
--- a/tests/unit/dispatcher/endpoint_table.rs
+++ b/tests/unit/dispatcher/endpoint_table.rs
@@ -6,14 +6,14 @@
 fn member(name: &str, key: u64, state: EndpointStatus) -> DiscoveredEndpoint {
     let entry = EndpointRecord {
         key,
-        state,
+        status: state,
         ..EndpointRecord::default()
     };
     DiscoveredEndpoint {
-        name: name.into(),
+        id: name.into(),
         address: format!("127.0.0.1:{}", 7_000 + name.len()).into(),
-        entry,
-        partial: false,
+        record: entry,
+        is_partial: false,
     }
 }
 
@@ -65,10 +65,10 @@
     const SECOND: Time = 1_000_000;
     const HOUR: Time = 3_600 * SECOND;
     let log = Logger::root(Discard, o!());
-    let started = |nodes: &EndpointTable| nodes.get(0).and_then(|it| it.entry().started);
+    let started = |nodes: &EndpointTable| nodes.get(0).and_then(|it| it.entry().started_at);
     let list = |nodes: &mut EndpointTable, now, at| {
         let mut member = member("a", 7, EndpointStatus::Ready);
-        member.entry.started = Some(at);
+        member.record.started_at = Some(at);
         nodes.list(now, false, vec![member], &log);
     };
     let (mut nodes, now) = (EndpointTable::default(), 100 * HOUR);
--- a/tests/unit/dispatcher/guard.rs
+++ b/tests/unit/dispatcher/guard.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::config::{SettingsObject, Deployment};
+use crate::config::{Deployment, SettingsObject};
 use crate::dispatcher::messages::UpstreamRequest;
 use crate::dispatcher::reasons::EndReason;
-use crate::routing::api::{RequestMetadata, AttemptStatus};
+use crate::routing::api::{AttemptStatus, RequestMetadata};
 
 const MS: Time = 1_000;
 const READER: EndpointId = 1;
@@ -41,7 +41,7 @@
     )
     .unwrap();
     let mut settings = Deployment::new(&profile).unwrap().settings;
-    settings.classes[0].effect = effect;
+    settings.classes[0].idempotency = effect;
     settings
 }
 
@@ -49,12 +49,12 @@
 fn request(attempts: &[(EndpointId, Option<EndReason>)]) -> Request {
     let (answer, _) = tokio::sync::oneshot::channel();
     let work = UpstreamRequest {
-        name: "a".into(),
+        client_request_id: "a".into(),
         target: "/".into(),
         body: "{}".into(),
     };
     let ask = RequestMetadata {
-        expires_in: 5_000 * MS,
+        time_left: 5_000 * MS,
         ..RequestMetadata::default()
     };
     let mut request = Request::new(0, &ask, work, false, answer);
@@ -102,7 +102,10 @@
 #[test]
 fn nothing_goes_to_a_server_that_is_not_ready_nor_for_what_is_over() {
     assert_eq!(send(Idempotency::Idempotent, 0, WRITER, &[]), Ok(()));
-    assert_eq!(send(Idempotency::Idempotent, 0, DRAINING, &[]), Err(Rule::Drain));
+    assert_eq!(
+        send(Idempotency::Idempotent, 0, DRAINING, &[]),
+        Err(Rule::Drain)
+    );
     assert_eq!(send(Idempotency::Idempotent, 0, 99, &[]), Err(Rule::Drain));
     assert_eq!(
         send(Idempotency::Idempotent, 5_000 * MS, WRITER, &[]),
@@ -125,13 +128,21 @@
 #[test]
 fn attempts_are_as_many_as_the_settings_allow() {
     let failed = (READER, Some(EndReason::ErrorResponse));
-    assert_eq!(send(Idempotency::Idempotent, 0, WRITER, &[failed, failed]), Ok(()));
     assert_eq!(
-        send(Idempotency::Idempotent, 0, WRITER, &[failed, failed, failed]),
+        send(Idempotency::Idempotent, 0, WRITER, &[failed, failed]),
+        Ok(())
+    );
+    assert_eq!(
+        send(
+            Idempotency::Idempotent,
+            0,
+            WRITER,
+            &[failed, failed, failed]
+        ),
         Err(Rule::Attempts)
     );
     let alone = RoutingSettings {
-        second_copies: false,
+        hedging_allowed: false,
         ..settings(Idempotency::Idempotent)
     };
     let guard = Guard {
@@ -156,7 +167,12 @@
     .map(EndReason::of)
     {
         assert_eq!(
-            send(Idempotency::NonIdempotent, 0, WRITER, &[(READER, Some(reason))]),
+            send(
+                Idempotency::NonIdempotent,
+                0,
+                WRITER,
+                &[(READER, Some(reason))]
+            ),
             Ok(()),
             "{reason:?}"
         );
@@ -176,7 +192,12 @@
     .map(EndReason::of)
     {
         assert_eq!(
-            send(Idempotency::NonIdempotent, 0, READER, &[(WRITER, Some(reason))]),
+            send(
+                Idempotency::NonIdempotent,
+                0,
+                READER,
+                &[(WRITER, Some(reason))]
+            ),
             Err(Rule::Duplicate),
             "{reason:?}"
         );
@@ -195,7 +216,12 @@
     .map(EndReason::of)
     {
         assert_eq!(
-            send(Idempotency::NonIdempotent, 0, WRITER, &[(WRITER, Some(reason))]),
+            send(
+                Idempotency::NonIdempotent,
+                0,
+                WRITER,
+                &[(WRITER, Some(reason))]
+            ),
             Ok(()),
             "{reason:?}"
         );
@@ -220,7 +246,7 @@
 fn keyed_requests_are_repeated_where_and_while_repeats_are_dropped() {
     let lost = [(WRITER, Some(EndReason::Timeout))];
     let keyed = |group| Idempotency::IdempotencyKey {
-        group,
+        scope: group,
         window: 1_000 * MS,
     };
     for (group, server, allowed) in [
@@ -246,10 +272,16 @@
             "{group:?} {server}"
         );
     }
-    assert_eq!(refusal(keyed(DeduplicationScope::AllEndpoints), 999 * MS, &lost), Ok(()));
+    assert_eq!(
+        refusal(keyed(DeduplicationScope::AllEndpoints), 999 * MS, &lost),
+        Ok(())
+    );
     assert_eq!(
         refusal(keyed(DeduplicationScope::AllEndpoints), 1_000 * MS, &lost),
         Err(Rule::Duplicate)
     );
-    assert_eq!(refusal(keyed(DeduplicationScope::Zone), 0, &lost), Err(Rule::Duplicate));
+    assert_eq!(
+        refusal(keyed(DeduplicationScope::Zone), 0, &lost),
+        Err(Rule::Duplicate)
+    );
 }
--- a/tests/unit/dispatcher/reservation.rs
+++ b/tests/unit/dispatcher/reservation.rs
@@ -6,7 +6,11 @@
 const WRITER: Option<Role> = Some(Role::Decode);
 
 /// When a release starts, and why, for a request that waits.
-fn release(lease: &mut Reservation, from: Time, attempt_out: bool) -> Option<(Time, ReleaseReason)> {
+fn release(
+    lease: &mut Reservation,
+    from: Time,
+    attempt_out: bool,
+) -> Option<(Time, ReleaseReason)> {
     (from..from + 2 * WITHIN)
         .step_by(10 * MS as usize)
         .find_map(|now| {
