--- a/tests/unit/gossip/state.rs
+++ b/tests/unit/gossip/state.rs
@@ -6,7 +6,7 @@
 fn load(in_flight: f64) -> LoadReport {
     LoadReport {
         in_flight: Some(in_flight),
-        memory: Some(0.5),
+        kv_memory_share: Some(0.5),
         ..LoadReport::default()
     }
 }
@@ -16,18 +16,18 @@
 }
 
 fn told(of: &mut Gossip, now: Time) -> Vec<u8> {
-    (0..20).for_each(|_| of.request());
-    of.message(now).unwrap_or_default()
+    (0..20).for_each(|_| of.on_request());
+    of.next_message(now).unwrap_or_default()
 }
 
 #[test]
 fn a_surprise_is_told_and_what_is_as_believed_is_not() {
     let (mut one, mut other) = (gossip(), gossip());
-    one.report(START, 7, 0xabcdef12, &load(1.0));
+    one.record_load(START, 7, 0xabcdef12, &load(1.0));
     assert_eq!(told(&mut one, START), []);
-    one.report(START, 7, 0xabcdef12, &load(30.0));
+    one.record_load(START, 7, 0xabcdef12, &load(30.0));
     let message = told(&mut one, START);
-    let observations = other.hear(START + 30_000, 4, &message).unwrap();
+    let observations = other.receive(START + 30_000, 4, &message).unwrap();
     assert_eq!(
         observations,
         [Observation {
@@ -35,10 +35,10 @@
             load: Some(load(30.0))
         }]
     );
-    other.heard(START + 30_000, 3, &observations[0]);
-    other.report(START + 40_000, 3, 0xabcdef12, &load(29.0));
+    other.accept(START + 30_000, 3, &observations[0]);
+    other.record_load(START + 40_000, 3, 0xabcdef12, &load(29.0));
     assert_eq!(told(&mut other, START + 40_000), [], "all have heard that");
-    one.report(START + BELIEVED + 1, 7, 0xabcdef12, &load(30.0));
+    one.record_load(START + BELIEVED + 1, 7, 0xabcdef12, &load(30.0));
     assert_ne!(
         told(&mut one, START + BELIEVED + 1),
         [],
@@ -49,10 +49,12 @@
 #[test]
 fn failures_come_first_where_not_all_can_be_afforded() {
     let (mut one, mut other) = (gossip(), gossip());
-    (0..20).for_each(|server| one.report(START, server, u64::from(server), &load(50.0)));
-    one.failure(99);
-    (0..4).for_each(|_| one.request());
-    let observations = other.hear(START, 0, &one.message(START).unwrap()).unwrap();
+    (0..20).for_each(|server| one.record_load(START, server, u64::from(server), &load(50.0)));
+    one.record_failure(99);
+    (0..4).for_each(|_| one.on_request());
+    let observations = other
+        .receive(START, 0, &one.next_message(START).unwrap())
+        .unwrap();
     assert!(
         observations.len() < 10
             && observations[0]
@@ -62,9 +64,13 @@
                 },
         "{observations:?}"
     );
-    (0..60).for_each(|server| one.failure(server));
+    (0..60).for_each(|server| one.record_failure(server));
     let observations = other
-        .hear(START + 20_000, 0, &one.message(START + 20_000).unwrap())
+        .receive(
+            START + 20_000,
+            0,
+            &one.next_message(START + 20_000).unwrap(),
+        )
         .unwrap();
     assert!(
         observations.len() < 10
@@ -73,8 +79,8 @@
                 .all(|observation| observation.load.is_none()),
         "{observations:?}"
     );
-    one.failure(99);
-    assert_eq!(one.message(START), None, "nothing is left to spend");
+    one.record_failure(99);
+    assert_eq!(one.next_message(START), None, "nothing is left to spend");
 }
 
 #[test]
@@ -83,9 +89,9 @@
         let mut one = gossip();
         let mut bytes = 0;
         for request in 0..1000 {
-            one.request();
+            one.on_request();
             (0..50).for_each(|server| {
-                one.report(
+                one.record_load(
                     START + request,
                     server,
                     server.into(),
@@ -94,9 +100,9 @@
             });
             (0..50)
                 .filter(|_| failures)
-                .for_each(|server| one.failure(server));
+                .for_each(|server| one.record_failure(server));
             bytes += one
-                .message(START + request)
+                .next_message(START + request)
                 .map_or(0, |message| message.len());
         }
         let cost = bytes as f64 * 99.0 / 256.0 * 0.0028 / 1000.0;
@@ -110,32 +116,35 @@
 #[test]
 fn what_is_spoilt_stale_or_repeated_is_dropped_and_counted() {
     let (mut one, mut other) = (gossip(), gossip());
-    one.failure(5);
+    one.record_failure(5);
     let message = told(&mut one, START);
     assert_eq!(
-        other.hear(START + 3_000_000, 1, &message),
+        other.receive(START + 3_000_000, 1, &message),
         Err(DropReason::Stale)
     );
     assert_eq!(
-        other.hear(START - 1_000_000, 1, &message),
+        other.receive(START - 1_000_000, 1, &message),
         Err(DropReason::Stale)
     );
-    assert!(other.hear(START + 1_000_000, 1, &message).is_ok());
+    assert!(other.receive(START + 1_000_000, 1, &message).is_ok());
     assert_eq!(
-        other.hear(START + 1_100_000, 1, &message),
+        other.receive(START + 1_100_000, 1, &message),
         Err(DropReason::Repeated)
     );
     assert!(
-        other.hear(START + 1_100_000, 2, &message).is_ok(),
+        other.receive(START + 1_100_000, 2, &message).is_ok(),
         "another has the same time"
     );
     assert_eq!(
-        other.hear(START, 100, &message),
+        other.receive(START, 100, &message),
         Err(DropReason::Malformed),
         "an unknown sender"
     );
     for cut in 0..message.len() {
-        assert_eq!(other.hear(START, 3, &message[..cut]), Err(DropReason::Malformed));
+        assert_eq!(
+            other.receive(START, 3, &message[..cut]),
+            Err(DropReason::Malformed)
+        );
     }
     assert_eq!(other.dropped(), 4 + message.len() as u64);
 }
@@ -148,14 +157,14 @@
         message.extend(&bytes);
         let all = |message: &[u8]| {
             gossip()
-                .hear(START, 1, message)
+                .receive(START, 1, message)
                 .into_iter()
                 .flatten()
                 .all(|observation| {
                     let load = observation.load.unwrap_or_default();
                     observation.key <= 0x00ff_ffff
                         && load.in_flight.unwrap_or(0.0) <= MOST_IN_FLIGHT
-                        && load.memory.unwrap_or(0.0) <= 1.0
+                        && load.kv_memory_share.unwrap_or(0.0) <= 1.0
                 })
         };
         all(&message) && all(&bytes)
--- a/tests/unit/net/connection_limit.rs
+++ b/tests/unit/net/connection_limit.rs
@@ -3,21 +3,36 @@
 #[test]
 fn the_number_changes_while_places_are_taken() {
     let places = ConnectionLimit::new(32);
-    let taken: Vec<_> = (0..20).map(|_| places.take_now(1).unwrap()).collect();
-    places.set_part(8, 1);
-    assert_eq!((places.free(), places.taken(), places.over()), (0, 20, 4));
+    let taken: Vec<_> = (0..20).map(|_| places.try_acquire(1).unwrap()).collect();
+    places.set_share(8, 1);
+    assert_eq!(
+        (places.available(), places.in_use(), places.over_limit()),
+        (0, 20, 4)
+    );
     let mut taken = taken.into_iter();
     drop(taken.by_ref().take(3).collect::<Vec<_>>());
-    places.set_part(8, 1);
-    assert_eq!((places.free(), places.taken(), places.over()), (0, 17, 1));
+    places.set_share(8, 1);
+    assert_eq!(
+        (places.available(), places.in_use(), places.over_limit()),
+        (0, 17, 1)
+    );
     drop(taken.by_ref().take(3).collect::<Vec<_>>());
-    places.set_part(8, 1);
-    assert_eq!((places.free(), places.taken(), places.over()), (2, 14, 0));
-    places.set_part(SHARE_UNITS, 1);
-    assert_eq!((places.free(), places.taken(), places.over()), (18, 14, 0));
+    places.set_share(8, 1);
+    assert_eq!(
+        (places.available(), places.in_use(), places.over_limit()),
+        (2, 14, 0)
+    );
+    places.set_share(SHARE_UNITS, 1);
+    assert_eq!(
+        (places.available(), places.in_use(), places.over_limit()),
+        (18, 14, 0)
+    );
     drop(taken);
-    places.set_part(0, 5);
-    assert_eq!((places.free(), places.taken(), places.over()), (5, 0, 0));
-    places.set_part(SHARE_UNITS, 5);
-    assert_eq!(places.free(), 32);
+    places.set_share(0, 5);
+    assert_eq!(
+        (places.available(), places.in_use(), places.over_limit()),
+        (5, 0, 0)
+    );
+    places.set_share(SHARE_UNITS, 5);
+    assert_eq!(places.available(), 32);
 }
--- a/tests/unit/net/message_framing.rs
+++ b/tests/unit/net/message_framing.rs
@@ -130,7 +130,10 @@
         answer.feed(bad.as_bytes());
         assert_eq!(answer.body(), None);
     }
-    assert_eq!(ChunkedDecoder::from_bytes(&[9; ChunkedDecoder::BYTES]), None);
+    assert_eq!(
+        ChunkedDecoder::from_bytes(&[9; ChunkedDecoder::BYTES]),
+        None
+    );
 }
 
 #[test]
--- a/tests/unit/net/system_errors.rs
+++ b/tests/unit/net/system_errors.rs
@@ -15,11 +15,15 @@
         Errno::TIMEDOUT,
         Errno::PROTO,
     ] {
-        assert_eq!(pauses.after(&error(errno)), Duration::ZERO, "{errno:?}");
+        assert_eq!(
+            pauses.delay_after(&error(errno)),
+            Duration::ZERO,
+            "{errno:?}"
+        );
     }
     // Where it never ends, the loop does not spin.
     let paused = (0..200)
-        .filter(|_| pauses.after(&error(Errno::CONNABORTED)) > Duration::ZERO)
+        .filter(|_| pauses.delay_after(&error(Errno::CONNABORTED)) > Duration::ZERO)
         .count();
     assert!(paused >= 100, "{paused}");
 }
@@ -28,14 +32,17 @@
 fn a_shortage_of_this_machine_is_waited_for_longer_and_longer() {
     let mut pauses = AcceptPauses::default();
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert!(pauses.after(&error(errno)) > Duration::ZERO, "{errno:?}");
+        assert!(
+            pauses.delay_after(&error(errno)) > Duration::ZERO,
+            "{errno:?}"
+        );
     }
     let many: Vec<Duration> = (0..20)
-        .map(|_| pauses.after(&error(Errno::NFILE)))
+        .map(|_| pauses.delay_after(&error(Errno::NFILE)))
         .collect();
     assert_eq!(many.last(), Some(&LONGEST_PAUSE));
-    pauses.succeeded();
-    assert_eq!(pauses.after(&error(Errno::NFILE)), FIRST_PAUSE);
+    pauses.reset();
+    assert_eq!(pauses.delay_after(&error(Errno::NFILE)), FIRST_PAUSE);
 }
 
 #[test]
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -52,7 +52,7 @@
         let (mut index, mut plain) = (CandidateIndex::default(), Plain::default());
         for step in 0..3000_u64 {
             let now = step;
-            index.pass(now);
+            index.advance_to(now);
             let server = rng.gen_range(0..400);
             // Joins, restarts and moves, then leaves, drains and bans: to the index the latter are one.
             let listing = rng.gen_bool(0.7).then(|| listing(&mut rng, now, server));
@@ -82,7 +82,7 @@
         plain.listings.insert(server, listing);
     }
     for now in 0..60 {
-        index.pass(now);
+        index.advance_to(now);
         for server in 0..20 {
             let gone = rng.gen_range(0..500) + server;
             index.set(now, gone, None);
@@ -106,7 +106,7 @@
                     .get(&server)
                     .is_some_and(|it| it.is_of(Side::Write)));
             }
-            let (homes, home) = index.homes(&look, Some(seed), Some(7), 0.1, |_| 1.0);
+            let (homes, home) = index.prefix_affinity(&look, Some(seed), Some(7), 0.1, |_| 1.0);
             for server in homes.iter().chain(&home) {
                 assert!(plain
                     .listings
@@ -174,13 +174,13 @@
                     "{most} of {servers}"
                 );
             }
-            if index.is_whole(Side::Write, &look) {
+            if index.covers_all(Side::Write, &look) {
                 break;
             }
             widened += 1;
         }
         assert!(widened <= 6, "{widened} steps for {servers}");
-        assert!(index.is_whole(
+        assert!(index.covers_all(
             Side::Read,
             &CandidateQuery {
                 zone: 2,
@@ -206,7 +206,7 @@
         widened: 0,
     };
     let home = |index: &CandidateIndex, text, seed| {
-        index.homes(&look(seed), Some(text), Some(text), 0.0, |_| 1.0)
+        index.prefix_affinity(&look(seed), Some(text), Some(text), 0.0, |_| 1.0)
     };
     let texts = 0..1_000_u64;
     for text in texts.clone() {
@@ -237,7 +237,10 @@
             seed: text,
             widened: 0,
         };
-        for server in index.homes(&look, Some(mix(text, 1)), None, 0.0, |_| 1.0).0 {
+        for server in index
+            .prefix_affinity(&look, Some(mix(text, 1)), None, 0.0, |_| 1.0)
+            .0
+        {
             *homes.entry(server).or_default() += 1;
         }
     }
@@ -265,7 +268,7 @@
         };
         for server in index.drawn(Side::Write, &look, 0, 0) {
             let lot = mix(mix(seed, 6), server.into()) as f64 / u64::MAX as f64;
-            if lot * index.lot_factor(Side::Write, &look, server) < chance {
+            if lot * index.slow_start_sampling_factor(Side::Write, &look, server) < chance {
                 *won.entry(server).or_default() += 1.0;
             }
         }
--- a/tests/unit/upgrade/coordinator.rs
+++ b/tests/unit/upgrade/coordinator.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::config::{SettingsObject, Deployment};
+use crate::config::{Deployment, SettingsObject};
 use slog::{o, Discard};
 
 struct Folder(PathBuf);
@@ -39,16 +39,17 @@
     let folder = folder("starts");
     let (old, mut new) = (post(&folder, 1), post(&folder, 2));
     fs::write(old.bans_path(), "{\"version\":").unwrap();
-    assert_eq!(new.new_bans(), Some(BanRecords::new()));
+    assert_eq!(new.read_changed_bans(), Some(BanRecords::new()));
     old.write_bans(&marks(5)).unwrap();
     let profile: SettingsObject = json::from_str("{}").unwrap();
-    let (door, mut inbox) = crate::dispatcher::door(Arc::new(Deployment::new(&profile).unwrap()));
+    let (door, mut inbox) =
+        crate::dispatcher::channel(Arc::new(Deployment::new(&profile).unwrap()));
     let (_phase, phase) = watch::channel(ProcessState::Starting);
     let (view, _seen) = watch::channel(PeerProcesses::default());
     tokio::spawn(run(new, Free, door, phase, view));
     let heard = async {
         loop {
-            if let Some(Event::BanRecordsReceived(told)) = inbox.next().await {
+            if let Some(Event::BanRecordsReceived(told)) = inbox.recv().await {
                 return told;
             }
         }
@@ -66,28 +67,28 @@
     let folder = folder("see");
     let mut old = post(&folder, 1);
     assert_eq!(
-        old.view(),
+        old.peer_processes(),
         PeerProcesses {
-            part: 1,
+            share: 1,
             processes: 1,
             predecessor: false,
             successor: None
         }
     );
     let new = post(&folder, 2);
-    assert!(new.view().predecessor);
-    assert!(old.is_new());
-    old.look().unwrap();
-    assert_eq!(old.view().successor, Some(2));
+    assert!(new.peer_processes().predecessor);
+    assert!(old.needs_scan());
+    old.scan_announcements().unwrap();
+    assert_eq!(old.peer_processes().successor, Some(2));
     drop(new);
     fs::write(
         folder.0.join(format!("{}-{:020}-7.notice", old.name, 3)),
         "1 2 3",
     )
     .unwrap();
-    old.look().unwrap();
+    old.scan_announcements().unwrap();
     assert_eq!(
-        old.view().processes,
+        old.peer_processes().processes,
         1,
         "a notice that nobody holds is a dead one's"
     );
@@ -148,10 +149,10 @@
     let hour = 3_600_000_000;
     let mut old = post(&folder, 10 * hour);
     let new = post(&folder, 9 * hour);
-    old.look().unwrap();
-    assert!(new.view().predecessor && new.view().successor.is_none());
-    assert!(!old.view().predecessor);
-    assert_eq!(old.view().successor, Some(new.own.born));
+    old.scan_announcements().unwrap();
+    assert!(new.peer_processes().predecessor && new.peer_processes().successor.is_none());
+    assert!(!old.peer_processes().predecessor);
+    assert_eq!(old.peer_processes().successor, Some(new.own.started_at));
 }
 
 /// The file can't be written for a while: what operators were promised is written as soon as it can be.
@@ -163,7 +164,7 @@
     // A folder with something in it can't be replaced by a file.
     fs::create_dir_all(path.join("full")).unwrap();
     let profile: SettingsObject = json::from_str("{}").unwrap();
-    let (door, inbox) = crate::dispatcher::door(Arc::new(Deployment::new(&profile).unwrap()));
+    let (door, inbox) = crate::dispatcher::channel(Arc::new(Deployment::new(&profile).unwrap()));
     let (_phase, phase) = watch::channel(ProcessState::Serving);
     let (view, _seen) = watch::channel(PeerProcesses::default());
     tokio::spawn(run(handover, Free, door, phase, view));
@@ -184,10 +185,10 @@
     let folder = folder("unread");
     let (old, mut new) = (post(&folder, 1), post(&folder, 2));
     fs::create_dir_all(new.bans_path()).unwrap();
-    assert_eq!(new.new_bans(), None);
+    assert_eq!(new.read_changed_bans(), None);
     fs::remove_dir(new.bans_path()).unwrap();
     old.write_bans(&marks(5)).unwrap();
-    assert_eq!(new.new_bans(), Some(marks(5)));
+    assert_eq!(new.read_changed_bans(), Some(marks(5)));
 }
 
 #[test]
@@ -202,7 +203,7 @@
     ));
     fs::write(&left, "{\"version\":1,\"ma").unwrap();
     fs::write(&own, "").unwrap();
-    handover.look().unwrap();
+    handover.scan_announcements().unwrap();
     assert!(!left.exists() && own.exists());
 }
 
@@ -210,6 +211,6 @@
 async fn a_socket_that_a_dead_process_left_is_replaced() {
     let folder = folder("socket");
     let handover = post(&folder, 1);
-    drop(UnixListener::bind(handover.doors()(handover.own.born)).unwrap());
+    drop(UnixListener::bind(handover.stream_socket_path()(handover.own.started_at)).unwrap());
     assert!(handover.listen().is_ok());
 }
--- a/tests/unit/upgrade/resource_shares.rs
+++ b/tests/unit/upgrade/resource_shares.rs
@@ -1,16 +1,24 @@
 use super::*;
 
 fn notice(born: u64, phase: ProcessState, part: u32) -> ProcessAnnouncement {
-    ProcessAnnouncement { born, phase, part }
+    ProcessAnnouncement {
+        started_at: born,
+        state: phase,
+        share: part,
+    }
 }
 
 #[test]
 fn a_notice_is_read_as_it_was_written_and_nothing_else_is() {
-    for phase in [ProcessState::Starting, ProcessState::Serving, ProcessState::Leaving] {
+    for phase in [
+        ProcessState::Starting,
+        ProcessState::Serving,
+        ProcessState::Leaving,
+    ] {
         let notice = notice(1_700_000_000_000_000, phase, 15);
-        assert_eq!(ProcessAnnouncement::parse(&notice.line()), Some(notice));
-        assert_eq!(notice.line().len(), 35);
-        let line = notice.line();
+        assert_eq!(ProcessAnnouncement::parse(&notice.to_line()), Some(notice));
+        assert_eq!(notice.to_line().len(), 35);
+        let line = notice.to_line();
         for cut in 0..line.len() {
             assert_eq!(ProcessAnnouncement::parse(&line[..cut]), None);
         }
@@ -41,9 +49,11 @@
         let mut born = 1;
         for _ in 0..200 {
             match draw(12) {
-                0 if alive.len() < 3 && alive.iter().all(|it| it.phase != ProcessState::Starting) => {
+                0 if alive.len() < 3
+                    && alive.iter().all(|it| it.state != ProcessState::Starting) =>
+                {
                     // A second one starts only when the first has come down, as a third one's does.
-                    let kept: u32 = alive.iter().map(|it| it.part).sum();
+                    let kept: u32 = alive.iter().map(|it| it.share).sum();
                     if kept < SHARE_UNITS {
                         born += 1;
                         alive.push(notice(born, ProcessState::Starting, START));
@@ -51,7 +61,7 @@
                 }
                 1 if alive.len() > 1 => drop(alive.remove(0)),
                 2 => {
-                    alive[0].phase = if alive.len() > 1 {
+                    alive[0].state = if alive.len() > 1 {
                         ProcessState::Leaving
                     } else {
                         ProcessState::Serving
@@ -60,11 +70,11 @@
                 _ => {
                     let at = draw(alive.len() as u64) as usize;
                     let own = alive.remove(at);
-                    let to = wanted(&own, &alive);
-                    alive.insert(at, ProcessAnnouncement { part: to, ..own });
+                    let to = target_share(&own, &alive);
+                    alive.insert(at, ProcessAnnouncement { share: to, ..own });
                 }
             }
-            let kept: u32 = alive.iter().map(|it| it.part).sum();
+            let kept: u32 = alive.iter().map(|it| it.share).sum();
             assert!(kept <= SHARE_UNITS, "seed {seed}: {alive:?}");
         }
     }
@@ -73,9 +83,21 @@
 #[test]
 fn the_young_one_gets_half_beside_one_that_serves_and_more_beside_one_that_leaves() {
     let own = notice(2, ProcessState::Starting, START);
-    assert_eq!(wanted(&own, &[notice(1, ProcessState::Serving, 15)]), 1);
-    assert_eq!(wanted(&notice(1, ProcessState::Serving, 15), &[own]), 7);
-    assert_eq!(wanted(&own, &[notice(1, ProcessState::Serving, 7)]), 9);
-    assert_eq!(wanted(&own, &[notice(1, ProcessState::Leaving, 4)]), 12);
-    assert_eq!(wanted(&own, &[]), 15);
+    assert_eq!(
+        target_share(&own, &[notice(1, ProcessState::Serving, 15)]),
+        1
+    );
+    assert_eq!(
+        target_share(&notice(1, ProcessState::Serving, 15), &[own]),
+        7
+    );
+    assert_eq!(
+        target_share(&own, &[notice(1, ProcessState::Serving, 7)]),
+        9
+    );
+    assert_eq!(
+        target_share(&own, &[notice(1, ProcessState::Leaving, 4)]),
+        12
+    );
+    assert_eq!(target_share(&own, &[]), 15);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use axum::http::Uri;
 use axum::routing::get;
 use axum::Router;
-use quartzhall_recording::{RecordedOutcome, Reader, Record};
+use quartzhall_recording::{Reader, Record, RecordedOutcome};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
