--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -682,7 +682,7 @@
                 endpoint: server,
                 status,
                 request_closed: closed,
-                note,
+                cached_tokens: note,
                 load,
             },
         );
--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -41,10 +41,10 @@
 pub struct AttemptResult {
     /// Why, and with what outcome.
     pub reason: EndReason,
-    /// Tokens found kept, or 1 where no state was there.
-    pub note: f64,
-    /// Tokens of the answer, where that was told.
-    pub written: f64,
+    /// Prompt tokens found in the prefix cache, where that was reported.
+    pub cached_tokens: f64,
+    /// Tokens of the completion, where that was reported.
+    pub completion_tokens: f64,
     /// The node's load, where it was told.
     pub load: Option<LoadReport>,
 }
@@ -53,8 +53,8 @@
     fn from(reason: EndReason) -> Self {
         AttemptResult {
             reason,
-            note: f64::from(u8::from(reason == EndReason::KvStateMissing)),
-            written: 0.0,
+            cached_tokens: 0.0,
+            completion_tokens: 0.0,
             load: None,
         }
     }
--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -473,14 +473,14 @@
                         let kept = std::str::from_utf8(&body)
                             .ok()
                             .and_then(|it| json::from_str(it).ok());
-                        let note = kept
+                        let cached_tokens = kept
                             .and_then(|kept: Kept| kept.cached_tokens)
                             .unwrap_or(0.0);
                         open.ended();
                         AttemptResult {
                             reason: EndReason::PrefillDone,
-                            note,
-                            written: 0.0,
+                            cached_tokens,
+                            completion_tokens: 0.0,
                             load,
                         }
                     }
@@ -573,11 +573,11 @@
                 ..reason.into()
             };
         }
-        let (note, written, last) = parse_tail(&stream.tail);
+        let (cached_tokens, completion_tokens, last) = parse_tail(&stream.tail);
         AttemptResult {
             reason: EndReason::Served,
-            note,
-            written,
+            cached_tokens,
+            completion_tokens,
             load: last.or(load),
         }
     }
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -192,13 +192,13 @@
                         }
                     };
                     let handle = tasks.spawn(async move {
-                        let AttemptResult { reason, note, written, load } = tokio::select! {
+                        let AttemptResult { reason, cached_tokens, completion_tokens, load } = tokio::select! {
                             biased;
                             end = shared.attempt(trial, passing) => end,
                             // Dropping the exchange closes its connection.
                             () = cancelled => EndReason::Cancelled.into(),
                         };
-                        shared.door.send(Event::AttemptEnded { id, attempt, reason, cached_tokens: note, completion_tokens: written, load }).await;
+                        shared.door.send(Event::AttemptEnded { id, attempt, reason, cached_tokens, completion_tokens, load }).await;
                     });
                     trials.insert(handle.id(), (id, attempt));
                     cancels.insert((id, attempt), cancel);
--- a/src/backend/websocket.rs
+++ b/src/backend/websocket.rs
@@ -74,14 +74,14 @@
         ("event", Some(data)) => NodeMessage::Data(data.into()),
         ("read", _) => NodeMessage::End(AttemptResult {
             reason: EndReason::PrefillDone,
-            note: kept,
-            written: 0.0,
+            cached_tokens: kept,
+            completion_tokens: 0.0,
             load,
         }),
         ("served", _) => NodeMessage::End(AttemptResult {
             reason: EndReason::Served,
-            note: kept,
-            written: 0.0,
+            cached_tokens: kept,
+            completion_tokens: 0.0,
             load,
         }),
         ("refused", _) if told.never_ran == Some(true) => end(if told.state_gone == Some(true) {
--- a/src/bin/quartzhall-simhost.rs
+++ b/src/bin/quartzhall-simhost.rs
@@ -78,11 +78,12 @@
     text.as_ref().map(parse).transpose().map_err(bad)
 }
 
-fn status(word: &str) -> Result<AttemptStatus, String> {
+fn status(word: &str, remark: f64) -> Result<AttemptStatus, String> {
     Ok(match word {
         "OK" => AttemptStatus::Served,
         "handover" => AttemptStatus::PrefillDone,
         "INTERNAL" => AttemptStatus::Error,
+        "RESOURCE_EXHAUSTED" if remark > 0.0 => AttemptStatus::KvStateMissing,
         "RESOURCE_EXHAUSTED" => AttemptStatus::Overloaded,
         "DEADLINE_EXCEEDED" => AttemptStatus::Timeout,
         "UNAVAILABLE" => AttemptStatus::ConnectFailed,
@@ -276,13 +277,14 @@
             },
             "answer" => {
                 return self.tell(&who()?, |instance| {
+                    let remark = input.remark.unwrap_or(0.0);
                     Ok(Event::AttemptEnded {
                         id: given(input.rid, "rid")?,
                         attempt: given(input.trial, "trial")?,
                         endpoint: instance.servers.number(&given(input.worker, "worker")?),
-                        status: status(&given(input.status, "status")?)?,
+                        status: status(&given(input.status, "status")?, remark)?,
                         request_closed: input.closed.unwrap_or(false),
-                        note: input.remark.unwrap_or(0.0),
+                        cached_tokens: remark,
                         load: load(input.metrics),
                     })
                 })
@@ -293,7 +295,7 @@
             "tick_due" => Event::TimerFired,
             "probe_result" => {
                 return self.tell(&who()?, |instance| {
-                    let ok = status(&given(input.status, "status")?)? == AttemptStatus::Served;
+                    let ok = status(&given(input.status, "status")?, 0.0)? == AttemptStatus::Served;
                     let server = instance.servers.number(&given(input.worker, "worker")?);
                     Ok(Event::ProbeCompleted {
                         endpoint: server,
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -208,14 +208,21 @@
                 id,
                 attempt,
                 reason,
-                cached_tokens: note,
-                completion_tokens: written,
+                cached_tokens,
+                completion_tokens,
                 load,
             } => {
                 self.note(|notes| {
-                    notes.record_attempt_end(now, id, attempt, reason.status(), note, written)
+                    notes.record_attempt_end(
+                        now,
+                        id,
+                        attempt,
+                        reason.status(),
+                        cached_tokens,
+                        completion_tokens,
+                    )
                 });
-                self.ended(now, id, attempt, reason, note, load)
+                self.ended(now, id, attempt, reason, cached_tokens, load)
             }
             Event::ReleaseCompleted {
                 id,
@@ -524,7 +531,7 @@
         id: RequestId,
         attempt: u32,
         reason: EndReason,
-        note: f64,
+        cached_tokens: f64,
         load: Option<LoadReport>,
     ) {
         let status = reason.status();
@@ -576,7 +583,7 @@
         let closed = self.requests.get(id).is_some_and(Request::is_closed);
         self.log_end(now, id, attempt, reason);
         debug!(self.log, "attempt ended"; "id" => id, "attempt" => attempt, "server" => server,
-            "status" => ?status, "note" => note, "closed" => closed);
+            "status" => ?status, "cached_tokens" => cached_tokens, "closed" => closed);
         let failed = matches!(
             status,
             AttemptStatus::Reset | AttemptStatus::Error | AttemptStatus::ConnectFailed
@@ -590,7 +597,7 @@
                 endpoint: server,
                 status,
                 request_closed: closed,
-                note,
+                cached_tokens,
                 load,
             },
         );
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -55,7 +55,8 @@
         match self {
             EndReason::Served => AttemptStatus::Served,
             EndReason::PrefillDone => AttemptStatus::PrefillDone,
-            EndReason::Overloaded | EndReason::KvStateMissing => AttemptStatus::Overloaded,
+            EndReason::Overloaded => AttemptStatus::Overloaded,
+            EndReason::KvStateMissing => AttemptStatus::KvStateMissing,
             EndReason::InvalidRequest => AttemptStatus::InvalidRequest,
             EndReason::ErrorResponse
             | EndReason::UnreadableResponse
@@ -80,6 +81,7 @@
             AttemptStatus::PrefillDone => EndReason::PrefillDone,
             AttemptStatus::Error => EndReason::ErrorResponse,
             AttemptStatus::Overloaded => EndReason::Overloaded,
+            AttemptStatus::KvStateMissing => EndReason::KvStateMissing,
             AttemptStatus::Timeout => EndReason::Timeout,
             AttemptStatus::ConnectFailed => EndReason::ConnectFailed,
             AttemptStatus::Reset => EndReason::ConnectionReset,
@@ -123,7 +125,10 @@
     pub fn never_ran(self) -> bool {
         let turned_away = matches!(
             self.status(),
-            AttemptStatus::Overloaded | AttemptStatus::InvalidRequest | AttemptStatus::PrefillDone
+            AttemptStatus::Overloaded
+                | AttemptStatus::KvStateMissing
+                | AttemptStatus::InvalidRequest
+                | AttemptStatus::PrefillDone
         );
         turned_away || self.never_arrived()
     }
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -33,7 +33,7 @@
         AttemptStatus::Served => RecordedStatus::Served,
         AttemptStatus::PrefillDone => RecordedStatus::PrefillDone,
         AttemptStatus::Error => RecordedStatus::Error,
-        AttemptStatus::Overloaded => RecordedStatus::Overloaded,
+        AttemptStatus::Overloaded | AttemptStatus::KvStateMissing => RecordedStatus::Overloaded,
         AttemptStatus::Timeout => RecordedStatus::Timeout,
         AttemptStatus::ConnectFailed => RecordedStatus::ConnectFailed,
         AttemptStatus::Reset => RecordedStatus::Reset,
@@ -150,7 +150,12 @@
         kept: f64,
         written: f64,
     ) {
-        let (status, kept, written) = (status(how), tokens(kept), tokens(written));
+        // The file has no status of its own for a missing KV state: it is the one for overload, with 1 in place of cached tokens.
+        let kept = match how {
+            AttemptStatus::KvStateMissing => 1,
+            _ => tokens(kept),
+        };
+        let (status, written) = (status(how), tokens(written));
         self.notes.push(Record::Ended {
             at,
             request,
--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -215,6 +215,8 @@
     Error,
     /// Turned away; it did not run.
     Overloaded,
+    /// The endpoint held no KV cache for the request; it did not run.
+    KvStateMissing,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; it did not run.
@@ -286,8 +288,8 @@
         status: AttemptStatus,
         /// The request is over, by this or before it.
         request_closed: bool,
-        /// Prompt tokens found kept (`Ok`, `Read`); 1 with `Full` where no state was there.
-        note: f64,
+        /// Prompt tokens found in the prefix cache, where that was reported.
+        cached_tokens: f64,
         /// The server's load, where it was told.
         load: Option<LoadReport>,
     },
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -244,12 +244,12 @@
                 endpoint: server,
                 status,
                 request_closed: closed,
-                note,
+                cached_tokens,
                 load,
             } => {
                 self.told_load(server, load);
                 self.with(id, |it, request| {
-                    it.outcome(request, attempt as usize, status, closed, note)
+                    it.outcome(request, attempt as usize, status, closed, cached_tokens)
                 });
             }
             Event::PeerLoadReport {
@@ -488,7 +488,7 @@
         at: usize,
         status: AttemptStatus,
         closed: bool,
-        note: f64,
+        cached_tokens: f64,
     ) {
         let (now, id) = (self.now, request.ask.id);
         request.answered |= closed;
@@ -500,8 +500,12 @@
             status,
             AttemptStatus::ConnectFailed | AttemptStatus::NotSent | AttemptStatus::InvalidRequest
         );
-        attempt.harmless |=
-            never || status == AttemptStatus::Overloaded || attempt.stage == Stage::Read;
+        attempt.harmless |= never
+            || matches!(
+                status,
+                AttemptStatus::Overloaded | AttemptStatus::KvStateMissing
+            )
+            || attempt.stage == Stage::Read;
         let server = attempt.choice.server;
         if let Some(server) = self.servers.get_mut(&server) {
             server.waiting.remove(&(id, at));
@@ -510,7 +514,7 @@
         // A broken connection is one failure; that of a dead server is followed by one that does not open.
         let dead = status == AttemptStatus::ConnectFailed;
         let failed = matches!(status, AttemptStatus::Reset | AttemptStatus::Error)
-            || status == AttemptStatus::Overloaded && note == 0.0;
+            || status == AttemptStatus::Overloaded;
         if dead || failed || (status == AttemptStatus::Timeout && attempt.check_at > 0) {
             let answered = matches!(status, AttemptStatus::Error | AttemptStatus::Overloaded);
             self.blame(server, answered.then_some(request.ask.class), dead);
@@ -521,9 +525,9 @@
             AttemptStatus::PrefillDone => {
                 // What was really left to read: after a flush the table is wrong, and the model must not be.
                 let mut inputs = attempt.choice.inputs;
-                inputs[TOKENS] = (request.ask.prompt_tokens - note).max(0.0) / 1000.0;
+                inputs[TOKENS] = (request.ask.prompt_tokens - cached_tokens).max(0.0) / 1000.0;
                 self.observed(&request.ask, at, attempt, &inputs);
-                self.note_kept(&request.ask, attempt, note);
+                self.note_kept(&request.ask, attempt, cached_tokens);
                 let wanted = request.state_at.is_none() && !request.begun;
                 request.may_hold = true;
                 if wanted {
@@ -534,8 +538,8 @@
                     self.act(request, Action::ReleaseReservation { id });
                 }
             }
-            AttemptStatus::Served => self.streamed(&request.ask, attempt, note),
-            AttemptStatus::Overloaded if note > 0.0 => request.state_at = None,
+            AttemptStatus::Served => self.streamed(&request.ask, attempt, cached_tokens),
+            AttemptStatus::KvStateMissing => request.state_at = None,
             // It may have taken the state: given up where too few attempts would be left to read and write.
             AttemptStatus::Error | AttemptStatus::Reset | AttemptStatus::StaleConnection
                 if attempt.stage == Stage::Write =>
@@ -580,9 +584,9 @@
     }
 
     /// An answer has ended well: learns the pace from its length, as far as that is told.
-    fn streamed(&mut self, ask: &RequestMetadata, attempt: &Attempt, note: f64) {
+    fn streamed(&mut self, ask: &RequestMetadata, attempt: &Attempt, cached_tokens: f64) {
         if attempt.stage == Stage::MigratingStream {
-            self.note_kept(ask, attempt, note);
+            self.note_kept(ask, attempt, cached_tokens);
         }
         let Some(first_at) = attempt.first_at else {
             return;
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -132,7 +132,7 @@
         attempt: u32,
         server: EndpointId,
         status: AttemptStatus,
-        note: f64,
+        cached_tokens: f64,
     ) -> Vec<Action> {
         let closed = status == AttemptStatus::Served;
         self.hear(Event::AttemptEnded {
@@ -141,7 +141,7 @@
             endpoint: server,
             status,
             request_closed: closed,
-            note,
+            cached_tokens,
             load: None,
         })
     }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -330,7 +330,7 @@
     )
     .expect("a writer");
     let again = sent_to(
-        &desk.outcome_with(1_000, 1, writer, AttemptStatus::Overloaded, 1.0),
+        &desk.outcome_with(1_000, 1, writer, AttemptStatus::KvStateMissing, 0.0),
         1_000,
     )
     .expect("read again");
