--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,11 +1,13 @@
-//! Operators' calls: one line a connection, one line back that begins with `ACK` or `NAK`. It renders what the core
-//! knows and asks the core; it decides nothing.
+//! The operators' commands: one line a connection, answered by one line that begins with `ACK` or `NAK`.
+//!
+//! It renders what the dispatcher reports and submits bans to it; the dispatcher decides and owns the ban list.
 
 use crate::dispatcher::bans::BanError;
 use crate::dispatcher::{DispatcherHandle, Readiness};
 use crate::net::system_errors::AcceptPauses;
 use slog::{info, warn, Logger};
 use std::collections::VecDeque;
+use std::io;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,137 +15,207 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Callers at once, out of the spare descriptors. When there are more, the one that came first has not ended its
-/// line for longest, and makes room.
-const MOST_CALLERS: usize = 12;
-/// A line is no longer than this, its end included.
-const LONGEST: usize = 512;
-/// A caller has so long for its line ...
-const LINE_TIME: Duration = Duration::from_secs(10);
-/// ... and so long to take the answer and close.
-const END_TIME: Duration = Duration::from_secs(1);
+/// Connections at once, out of the descriptors in reserve. When there are more, the oldest is closed: it has not
+/// completed its line for longest.
+const MAX_CONNECTIONS: usize = 12;
+/// The longest line, its end included.
+const MAX_LINE_BYTES: usize = 512;
+/// For the complete line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(10);
+/// For the client to read the response and close.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What operators can ask for.
+/// A command.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Whether this process takes clients.
+pub enum AdminCommand {
+    /// Whether this process accepts clients.
     Ready,
-    /// To leave a replica out.
+    /// Bans an endpoint, by its id.
     Disable(Arc<str>),
-    /// To use it again.
+    /// Lifts an endpoint's ban.
     Enable(Arc<str>),
 }
 
-/// Reads a line without its end.
-pub fn parse(line: &[u8]) -> Result<Call, &'static str> {
-    let line = std::str::from_utf8(line).map_err(|_| "the line is not UTF-8")?;
+/// Why a command was not carried out; the text is sent to the operator behind `NAK`.
+#[derive(Debug, thiserror::Error)]
+pub enum AdminError {
+    /// The connection failed before the line's end.
+    #[error("the line broke")]
+    Read(#[source] io::Error),
+    /// The connection ended before the line did.
+    #[error("the line has no end")]
+    Unterminated,
+    /// The line is over 512 bytes.
+    #[error("the line is too long")]
+    LineTooLong,
+    /// The line is not UTF-8.
+    #[error("the line is not UTF-8")]
+    NotUtf8(#[source] std::str::Utf8Error),
+    /// The line has no words.
+    #[error("the line is empty")]
+    Empty,
+    /// The first word is no command.
+    #[error("unknown call: ready, disable-server ID and enable-server ID are known")]
+    UnknownCommand,
+    /// A command lacks the endpoint's id.
+    #[error("the replica's id is missing")]
+    MissingId,
+    /// Words follow a complete command.
+    #[error("a word too many")]
+    TrailingWords,
+    /// The process does not serve yet.
+    #[error("starting")]
+    Starting,
+    /// The process accepts no new clients any more.
+    #[error("draining")]
+    Draining,
+    /// The endpoint was never listed.
+    #[error("no replica of this id was listed")]
+    UnknownEndpoint,
+    /// The ban list is full.
+    #[error("too many replicas are out of use")]
+    TooManyBans,
+    /// The dispatcher has ended.
+    #[error("the dispatcher ends")]
+    DispatcherEnded,
+}
+
+/// Parses a line without its end.
+///
+/// # Errors
+///
+/// Returns why the line is not a command.
+pub fn parse(line: &[u8]) -> Result<AdminCommand, AdminError> {
+    let line = std::str::from_utf8(line).map_err(AdminError::NotUtf8)?;
     let mut words = line.split_ascii_whitespace();
-    let verb = words.next().ok_or("the line is empty")?;
-    let named = |word: Option<&str>| word.map(Arc::from).ok_or("the replica's id is missing");
-    let call = match verb {
-        "ready" => Call::Ready,
-        "disable-server" => Call::Disable(named(words.next())?),
-        "enable-server" => Call::Enable(named(words.next())?),
-        _ => return Err("unknown call: ready, disable-server ID and enable-server ID are known"),
+    let verb = words.next().ok_or(AdminError::Empty)?;
+    let command = match verb {
+        "ready" => AdminCommand::Ready,
+        "disable-server" => AdminCommand::Disable(parse_id(words.next())?),
+        "enable-server" => AdminCommand::Enable(parse_id(words.next())?),
+        _ => return Err(AdminError::UnknownCommand),
     };
-    match words.next() {
-        None => Ok(call),
-        Some(_) => Err("a word too many"),
+    if words.next().is_some() {
+        return Err(AdminError::TrailingWords);
     }
+    Ok(command)
+}
+
+fn parse_id(word: Option<&str>) -> Result<Arc<str>, AdminError> {
+    let id = word.ok_or(AdminError::MissingId)?;
+    Ok(id.into())
 }
 
-/// The line up to its end; the error is the answer.
-async fn line(stream: &mut TcpStream) -> Result<Vec<u8>, &'static str> {
+/// Reads a line, and returns it without its end.
+async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, AdminError> {
     let mut line = Vec::new();
-    let mut buffer = [0; LONGEST];
+    let mut buffer = [0; MAX_LINE_BYTES];
     loop {
-        let room = LONGEST - line.len();
-        let read = stream
+        let room = MAX_LINE_BYTES - line.len();
+        let read_bytes = stream
             .read(&mut buffer[..room])
             .await
-            .map_err(|_| "the line broke")?;
-        line.extend_from_slice(&buffer[..read]);
+            .map_err(AdminError::Read)?;
+        line.extend_from_slice(&buffer[..read_bytes]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
             return Ok(line);
         }
-        // UpstreamHalf a line may be the beginning of another id.
-        if read == 0 {
-            return Err("the line has no end");
+        // Half a line is not carried out: its id may be the beginning of another one.
+        if read_bytes == 0 {
+            return Err(AdminError::Unterminated);
         }
-        if line.len() == LONGEST {
-            return Err("the line is too long");
+        if line.len() == MAX_LINE_BYTES {
+            return Err(AdminError::LineTooLong);
         }
     }
 }
 
-async fn ask(door: &DispatcherHandle, call: Call) -> Result<(), &'static str> {
-    let (id, banned) = match call {
-        Call::Ready => {
-            return match door.readiness() {
-                Readiness::Ready => Ok(()),
-                Readiness::Starting | Readiness::Standby => Err("starting"),
-                Readiness::Draining => Err("draining"),
-            }
-        }
-        Call::Disable(id) => (id, true),
-        Call::Enable(id) => (id, false),
-    };
-    match door.set_ban(id, banned).await {
+async fn execute(dispatcher: &DispatcherHandle, command: AdminCommand) -> Result<(), AdminError> {
+    match command {
+        AdminCommand::Ready => match dispatcher.readiness() {
+            Readiness::Ready => Ok(()),
+            Readiness::Starting | Readiness::Standby => Err(AdminError::Starting),
+            Readiness::Draining => Err(AdminError::Draining),
+        },
+        AdminCommand::Disable(id) => set_ban(dispatcher, id, true).await,
+        AdminCommand::Enable(id) => set_ban(dispatcher, id, false).await,
+    }
+}
+
+async fn set_ban(
+    dispatcher: &DispatcherHandle,
+    id: Arc<str>,
+    is_banned: bool,
+) -> Result<(), AdminError> {
+    match dispatcher.set_ban(id, is_banned).await {
         Some(Ok(())) => Ok(()),
-        Some(Err(BanError::Unknown)) => Err("no replica of this id was listed"),
-        Some(Err(BanError::TooMany)) => Err("too many replicas are out of use"),
-        None => Err("the dispatcher ends"),
+        Some(Err(BanError::Unknown)) => Err(AdminError::UnknownEndpoint),
+        Some(Err(BanError::TooMany)) => Err(AdminError::TooManyBans),
+        None => Err(AdminError::DispatcherEnded),
     }
 }
 
-async fn serve_one(mut stream: TcpStream, door: DispatcherHandle, log: Logger) {
-    let Ok(line) = timeout(LINE_TIME, line(&mut stream)).await else {
+/// Parses and executes a line. Commands that change something are logged.
+async fn handle_line(
+    line: &[u8],
+    dispatcher: &DispatcherHandle,
+    log: &Logger,
+) -> Result<(), AdminError> {
+    let command = parse(line)?;
+    if command == AdminCommand::Ready {
+        return execute(dispatcher, command).await;
+    }
+    let command_text = format!("{command:?}");
+    let result = execute(dispatcher, command).await;
+    info!(log, "admin command"; "command" => command_text, "result" => response_line(&result).trim_end());
+    result
+}
+
+fn response_line(result: &Result<(), AdminError>) -> String {
+    match result {
+        Ok(()) => "ACK\n".to_owned(),
+        Err(error) => format!("NAK {error}\n"),
+    }
+}
+
+async fn serve_connection(mut stream: TcpStream, dispatcher: DispatcherHandle, log: Logger) {
+    let Ok(line) = timeout(LINE_TIMEOUT, read_line(&mut stream)).await else {
         return;
     };
-    let answer = match line.as_deref().map_err(|error| *error).and_then(parse) {
-        Ok(call) => {
-            let words = format!("{call:?}");
-            let answer = ask(&door, call).await;
-            if words != "Ready" {
-                info!(log, "an operator's call"; "call" => words, "answer" => ?answer);
-            }
-            answer
-        }
+    let result = match line {
+        Ok(line) => handle_line(&line, &dispatcher, &log).await,
         Err(error) => Err(error),
     };
-    let answer = match answer {
-        Ok(()) => "ACK\n".to_owned(),
-        Err(reason) => format!("NAK {reason}\n"),
-    };
-    // What the caller sends beyond its line is read and dropped: to close before would reset the answer.
-    let _ = timeout(END_TIME, async {
-        stream.write_all(answer.as_bytes()).await?;
+    let response = response_line(&result);
+    // What the client sends behind its line is read and discarded: a close over unread bytes would reset the connection,
+    // and the client would lose the response.
+    let _ = timeout(CLOSE_TIMEOUT, async {
+        stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await?;
-        let mut rest = [0; LONGEST];
-        while stream.read(&mut rest).await? > 0 {}
-        std::io::Result::Ok(())
+        let mut discarded = [0; MAX_LINE_BYTES];
+        while stream.read(&mut discarded).await? > 0 {}
+        io::Result::Ok(())
     })
     .await;
 }
 
-/// Answers operators for as long as the dispatcher runs.
-pub async fn serve(listener: TcpListener, door: DispatcherHandle, log: Logger) {
-    let mut callers: VecDeque<AbortHandle> = VecDeque::new();
+/// Serves operators for as long as the process runs.
+pub async fn serve(listener: TcpListener, dispatcher: DispatcherHandle, log: Logger) {
+    let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     let mut pauses = AcceptPauses::default();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 pauses.reset();
-                callers.retain(|caller| !caller.is_finished());
-                if callers.len() >= MOST_CALLERS {
-                    if let Some(first) = callers.pop_front() {
-                        first.abort();
+                connections.retain(|connection| !connection.is_finished());
+                if connections.len() >= MAX_CONNECTIONS {
+                    if let Some(oldest) = connections.pop_front() {
+                        oldest.abort();
                     }
                 }
-                callers.push_back(
-                    tokio::spawn(serve_one(stream, door.clone(), log.clone())).abort_handle(),
-                );
+                let serving = serve_connection(stream, dispatcher.clone(), log.clone());
+                connections.push_back(tokio::spawn(serving).abort_handle());
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,4 +1,7 @@
 //! What a client's connection is doing, and for how long it may.
+//!
+//! A [`ClientConnection`] is shared by the connection's task, its socket and its listener. It owns the time limits of
+//! the connection; the listener owns the limit on their number.
 
 use super::ShutdownPhase;
 use crate::net::message_framing::RequestFraming;
@@ -10,188 +13,234 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// From its start, or from the first byte of a later one, a connection has so long for a request's whole head.
-const HEAD_TIME: Duration = Duration::from_millis(2200);
-/// A connection that stands idle longer is closed.
-const IDLE_TIME: Duration = Duration::from_secs(90);
-/// At the limit, one that has stood idle so long makes room for a new one.
-pub(super) const REPLACEABLE_TIME: Duration = Duration::from_millis(2000);
-/// A client that takes nothing of its answer for so long is gone, and its node is to be freed.
-const STALL_TIME: Duration = Duration::from_secs(30);
-/// At the limit, one that has said nothing at all makes room sooner: a client connects when it has something to
-/// ask, so that its request is there when it is taken, and crowds of mute ones would keep it waiting for seconds.
-pub(super) const MUTE_TIME: Duration = Duration::from_millis(300);
-/// When the dispatcher ends, a request that has begun to come is looked for this often.
-const LOOK: Duration = Duration::from_millis(20);
+/// For a request's complete head: from the connection's start, or from the first byte of a later request.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// A connection that is idle for longer is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// At the limit, a connection that has been idle for so long is closed for a new one.
+pub(super) const REPLACEABLE_IDLE_TIME: Duration = Duration::from_millis(2000);
+/// A client that reads nothing of its response for so long is disconnected, so that its endpoint is released.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// At the limit, a connection that has sent nothing at all is closed sooner: a client connects when it has a request, so
+/// that the request has arrived by the time the connection is accepted, and crowds of silent connections would keep
+/// clients waiting for seconds.
+pub(super) const REPLACEABLE_SILENT_TIME: Duration = Duration::from_millis(300);
+/// During the shutdown, how often a connection is checked for a request that has begun to arrive.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Phase {
-    /// Nothing has come yet.
+pub(super) enum ConnectionPhase {
+    /// Nothing has arrived yet.
     New,
-    /// It stands between requests.
+    /// Between two requests.
     Idle,
-    /// A head has begun.
-    Head,
-    /// A request is open.
-    Open,
+    /// A request's head has begun to arrive.
+    ReadingHead,
+    /// A request is in flight.
+    RequestInFlight,
 }
 
-/// One connection, as its listener sees it.
+#[derive(Clone, Copy)]
+struct PhaseState {
+    phase: ConnectionPhase,
+    since: Instant,
+}
+
+impl PhaseState {
+    fn starting_now(phase: ConnectionPhase) -> PhaseState {
+        PhaseState {
+            phase,
+            since: Instant::now(),
+        }
+    }
+}
+
+/// The state of one connection.
 pub(super) struct ClientConnection {
-    state: Mutex<(Phase, Instant)>,
-    stalled: Mutex<Option<Instant>>,
-    requests: Mutex<RequestFraming>,
-    answered: AtomicU64,
-    reader: Mutex<Option<Waker>>, // reads on when the open request is answered
-    pub(super) exit: SharedMigrationSlot,
-    changed: Notify,
-    pub(super) close: Notify,
+    phase_state: Mutex<PhaseState>,
+    write_blocked_since: Mutex<Option<Instant>>,
+    framing: Mutex<RequestFraming>,
+    completed_responses: AtomicU64,
+    /// Wakes the task that reads on when the response in flight is complete.
+    read_waker: Mutex<Option<Waker>>,
+    migration_slot: SharedMigrationSlot,
+    /// Notified when a time limit may have changed.
+    limits_changed: Notify,
+    close_requested: Notify,
 }
 
 impl ClientConnection {
     pub(super) fn new() -> Arc<ClientConnection> {
-        let state = Mutex::new((Phase::New, Instant::now()));
         Arc::new(ClientConnection {
-            state,
-            stalled: Mutex::default(),
-            requests: Mutex::default(),
-            answered: AtomicU64::new(0),
-            reader: Mutex::default(),
-            exit: SharedMigrationSlot::default(),
-            changed: Notify::new(),
-            close: Notify::new(),
+            phase_state: Mutex::new(PhaseState::starting_now(ConnectionPhase::New)),
+            write_blocked_since: Mutex::default(),
+            framing: Mutex::default(),
+            completed_responses: AtomicU64::new(0),
+            read_waker: Mutex::default(),
+            migration_slot: SharedMigrationSlot::default(),
+            limits_changed: Notify::new(),
+            close_requested: Notify::new(),
         })
     }
 
-    fn state(&self) -> MutexGuard<'_, (Phase, Instant)> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    fn phase_state(&self) -> MutexGuard<'_, PhaseState> {
+        self.phase_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn set_phase(&self, phase: Phase) {
-        *self.state() = (phase, Instant::now());
-        self.changed.notify_one();
+    pub(super) fn set_phase(&self, phase: ConnectionPhase) {
+        *self.phase_state() = PhaseState::starting_now(phase);
+        self.limits_changed.notify_one();
     }
 
-    pub(super) fn requests(&self) -> MutexGuard<'_, RequestFraming> {
-        self.requests.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn framing(&self) -> MutexGuard<'_, RequestFraming> {
+        self.framing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes have come, of which so many belong to the same request. The first ones of a connection don't give it more
-    /// time.
-    pub(super) fn received(&self, bytes: &[u8]) -> usize {
-        let belong = self.requests().feed(bytes);
-        let mut state = self.state();
-        match state.0 {
-            Phase::New => state.0 = Phase::Head,
-            Phase::Idle => *state = (Phase::Head, Instant::now()),
-            Phase::Head | Phase::Open => return belong,
-        }
-        drop(state);
-        self.changed.notify_one();
-        belong
+    fn read_waker(&self) -> MutexGuard<'_, Option<Waker>> {
+        self.read_waker
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn write_blocked_since(&self) -> MutexGuard<'_, Option<Instant>> {
+        self.write_blocked_since
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A request has come whole and has no whole answer yet. Who reads is woken when it has.
-    pub(super) fn awaits_answer(&self, context: &Context<'_>) -> bool {
-        let awaits = self.requests().ended() > self.answered.load(Ordering::Relaxed);
-        *self.reader() = awaits.then(|| context.waker().clone());
-        awaits
+    /// Where a response's stream is offered for migration to a successor process.
+    pub(super) fn migration_slot(&self) -> &SharedMigrationSlot {
+        &self.migration_slot
     }
 
-    fn reader(&self) -> MutexGuard<'_, Option<Waker>> {
-        self.reader.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Asks the connection to close, which it does if it is still replaceable.
+    pub(super) fn request_close(&self) {
+        self.close_requested.notify_one();
     }
 
-    /// An answer is over.
-    pub(super) fn answered(&self) {
-        self.answered.fetch_add(1, Ordering::Relaxed);
-        self.set_phase(Phase::Idle);
-        if let Some(reader) = self.reader().take() {
-            reader.wake();
+    /// Records bytes that have arrived, and returns how many of them belong to the current request. The first bytes of a
+    /// connection don't extend its time for the head.
+    pub(super) fn on_bytes_received(&self, bytes: &[u8]) -> usize {
+        let request_bytes = self.framing().feed(bytes);
+        let mut state = self.phase_state();
+        match state.phase {
+            ConnectionPhase::New => state.phase = ConnectionPhase::ReadingHead,
+            ConnectionPhase::Idle => {
+                *state = PhaseState::starting_now(ConnectionPhase::ReadingHead);
+            }
+            ConnectionPhase::ReadingHead | ConnectionPhase::RequestInFlight => {
+                return request_bytes;
+            }
         }
+        drop(state);
+        self.limits_changed.notify_one();
+        request_bytes
     }
 
-    fn stalled(&self) -> MutexGuard<'_, Option<Instant>> {
-        self.stalled.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Whether a complete request has no complete response yet. If so, the task is woken when it has.
+    pub(super) fn is_response_pending(&self, context: &Context<'_>) -> bool {
+        let is_pending = self.framing().ended() > self.completed_responses.load(Ordering::Relaxed);
+        *self.read_waker() = if is_pending {
+            Some(context.waker().clone())
+        } else {
+            None
+        };
+        is_pending
     }
 
-    /// The client has taken some of an answer, or would take no more at this moment.
-    pub(super) fn wrote<T>(&self, wrote: &Poll<T>) {
-        let mut stalled = self.stalled();
-        if wrote.is_ready() {
-            *stalled = None;
-        } else if stalled.is_none() {
-            *stalled = Some(Instant::now());
-            self.changed.notify_one();
+    pub(super) fn on_response_completed(&self) {
+        self.completed_responses.fetch_add(1, Ordering::Relaxed);
+        self.set_phase(ConnectionPhase::Idle);
+        if let Some(waker) = self.read_waker().take() {
+            waker.wake();
         }
     }
 
-    /// From when on it may make room for another: it waits for a client that owes nothing and is owed nothing.
+    /// Records whether the client has read some of a response, or its receive window is full.
+    pub(super) fn on_write_polled<T>(&self, written: &Poll<T>) {
+        let mut write_blocked_since = self.write_blocked_since();
+        if written.is_ready() {
+            *write_blocked_since = None;
+        } else if write_blocked_since.is_none() {
+            *write_blocked_since = Some(Instant::now());
+            self.limits_changed.notify_one();
+        }
+    }
+
+    /// From when on the connection may be closed for a new one: while neither side owes the other anything.
     pub(super) fn replaceable_at(&self) -> Option<Instant> {
-        if self.stalled().is_some() {
-            return None; // the last of an answer is still to be sent
+        if self.write_blocked_since().is_some() {
+            return None; // the last of a response is still to be sent
         }
-        let (phase, since) = *self.state();
+        let PhaseState { phase, since } = *self.phase_state();
         match phase {
-            Phase::New => Some(since + MUTE_TIME),
-            Phase::Idle => Some(since + REPLACEABLE_TIME),
-            Phase::Head | Phase::Open => None,
+            ConnectionPhase::New => Some(since + REPLACEABLE_SILENT_TIME),
+            ConnectionPhase::Idle => Some(since + REPLACEABLE_IDLE_TIME),
+            ConnectionPhase::ReadingHead | ConnectionPhase::RequestInFlight => None,
         }
     }
 
-    /// From when on it has to go, as it stands; `None` where it may stay as long as it does what it is doing.
+    /// When the connection expires in its present phase; `None` if that has no time limit.
     fn expires_at(&self) -> Option<Instant> {
-        let stalled_until = self.stalled().map(|since| since + STALL_TIME);
-        let (phase, since) = *self.state();
+        let write_stalls_at = self
+            .write_blocked_since()
+            .map(|since| since + WRITE_STALL_TIMEOUT);
+        let PhaseState { phase, since } = *self.phase_state();
         match phase {
-            Phase::New | Phase::Head => Some(since + HEAD_TIME),
-            Phase::Idle => stalled_until.or(Some(since + IDLE_TIME)),
-            Phase::Open => stalled_until,
+            ConnectionPhase::New | ConnectionPhase::ReadingHead => {
+                Some(since + REQUEST_HEAD_TIMEOUT)
+            }
+            ConnectionPhase::Idle => write_stalls_at.or(Some(since + IDLE_TIMEOUT)),
+            ConnectionPhase::RequestInFlight => write_stalls_at,
         }
     }
 
-    /// Returns when the dispatcher ends and no request has begun to come: a new client has its request at hand, and half
-    /// a head becomes a whole one, or its time is up.
-    pub(super) async fn is_at_rest(&self, course: &mut watch::Receiver<ShutdownPhase>) {
-        let _ = course
-            .wait_for(|course| *course == ShutdownPhase::Closing)
+    /// Returns when the dispatcher shuts down and no request has begun to arrive: a new client sends its request at once,
+    /// and half a head is completed or runs into its timeout.
+    pub(super) async fn wait_until_closable(&self, shutdown: &mut watch::Receiver<ShutdownPhase>) {
+        let _ = shutdown
+            .wait_for(|phase| *phase == ShutdownPhase::Closing)
             .await;
         loop {
-            // What has come by now is read first.
+            // What has arrived by now is read first.
             tokio::task::yield_now().await;
-            let (phase, since) = *self.state();
+            let PhaseState { phase, since } = *self.phase_state();
             match phase {
-                Phase::Idle | Phase::Open => return,
-                Phase::New if since.elapsed() >= MUTE_TIME => return,
-                Phase::New | Phase::Head => sleep(LOOK).await,
+                ConnectionPhase::Idle | ConnectionPhase::RequestInFlight => return,
+                ConnectionPhase::New if since.elapsed() >= REPLACEABLE_SILENT_TIME => return,
+                ConnectionPhase::New | ConnectionPhase::ReadingHead => {
+                    sleep(SHUTDOWN_POLL_INTERVAL).await;
+                }
             }
         }
     }
 
     /// Whether a time limit of this connection has passed. What lies in the socket's buffer is read first, so that a
-    /// request which came in time is served, although the runtime had not yet noticed it.
-    async fn has_passed(&self, limit: impl Fn(&Self) -> Option<Instant>) -> bool {
+    /// request which arrived in time is served although the runtime had not yet noticed it.
+    async fn has_passed(&self, time_limit: impl Fn(&Self) -> Option<Instant>) -> bool {
         tokio::task::yield_now().await;
-        limit(self).is_some_and(|at| at <= Instant::now())
+        time_limit(self).is_some_and(|limit| limit <= Instant::now())
     }
 
-    /// Returns when the connection has to go.
-    pub(super) async fn over(&self) {
+    /// Returns when the connection has expired, or was asked to close and is replaceable.
+    pub(super) async fn wait_until_expired(&self) {
         loop {
             let expires_at = self.expires_at();
-            let expired = async {
+            let expiry = async {
                 match expires_at {
-                    Some(at) => sleep_until(at).await,
+                    Some(instant) => sleep_until(instant).await,
                     None => std::future::pending().await,
                 }
             };
-            let has_to_go = tokio::select! {
-                () = expired => self.has_passed(ClientConnection::expires_at).await,
-                () = self.close.notified() => self.has_passed(ClientConnection::replaceable_at).await,
-                () = self.changed.notified() => false,
+            let has_expired = tokio::select! {
+                () = expiry => self.has_passed(ClientConnection::expires_at).await,
+                () = self.close_requested.notified() => self.has_passed(ClientConnection::replaceable_at).await,
+                () = self.limits_changed.notified() => false,
             };
-            if has_to_go {
+            if has_expired {
                 return;
             }
         }
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -1,4 +1,6 @@
-//! Answers for balancers in front: they render the core's state and decide nothing.
+//! Health checks for load balancers in front, over HTTP and as agent checks.
+//!
+//! They render the dispatcher's readiness, and decide nothing.
 
 use super::ShutdownPhase;
 use crate::dispatcher::{DispatcherHandle, Readiness};
@@ -10,39 +12,39 @@
 use slog::{warn, Logger};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A balancer that does not take its one line in this time is left.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// For a load balancer to read the line of its agent check.
+const AGENT_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// `GET /ready`: 200 only when able to serve.
-pub async fn ready(State(door): State<DispatcherHandle>) -> (StatusCode, &'static str) {
-    match door.readiness() {
+/// `GET /ready`: 200 only while the process accepts requests.
+pub async fn ready(State(dispatcher): State<DispatcherHandle>) -> (StatusCode, &'static str) {
+    match dispatcher.readiness() {
         Readiness::Ready => (StatusCode::OK, "ready\n"),
         Readiness::Starting | Readiness::Standby => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
         Readiness::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining\n"),
     }
 }
 
-/// `GET /health`: 200 while the process serves what it has, whether or not it is to get more.
-async fn health(State(door): State<DispatcherHandle>) -> (StatusCode, &'static str) {
-    match door.readiness() {
+/// `GET /health`: 200 while the process serves the requests that it has, also when it accepts no more.
+async fn health(State(dispatcher): State<DispatcherHandle>) -> (StatusCode, &'static str) {
+    match dispatcher.readiness() {
         Readiness::Starting | Readiness::Standby => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
         Readiness::Ready | Readiness::Draining => (StatusCode::OK, "alive\n"),
     }
 }
 
-/// The routes for balancers that ask over HTTP.
-pub fn routes(door: DispatcherHandle) -> Router {
+/// The routes for load balancers that check over HTTP.
+pub fn routes(dispatcher: DispatcherHandle) -> Router {
     Router::new()
         .route("/ready", get(ready))
         .route("/health", get(health))
-        .with_state(door)
+        .with_state(dispatcher)
 }
 
-/// The line of an agent check, as HAProxy's `agent-check` reads it.
+/// The response to an agent check, as HAProxy's `agent-check` parses it.
 pub fn agent_line(readiness: Readiness) -> &'static str {
     match readiness {
         Readiness::Starting | Readiness::Standby => "down\n",
@@ -51,29 +53,24 @@
     }
 }
 
-/// Answers agent checks, one line a connection, until the dispatcher ends.
+/// Answers agent checks, one line a connection, until the process shuts down.
 pub async fn serve_agent(
     listener: TcpListener,
-    door: DispatcherHandle,
-    mut stop: watch::Receiver<ShutdownPhase>,
+    dispatcher: DispatcherHandle,
+    mut shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
     let mut pauses = AcceptPauses::default();
     loop {
         let accepted = tokio::select! {
-            _ = stop.wait_for(|course| *course == ShutdownPhase::Closing) => return,
+            _ = shutdown.wait_for(|phase| *phase == ShutdownPhase::Closing) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            // One at a time: a check is one short line, and a balancer comes back.
-            Ok((mut stream, _)) => {
+            // One at a time: the response is one short line, and a load balancer checks again.
+            Ok((stream, _)) => {
                 pauses.reset();
-                let line = agent_line(door.readiness());
-                let _ = timeout(PATIENCE, async {
-                    stream.write_all(line.as_bytes()).await?;
-                    stream.shutdown().await
-                })
-                .await;
+                send_agent_line(stream, agent_line(dispatcher.readiness())).await;
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
@@ -82,3 +79,11 @@
         }
     }
 }
+
+async fn send_agent_line(mut stream: TcpStream, line: &str) {
+    let _ = timeout(AGENT_WRITE_TIMEOUT, async {
+        stream.write_all(line.as_bytes()).await?;
+        stream.shutdown().await
+    })
+    .await;
+}
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,9 +1,11 @@
-//! The platform's HTTP/1.1: a thin front on axum.
+//! The HTTP/1.1 frontend: parses requests, submits them to the dispatcher, and streams its responses.
+//!
+//! It owns no state beyond the request that it serves; header names and response texts are the platform's.
 
 use crate::config::{micros, Deployment};
 use crate::dispatcher::{DispatcherHandle, Outcome, PendingRequest, StreamChunk, UpstreamRequest};
 use crate::frontend::health_check::ready;
-use crate::frontend::identifiers::{is_name, key};
+use crate::frontend::identifiers::{is_name, parse_key};
 use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
 use crate::routing::api::RequestMetadata;
 use crate::upgrade::stream_migration::SharedMigrationSlot;
@@ -26,196 +28,287 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
-/// A whole body, and room for it, are waited for so long after the head, however long the client would wait for
-/// its answer: that is the client's own word.
-const BODY_TIME: Duration = Duration::from_millis(2200);
+/// For memory and the complete body, from the end of the head on. It does not depend on the request's deadline, which is
+/// the client's choice.
+const BODY_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// What the handlers share.
 #[derive(Clone)]
-pub struct Shared {
-    door: DispatcherHandle,
-    rooms: BodyMemoryBudget,
+struct HttpFrontend {
+    dispatcher: DispatcherHandle,
+    body_memory: BodyMemoryBudget,
     log: Logger,
 }
 
-/// The front's routes. `rooms` bounds the bodies that are held at once.
-pub fn routes(door: DispatcherHandle, rooms: BodyMemoryBudget, log: Logger) -> Router {
-    let door_of_ready = door.clone();
-    let shared = Shared { door, rooms, log };
+/// The routes. `body_memory` limits the bodies in memory.
+pub fn routes(dispatcher: DispatcherHandle, body_memory: BodyMemoryBudget, log: Logger) -> Router {
     let ready = Router::new()
         .route("/ready", get(ready))
-        .with_state(door_of_ready);
+        .with_state(dispatcher.clone());
+    let frontend = HttpFrontend {
+        dispatcher,
+        body_memory,
+        log,
+    };
     Router::new()
         .route("/v1/chat/completions", post(complete))
-        .with_state(shared)
+        .with_state(frontend)
         .merge(ready)
 }
 
-/// Reads `X-Props`: lengths in tokens, and the shared text where there is one.
-pub fn parse_props(text: &str, ask: &mut RequestMetadata) -> Result<(), String> {
-    let (mut prompt, mut most) = (None, None);
+/// Why a request's head is invalid; the text is sent to the client.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidRequest {
+    /// A required header is missing.
+    #[error("{0} is missing")]
+    MissingHeader(&'static str),
+    /// A header's value has bytes other than visible ASCII.
+    #[error("{0} is not plain text")]
+    NotText(&'static str),
+    /// The request's id is not a name as in [`is_name`].
+    #[error("X-Trace-Id is not a plain name")]
+    InvalidId,
+    /// No request class has this name.
+    #[error("unknown class {0:?}")]
+    UnknownClass(String),
+    /// No tenant has this name.
+    #[error("unknown tenant {0:?}")]
+    UnknownTenant(String),
+    /// The deadline is not a number of milliseconds.
+    #[error("X-Expires-In-Ms is not a number")]
+    InvalidDeadline,
+    /// `X-Props` has an item without a `=`.
+    #[error("X-Props is not a list of pairs")]
+    MalformedProps,
+    /// A length in `X-Props` is not a number.
+    #[error("{0} is not a number of tokens")]
+    InvalidTokenCount(&'static str),
+    /// A required length is missing in `X-Props`.
+    #[error("X-Props lacks {0}")]
+    MissingTokenCount(&'static str),
+}
+
+fn parse_token_count(name: &'static str, value: &str) -> Result<f64, InvalidRequest> {
+    match value.parse::<u32>() {
+        Ok(tokens) => Ok(f64::from(tokens)),
+        Err(_) => Err(InvalidRequest::InvalidTokenCount(name)),
+    }
+}
+
+/// Parses `X-Props` into the metadata: lengths in tokens, and the shared prefix if there is one.
+///
+/// # Errors
+///
+/// Returns what is malformed or missing.
+pub fn parse_props(text: &str, metadata: &mut RequestMetadata) -> Result<(), InvalidRequest> {
+    let mut prompt_tokens = None;
+    let mut max_output_tokens = None;
     for pair in text.split(',') {
-        let (name, value) = pair
-            .split_once('=')
-            .ok_or("X-Props is not a list of pairs")?;
-        let (name, value) = (name.trim(), value.trim());
-        let tokens = || {
-            let tokens = value
-                .parse::<u32>()
-                .map_err(|_| format!("{name} is not a number of tokens"));
-            tokens.map(f64::from)
-        };
-        match name {
-            "prefix" => ask.prefix = Some(key(value)),
-            "prompt_len" => prompt = Some(tokens()?),
-            "prefix_len" => ask.prefix_tokens = tokens()?,
-            "max_out" => most = Some(tokens()?),
+        let (name, value) = pair.split_once('=').ok_or(InvalidRequest::MalformedProps)?;
+        let value = value.trim();
+        match name.trim() {
+            "prefix" => metadata.prefix = Some(parse_key(value)),
+            "prompt_len" => prompt_tokens = Some(parse_token_count("prompt_len", value)?),
+            "prefix_len" => metadata.prefix_tokens = parse_token_count("prefix_len", value)?,
+            "max_out" => max_output_tokens = Some(parse_token_count("max_out", value)?),
             _ => {}
         }
     }
-    ask.prompt_tokens = prompt.ok_or("X-Props lacks prompt_len")?;
-    ask.max_output_tokens = most.ok_or("X-Props lacks max_out")?;
+    metadata.prompt_tokens =
+        prompt_tokens.ok_or(InvalidRequest::MissingTokenCount("prompt_len"))?;
+    metadata.max_output_tokens =
+        max_output_tokens.ok_or(InvalidRequest::MissingTokenCount("max_out"))?;
     Ok(())
 }
 
-/// Reads a request's head: its name and what the module is told.
+fn header_text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, InvalidRequest> {
+    let value = headers
+        .get(name)
+        .ok_or(InvalidRequest::MissingHeader(name))?;
+    value.to_str().map_err(|_| InvalidRequest::NotText(name))
+}
+
+/// Parses a request's headers: the client's id for it, and what the dispatcher routes by.
+///
+/// # Errors
+///
+/// Returns the first header that is missing or invalid.
 pub fn parse_head(
     headers: &HeaderMap,
-    site: &Deployment,
-) -> Result<(Arc<str>, RequestMetadata), String> {
-    let text = |name: &str| {
-        let value = headers
-            .get(name)
-            .ok_or_else(|| format!("{name} is missing"))?;
-        value
-            .to_str()
-            .map_err(|_| format!("{name} is not plain text"))
-    };
-    let name = text("x-trace-id")?;
-    if !is_name(name) {
-        return Err("X-Trace-Id is not a plain name".into());
+    deployment: &Deployment,
+) -> Result<(Arc<str>, RequestMetadata), InvalidRequest> {
+    let id = header_text(headers, "x-trace-id")?;
+    if !is_name(id) {
+        return Err(InvalidRequest::InvalidId);
     }
-    let mut ask = RequestMetadata {
-        session: Some(key(text("x-object")?)),
+    let mut metadata = RequestMetadata {
+        session: Some(parse_key(header_text(headers, "x-object")?)),
         ..RequestMetadata::default()
     };
-    let class = text("x-qos")?;
-    ask.class = site
-        .classes
-        .known(class)
-        .ok_or_else(|| format!("unknown class {class:?}"))? as usize;
-    if !site.settings.tenants.is_empty() {
-        let tenant = text("x-customer")?;
-        let number = site
-            .tenants
-            .known(tenant)
-            .ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
-        ask.tenant = Some(number as usize);
+    let class = header_text(headers, "x-qos")?;
+    let Some(class_number) = deployment.classes.known(class) else {
+        return Err(InvalidRequest::UnknownClass(class.to_owned()));
+    };
+    metadata.class = class_number as usize;
+    if !deployment.settings.tenants.is_empty() {
+        let tenant = header_text(headers, "x-customer")?;
+        let Some(tenant_number) = deployment.tenants.known(tenant) else {
+            return Err(InvalidRequest::UnknownTenant(tenant.to_owned()));
+        };
+        metadata.tenant = Some(tenant_number as usize);
     }
-    let expires: u32 = text("x-expires-in-ms")?
+    let expires_in_ms: u32 = header_text(headers, "x-expires-in-ms")?
         .parse()
-        .map_err(|_| "X-Expires-In-Ms is not a number")?;
-    ask.time_left = micros(f64::from(expires));
-    parse_props(text("x-props")?, &mut ask)?;
-    Ok((name.into(), ask))
+        .map_err(|_| InvalidRequest::InvalidDeadline)?;
+    metadata.time_left = micros(f64::from(expires_in_ms));
+    parse_props(header_text(headers, "x-props")?, &mut metadata)?;
+    Ok((id.into(), metadata))
 }
 
-fn says(status: StatusCode, text: impl Into<String>) -> Response {
-    (status, text.into() + "\n").into_response()
+fn text_response(status: StatusCode, text: &str) -> Response {
+    (status, format!("{text}\n")).into_response()
 }
 
-fn refused(after: Duration) -> Response {
-    let after = format!("{:.3}", after.as_secs_f64());
+fn shed_response(retry_after: Duration) -> Response {
+    let retry_after_s = format!("{:.3}", retry_after.as_secs_f64());
     (
         StatusCode::SERVICE_UNAVAILABLE,
-        [(header::RETRY_AFTER, after)],
+        [(header::RETRY_AFTER, retry_after_s)],
         "refused\n",
     )
         .into_response()
 }
 
-async fn complete(State(shared): State<Shared>, request: Request) -> Response {
-    let came = Instant::now();
+/// Why a request's body was not read.
+#[derive(Debug, thiserror::Error)]
+enum BodyError {
+    #[error("the body is over 256 KiB")]
+    TooLarge,
+    #[error("the body is not whole")]
+    Incomplete,
+    #[error("the body took too long")]
+    TimedOut,
+    /// Nothing was done for the request, so that it may be sent again.
+    #[error("no memory is free for the body")]
+    NoMemory,
+}
+
+impl BodyError {
+    fn into_response(self, max_retry_after: Duration) -> Response {
+        let status = match self {
+            BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            BodyError::Incomplete => StatusCode::BAD_REQUEST,
+            BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
+            BodyError::NoMemory => return shed_response(max_retry_after),
+        };
+        text_response(status, &self.to_string())
+    }
+}
+
+/// Reads a body into memory that is reserved for it. Without a declared length, memory for the longest is reserved.
+async fn read_body(
+    body: Body,
+    body_memory: &BodyMemoryBudget,
+    timeout: Instant,
+) -> Result<Bytes, BodyError> {
+    let declared_bytes = http_body::Body::size_hint(&body)
+        .exact()
+        .unwrap_or(MAX_BODY_BYTES as u64);
+    if declared_bytes > MAX_BODY_BYTES as u64 {
+        return Err(BodyError::TooLarge);
+    }
+    let reserving = body_memory.reserve(declared_bytes as usize);
+    let Ok(Some(reservation)) = timeout_at(timeout, reserving).await else {
+        return Err(BodyError::NoMemory);
+    };
+    match timeout_at(timeout, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+        Ok(Ok(body)) => Ok(reservation.attach(body.to_bytes())),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Ok(Err(_)) => Err(BodyError::Incomplete),
+        Err(_) => Err(BodyError::TimedOut),
+    }
+}
+
+async fn complete(State(frontend): State<HttpFrontend>, request: Request) -> Response {
+    let received_at = Instant::now();
     let (head, body) = request.into_parts();
-    let site = shared.door.deployment();
-    let (name, mut ask) = match parse_head(&head.headers, &site) {
+    let deployment = frontend.dispatcher.deployment();
+    let (client_request_id, mut metadata) = match parse_head(&head.headers, &deployment) {
         Ok(parsed) => parsed,
         Err(error) => {
-            debug!(shared.log, "a bad request"; "error" => &error);
-            return says(StatusCode::BAD_REQUEST, error);
+            debug!(frontend.log, "invalid request"; "error" => %error);
+            return text_response(StatusCode::BAD_REQUEST, &error.to_string());
         }
     };
-    let length = http_body::Body::size_hint(&body)
-        .exact()
-        .unwrap_or(MAX_BODY_BYTES as u64);
-    if length > MAX_BODY_BYTES as u64 {
-        return says(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 256 KiB");
-    }
-    let until = came + BODY_TIME;
-    // Nothing was done for a request that finds no room: it may come again.
-    let Ok(Some(room)) = timeout_at(until, shared.rooms.reserve(length as usize)).await else {
-        return refused(Duration::from_micros(site.settings.max_retry_after));
-    };
-    let body = match timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-        Ok(Ok(body)) => room.attach(body.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            return says(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 256 KiB");
+    let body = match read_body(body, &frontend.body_memory, received_at + BODY_TIMEOUT).await {
+        Ok(body) => body,
+        Err(error) => {
+            let max_retry_after = Duration::from_micros(deployment.settings.max_retry_after);
+            return error.into_response(max_retry_after);
         }
-        Ok(Err(_)) => return says(StatusCode::BAD_REQUEST, "the body is not whole"),
-        Err(_) => return says(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
-    let exit = head.extensions.get::<SharedMigrationSlot>().cloned();
-    let target = head
-        .uri
-        .path_and_query()
-        .map_or("/", |target| target.as_str());
-    let work = UpstreamRequest {
-        client_request_id: name,
+    let migration_slot = head.extensions.get::<SharedMigrationSlot>().cloned();
+    let target = match head.uri.path_and_query() {
+        Some(target) => target.as_str(),
+        None => "/",
+    };
+    let upstream_request = UpstreamRequest {
+        client_request_id,
         target: target.into(),
         body,
     };
-    ask.time_left = ask
-        .time_left
-        .saturating_sub(came.elapsed().as_micros() as u64);
-    let (ticket, answered) = shared.door.submit(ask, work).await;
-    match answered.await {
-        Ok(Outcome::Stream(pieces)) => {
-            let body = Body::new(Pieces {
-                pieces,
-                ended: false,
-                broken: false,
-                exit,
-                _ticket: ticket,
-            });
-            (
-                [
-                    (header::CONTENT_TYPE, "text/event-stream"),
-                    (header::CACHE_CONTROL, "no-cache"),
-                ],
-                body,
-            )
-                .into_response()
-        }
-        Ok(Outcome::Shed(after)) => refused(after),
-        Ok(Outcome::Failed) => says(StatusCode::BAD_GATEWAY, "failed"),
+    let elapsed_us = received_at.elapsed().as_micros() as u64;
+    metadata.time_left = metadata.time_left.saturating_sub(elapsed_us);
+    let (pending_request, outcome) = frontend.dispatcher.submit(metadata, upstream_request).await;
+    match outcome.await {
+        Ok(Outcome::Stream(chunks)) => stream_response(ResponseStream {
+            chunks,
+            state: StreamState::Open,
+            migration_slot,
+            _pending_request: pending_request,
+        }),
+        Ok(Outcome::Shed(retry_after)) => shed_response(retry_after),
+        Ok(Outcome::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed"),
         Ok(Outcome::InvalidRequest) => {
-            says(StatusCode::BAD_REQUEST, "a node found the request bad")
+            text_response(StatusCode::BAD_REQUEST, "a node found the request bad")
+        }
+        Ok(Outcome::DuplicateId) => {
+            text_response(StatusCode::CONFLICT, "a request of this id is in flight")
         }
-        Ok(Outcome::DuplicateId) => says(StatusCode::CONFLICT, "a request of this id is in flight"),
-        Err(_) => says(StatusCode::INTERNAL_SERVER_ERROR, "no answer"),
+        Err(_) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "no answer"),
     }
 }
 
-/// A stream on its way to the client. Its ticket tells the core when the client has left.
-struct Pieces {
-    pieces: mpsc::Receiver<StreamChunk>,
-    ended: bool,
-    broken: bool, // it broke, and what came before has had its turn to be sent
-    exit: Option<SharedMigrationSlot>,
-    _ticket: PendingRequest,
+fn stream_response(stream: ResponseStream) -> Response {
+    (
+        [
+            (header::CONTENT_TYPE, "text/event-stream"),
+            (header::CACHE_CONTROL, "no-cache"),
+        ],
+        Body::new(stream),
+    )
+        .into_response()
+}
+
+#[derive(PartialEq, Eq)]
+enum StreamState {
+    Open,
+    /// The upstream broke off; what came before has had its turn to be sent.
+    Broken,
+    /// The response is complete.
+    Ended,
+}
+
+/// A response on its way to the client. If the client disconnects, the pending request is dropped with it, which cancels
+/// it at the dispatcher.
+struct ResponseStream {
+    chunks: mpsc::Receiver<StreamChunk>,
+    state: StreamState,
+    migration_slot: Option<SharedMigrationSlot>,
+    _pending_request: PendingRequest,
 }
 
-impl http_body::Body for Pieces {
+impl http_body::Body for ResponseStream {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -223,29 +316,29 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if self.ended {
+        if self.state == StreamState::Ended {
             return Poll::Ready(None);
         }
-        match self.pieces.poll_recv(context) {
+        match self.chunks.poll_recv(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(StreamChunk::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
             Poll::Ready(Some(StreamChunk::Migrate(half))) => {
-                // Nothing more comes until it has moved, or goes on here.
-                match &self.exit {
-                    Some(exit) => exit.offer(half),
+                // No chunk comes until the stream is migrated, or continues here.
+                match &self.migration_slot {
+                    Some(migration_slot) => migration_slot.offer(half),
                     None => drop(half),
                 }
                 self.poll_frame(context)
             }
             Poll::Ready(Some(StreamChunk::End)) => {
-                self.ended = true;
+                self.state = StreamState::Ended;
                 Poll::Ready(None)
             }
-            // The stream broke. An error makes the server close the connection at once, with what it has not sent yet: where
-            // the break comes right behind the first event, the client would get no answer at all.
+            // The stream broke off. An error makes hyper close the connection at once, with what it has not sent yet: if
+            // the break came right behind the first event, the client would get no response at all.
             Poll::Ready(None) if breaks(Variant::StreamEnd) => Poll::Ready(None),
-            Poll::Ready(None) if !self.broken => {
-                self.broken = true;
+            Poll::Ready(None) if self.state == StreamState::Open => {
+                self.state = StreamState::Broken;
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -1,14 +1,16 @@
-//! NameTable and keys, as clients of every front write them.
+//! Names and keys as the clients of all frontends write them.
 
 use crate::config::fnv1a_hash;
 
-/// A session's or a text's key: 16 hexadecimal digits, and any other word by its hash.
-pub fn key(word: &str) -> u64 {
+/// A session's or a shared prefix's key: the value of up to 16 hexadecimal digits, or the hash of any other word.
+pub fn parse_key(word: &str) -> u64 {
     u64::from_str_radix(word, 16).unwrap_or_else(|_| fnv1a_hash(word))
 }
 
-/// A name that may stand in a node's path as it is.
+/// Whether a name may stand in an endpoint's path without escapes: 1 to 128 unreserved characters, and not dots alone.
 pub fn is_name(name: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
-    (1..=128).contains(&name.len()) && name.bytes().all(plain) && !name.bytes().all(|it| it == b'.')
+    let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
+    (1..=128).contains(&name.len())
+        && name.bytes().all(is_unreserved)
+        && !name.bytes().all(|byte| byte == b'.')
 }
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,29 +1,30 @@
-//! The memory that the bodies of requests may take, all fronts together.
+//! The memory that the bodies of requests may take, in all frontends together.
 
 use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
 use bytes::Bytes;
 
-/// A request's body may have so many bytes.
+/// The longest body that is accepted.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// Kilobytes for one body.
-const LEAST: usize = MAX_BODY_BYTES / 1024 + 1;
+/// Enough for one body, in kilobytes.
+const MIN_BUDGET_KILOBYTES: usize = MAX_BODY_BYTES / 1024 + 1;
 
-/// What is left of the memory. Cheap to clone.
+/// The budget, in kilobytes. Cheap to clone; clones share it.
 #[derive(Clone)]
 pub struct BodyMemoryBudget(ConnectionLimit);
 
-/// A part of it, for one body.
+/// Memory of the budget that is reserved for one body, and released when this is dropped.
 pub struct MemoryReservation {
-    place: ConnectionPermit,
+    permit: ConnectionPermit,
 }
 
-struct Kept {
+/// A body and the memory that is reserved for it.
+struct ReservedBody {
     body: Bytes,
-    _room: MemoryReservation,
+    _reservation: MemoryReservation,
 }
 
-impl AsRef<[u8]> for Kept {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
@@ -34,40 +35,42 @@
 }
 
 impl BodyMemoryBudget {
-    /// So many kilobytes in all, and enough for one body at least.
-    pub fn new(kb: usize) -> Self {
-        BodyMemoryBudget(ConnectionLimit::new(kb.max(LEAST)))
+    /// A budget of so many kilobytes, but enough for one body at least.
+    pub fn new(budget_kilobytes: usize) -> Self {
+        BodyMemoryBudget(ConnectionLimit::new(
+            budget_kilobytes.max(MIN_BUDGET_KILOBYTES),
+        ))
     }
 
-    /// Keeps to so many parts of the memory, though to enough for one body at least.
-    pub fn set_share(&self, part: u32) {
-        self.0.set_share(part, LEAST);
+    /// Limits the budget to this process's share, in the units of [`ConnectionLimit::set_share`], but to enough for one
+    /// body at least.
+    pub fn set_share(&self, share_units: u32) {
+        self.0.set_share(share_units, MIN_BUDGET_KILOBYTES);
     }
 
-    /// MemoryReservation for a body of this length; waits for it.
-    pub async fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        self.0
-            .acquire(kilobytes(bytes))
-            .await
-            .map(|place| MemoryReservation { place })
+    /// Waits until memory for a body of this length is free, and reserves it.
+    pub async fn reserve(&self, body_bytes: usize) -> Option<MemoryReservation> {
+        let permit = self.0.acquire(kilobytes(body_bytes)).await?;
+        Some(MemoryReservation { permit })
     }
 
-    /// MemoryReservation for a body of this length, if there is some now.
-    pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        self.0
-            .try_acquire(kilobytes(bytes))
-            .map(|place| MemoryReservation { place })
+    /// Reserves memory for a body of this length if that is free now.
+    pub fn try_reserve(&self, body_bytes: usize) -> Option<MemoryReservation> {
+        let permit = self.0.try_acquire(kilobytes(body_bytes))?;
+        Some(MemoryReservation { permit })
     }
 }
 
 impl MemoryReservation {
-    /// The body, with as much of the room as it needs: that is free again when nobody holds the body any more.
+    /// Ties the reservation to the body, less what the body does not need: it is released with the last clone of the
+    /// body.
     pub fn attach(mut self, body: Bytes) -> Bytes {
-        let spare = self
-            .place
-            .num_permits()
-            .saturating_sub(kilobytes(body.len()) as usize);
-        drop(self.place.split(spare));
-        Bytes::from_owner(Kept { body, _room: self })
+        let needed = kilobytes(body.len()) as usize;
+        let unneeded = self.permit.num_permits().saturating_sub(needed);
+        drop(self.permit.split(unneeded));
+        Bytes::from_owner(ReservedBody {
+            body,
+            _reservation: self,
+        })
     }
 }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,21 +1,26 @@
-//! The fronts: each turns its wire into core requests and core answers into its wire, and decides nothing.
+//! The frontends: each translates between its clients' protocol and the dispatcher, and makes no decisions.
+//!
+//! The state of requests is the dispatcher's; the frontends own their connections and sessions.
 
 pub mod admin;
+mod admission;
+mod client_socket;
 mod connection;
 pub mod health_check;
 pub mod http;
 pub mod identifiers;
 pub mod listener;
 pub mod memory_budget;
+mod request_service;
 pub mod websocket;
 
-/// How far a dispatcher is on its way to its end.
+/// How far a process is in its shutdown. The phases are in order: a process never goes back to an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// It serves.
+    /// New connections are accepted.
     Serving,
-    /// It takes no new connections, for a successor does; answers end those that it has.
+    /// A successor accepts new connections; open ones are closed with their next response.
     Draining,
-    /// What is idle is closed, and what is open is ended.
+    /// Idle connections are closed, and the others when their requests end.
     Closing,
 }
--- /dev/null
+++ b/src/frontend/websocket/mod.rs
@@ -0,0 +1,162 @@
+//! WebSocket sessions (RFC 6455): many requests a session, one final message each.
+//!
+//! A request outlives the socket that submitted it for a short time, so that a reconnect is no new attempt: the same id,
+//! submitted again, keeps the first deadline and is answered from the [`idempotency_cache`]. That cache is bounded, and
+//! each dispatcher has its own. The messages are described in `docs/websocket.md`.
+//!
+//! [`SessionFrontend`] owns what sessions share; [`session`] runs one socket, and [`request_task`] one request.
+
+mod idempotency_cache;
+mod messages;
+mod request_task;
+mod session;
+
+pub use messages::{
+    parse, take_text, ClientMessage, ClientRequest, InvalidMessage, InvalidMessageReason,
+};
+
+use crate::config::{fnv1a_hash, SessionConfig};
+use crate::dispatcher::DispatcherHandle;
+use crate::frontend::memory_budget::BodyMemoryBudget;
+use crate::frontend::ShutdownPhase;
+use axum::extract::ws::WebSocketUpgrade;
+use axum::extract::State;
+use axum::http::StatusCode;
+use axum::response::{IntoResponse, Response};
+use axum::routing::get;
+use axum::Router;
+use idempotency_cache::IdempotencyCache;
+use session::{Session, SessionActivity};
+use slog::Logger;
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
+use tokio::time::timeout;
+
+/// At the limit, a session without a request in flight that submitted nothing for so long is closed for a new one.
+const REPLACEABLE_SESSION_IDLE_TIME: Duration = Duration::from_millis(2000);
+/// How long a new session waits for the one that is closed for it.
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// A socket's read buffer. A larger message takes more while it is read, an idle session does not.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+
+/// What all sessions share. Cheap to clone.
+#[derive(Clone)]
+pub struct SessionFrontend {
+    dispatcher: DispatcherHandle,
+    config: Arc<SessionConfig>,
+    body_memory: BodyMemoryBudget,
+    cache: Arc<Mutex<IdempotencyCache>>,
+    session_slots: Arc<Semaphore>,
+    sessions: Arc<Mutex<HashMap<u64, Arc<SessionActivity>>>>,
+    /// Numbers sessions and the requests that endpoints receive.
+    next_number: Arc<AtomicU64>,
+    /// Makes the names of requests differ between starts.
+    boot_id: u64,
+    shutdown: watch::Receiver<ShutdownPhase>,
+    log: Logger,
+}
+
+impl SessionFrontend {
+    /// Creates the shared state. `seed` makes the names under which endpoints know requests differ between starts.
+    pub fn new(
+        dispatcher: DispatcherHandle,
+        config: Arc<SessionConfig>,
+        body_memory: BodyMemoryBudget,
+        seed: u64,
+        shutdown: watch::Receiver<ShutdownPhase>,
+        log: Logger,
+    ) -> Self {
+        SessionFrontend {
+            dispatcher,
+            body_memory,
+            cache: Arc::default(),
+            session_slots: Arc::new(Semaphore::new(config.max_sessions)),
+            config,
+            sessions: Arc::default(),
+            next_number: Arc::default(),
+            boot_id: fnv1a_hash(&seed.to_string()),
+            shutdown,
+            log,
+        }
+    }
+
+    /// Waits until all sessions are closed.
+    pub async fn wait_until_closed(&self) {
+        let _ = self
+            .session_slots
+            .acquire_many(self.config.max_sessions as u32)
+            .await;
+    }
+
+    fn sessions(&self) -> MutexGuard<'_, HashMap<u64, Arc<SessionActivity>>> {
+        self.sessions.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn cache(&self) -> MutexGuard<'_, IdempotencyCache> {
+        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// A slot for a new session. At the limit, the session that has been idle for longest is closed for it: its client
+    /// loses nothing by a reconnect, and silent sessions must not lock others out.
+    async fn acquire_session_slot(&self) -> Option<OwnedSemaphorePermit> {
+        if let Ok(slot) = self.session_slots.clone().try_acquire_owned() {
+            return Some(slot);
+        }
+        let replaceable = self.longest_idle_session()?;
+        if replaceable.idle_time() < REPLACEABLE_SESSION_IDLE_TIME {
+            return None;
+        }
+        replaceable.request_close();
+        timeout(
+            REPLACEMENT_TIMEOUT,
+            self.session_slots.clone().acquire_owned(),
+        )
+        .await
+        .ok()?
+        .ok()
+    }
+
+    fn longest_idle_session(&self) -> Option<Arc<SessionActivity>> {
+        self.sessions()
+            .values()
+            .filter(|session| !session.has_requests())
+            .min_by_key(|session| session.idle_since())
+            .cloned()
+    }
+
+    fn take_number(&self) -> u64 {
+        self.next_number.fetch_add(1, Ordering::Relaxed)
+    }
+}
+
+/// The routes: sessions at `/v1/sessions`.
+pub fn routes(frontend: SessionFrontend) -> Router {
+    Router::new()
+        .route("/v1/sessions", get(upgrade))
+        .with_state(frontend)
+}
+
+async fn upgrade(State(frontend): State<SessionFrontend>, upgrade: WebSocketUpgrade) -> Response {
+    if *frontend.shutdown.borrow() == ShutdownPhase::Closing {
+        return (StatusCode::SERVICE_UNAVAILABLE, "draining\n").into_response();
+    }
+    let Some(session_slot) = frontend.acquire_session_slot().await else {
+        return (StatusCode::SERVICE_UNAVAILABLE, "too many sessions\n").into_response();
+    };
+    let max_message_bytes = frontend.config.max_message_bytes;
+    let upgrade = upgrade
+        .max_message_size(max_message_bytes)
+        .max_frame_size(max_message_bytes)
+        .read_buffer_size(READ_BUFFER_BYTES);
+    upgrade.on_upgrade(move |socket| async move {
+        let activity = Arc::new(SessionActivity::new(frontend.config.max_requests));
+        let number = frontend.take_number();
+        frontend.sessions().insert(number, activity.clone());
+        Session::new(frontend.clone(), activity, socket).run().await;
+        frontend.sessions().remove(&number);
+        drop(session_slot);
+    })
+}
--- /dev/null
+++ b/src/frontend/websocket/session.rs
@@ -0,0 +1,391 @@
+//! One socket of a session: receives client messages, sends what answers them, and closes with the code that fits.
+
+use super::idempotency_cache::{
+    CachedRequest, FinalOutcome, IdempotencyCache, MessageSender, RequestKey, RequestState,
+};
+use super::messages::{parse, ClientMessage, ClientRequest, InvalidMessage, ServerMessage};
+use super::request_task::RequestTask;
+use super::SessionFrontend;
+use crate::config::Deployment;
+use crate::frontend::ShutdownPhase;
+use axum::extract::ws::{close_code, CloseFrame, Message, WebSocket};
+use bytes::Bytes;
+use slog::debug;
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::sync::{mpsc, watch, Notify, Semaphore};
+use tokio::time::{interval_at, timeout, Instant, Interval};
+
+/// Messages that may be queued for a session's socket.
+const MAX_QUEUED_MESSAGES: usize = 32;
+/// Sessions that may submit a request in flight again before its task has answered the first of them.
+const MAX_QUEUED_ATTACHMENTS: usize = 4;
+/// When a request that exceeded a limit may be submitted again.
+const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// How long the closing handshake may take.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What other sessions see of a session: since when it is idle, and whether it has requests in flight.
+pub(super) struct SessionActivity {
+    last_message_at: Mutex<Instant>,
+    /// One permit for each request that may be in flight.
+    request_slots: Arc<Semaphore>,
+    max_requests: usize,
+    close_requested: Notify,
+}
+
+impl SessionActivity {
+    pub(super) fn new(max_requests: usize) -> SessionActivity {
+        SessionActivity {
+            last_message_at: Mutex::new(Instant::now()),
+            request_slots: Arc::new(Semaphore::new(max_requests)),
+            max_requests,
+            close_requested: Notify::new(),
+        }
+    }
+
+    fn last_message_at(&self) -> MutexGuard<'_, Instant> {
+        self.last_message_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn idle_since(&self) -> Instant {
+        *self.last_message_at()
+    }
+
+    pub(super) fn idle_time(&self) -> Duration {
+        self.idle_since().elapsed()
+    }
+
+    pub(super) fn has_requests(&self) -> bool {
+        self.request_slots.available_permits() != self.max_requests
+    }
+
+    /// Asks the session to close, which it does if it is still idle.
+    pub(super) fn request_close(&self) {
+        self.close_requested.notify_one();
+    }
+}
+
+type CloseReason = (u16, &'static str);
+
+/// What follows from an event of a session.
+enum SessionStep {
+    Continue,
+    Send(Message),
+    /// Close with this code.
+    Close(CloseReason),
+    /// The client has disconnected or is silent: there is nobody to close with.
+    Disconnect,
+}
+
+/// One socket of a session.
+pub(super) struct Session {
+    frontend: SessionFrontend,
+    activity: Arc<SessionActivity>,
+    socket: WebSocket,
+    message_sender: MessageSender,
+    queued_messages: mpsc::Receiver<Message>,
+    /// Cancels the requests that this socket submitted, by their ids.
+    cancel_senders: HashMap<String, mpsc::Sender<()>>,
+    last_received_at: Instant,
+    is_shutting_down: bool,
+}
+
+impl Session {
+    pub(super) fn new(
+        frontend: SessionFrontend,
+        activity: Arc<SessionActivity>,
+        socket: WebSocket,
+    ) -> Session {
+        let (message_sender, queued_messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        Session {
+            frontend,
+            activity,
+            socket,
+            message_sender,
+            queued_messages,
+            cancel_senders: HashMap::new(),
+            last_received_at: Instant::now(),
+            is_shutting_down: false,
+        }
+    }
+
+    /// Runs the session until its socket is closed.
+    pub(super) async fn run(mut self) {
+        let ping_interval = Duration::from_millis(self.frontend.config.ping_interval_ms);
+        let mut pings = interval_at(self.last_received_at + ping_interval, ping_interval);
+        let mut shutdown = self.frontend.shutdown.clone();
+        loop {
+            if self.is_shutting_down && self.is_idle() {
+                return self.close((close_code::AWAY, "the dispatcher ends")).await;
+            }
+            match self.next_step(&mut pings, &mut shutdown).await {
+                SessionStep::Continue => {}
+                SessionStep::Send(message) => {
+                    if !self.send(message).await {
+                        return;
+                    }
+                }
+                SessionStep::Close(reason) => return self.close(reason).await,
+                SessionStep::Disconnect => return,
+            }
+        }
+    }
+
+    /// Whether no request is in flight and no message is queued.
+    fn is_idle(&self) -> bool {
+        !self.activity.has_requests() && self.queued_messages.is_empty()
+    }
+
+    /// Waits for the next event and handles it.
+    async fn next_step(
+        &mut self,
+        pings: &mut Interval,
+        shutdown: &mut watch::Receiver<ShutdownPhase>,
+    ) -> SessionStep {
+        let activity = self.activity.clone();
+        tokio::select! {
+            biased;
+            Some(message) = self.queued_messages.recv() => SessionStep::Send(message),
+            _ = shutdown.wait_for(|phase| *phase == ShutdownPhase::Closing), if !self.is_shutting_down => {
+                self.is_shutting_down = true;
+                SessionStep::Continue
+            }
+            // A request that ends frees its slot: during the shutdown, that may be the last one.
+            Ok(_) = activity.request_slots.acquire_many(activity.max_requests as u32), if self.is_shutting_down => {
+                SessionStep::Continue
+            }
+            () = activity.close_requested.notified() => {
+                if self.is_idle() {
+                    SessionStep::Close((close_code::AGAIN, "no session is free"))
+                } else {
+                    SessionStep::Continue
+                }
+            }
+            _ = pings.tick() => self.on_ping_due(),
+            received = self.socket.recv() => self.on_received(received),
+        }
+    }
+
+    fn session_timeout(&self) -> Duration {
+        Duration::from_millis(self.frontend.config.session_timeout_ms)
+    }
+
+    fn on_ping_due(&self) -> SessionStep {
+        if self.last_received_at.elapsed() > self.session_timeout() {
+            debug!(self.frontend.log, "session timed out");
+            return SessionStep::Disconnect;
+        }
+        SessionStep::Send(Message::Ping(Bytes::new()))
+    }
+
+    fn on_received(&mut self, received: Option<Result<Message, axum::Error>>) -> SessionStep {
+        self.last_received_at = Instant::now();
+        match received {
+            None | Some(Ok(Message::Close(_))) => SessionStep::Disconnect,
+            Some(Ok(Message::Ping(_) | Message::Pong(_))) => SessionStep::Continue,
+            Some(Ok(Message::Binary(_))) => {
+                SessionStep::Close((close_code::UNSUPPORTED, "text messages only"))
+            }
+            Some(Ok(Message::Text(text))) => {
+                *self.activity.last_message_at() = self.last_received_at;
+                self.cancel_senders
+                    .retain(|_, cancel_sender| !cancel_sender.is_closed());
+                match self.on_text(&text) {
+                    Some(response) => SessionStep::Send(response),
+                    None => SessionStep::Continue,
+                }
+            }
+            Some(Err(error)) => SessionStep::Close(close_reason(&*error.into_inner())),
+        }
+    }
+
+    /// Sends a message; false if the client has disconnected, or has read nothing for the session's timeout.
+    async fn send(&mut self, message: Message) -> bool {
+        let sent = timeout(self.session_timeout(), self.socket.send(message)).await;
+        matches!(sent, Ok(Ok(())))
+    }
+
+    async fn close(mut self, (code, reason): CloseReason) {
+        let close = Message::Close(Some(CloseFrame {
+            code,
+            reason: reason.into(),
+        }));
+        let handshake = async {
+            if self.socket.send(close).await.is_ok() {
+                // The client's own close ends the handshake; what it still sends is read and discarded.
+                while let Some(Ok(_)) = self.socket.recv().await {}
+            }
+        };
+        let _ = timeout(CLOSE_TIMEOUT, handshake).await;
+    }
+
+    /// Handles a client message. Returns the response if there is one at once.
+    fn on_text(&mut self, text: &str) -> Option<Message> {
+        let deployment = self.frontend.dispatcher.deployment();
+        match parse(text, &deployment) {
+            Ok(ClientMessage::Request(request)) => self.on_request(request, &deployment),
+            Ok(ClientMessage::Cancel { id }) => {
+                if let Some(cancel_sender) = self.cancel_senders.remove(&id) {
+                    let _ = cancel_sender.try_send(());
+                }
+                None
+            }
+            Err(InvalidMessage { id, reason }) => {
+                let reason = &reason.to_string();
+                let response = match &id {
+                    Some(id) => ServerMessage::Failed { id, reason },
+                    None => ServerMessage::Error { id: None, reason },
+                };
+                Some(response.to_message())
+            }
+        }
+    }
+
+    /// Answers a request from the cache, or starts its task. The cache stays locked from the look-up to the insertion.
+    fn on_request(&mut self, request: ClientRequest, deployment: &Deployment) -> Option<Message> {
+        let ClientRequest { id, metadata, body } = request;
+        let key = RequestKey {
+            tenant: metadata
+                .tenant
+                .map(|tenant| deployment.tenants.name(tenant as u32).to_owned()),
+            request_id: id,
+        };
+        let now = Instant::now();
+        let mut cache = self.frontend.cache();
+        let deadline = match self.look_up(&cache, &key, now) {
+            Lookup::Unknown => now + Duration::from_micros(metadata.time_left),
+            Lookup::MayRun { deadline } => deadline,
+            Lookup::Attached => return None,
+            Lookup::Answered(response) => return Some(response),
+        };
+        let shed = |retry_after| {
+            let id = &key.request_id;
+            Some(ServerMessage::Shed { id, retry_after }.to_message())
+        };
+        if self.is_shutting_down {
+            return shed(Duration::ZERO);
+        }
+        // Over a limit nothing is done, so that the same id may be submitted again.
+        let slot = self.activity.request_slots.clone().try_acquire_owned();
+        let Ok(slot) = slot else {
+            return shed(LIMIT_RETRY_AFTER);
+        };
+        let Some(memory) = self.frontend.body_memory.try_reserve(body.len()) else {
+            return shed(LIMIT_RETRY_AFTER);
+        };
+        let (attachment_sender, attachments) = mpsc::channel(MAX_QUEUED_ATTACHMENTS);
+        let (cancel_sender, cancelled) = mpsc::channel(1);
+        self.cancel_senders
+            .insert(key.request_id.clone(), cancel_sender);
+        cache.insert(
+            key.clone(),
+            CachedRequest {
+                deadline,
+                state: RequestState::InFlight(attachment_sender),
+            },
+        );
+        let task = RequestTask {
+            frontend: self.frontend.clone(),
+            key,
+            class: deployment.settings.classes[metadata.class].clone(),
+            metadata,
+            body: memory.attach(body),
+            deadline,
+            message_sender: self.message_sender.clone(),
+            attachments,
+            cancelled,
+            detached_until: None,
+            response_text: String::new(),
+            is_response_cacheable: true,
+        };
+        tokio::spawn(task.run(slot));
+        None
+    }
+
+    /// Looks a request up in the cache, and attaches this session to its task if it is in flight.
+    fn look_up(&self, cache: &IdempotencyCache, key: &RequestKey, now: Instant) -> Lookup {
+        let Some(request) = cache.get(key) else {
+            return Lookup::Unknown;
+        };
+        let id = &key.request_id;
+        let deadline = request.deadline;
+        let response = match &request.state {
+            RequestState::InFlight(attachment_sender) => {
+                if attachment_sender
+                    .try_send(self.message_sender.clone())
+                    .is_ok()
+                {
+                    return Lookup::Attached;
+                }
+                // Its task has not yet answered the sessions that were attached before. That is no final message, as
+                // the request is still in flight.
+                ServerMessage::Error {
+                    id: Some(id),
+                    reason: "asked too often",
+                }
+            }
+            RequestState::Finished(FinalOutcome::Served(None)) => ServerMessage::ServedBefore {
+                id,
+                has_text: false,
+            },
+            RequestState::Finished(FinalOutcome::Served(Some(text))) => {
+                self.send_cached_response(id, text);
+                return Lookup::Attached;
+            }
+            RequestState::Finished(FinalOutcome::Failed(reason)) => {
+                ServerMessage::Failed { id, reason }
+            }
+            RequestState::Finished(FinalOutcome::Shed { retry_at })
+                if now < *retry_at || now >= deadline =>
+            {
+                let retry_after = retry_at.saturating_duration_since(now);
+                ServerMessage::Shed { id, retry_after }
+            }
+            RequestState::Abandoned if now >= deadline => ServerMessage::Failed {
+                id,
+                reason: "its deadline has passed",
+            },
+            RequestState::Finished(FinalOutcome::Shed { .. }) | RequestState::Abandoned => {
+                return Lookup::MayRun { deadline };
+            }
+        };
+        Lookup::Answered(response.to_message())
+    }
+
+    /// Queues the two messages of a cached response without blocking the session.
+    fn send_cached_response(&self, id: &str, text: &str) {
+        let event = ServerMessage::Event { id, data: text }.to_message();
+        let served = ServerMessage::ServedBefore { id, has_text: true }.to_message();
+        let message_sender = self.message_sender.clone();
+        tokio::spawn(async move {
+            let _ = message_sender.send(event).await;
+            let _ = message_sender.send(served).await;
+        });
+    }
+}
+
+/// What the cache tells about a request that is submitted.
+enum Lookup {
+    /// It was not submitted before.
+    Unknown,
+    /// It was submitted before and nothing was done: it may run, by its first deadline.
+    MayRun {
+        deadline: Instant,
+    },
+    /// The response is queued by another task.
+    Attached,
+    Answered(Message),
+}
+
+fn close_reason(error: &(dyn std::error::Error + 'static)) -> CloseReason {
+    use tokio_tungstenite::tungstenite::Error;
+    match error.downcast_ref::<Error>() {
+        Some(Error::Capacity(_)) => (close_code::SIZE, "the message is too big"),
+        Some(Error::Utf8(_)) => (close_code::INVALID, "the text is not UTF-8"),
+        _ => (close_code::PROTOCOL, "not the protocol"),
+    }
+}
--- a/tests/unit/frontend/admin.rs
+++ b/tests/unit/frontend/admin.rs
@@ -1,17 +1,22 @@
 use super::*;
 
+/// Parses a line, with the error as the text that operators receive.
+fn parse_line(line: &[u8]) -> Result<AdminCommand, String> {
+    parse(line).map_err(|error| error.to_string())
+}
+
 #[test]
-fn a_line_is_one_call_or_a_reason() {
-    assert_eq!(parse(b"ready"), Ok(Call::Ready));
+fn a_line_parses_to_one_command_or_an_error() {
+    assert_eq!(parse_line(b"ready"), Ok(AdminCommand::Ready));
     assert_eq!(
-        parse(b"disable-server s-1\r"),
-        Ok(Call::Disable("s-1".into()))
+        parse_line(b"disable-server s-1\r"),
+        Ok(AdminCommand::Disable("s-1".into()))
     );
     assert_eq!(
-        parse(b" enable-server  s-1 "),
-        Ok(Call::Enable("s-1".into()))
+        parse_line(b" enable-server  s-1 "),
+        Ok(AdminCommand::Enable("s-1".into()))
     );
-    for bad in [
+    for invalid in [
         "",
         "  ",
         "READY",
@@ -21,7 +26,10 @@
         "enable-server",
         "quit",
     ] {
-        assert!(parse(bad.as_bytes()).is_err(), "{bad:?}");
+        assert!(parse_line(invalid.as_bytes()).is_err(), "{invalid:?}");
     }
-    assert_eq!(parse(b"disable-server \xff"), Err("the line is not UTF-8"));
+    assert_eq!(
+        parse_line(b"disable-server \xff"),
+        Err("the line is not UTF-8".to_owned())
+    );
 }
