--- a/src/main.rs
+++ b/src/main.rs
@@ -413,7 +413,7 @@
     let most = clients.capacity();
     let mut fronts = JoinSet::new();
     let options = Arc::new(sessions);
-    let shared = websocket::Shared::new(
+    let shared = websocket::SessionFrontend::new(
         door.clone(),
         options,
         rooms,
@@ -486,7 +486,7 @@
         let _ = set_course.send(ShutdownPhase::Closing);
         let _ = set_moving.send(succeeded);
         while fronts.join_next().await.is_some() {}
-        shared.over().await;
+        shared.wait_until_closed().await;
         door.wait_until_idle().await;
     };
     tokio::select! {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -37,7 +37,7 @@
     attempt::parse_load(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
     identifiers::is_name(&text);
-    identifiers::key(&text);
+    identifiers::parse_key(&text);
     let mut partial = bytes.to_vec();
     if let Some(whole) = websocket::take_text(&mut partial) {
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -371,7 +371,7 @@
         let options = Arc::new(SessionConfig::parse(options).unwrap());
         let (listener, sessions) = bind().await;
         let rooms = BodyMemoryBudget::new(10_000);
-        let shared = websocket::Shared::new(
+        let shared = websocket::SessionFrontend::new(
             door.clone(),
             options,
             rooms.clone(),
@@ -402,7 +402,7 @@
         );
         let over = tokio::spawn(async move {
             tokio::join!(front, thin);
-            shared.over().await;
+            shared.wait_until_closed().await;
         });
         let site = Mutex::new(second);
         let nodes = standing;
