--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -74,3 +74,7 @@
         })
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/frontend/memory_budget.rs"]
+mod tests;
--- a/src/frontend/websocket/mod.rs
+++ b/src/frontend/websocket/mod.rs
@@ -1,10 +1,10 @@
 //! WebSocket sessions (RFC 6455): many requests a session, one final message each.
 //!
 //! A request outlives the socket that submitted it for a short time, so that a reconnect is no new attempt: the same id,
-//! submitted again, keeps the first deadline and is answered from the [`idempotency_cache`]. That cache is bounded, and
+//! submitted again, keeps the first deadline and is answered from the `idempotency_cache`. That cache is bounded, and
 //! each dispatcher has its own. The messages are described in `docs/websocket.md`.
 //!
-//! [`SessionFrontend`] owns what sessions share; [`session`] runs one socket, and [`request_task`] one request.
+//! [`SessionFrontend`] owns what sessions share; `session` runs one socket, and `request_task` one request.
 
 mod idempotency_cache;
 mod messages;
--- a/src/frontend/websocket/request_task.rs
+++ b/src/frontend/websocket/request_task.rs
@@ -10,6 +10,7 @@
 use axum::extract::ws::Message;
 use bytes::Bytes;
 use slog::debug;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
@@ -33,9 +34,34 @@
     pub(super) cancelled: mpsc::Receiver<()>,
     /// While no socket is attached: until when one may be.
     pub(super) detached_until: Option<Instant>,
-    /// The response so far, while it is short enough to be cached.
-    pub(super) response_text: String,
-    pub(super) is_response_cacheable: bool,
+    pub(super) response: CacheableText,
+}
+
+/// The text of a response so far, while it is short enough to be cached.
+#[derive(Default)]
+pub(super) struct CacheableText {
+    text: String,
+    is_over_limit: bool,
+}
+
+impl CacheableText {
+    /// Adds to the text. Once that is over the limit, nothing more is added.
+    fn push(&mut self, text: &str, max_bytes: usize) {
+        if self.text.len() + text.len() > max_bytes {
+            self.is_over_limit = true;
+        }
+        if !self.is_over_limit {
+            self.text.push_str(text);
+        }
+    }
+
+    /// The complete text, unless it is over the limit.
+    fn complete_text(&self) -> Option<Arc<str>> {
+        if self.is_over_limit {
+            return None;
+        }
+        Some(self.text.as_str().into())
+    }
 }
 
 /// How an attempt to run the request ended.
@@ -119,8 +145,8 @@
         // From here on a session that submits the request finds it in the cache; one that did so just before is
         // answered here.
         while let Ok(message_sender) = self.attachments.try_recv() {
-            if !self.response_text.is_empty() {
-                let _ = message_sender.send(self.event(&self.response_text)).await;
+            if !self.response.text.is_empty() {
+                let _ = message_sender.send(self.event(&self.response.text)).await;
             }
             let _ = message_sender.send(final_message.clone()).await;
         }
@@ -244,13 +270,13 @@
     async fn on_attached(&mut self, message_sender: MessageSender) -> Option<FinalOutcome> {
         self.message_sender = message_sender;
         self.detached_until = None;
-        if !self.is_response_cacheable {
+        if self.response.is_over_limit {
             return Some(FinalOutcome::Failed(
                 "its answer is too long to be sent anew",
             ));
         }
-        if !self.response_text.is_empty() {
-            let event = self.event(&self.response_text);
+        if !self.response.text.is_empty() {
+            let event = self.event(&self.response.text);
             let _ = self.message_sender.send(event).await;
         }
         None
@@ -285,10 +311,7 @@
                 None
             }
             Some(StreamChunk::End) if undecoded.is_empty() => {
-                let text = self
-                    .is_response_cacheable
-                    .then(|| self.response_text.as_str().into());
-                Some(FinalOutcome::Served(text))
+                Some(FinalOutcome::Served(self.response.complete_text()))
             }
             Some(StreamChunk::Migrate(half)) => {
                 // A session stays with its process: its streams are not migrated.
@@ -301,13 +324,8 @@
 
     async fn forward_text(&mut self, text: &str) {
         let sent = self.message_sender.send(self.event(text)).await;
-        let response_bytes = self.response_text.len() + text.len();
-        if response_bytes > self.frontend.config.max_cached_response_bytes {
-            self.is_response_cacheable = false;
-        }
-        if self.is_response_cacheable {
-            self.response_text.push_str(text);
-        }
+        let max_cached_bytes = self.frontend.config.max_cached_response_bytes;
+        self.response.push(text, max_cached_bytes);
         if sent.is_err() {
             self.start_reattach_window();
         }
--- a/src/frontend/websocket/session.rs
+++ b/src/frontend/websocket/session.rs
@@ -4,7 +4,7 @@
     CachedRequest, FinalOutcome, IdempotencyCache, MessageSender, RequestKey, RequestState,
 };
 use super::messages::{parse, ClientMessage, ClientRequest, InvalidMessage, ServerMessage};
-use super::request_task::RequestTask;
+use super::request_task::{CacheableText, RequestTask};
 use super::SessionFrontend;
 use crate::config::Deployment;
 use crate::frontend::ShutdownPhase;
@@ -299,8 +299,7 @@
             attachments,
             cancelled,
             detached_until: None,
-            response_text: String::new(),
-            is_response_cacheable: true,
+            response: CacheableText::default(),
         };
         tokio::spawn(task.run(slot));
         None
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' calls over their own socket, byte by byte where that matters.
+//! Operators' commands over their own socket, byte by byte where that matters.
 
 mod testbed;
 
@@ -7,32 +7,32 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-async fn call(fleet: &Fleet, line: &[u8]) -> String {
+async fn send_command(fleet: &Fleet, line: &[u8]) -> String {
     let exchange = async {
         let mut stream = TcpStream::connect(&fleet.management).await.unwrap();
         stream.write_all(line).await.unwrap();
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.unwrap();
-        answer
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.unwrap();
+        response
     };
     tokio::time::timeout(Duration::from_secs(1), exchange)
         .await
-        .expect("an answer within 1 s")
+        .expect("a response within 1 s")
 }
 
 #[tokio::test]
-async fn calls_are_answered_with_one_line() {
+async fn commands_are_answered_with_one_line() {
     let fleet = Fleet::start(false).await;
-    assert_eq!(call(&fleet, b"ready\n").await, "ACK\n");
-    assert_eq!(call(&fleet, b"ready\r\n").await, "ACK\n");
+    assert_eq!(send_command(&fleet, b"ready\n").await, "ACK\n");
+    assert_eq!(send_command(&fleet, b"ready\r\n").await, "ACK\n");
     assert_eq!(
-        call(&fleet, b"disable-server n2\nready\n and more").await,
+        send_command(&fleet, b"disable-server n2\nready\n and more").await,
         "ACK\n"
     );
-    assert_eq!(call(&fleet, b"disable-server n2\n").await, "ACK\n");
-    assert_eq!(call(&fleet, b"enable-server n2\n").await, "ACK\n");
+    assert_eq!(send_command(&fleet, b"disable-server n2\n").await, "ACK\n");
+    assert_eq!(send_command(&fleet, b"enable-server n2\n").await, "ACK\n");
     let long = [b"disable-server n2".as_slice(), &[b' '; 1000], b"\n"].concat();
-    for bad in [
+    for invalid in [
         b"quit\n".as_slice(),
         b"\n",
         b"ready now\n",
@@ -40,61 +40,61 @@
         b"enable-server \xff\n",
         &long,
     ] {
-        let answer = call(&fleet, bad).await;
+        let response = send_command(&fleet, invalid).await;
         assert!(
-            answer.starts_with("NAK ") && answer.ends_with('\n'),
-            "{answer}"
+            response.starts_with("NAK ") && response.ends_with('\n'),
+            "{response}"
         );
     }
-    // Unlisted: also as the beginning of a listed one's line that was cut.
-    assert!(call(&fleet, b"disable-server nobody\n")
+    // An id that is not listed, and a listed one's line that was cut.
+    assert!(send_command(&fleet, b"disable-server nobody\n")
         .await
         .starts_with("NAK "));
     let mut cut = TcpStream::connect(&fleet.management).await.unwrap();
     cut.write_all(b"disable-server n1").await.unwrap();
     cut.shutdown().await.unwrap();
-    let mut answer = String::new();
-    cut.read_to_string(&mut answer).await.unwrap();
-    assert!(answer.starts_with("NAK "), "{answer}");
+    let mut response = String::new();
+    cut.read_to_string(&mut response).await.unwrap();
+    assert!(response.starts_with("NAK "), "{response}");
     fleet.drain().await;
-    assert!(call(&fleet, b"ready\n").await.starts_with("NAK "));
+    assert!(send_command(&fleet, b"ready\n").await.starts_with("NAK "));
 }
 
-/// Callers that never end their line hold no place that another needs.
+/// Connections that never complete their line are closed for new ones.
 #[tokio::test]
-async fn unfinished_callers_lock_nobody_out() {
+async fn incomplete_commands_do_not_lock_operators_out() {
     let fleet = Fleet::start(false).await;
-    let mut unfinished = Vec::new();
+    let mut incomplete = Vec::new();
     for _ in 0..60 {
         let mut stream = TcpStream::connect(&fleet.management).await.unwrap();
         stream.write_all(b"rea").await.unwrap();
-        unfinished.push(stream);
-        assert_eq!(call(&fleet, b"ready\n").await, "ACK\n");
+        incomplete.push(stream);
+        assert_eq!(send_command(&fleet, b"ready\n").await, "ACK\n");
     }
-    // The first ones have made room.
+    // The first ones were closed for later ones.
     let mut rest = [0; 8];
     assert!(matches!(
-        unfinished[0].read(&mut rest).await,
+        incomplete[0].read(&mut rest).await,
         Ok(0) | Err(_)
     ));
 }
 
-/// A replica that is out of use gets nothing: not on a kept connection, not what waits, whatever discovery says.
+/// A banned endpoint receives nothing: neither on a pooled connection nor from the queue, whatever discovery reports.
 #[tokio::test]
-async fn a_replica_that_is_out_gets_nothing_and_is_used_when_it_is_back() {
+async fn a_banned_endpoint_receives_nothing_until_its_ban_is_lifted() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         let mut terminal = Terminal::connect(&fleet).await;
-        // The only writer that is listed serves, so that a connection to it is kept.
+        // The only listed decode endpoint serves, so that a connection to it is pooled.
         terminal.ask("a", "status-query", 4000).await;
         assert_eq!(terminal.hear_final("a").await.0, "served");
         assert_eq!(fleet.sent_to(2), 1);
-        // One waits at a writer through the ban, and is served: a ban drains.
+        // A request in flight at the endpoint during the ban is served: a ban drains.
         fleet.way(2, Way::Pause);
         terminal.ask("b", "status-query", 4000).await;
         assert_eq!(terminal.hear().await.0, "event");
         fleet.way(2, Way::Serve);
-        assert_eq!(call(&fleet, b"disable-server n2\n").await, "ACK\n");
+        assert_eq!(send_command(&fleet, b"disable-server n2\n").await, "ACK\n");
         fleet.tell(&[(3, "Ready")]).await;
         for (number, phase) in ["Ready", "Gone", "Ready", "Terminating", "Ready"]
             .iter()
@@ -114,7 +114,7 @@
         assert_eq!((fleet.sent_to(2), fleet.sent_to(3)), (2, 5));
         fleet.go.notify_one();
         assert_eq!(terminal.hear_final("b").await.0, "served");
-        assert_eq!(call(&fleet, b"enable-server n2\n").await, "ACK\n");
+        assert_eq!(send_command(&fleet, b"enable-server n2\n").await, "ACK\n");
         fleet.tell(&[(3, "Gone")]).await;
         terminal.ask("d", "status-query", 4000).await;
         assert_eq!(terminal.hear_final("d").await.0, "served");
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients that say nothing, too little, or what can be read in two ways: on a paused clock.
+//! Clients that send nothing, too little, or something ambiguous: on a paused clock.
 
 mod testbed;
 
@@ -13,38 +13,70 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
+use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// More bytes than the buffers of a connection take.
-const LONG_ANSWER: usize = 16 << 20;
+/// More bytes than the buffers of a connection hold.
+const LONG_RESPONSE_BYTES: usize = 16 << 20;
 const GET: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: c\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 4000000000\r\nX-Props: prompt_len=500,max_out=100\r\n";
 
 async fn send(address: &str, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // Else a second small write would wait for the first one's acknowledgement, in real time.
+    // Otherwise a second small write would wait for the first one's acknowledgement, in real time.
     stream.set_nodelay(true).unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     stream
 }
 
-/// What comes until it ends with this, or until the connection's end where it is empty.
-async fn read(stream: &mut TcpStream, ends: &str) -> String {
-    let (mut all, mut some) = (Vec::new(), [0; 4096]);
-    while ends.is_empty() || !all.ends_with(ends.as_bytes()) {
-        match stream.read(&mut some).await {
+/// Reads until the text ends with `suffix`, or until the connection ends if that is empty.
+async fn read_until(stream: &mut TcpStream, suffix: &str) -> String {
+    let mut received = Vec::new();
+    let mut buffer = [0; 4096];
+    while suffix.is_empty() || !received.ends_with(suffix.as_bytes()) {
+        match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => break,
-            Ok(read) => all.extend_from_slice(&some[..read]),
+            Ok(read_bytes) => received.extend_from_slice(&buffer[..read_bytes]),
         }
     }
-    String::from_utf8_lossy(&all).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// A listener without a dispatcher, for so many connections.
-async fn listen(most: usize) -> (String, watch::Sender<ShutdownPhase>) {
+/// Reads the response to [`GET`].
+async fn expect_ready(client: &mut TcpStream) {
+    assert!(read_until(client, "ready.")
+        .await
+        .starts_with("HTTP/1.1 200"));
+}
+
+/// A listener without a dispatcher.
+struct TestListener {
+    address: String,
+    shutdown: watch::Sender<ShutdownPhase>,
+    task: JoinHandle<()>,
+}
+
+async fn listen_with(routes: Router, max_connections: usize) -> TestListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let (stop, stopped) = watch::channel(ShutdownPhase::Serving);
+    let (shutdown, shutdown_receiver) = watch::channel(ShutdownPhase::Serving);
+    let task = tokio::spawn(listener::serve(
+        listener,
+        routes,
+        ConnectionLimit::new(max_connections),
+        shutdown_receiver,
+        None,
+        Logger::root(Discard, o!()),
+    ));
+    TestListener {
+        address,
+        shutdown,
+        task,
+    }
+}
+
+/// A listener with routes for all tests.
+async fn listen(max_connections: usize) -> (String, watch::Sender<ShutdownPhase>) {
     let routes = Router::new()
         .route("/ready", get(|| async { "ready." }))
         .route(
@@ -54,21 +86,14 @@
                 "ready."
             }),
         )
-        .route("/long", get(|| async { vec![b'x'; LONG_ANSWER] }))
+        .route("/long", get(|| async { vec![b'x'; LONG_RESPONSE_BYTES] }))
         .route("/post", post(|_: axum::body::Bytes| async {}));
-    tokio::spawn(listener::serve(
-        listener,
-        routes,
-        ConnectionLimit::new(most),
-        stopped,
-        None,
-        Logger::root(Discard, o!()),
-    ));
-    (address, stop)
+    let listener = listen_with(routes, max_connections).await;
+    (listener.address, listener.shutdown)
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_never_becomes_a_request_is_closed_within_3_s() {
+async fn an_incomplete_request_is_closed_within_3_s() {
     let fleet = Fleet::start(false).await;
     let half = format!("{HEAD}Content-Length: 900\r\n\r\n{{\"half\":");
     for (text, answer) in [
@@ -80,10 +105,10 @@
     ] {
         let mut client = send(&fleet.platform, text).await;
         let sent = Instant::now();
-        let told = read(&mut client, "").await;
+        let response = read_until(&mut client, "").await;
         assert!(
-            told.starts_with(answer) && told.is_empty() == answer.is_empty(),
-            "{text:?}: {told}"
+            response.starts_with(answer) && response.is_empty() == answer.is_empty(),
+            "{text:?}: {response}"
         );
         assert!(
             sent.elapsed() < Duration::from_millis(2500),
@@ -95,7 +120,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_open_request_has_its_time() {
+async fn a_request_in_flight_is_not_subject_to_the_head_timeout() {
     let fleet = Fleet::start(false).await;
     fleet.way(2, Way::Pause);
     let mut client = send(
@@ -103,136 +128,136 @@
         &format!("{HEAD}Content-Length: 2\r\n\r\n{{}}"),
     )
     .await;
-    assert!(read(&mut client, "\n\n\r\n").await.contains(ANSWER[0]));
+    assert!(read_until(&mut client, "\n\n\r\n")
+        .await
+        .contains(ANSWER[0]));
     sleep(Duration::from_secs(3)).await;
     fleet.go.notify_one();
-    assert!(read(&mut client, "0\r\n\r\n").await.contains(ANSWER[2]));
+    assert!(read_until(&mut client, "0\r\n\r\n")
+        .await
+        .contains(ANSWER[2]));
 }
 
 #[tokio::test(start_paused = true)]
-async fn at_the_limit_the_longest_idle_makes_room() {
+async fn at_the_limit_the_longest_idle_connection_is_closed_for_a_new_one() {
     let (address, _stop) = listen(8).await;
     let mut idle = Vec::new();
     for _ in 0..5 {
         let mut client = send(&address, GET).await;
-        assert!(read(&mut client, "ready.")
-            .await
-            .starts_with("HTTP/1.1 200"));
+        expect_ready(&mut client).await;
         idle.push(client);
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_millis(500)).await;
-    // What has begun a head is neither idle nor mute.
-    let begun = "GET /re";
-    let _begun = [
-        send(&address, begun).await,
-        send(&address, begun).await,
-        send(&address, begun).await,
+    // A connection that has begun a head is neither idle nor silent.
+    let partial_head = "GET /re";
+    let _reading_head = [
+        send(&address, partial_head).await,
+        send(&address, partial_head).await,
+        send(&address, partial_head).await,
     ];
-    let asked = Instant::now();
+    let started_at = Instant::now();
     let mut new = send(&address, GET).await;
-    assert!(read(&mut new, "ready.").await.starts_with("HTTP/1.1 200"));
-    // Not before it had stood idle for 2 s, and not much later.
+    expect_ready(&mut new).await;
+    // Not before the connection had been idle for 2 s, and not much later.
     assert!(
-        (900..1200).contains(&asked.elapsed().as_millis()),
+        (900..1200).contains(&started_at.elapsed().as_millis()),
         "{:?}",
-        asked.elapsed()
+        started_at.elapsed()
     );
-    assert_eq!(read(&mut idle[0], "").await, "");
+    assert_eq!(read_until(&mut idle[0], "").await, "");
     idle[1].write_all(GET.as_bytes()).await.unwrap();
-    assert!(read(&mut idle[1], "ready.")
-        .await
-        .starts_with("HTTP/1.1 200"));
+    expect_ready(&mut idle[1]).await;
 }
 
-/// A request that comes in the very step in which its idle connection would make room is served: the runtime has not told
-/// of its bytes yet, and a close over them would reset the connection.
+/// A request that arrives in the very step in which its idle connection would be closed for a new one is served: the
+/// runtime has not reported its bytes yet, and a close over them would reset the connection.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_comes_as_its_connection_makes_room_is_answered() {
+async fn a_request_that_arrives_as_its_connection_is_replaced_is_answered() {
     for _ in 0..5 {
         let (address, _stop) = listen(2).await;
         let mut client = send(&address, GET).await;
-        assert!(read(&mut client, "ready.")
-            .await
-            .starts_with("HTTP/1.1 200"));
+        expect_ready(&mut client).await;
         let idle_since = Instant::now();
         sleep(Duration::from_millis(1900)).await;
-        let _last_place = send(&address, "GET /re").await;
+        let _last_permit = send(&address, "GET /re").await;
         // The timer of the listener is due in the same step; the test's own future is polled first.
         sleep_until(idle_since + Duration::from_millis(2000)).await;
         assert_eq!(client.try_write(GET.as_bytes()).unwrap(), GET.len());
-        assert!(read(&mut client, "ready.")
-            .await
-            .starts_with("HTTP/1.1 200"));
+        expect_ready(&mut client).await;
     }
 }
 
-/// A client that has not taken all of its answer keeps its connection at the limit, though its request is over.
+/// A client that has not read all of its response keeps its connection at the limit, though its request is complete.
 #[tokio::test(start_paused = true)]
-async fn at_the_limit_an_answer_that_is_not_taken_yet_is_not_cut() {
+async fn at_the_limit_a_response_that_is_not_read_yet_is_not_cut() {
     let (address, _stop) = listen(1).await;
     let mut client = send(&address, &GET.replace("/ready", "/long")).await;
     sleep(Duration::from_secs(5)).await;
-    let told = read(&mut client, "x").await;
-    assert!(told.starts_with("HTTP/1.1 200"));
-    let (mut taken, mut some) = (told.len(), vec![0; 1 << 16]);
-    while taken < LONG_ANSWER {
-        let read = timeout(Duration::from_secs(1), client.read(&mut some))
+    let response = read_until(&mut client, "x").await;
+    assert!(response.starts_with("HTTP/1.1 200"));
+    let mut received_bytes = response.len();
+    let mut buffer = vec![0; 1 << 16];
+    while received_bytes < LONG_RESPONSE_BYTES {
+        let read_bytes = timeout(Duration::from_secs(1), client.read(&mut buffer))
             .await
             .unwrap()
             .unwrap();
-        assert!(read > 0, "the answer was cut after {taken} bytes");
-        taken += read;
+        assert!(
+            read_bytes > 0,
+            "the response was cut after {received_bytes} bytes"
+        );
+        received_bytes += read_bytes;
     }
 }
 
-/// Clients that ask once and stay don't fill all places: once one had to wait, answers end their connections.
+/// Clients that send one request and stay connected don't take all permits: once one had to wait, responses close their
+/// connections.
 #[tokio::test(start_paused = true)]
-async fn when_few_places_are_left_answers_end_their_connections() {
+async fn near_the_limit_responses_close_their_connections() {
     let (address, _stop) = listen(4).await;
-    let (mut crowd, asked) = (Vec::new(), Instant::now());
+    let mut crowd = Vec::new();
+    let started_at = Instant::now();
     for number in 0..40 {
         let mut client = send(&address, GET).await;
-        let told = read(&mut client, "ready.").await;
-        assert!(told.starts_with("HTTP/1.1 200"));
+        let response = read_until(&mut client, "ready.").await;
+        assert!(response.starts_with("HTTP/1.1 200"));
         assert_eq!(
-            told.contains("connection: close"),
+            response.contains("connection: close"),
             number >= 3,
-            "{number}: {told}"
+            "{number}: {response}"
         );
         crowd.push(client);
     }
     assert!(
-        asked.elapsed() < Duration::from_millis(3000),
+        started_at.elapsed() < Duration::from_millis(3000),
         "{:?}",
-        asked.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// A crowd that connects and says nothing keeps nobody waiting for its whole time.
+/// A crowd that connects and sends nothing does not keep a client waiting for the full head timeout.
 #[tokio::test(start_paused = true)]
-async fn at_the_limit_mute_connections_make_room_soon() {
+async fn at_the_limit_silent_connections_are_closed_soon() {
     let (address, _stop) = listen(3).await;
     let mut crowd = Vec::new();
     for _ in 0..30 {
         crowd.push(TcpStream::connect(&address).await.unwrap());
     }
-    let asked = Instant::now();
+    let started_at = Instant::now();
     let mut client = send(&address, GET).await;
-    assert!(read(&mut client, "ready.")
-        .await
-        .starts_with("HTTP/1.1 200"));
+    expect_ready(&mut client).await;
     assert!(
-        asked.elapsed() < Duration::from_millis(3500),
+        started_at.elapsed() < Duration::from_millis(3500),
         "{:?}",
-        asked.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// With a length and an encoding a body may end in two places, and what lies between them is a request to one
-/// reader and none to the other.
+/// With a length and an encoding a body may end in two places, and what lies between them is a request to one parser and
+/// part of the body to another.
 #[tokio::test]
-async fn a_request_that_may_hide_another_is_refused_and_closed() {
+async fn a_request_with_an_ambiguous_body_is_rejected_and_its_connection_closed() {
     let (address, _stop) = listen(9).await;
     let both = [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
@@ -241,81 +266,74 @@
     ];
     for heads in both {
         let text = format!("POST /post HTTP/1.1\r\nHost: x\r\n{heads}\r\n\r\n0\r\n\r\n{GET}");
-        // First on its connection, behind another request, and cut anywhere.
+        // First on its connection, behind another request, and split anywhere.
         for before in ["", GET] {
             for cut in [0, 20, before.len() + 40, before.len() + 70] {
                 let text = format!("{before}{text}");
                 let mut client = send(&address, &text[..cut]).await;
                 tokio::task::yield_now().await;
                 client.write_all(&text.as_bytes()[cut..]).await.unwrap();
-                let told = read(&mut client, "").await;
+                let response = read_until(&mut client, "").await;
                 assert!(
-                    told.contains("HTTP/1.1 411") && told.contains("connection: close"),
-                    "{heads}: {told}"
+                    response.contains("HTTP/1.1 411") && response.contains("connection: close"),
+                    "{heads}: {response}"
                 );
                 assert_eq!(
-                    told.matches("ready.").count(),
+                    response.matches("ready.").count(),
                     before.len().min(1),
-                    "{told}"
+                    "{response}"
                 );
             }
         }
     }
 }
 
-/// Chunks alone hide nothing.
+/// Chunks without a declared length are not ambiguous.
 #[tokio::test]
-async fn bodies_in_chunks_are_read_and_the_connection_goes_on() {
+async fn chunked_bodies_are_read_and_the_connection_is_reused() {
     let (address, _stop) = listen(9).await;
     let post =
         "POST /post HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut client = send(&address, &format!("{post}{post}{GET}")).await;
-    let told = read(&mut client, "ready.").await;
-    assert_eq!(told.matches("HTTP/1.1 200").count(), 3, "{told}");
+    let response = read_until(&mut client, "ready.").await;
+    assert_eq!(response.matches("HTTP/1.1 200").count(), 3, "{response}");
     client.write_all(GET.as_bytes()).await.unwrap();
-    assert!(read(&mut client, "ready.").await.ends_with("ready."));
+    assert!(read_until(&mut client, "ready.").await.ends_with("ready."));
 }
 
-/// An answer that nobody takes would hold its node for ever; one that is taken, however late, goes on.
+/// A response that nobody reads would occupy its endpoint for ever; one that is read, however late, continues.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_takes_nothing_of_its_answer_is_let_go() {
-    const FLOOD: usize = 64 << 20;
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap().to_string();
-    let (_stop, stopped) = watch::channel(ShutdownPhase::Serving);
+async fn a_client_that_reads_nothing_of_its_response_is_disconnected() {
+    const FLOOD_BYTES: usize = 64 << 20;
     let flood = || async {
-        let pieces = (0..FLOOD >> 16).map(|_| Ok::<_, std::io::Error>(vec![b'x'; 1 << 16]));
-        Body::from_stream(futures_util::stream::iter(pieces))
+        let chunks = (0..FLOOD_BYTES >> 16).map(|_| Ok::<_, std::io::Error>(vec![b'x'; 1 << 16]));
+        Body::from_stream(futures_util::stream::iter(chunks))
     };
     let routes = Router::new().route("/ready", get(flood));
-    tokio::spawn(listener::serve(
-        listener,
-        routes,
-        ConnectionLimit::new(2),
-        stopped,
-        None,
-        Logger::root(Discard, o!()),
-    ));
-    for (pause, whole) in [(25, true), (35, false)] {
-        let mut client = send(&address, GET).await;
+    let listener = listen_with(routes, 2).await;
+    for (pause, is_complete) in [(25, true), (35, false)] {
+        let mut client = send(&listener.address, GET).await;
         client.read_u8().await.unwrap();
         sleep(Duration::from_secs(pause)).await;
-        let told = read(&mut client, "0\r\n\r\n").await;
+        let response = read_until(&mut client, "0\r\n\r\n").await;
         assert_eq!(
-            (told.len() > FLOOD, told.ends_with("0\r\n\r\n")),
-            (whole, whole),
+            (
+                response.len() > FLOOD_BYTES,
+                response.ends_with("0\r\n\r\n")
+            ),
+            (is_complete, is_complete),
             "{pause} s"
         );
     }
 }
 
-/// A client that has sent more than its request and closes its connection has gone: the server looked for its end only
-/// while nothing had come behind the request, and sent on what nobody waited for.
+/// A client that has sent more than its request and closes its connection has disconnected: hyper noticed that only while
+/// nothing had arrived behind the request, and went on with a response that nobody waited for.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_sent_more_than_its_request_is_seen_to_go() {
+async fn the_disconnect_of_a_client_with_pipelined_bytes_is_noticed() {
     let request = format!("{HEAD}Content-Length: 2\r\n\r\n{{}}");
     let many = GET.repeat(300);
-    // More than is kept of what comes behind a request: the end lies behind bytes that are not read.
+    // More than is buffered behind a request: the end lies behind bytes that are not read.
     let very_many = GET.repeat(3_000);
     for behind in ["", "\r\n", GET, &HEAD[..40], "what?", &many, &very_many] {
         let fleet = Fleet::start(false).await;
@@ -334,9 +352,9 @@
     }
 }
 
-/// What waits behind a request is served when that is answered, however it comes, up to the client's end.
+/// Requests behind another are served when that is answered, however they are split, up to the client's end.
 #[tokio::test]
-async fn requests_that_wait_behind_another_are_served_in_their_order() {
+async fn pipelined_requests_are_served_in_order() {
     let (address, _stop) = listen(9).await;
     let post = "POST /post HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     let text = format!("{GET}{post}\r\n{}", GET.repeat(500));
@@ -344,24 +362,24 @@
         let mut client = send(&address, &text[..cut]).await;
         tokio::task::yield_now().await;
         client.write_all(&text.as_bytes()[cut..]).await.unwrap();
-        let mut told = String::new();
-        while told.matches("ready.").count() < 501 {
-            let more = read(&mut client, "ready.").await;
+        let mut response = String::new();
+        while response.matches("ready.").count() < 501 {
+            let more = read_until(&mut client, "ready.").await;
             assert!(
                 more.ends_with("ready."),
                 "{} of 501, cut at {cut}",
-                told.matches("ready.").count() + more.matches("ready.").count()
+                response.matches("ready.").count() + more.matches("ready.").count()
             );
-            told += &more;
+            response += &more;
         }
-        assert_eq!(told.matches("HTTP/1.1 200").count(), 502);
+        assert_eq!(response.matches("HTTP/1.1 200").count(), 502);
     }
 }
 
-/// A head's last byte comes in the step in which its time is up, and a request in the one in which an idle connection
-/// is closed for a new one: either is answered. Judged by what held before the wait, half of them were dropped.
+/// A head's last byte arrives in the step in which its timeout ends, and a request in the one in which an idle connection
+/// is closed for a new one: either is answered. Decided by the state before the wait, half of them were dropped.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_is_whole_as_its_time_is_up_is_answered() {
+async fn a_request_completed_as_its_head_times_out_is_answered() {
     let (address, _stop) = listen(90).await;
     for before in ["", GET] {
         for _ in 0..20 {
@@ -369,14 +387,14 @@
             let mut client =
                 send(&address, &format!("{before}{}", &later[..later.len() - 1])).await;
             if !before.is_empty() {
-                assert!(read(&mut client, "ready.").await.ends_with("ready."));
+                assert!(read_until(&mut client, "ready.").await.ends_with("ready."));
             }
-            // The listener has read what came, and nothing else is under way.
+            // The listener has read what arrived, and nothing else is pending.
             sleep(Duration::from_millis(1)).await;
             assert_eq!(client.try_write(b"\n").unwrap(), 1);
             tokio::time::advance(Duration::from_millis(2200)).await;
             assert!(
-                read(&mut client, "ready.").await.ends_with("ready."),
+                read_until(&mut client, "ready.").await.ends_with("ready."),
                 "after {} bytes",
                 before.len()
             );
@@ -384,84 +402,76 @@
     }
 }
 
-/// An answer is the last one of its connection, and more has come behind the request: a close over unread bytes would
-/// reset the connection, and what the client has not read of the answer would be gone with it.
+/// A response is the last one of its connection, and more has arrived behind the request: a close over unread bytes would
+/// reset the connection, and the client would lose what it has not read of the response.
 #[tokio::test]
-async fn the_last_answer_reaches_a_client_that_has_sent_more() {
-    const LENGTH: usize = 1 << 20;
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap().to_string();
-    let (stop, stopped) = watch::channel(ShutdownPhase::Serving);
-    let routes = Router::new().route("/ready", get(|| async { "x".repeat(LENGTH) }));
-    let log = Logger::root(Discard, o!());
-    let over = tokio::spawn(listener::serve(
-        listener,
-        routes,
-        ConnectionLimit::new(9),
-        stopped,
-        None,
-        log,
-    ));
+async fn the_last_response_reaches_a_client_with_pipelined_bytes() {
+    const RESPONSE_BYTES: usize = 1 << 20;
+    let routes = Router::new().route("/ready", get(|| async { "x".repeat(RESPONSE_BYTES) }));
+    let TestListener {
+        address,
+        shutdown,
+        task,
+    } = listen_with(routes, 9).await;
     let close = GET.replace("Host", "Connection: close\r\nHost");
     for behind in [1, 1000, 40_000, 200_000] {
         let mut client = send(&address, &close).await;
         client.write_all(&vec![b'?'; behind]).await.unwrap();
-        let told = read(&mut client, "").await;
+        let response = read_until(&mut client, "").await;
         assert!(
-            told.len() > LENGTH && told.ends_with("xxx"),
+            response.len() > RESPONSE_BYTES && response.ends_with("xxx"),
             "{} bytes, {behind} behind",
-            told.len()
+            response.len()
         );
     }
-    // A client that rests until the connection is ended, and then sends: it is not reset either.
+    // A client that is idle until the connection is ended, and then sends, is not reset either.
     let mut client = send(&address, GET).await;
-    let mut told = 0;
-    while told < LENGTH {
-        told += client.read(&mut [0; 4096]).await.unwrap();
+    let mut received_bytes = 0;
+    while received_bytes < RESPONSE_BYTES {
+        received_bytes += client.read(&mut [0; 4096]).await.unwrap();
     }
-    stop.send(ShutdownPhase::Closing).unwrap();
+    shutdown.send(ShutdownPhase::Closing).unwrap();
     while client.read(&mut [0; 4096]).await.unwrap() > 0 {}
     client.write_all(GET.as_bytes()).await.unwrap();
     tokio::task::yield_now().await;
     assert_eq!(client.read(&mut [0; 16]).await.unwrap(), 0);
     drop(client);
-    timeout(Duration::from_secs(10), over)
+    timeout(Duration::from_secs(10), task)
         .await
-        .expect("it ends")
+        .expect("the listener ends")
         .unwrap();
 }
 
-/// When the dispatcher ends, a request of which half has come is answered, and connections that wait in the listener's
-/// queue are taken.
+/// At the shutdown, a request of which half has arrived is answered, and connections in the listener's queue are accepted.
 #[tokio::test(start_paused = true)]
-async fn at_the_end_what_has_begun_to_come_is_answered() {
+async fn at_shutdown_requests_that_have_begun_to_arrive_are_answered() {
     for read_before in [false, true] {
-        let (address, stop) = listen(9).await;
+        let (address, shutdown) = listen(9).await;
         let mut half = send(&address, &GET[..20]).await;
-        let mut rests = send(&address, GET).await;
-        assert!(read(&mut rests, "ready.").await.ends_with("ready."));
+        let mut idle = send(&address, GET).await;
+        assert!(read_until(&mut idle, "ready.").await.ends_with("ready."));
         if read_before {
-            rests.write_all(&GET.as_bytes()[..9]).await.unwrap();
-            sleep(Duration::from_millis(1)).await; // the listener has read it, and nothing else is under way
+            idle.write_all(&GET.as_bytes()[..9]).await.unwrap();
+            sleep(Duration::from_millis(1)).await; // the listener has read it, and nothing else is pending
         }
         let mut queued = TcpStream::connect(&address).await.unwrap();
-        stop.send(ShutdownPhase::Closing).unwrap();
+        shutdown.send(ShutdownPhase::Closing).unwrap();
         queued.write_all(GET.as_bytes()).await.unwrap();
         assert!(
-            read(&mut queued, "").await.ends_with("ready."),
+            read_until(&mut queued, "").await.ends_with("ready."),
             "it waited in the queue"
         );
         half.write_all(&GET.as_bytes()[20..]).await.unwrap();
         assert!(
-            read(&mut half, "").await.ends_with("ready."),
-            "half of it had come"
+            read_until(&mut half, "").await.ends_with("ready."),
+            "half of it had arrived"
         );
         if read_before {
-            rests.write_all(&GET.as_bytes()[9..]).await.unwrap();
-            let told = read(&mut rests, "").await;
+            idle.write_all(&GET.as_bytes()[9..]).await.unwrap();
+            let response = read_until(&mut idle, "").await;
             assert!(
-                told.ends_with("ready."),
-                "half of a later one had come: {told}"
+                response.ends_with("ready."),
+                "half of a later one had arrived: {response}"
             );
         }
     }
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -1,9 +1,9 @@
-//! The platform's HTTP/1.1 from end to end, byte by byte where that matters.
+//! The HTTP/1.1 frontend from end to end, byte by byte where that matters.
 
 mod testbed;
 
 use quartzhall::config::{Deployment, SettingsObject};
-use quartzhall::dispatcher::{self, Event, Outcome, StreamChunk};
+use quartzhall::dispatcher::{self, Event, Outcome, Readiness, StreamChunk};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{http, listener, ShutdownPhase};
 use quartzhall::net::connection_limit::ConnectionLimit;
@@ -35,28 +35,28 @@
         self.0.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Reads on until the text ends as given, or the connection does.
-    async fn read_until(&mut self, ends: &str) -> String {
-        let mut all = Vec::new();
-        let mut some = [0; 4096];
+    /// Reads until the text ends with `suffix`, or until the connection ends if that is empty.
+    async fn read_until(&mut self, suffix: &str) -> String {
+        let mut received = Vec::new();
+        let mut buffer = [0; 4096];
         let reads = async {
-            while !all.ends_with(ends.as_bytes()) || ends.is_empty() {
-                match self.0.read(&mut some).await {
+            while !received.ends_with(suffix.as_bytes()) || suffix.is_empty() {
+                match self.0.read(&mut buffer).await {
                     Ok(0) | Err(_) => break,
-                    Ok(read) => all.extend_from_slice(&some[..read]),
+                    Ok(read_bytes) => received.extend_from_slice(&buffer[..read_bytes]),
                 }
             }
         };
-        let whole = tokio::time::timeout(Duration::from_secs(10), reads).await;
+        let finished = tokio::time::timeout(Duration::from_secs(10), reads).await;
         assert!(
-            whole.is_ok(),
-            "it does not end: {:?}",
-            String::from_utf8_lossy(&all)
+            finished.is_ok(),
+            "the response does not end: {:?}",
+            String::from_utf8_lossy(&received)
         );
-        String::from_utf8_lossy(&all).into_owned()
+        String::from_utf8_lossy(&received).into_owned()
     }
 
-    /// One exchange on a connection of its own.
+    /// Sends a request on a connection of its own and returns the response.
     async fn exchange(fleet: &Fleet, text: &str) -> String {
         let mut client = Client::connect(fleet).await;
         client
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_passes_unchanged_and_the_connection_is_used_again() {
+async fn a_stream_is_forwarded_unchanged_and_the_connection_is_reused() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         let mut client = Client::connect(&fleet).await;
@@ -86,9 +86,9 @@
 }
 
 #[tokio::test]
-async fn bad_requests_reach_no_node() {
+async fn invalid_requests_reach_no_endpoint() {
     let fleet = Fleet::start(false).await;
-    let good = request("b");
+    let valid = request("b");
     for (from, to, code) in [
         ("X-Trace-Id: b\r\n", "", "400"),
         ("X-Trace-Id: b\r\n", "X-Trace-Id: a/b\r\n", "400"),
@@ -110,14 +110,14 @@
             "405",
         ),
     ] {
-        assert!(good.contains(from), "{from}");
-        let text = Client::exchange(&fleet, &good.replacen(from, to, 1)).await;
+        assert!(valid.contains(from), "{from}");
+        let text = Client::exchange(&fleet, &valid.replacen(from, to, 1)).await;
         assert!(
             text.starts_with(&format!("HTTP/1.1 {code}")),
             "{from:?}, {to:?}: {text}"
         );
     }
-    // One that names no length is read no further than a body may be long.
+    // A body without a declared length is read up to the limit only.
     let chunk = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
     let chunked = format!(
         "{}Transfer-Encoding: chunked\r\n\r\n{}",
@@ -130,9 +130,9 @@
     fleet.nothing_left().await;
 }
 
-/// A body in chunks reaches the node as one piece, with its length stated.
+/// A chunked body reaches the endpoint whole, with its length declared.
 #[tokio::test]
-async fn a_body_in_chunks_is_served() {
+async fn a_chunked_body_is_served() {
     let fleet = Fleet::start(false).await;
     let chunked = format!(
         "{}Transfer-Encoding: chunked\r\n\r\n1\r\n{{\r\n1\r\n}}\r\n0\r\n\r\n",
@@ -161,10 +161,10 @@
     }
 }
 
-/// Where clients ask for the rest of a stream, that is a request of its own: new id, whole answer, and the same words
-/// for a client that merely tries again.
+/// A client that requests the rest of a stream sends a request of its own: new id, complete response. The same holds for
+/// a client that merely retries.
 #[tokio::test]
-async fn a_client_that_asks_for_the_rest_is_served_as_any() {
+async fn a_client_that_requests_the_rest_of_a_stream_is_served_a_complete_response() {
     let fleet = Fleet::start(false).await;
     for (name, mark) in [("b1", "1"), ("b2", "again")] {
         let marked = request(name).replacen(
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn refused_failed_and_in_flight_have_their_codes() {
+async fn shed_failed_and_duplicate_requests_have_their_status_codes() {
     let fleet = Fleet::start(false).await;
     fleet.way(2, Way::Fail);
     let text = Client::exchange(&fleet, &request("f")).await;
@@ -192,7 +192,7 @@
     let mut first = Client::connect(&fleet).await;
     first.write(&request("same")).await;
     fleet
-        .until("it streams", |ledger| {
+        .until("the response streams", |ledger| {
             ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 2
         })
         .await;
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_frees_its_place_before_and_after_the_first_event() {
+async fn a_client_disconnect_releases_its_request_before_and_after_the_first_event() {
     for over_sessions in [false, true] {
         for way in [Way::Wait, Way::Pause] {
             let fleet = Fleet::start(over_sessions).await;
@@ -222,7 +222,9 @@
                 client.read_until("\n\n\r\n").await;
             }
             fleet
-                .until("it is at the writer", |ledger| ledger.sent.len() == 2)
+                .until("the request is at the decode endpoint", |ledger| {
+                    ledger.sent.len() == 2
+                })
                 .await;
             drop(client);
             fleet.nothing_left().await;
@@ -231,26 +233,18 @@
 }
 
 #[tokio::test]
-async fn readiness_and_health_render_the_core() {
+async fn readiness_follows_the_dispatcher_and_idle_connections_close_at_shutdown() {
     let fleet = Fleet::start(false).await;
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(Client::exchange(&fleet, &get("/ready"))
         .await
         .starts_with("HTTP/1.1 200"));
-    fleet
-        .door
-        .send(quartzhall::dispatcher::Event::Drain(
-            std::time::Duration::from_secs(3),
-        ))
-        .await;
-    fleet
-        .door
-        .wait_for_readiness(quartzhall::dispatcher::Readiness::Draining)
-        .await;
+    fleet.door.send(Event::Drain(Duration::from_secs(3))).await;
+    fleet.door.wait_for_readiness(Readiness::Draining).await;
     assert!(Client::exchange(&fleet, &get("/ready"))
         .await
         .starts_with("HTTP/1.1 503"));
-    // While it drains, what still comes on new connections is served.
+    // While the dispatcher drains, requests on new connections are served.
     assert!(Client::exchange(&fleet, &request("late"))
         .await
         .starts_with("HTTP/1.1 200"));
@@ -260,10 +254,7 @@
         .read_until("draining\n")
         .await
         .starts_with("HTTP/1.1 503"));
-    fleet
-        .stop
-        .send(quartzhall::frontend::ShutdownPhase::Closing)
-        .unwrap();
+    fleet.stop.send(ShutdownPhase::Closing).unwrap();
     assert_eq!(
         idle.read_until("").await,
         "",
@@ -271,34 +262,13 @@
     );
     tokio::time::timeout(Duration::from_secs(5), fleet.over)
         .await
-        .expect("the fronts end")
+        .expect("the frontends end")
         .unwrap();
 }
 
-/// A body keeps its room until nobody holds it any more, and no longer.
-#[test]
-fn room_is_free_again_when_the_last_holder_lets_a_body_go() {
-    let rooms = quartzhall::frontend::memory_budget::BodyMemoryBudget::new(0);
-    let room = rooms.try_reserve(200 * 1024).expect("room for one body");
-    let text = "x".repeat(200 * 1024);
-    let body = room.attach(text.clone().into());
-    let held = body.clone();
-    assert!(rooms.try_reserve(200 * 1024).is_none());
-    drop(body);
-    assert!(rooms.try_reserve(200 * 1024).is_none());
-    assert_eq!(&held[..], text.as_bytes());
-    drop(held);
-    // What was set aside for a longer one than came is free at once.
-    let _short = rooms
-        .try_reserve(200 * 1024)
-        .expect("room for one body")
-        .attach("text".into());
-    assert!(rooms.try_reserve(200 * 1024).is_some());
-}
-
-/// A client that never ends its body holds no place for ever.
+/// A client that never completes its body does not keep its connection.
 #[tokio::test]
-async fn a_body_that_takes_too_long_is_cut_off() {
+async fn a_body_that_takes_too_long_times_out() {
     let fleet = Fleet::start(false).await;
     let slow = request("slow").replace("X-Expires-In-Ms: 2000", "X-Expires-In-Ms: 100");
     let text = Client::exchange(&fleet, slow.strip_suffix('}').unwrap()).await;
@@ -306,9 +276,9 @@
     assert!(fleet.ledger.lock().unwrap().sent.is_empty());
 }
 
-/// Text messages can't carry a body that is no text: it is not sent to a node that speaks them.
+/// Text messages can't carry a body that is not UTF-8, so that it is not sent to an endpoint over a session.
 #[tokio::test]
-async fn a_body_that_is_no_text_is_not_sent_as_something_else() {
+async fn a_body_that_is_not_utf8_is_not_sent_to_a_websocket_endpoint() {
     let fleet = Fleet::start(true).await;
     let mut client = Client::connect(&fleet).await;
     let text = request("bytes").replace("Host: x", "Host: x\r\nConnection: close");
@@ -320,40 +290,42 @@
     fleet.nothing_left().await;
 }
 
-/// A stream that breaks right behind its first event, before any of it was sent: the client is sent what there was, and the
+/// A stream breaks right behind its first event, before any of it was sent: the client receives the event, and the
 /// connection ends without the last chunk.
 #[tokio::test]
-async fn what_came_before_a_break_is_sent() {
+async fn chunks_received_before_a_stream_breaks_are_sent() {
     let log = Logger::root(Discard, o!());
     let profile: SettingsObject = miniserde::json::from_str(PROFILE).unwrap();
-    let (door, mut inbox) = dispatcher::channel(Arc::new(Deployment::new(&profile).unwrap()));
-    let taken = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = taken.local_addr().unwrap();
-    let (_serving, course) = watch::channel(ShutdownPhase::Serving);
-    let routes = http::routes(door, BodyMemoryBudget::new(1_000), log.clone());
+    let (dispatcher_handle, mut events) =
+        dispatcher::channel(Arc::new(Deployment::new(&profile).unwrap()));
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let (_shutdown_sender, shutdown) = watch::channel(ShutdownPhase::Serving);
+    let routes = http::routes(dispatcher_handle, BodyMemoryBudget::new(1_000), log.clone());
     tokio::spawn(listener::serve(
-        taken,
+        listener,
         routes,
         ConnectionLimit::new(4),
-        course,
+        shutdown,
         None,
         log,
     ));
     let mut client = Client(TcpStream::connect(address).await.unwrap());
     client.write(&request("b")).await;
-    // The test is in the core's place.
+    // The test stands in for the dispatcher.
     let Some(Event::RequestArrived {
-        outcome: answer, ..
-    }) = inbox.recv().await
+        outcome: outcome_sender,
+        ..
+    }) = events.recv().await
     else {
         panic!("no request")
     };
-    let (pieces, stream) = mpsc::channel(4);
-    pieces
+    let (chunks, stream) = mpsc::channel(4);
+    chunks
         .try_send(StreamChunk::Data(ANSWER[0].into()))
         .unwrap();
-    drop(pieces);
-    answer.send(Outcome::Stream(stream)).unwrap();
+    drop(chunks);
+    outcome_sender.send(Outcome::Stream(stream)).unwrap();
     let text = client.read_until("").await;
     assert!(
         text.starts_with("HTTP/1.1 200") && text.contains(ANSWER[0]),
--- a/tests/websocket_sessions.rs
+++ b/tests/websocket_sessions.rs
@@ -1,4 +1,4 @@
-//! WebSocket sessions from end to end: terminals, the dispatcher, and nodes over both of their wires.
+//! WebSocket sessions from end to end: clients, the dispatcher, and endpoints over both of their protocols.
 
 mod testbed;
 
@@ -10,7 +10,7 @@
 use tokio_tungstenite::tungstenite::Message;
 
 #[tokio::test]
-async fn a_request_is_read_and_written_over_either_wire_of_the_nodes() {
+async fn a_request_is_prefilled_and_decoded_over_either_endpoint_protocol() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         let mut terminal = Terminal::connect(&fleet).await;
@@ -26,7 +26,7 @@
         assert_eq!(
             fleet.ledger.lock().unwrap().released,
             0,
-            "what a writer took needs no release"
+            "a KV cache that decode has consumed needs no release"
         );
     }
 }
@@ -35,35 +35,35 @@
 async fn many_requests_of_a_session_get_one_final_message_each() {
     let fleet = Fleet::start(true).await;
     let mut terminal = Terminal::connect(&fleet).await;
-    let mut open: Vec<String> = (0..8).map(|number| format!("r{number}")).collect();
-    for id in &open {
+    let mut in_flight: Vec<String> = (0..8).map(|number| format!("r{number}")).collect();
+    for id in &in_flight {
         terminal.ask(id, "return-request", 5000).await;
     }
-    while !open.is_empty() {
+    while !in_flight.is_empty() {
         let (kind, text) = terminal.hear().await;
         if kind == "event" {
             continue;
         }
         assert_eq!(kind, "served", "{text}");
-        let at = open
+        let index = in_flight
             .iter()
             .position(|id| text.contains(&format!("\"{id}\"")))
-            .expect("one that is open");
-        open.remove(at);
+            .expect("a request in flight");
+        in_flight.remove(index);
     }
     fleet.nothing_left().await;
     assert_eq!(fleet.sent_to(2), 8);
 }
 
 #[tokio::test]
-async fn the_deadline_ends_a_request_that_waits_for_a_writer() {
+async fn the_deadline_ends_a_request_that_waits_for_a_decode_endpoint() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         fleet.way(2, Way::Wait);
         let mut terminal = Terminal::connect(&fleet).await;
         let start = Instant::now();
         terminal.ask("late", "return-request", 400).await;
-        // It may have run at the writer: no refusal, which would say that trying again is harmless.
+        // It may have run at the decode endpoint: it is not shed, which would mean that a retry is harmless.
         assert_eq!(terminal.hear_final("late").await.0, "failed");
         assert!(
             start.elapsed() >= Duration::from_millis(300)
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn what_every_node_turns_away_is_refused_with_a_time_to_come_back() {
+async fn a_request_that_every_endpoint_rejects_is_shed_with_a_retry_time() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         fleet.way(0, Way::Full);
@@ -83,25 +83,25 @@
         terminal.ask("no", "return-request", 1000).await;
         let (kind, text) = terminal.hear().await;
         assert_eq!(kind, "refused");
-        let after = text
+        let retry_after_ms = text
             .split("\"retry_after_ms\":")
             .nth(1)
-            .expect("when to come back")
+            .expect("a retry time")
             .trim_end_matches('}');
-        let after: u64 = after.parse().expect("milliseconds");
-        assert!((1..=500).contains(&after), "{text}");
+        let retry_after_ms: u64 = retry_after_ms.parse().expect("milliseconds");
+        assert!((1..=500).contains(&retry_after_ms), "{text}");
         fleet.nothing_left().await;
-        // Until then the record answers.
-        let tries = fleet.ledger.lock().unwrap().sent.len();
+        // Until then the cached outcome answers.
+        let attempts = fleet.ledger.lock().unwrap().sent.len();
         terminal.ask("no", "return-request", 9000).await;
         assert_eq!(terminal.hear().await.0, "refused");
-        assert_eq!(fleet.ledger.lock().unwrap().sent.len(), tries);
+        assert_eq!(fleet.ledger.lock().unwrap().sent.len(), attempts);
         assert_eq!(fleet.sent_to(2), 0);
     }
 }
 
 #[tokio::test]
-async fn errors_garbage_and_broken_streams_fail_a_return_request_that_is_sent_once() {
+async fn errors_garbage_and_broken_streams_fail_a_non_idempotent_request_that_is_sent_once() {
     for over_sessions in [false, true] {
         for way in [Way::Fail, Way::Garbage, Way::Break] {
             let fleet = Fleet::start(over_sessions).await;
@@ -113,7 +113,7 @@
             assert_eq!(terminal.hear_final("x").await.0, "failed", "{way:?}");
             fleet.nothing_left().await;
             assert_eq!(fleet.sent_to(2) + fleet.sent_to(3), 1, "{way:?}");
-            // The same id again is no second try.
+            // The same id again is not a second attempt.
             terminal.ask("x", "return-request", 2000).await;
             assert_eq!(terminal.hear_final("x").await.0, "failed", "{way:?}");
             assert_eq!(fleet.sent_to(2) + fleet.sent_to(3), 1, "{way:?}");
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_read_that_broke_leaves_no_state() {
+async fn a_broken_prefill_leaves_no_kv_cache() {
     let fleet = Fleet::start(true).await;
     fleet.way(0, Way::Break);
     fleet.way(1, Way::Break);
@@ -133,25 +133,25 @@
     fleet.nothing_left().await;
     assert!(
         fleet.ledger.lock().unwrap().released > 0,
-        "a state may have been left: it was let go"
+        "a KV cache may have been left: it was released"
     );
 }
 
 #[tokio::test]
-async fn a_session_that_closes_while_its_request_waits_for_a_writer_leaves_nothing() {
+async fn a_session_closed_while_its_request_waits_for_a_decode_endpoint_leaves_nothing() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         fleet.way(2, Way::Wait);
         let mut terminal = Terminal::connect(&fleet).await;
         terminal.ask("w", "return-request", 9000).await;
         fleet
-            .until("it waits for the writer", |ledger| {
-                ledger.sent.iter().any(|(node, _)| *node == 2)
+            .until("the request waits for decode", |ledger| {
+                ledger.sent.iter().any(|(endpoint, _)| *endpoint == 2)
             })
             .await;
         drop(terminal);
         fleet.nothing_left().await;
-        // It may have run: never again, from whatever session it is asked for.
+        // It may have run: it never runs again, whichever session submits it.
         fleet.way(2, Way::Serve);
         let mut again = Terminal::connect(&fleet).await;
         again.ask("w", "return-request", 9000).await;
@@ -163,13 +163,13 @@
 }
 
 #[tokio::test]
-async fn a_reconnect_is_no_new_try() {
+async fn a_reconnect_is_not_a_new_attempt() {
     let fleet = Fleet::start(true).await;
     fleet.way(2, Way::Pause);
     let mut first = Terminal::connect(&fleet).await;
     first.ask("r", "return-request", 9000).await;
     assert_eq!(first.hear().await.0, "event");
-    // The new session comes while the old socket is still there: it takes the request over, text and all.
+    // The new session connects while the old socket is still open: the request moves to it, with its text.
     let mut second = Terminal::connect(&fleet).await;
     second.ask("r", "return-request", 9000).await;
     assert_eq!(second.hear().await.0, "event");
@@ -177,7 +177,7 @@
     fleet.go.notify_one();
     let (kind, rest) = second.hear_final("r").await;
     assert_eq!((kind.as_str(), rest), ("served", ANSWER[1..].concat()));
-    // And once more after its end: the recorded outcome, with the answer.
+    // And once more after its end: the cached outcome, with the response.
     let mut third = Terminal::connect(&fleet).await;
     third.ask("r", "return-request", 9000).await;
     assert_eq!(
@@ -189,15 +189,15 @@
 }
 
 #[tokio::test]
-async fn a_safe_request_that_was_left_keeps_its_first_deadline() {
+async fn an_abandoned_idempotent_request_keeps_its_first_deadline() {
     let fleet = Fleet::start(true).await;
     fleet.way(2, Way::Wait);
     let mut terminal = Terminal::connect(&fleet).await;
     let start = Instant::now();
     terminal.ask("s", "status-query", 1500).await;
     fleet
-        .until("it waits for the writer", |ledger| {
-            ledger.sent.iter().any(|(node, _)| *node == 2)
+        .until("the request waits for decode", |ledger| {
+            ledger.sent.iter().any(|(endpoint, _)| *endpoint == 2)
         })
         .await;
     drop(terminal);
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_drains_mid_session_ends_what_it_has_and_gets_nothing_new() {
+async fn an_endpoint_that_drains_completes_its_requests_and_receives_no_new_ones() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         fleet.way(2, Way::Pause);
@@ -238,34 +238,34 @@
 }
 
 #[tokio::test]
-async fn a_request_that_waits_when_its_writer_drains_is_still_answered() {
+async fn a_request_in_flight_at_a_removed_decode_endpoint_fails_at_its_deadline() {
     let fleet = Fleet::start(true).await;
     fleet.way(2, Way::Wait);
     let mut terminal = Terminal::connect(&fleet).await;
     terminal.ask("w", "return-request", 700).await;
     fleet
-        .until("it waits for the writer", |ledger| {
-            ledger.sent.iter().any(|(node, _)| *node == 2)
+        .until("the request waits for decode", |ledger| {
+            ledger.sent.iter().any(|(endpoint, _)| *endpoint == 2)
         })
         .await;
     fleet.tell(&[(2, "Gone"), (3, "Ready")]).await;
     assert_eq!(terminal.hear_final("w").await.0, "failed");
-    assert_eq!(fleet.sent_to(3), 0, "it may have run at the first");
+    assert_eq!(fleet.sent_to(3), 0, "it may have run at the first endpoint");
     fleet.nothing_left().await;
 }
 
 #[tokio::test]
-async fn bad_messages_are_answered_and_bad_frames_end_the_session_with_their_code() {
+async fn invalid_messages_are_answered_and_invalid_frames_close_the_session_with_their_code() {
     let fleet = Fleet::start(true).await;
     let mut terminal = Terminal::connect(&fleet).await;
-    for bad in [
+    for invalid in [
         "",
         "[]",
         "{\"type\":\"request\"}",
         "{\"type\":\"request\",\"id\":\"a/b\"}",
     ] {
-        terminal.say(bad).await;
-        assert_eq!(terminal.hear().await.0, "error", "{bad}");
+        terminal.say(invalid).await;
+        assert_eq!(terminal.hear().await.0, "error", "{invalid}");
     }
     for (from, to) in [
         ("acme", "nobody"),
@@ -281,7 +281,7 @@
     assert_eq!(
         terminal.hear_final("good").await.0,
         "served",
-        "the session goes on"
+        "the session continues"
     );
     terminal
         .0
@@ -294,27 +294,28 @@
     big.say(&"x".repeat(5000)).await;
     assert_eq!(big.hear().await, ("close".into(), "1009".into()));
 
-    // A frame that is not masked breaks the protocol.
+    // A frame that is not masked violates the protocol.
     let mut raw = tokio::net::TcpStream::connect(&fleet.sessions)
         .await
         .unwrap();
     let head = "GET /v1/sessions HTTP/1.1\r\nHost: x\r\nConnection: upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
     raw.write_all(head.as_bytes()).await.unwrap();
     raw.write_all(b"\x81\x02hi").await.unwrap();
-    let mut all = Vec::new();
-    tokio::time::timeout(Duration::from_secs(5), raw.read_to_end(&mut all))
+    let mut received = Vec::new();
+    tokio::time::timeout(Duration::from_secs(5), raw.read_to_end(&mut received))
         .await
         .unwrap()
         .unwrap();
     let close: &[u8] = &[0x88];
-    let at = all
+    let body_start = received
         .windows(4)
-        .position(|it| it == b"\r\n\r\n")
+        .position(|bytes| bytes == b"\r\n\r\n")
         .expect("a head")
         + 4;
     assert!(
-        all[at..].starts_with(close) && all[at + 2..at + 4] == 1002u16.to_be_bytes(),
-        "{all:?}"
+        received[body_start..].starts_with(close)
+            && received[body_start + 2..body_start + 4] == 1002u16.to_be_bytes(),
+        "{received:?}"
     );
     fleet.nothing_left().await;
 }
@@ -326,8 +327,8 @@
     let mut terminal = Terminal::connect(&fleet).await;
     terminal.ask("c", "status-query", 9000).await;
     fleet
-        .until("it waits for the writer", |ledger| {
-            ledger.sent.iter().any(|(node, _)| *node == 2)
+        .until("the request waits for decode", |ledger| {
+            ledger.sent.iter().any(|(endpoint, _)| *endpoint == 2)
         })
         .await;
     terminal.say(r#"{"type":"cancel","id":"c"}"#).await;
@@ -336,7 +337,7 @@
 }
 
 #[tokio::test]
-async fn at_the_end_running_requests_are_answered_before_the_session_closes() {
+async fn at_shutdown_requests_in_flight_are_answered_before_the_session_closes() {
     let fleet = Fleet::start(true).await;
     fleet.way(2, Way::Pause);
     let mut terminal = Terminal::connect(&fleet).await;
@@ -357,12 +358,12 @@
     fleet.nothing_left().await;
     tokio::time::timeout(Duration::from_secs(5), fleet.over)
         .await
-        .expect("the fronts end")
+        .expect("the frontends end")
         .unwrap();
 }
 
 #[tokio::test]
-async fn a_session_over_its_bound_is_refused_and_may_come_again() {
+async fn a_request_over_the_session_limit_is_shed_and_may_be_submitted_again() {
     let fleet = Fleet::start(true).await;
     fleet.way(2, Way::Wait);
     let mut terminal = Terminal::connect(&fleet).await;
@@ -375,8 +376,13 @@
     let (kind, text) = terminal.hear().await;
     assert!(kind == "refused" && text.contains("\"over\""), "{text}");
     fleet
-        .until("all wait", |ledger| {
-            ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 8
+        .until("all wait for decode", |ledger| {
+            ledger
+                .sent
+                .iter()
+                .filter(|(endpoint, _)| *endpoint == 2)
+                .count()
+                == 8
         })
         .await;
     terminal.say(r#"{"type":"cancel","id":"w0"}"#).await;
@@ -392,16 +398,16 @@
     fleet.nothing_left().await;
 }
 
-/// A terminal that sends an id twice on one session gets the answer of one request.
+/// A client that submits an id twice in one session receives the response of one request.
 #[tokio::test]
-async fn an_id_sent_twice_is_one_request() {
+async fn an_id_submitted_twice_is_one_request() {
     let fleet = Fleet::start(true).await;
     fleet.way(2, Way::Pause);
     let mut terminal = Terminal::connect(&fleet).await;
     terminal.ask("twice", "return-request", 9000).await;
     assert_eq!(terminal.hear().await.0, "event");
     terminal.ask("twice", "return-request", 9000).await;
-    assert_eq!(terminal.hear().await.0, "event", "what came so far, again");
+    assert_eq!(terminal.hear().await.0, "event", "the text so far, again");
     fleet.go.notify_one();
     assert_eq!(
         terminal.hear_final("twice").await,
@@ -411,31 +417,33 @@
     assert_eq!(fleet.sent_to(2), 1);
 }
 
-/// Silent sessions take no place for good: at the limit the one without a request for longest is closed for a new
-/// one, and none with an open request.
+/// Idle sessions do not lock others out: at the limit, the one that has been idle for longest is closed for a new one, and
+/// none with a request in flight.
 #[tokio::test]
-async fn at_the_limit_a_silent_session_makes_room() {
+async fn at_the_limit_an_idle_session_is_closed_for_a_new_one() {
     let fleet = Fleet::start(false).await;
     fleet.way(2, Way::Wait);
     let mut busy = Terminal::connect(&fleet).await;
     busy.ask("b1", "status-query", 60_000).await;
     fleet
-        .until("it waits at the writer", |ledger| ledger.sent.len() == 2)
+        .until("the request waits at the decode endpoint", |ledger| {
+            ledger.sent.len() == 2
+        })
         .await;
     fleet.way(2, Way::Serve);
-    let mut silent = Vec::new();
+    let mut idle = Vec::new();
     for _ in 0..3 {
-        silent.push(Terminal::connect(&fleet).await);
+        idle.push(Terminal::connect(&fleet).await);
     }
     let url = format!("ws://{}/v1/sessions", fleet.sessions);
     assert!(
         tokio_tungstenite::connect_async(&url).await.is_err(),
-        "none has been silent for long enough"
+        "no session has been idle for long enough"
     );
     tokio::time::pause();
     tokio::time::advance(Duration::from_secs(2)).await;
     tokio::time::resume();
-    let (mut new, closed) = tokio::join!(Terminal::connect(&fleet), silent[0].hear());
+    let (mut new, closed) = tokio::join!(Terminal::connect(&fleet), idle[0].hear());
     assert_eq!(closed, ("close".into(), "1013".into()));
     new.ask("n1", "status-query", 2000).await;
     assert_eq!(new.hear_final("n1").await.0, "served");
@@ -444,6 +452,6 @@
     assert_eq!(
         busy.hear_final("b1").await.0,
         "failed",
-        "it was open all the time"
+        "it was in flight all the time"
     );
 }
