--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -346,3 +346,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/frontend/http.rs"]
+mod tests;
--- a/src/frontend/websocket/messages.rs
+++ b/src/frontend/websocket/messages.rs
@@ -236,3 +236,7 @@
     let incomplete = buffer.split_off(complete_bytes);
     String::from_utf8(std::mem::replace(buffer, incomplete)).ok()
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/frontend/session_messages.rs"]
+mod tests;
--- a/src/frontend/websocket/session.rs
+++ b/src/frontend/websocket/session.rs
@@ -259,7 +259,7 @@
         let deadline = match self.look_up(&cache, &key, now) {
             Lookup::Unknown => now + Duration::from_micros(metadata.time_left),
             Lookup::MayRun { deadline } => deadline,
-            Lookup::Attached => return None,
+            Lookup::ResponseQueued => return None,
             Lookup::Answered(response) => return Some(response),
         };
         let shed = |retry_after| {
@@ -318,7 +318,7 @@
                     .try_send(self.message_sender.clone())
                     .is_ok()
                 {
-                    return Lookup::Attached;
+                    return Lookup::ResponseQueued;
                 }
                 // Its task has not yet answered the sessions that were attached before. That is no final message, as
                 // the request is still in flight.
@@ -333,7 +333,7 @@
             },
             RequestState::Finished(FinalOutcome::Served(Some(text))) => {
                 self.send_cached_response(id, text);
-                return Lookup::Attached;
+                return Lookup::ResponseQueued;
             }
             RequestState::Finished(FinalOutcome::Failed(reason)) => {
                 ServerMessage::Failed { id, reason }
@@ -372,11 +372,10 @@
     /// It was not submitted before.
     Unknown,
     /// It was submitted before and nothing was done: it may run, by its first deadline.
-    MayRun {
-        deadline: Instant,
-    },
-    /// The response is queued by another task.
-    Attached,
+    MayRun { deadline: Instant },
+    /// Another task queues the response for this session.
+    ResponseQueued,
+    /// This is the response.
     Answered(Message),
 }
 
