--- /dev/null
+++ b/src/upgrade/inherited_socket.rs
@@ -0,0 +1,94 @@
+//! The listening socket that a process inherits from the platform. Owns nothing: the socket goes to the caller. The
+//! only `unsafe` code of the program is here.
+
+use socket2::Socket;
+use std::io;
+use std::net::TcpListener;
+use std::num::ParseIntError;
+use std::os::fd::{FromRawFd, IntoRawFd, RawFd};
+use thiserror::Error;
+
+/// Descriptors below this are standard input, output and error.
+const FIRST_INHERITABLE_DESCRIPTOR: RawFd = 3;
+
+/// Why a descriptor can't be used as the inherited listening socket.
+#[derive(Debug, Error)]
+pub enum InheritedSocketError {
+    /// The text is not an integer.
+    #[error("the inherited socket {descriptor:?}: not the number of a descriptor")]
+    NotANumber {
+        /// The text as it was given.
+        descriptor: String,
+        /// What is wrong with it.
+        source: ParseIntError,
+    },
+    /// The number is negative or that of a standard stream.
+    #[error(
+        "the inherited socket {descriptor:?}: not the number of a descriptor that is handed on"
+    )]
+    NotInheritable {
+        /// The text as it was given.
+        descriptor: String,
+    },
+    /// The descriptor is a socket that does not listen.
+    #[error("the inherited socket {descriptor:?}: it does not listen")]
+    NotListening {
+        /// The text as it was given.
+        descriptor: String,
+    },
+    /// A system call on the descriptor failed: it is not open, or not a socket.
+    #[error("the inherited socket {descriptor:?}: {source}")]
+    Unusable {
+        /// The text as it was given.
+        descriptor: String,
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+/// Takes ownership of the inherited listening socket with this descriptor number and makes it non-blocking.
+///
+/// Call it once, before anything else opens a descriptor. Fails where the text is no inheritable number, and where the
+/// descriptor is not an open, listening socket; such a descriptor stays open.
+#[allow(unsafe_code)]
+pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, InheritedSocketError> {
+    let number = parse_descriptor(descriptor)?;
+    // SAFETY: whoever started this process left the descriptor open for it and named it in the environment, and no
+    // other code owns it: this runs once, before anything else opens one. If the environment is wrong, the number is
+    // not open or no listening socket; then it is given back untouched below, before it could be closed here.
+    let socket = unsafe { Socket::from_raw_fd(number) };
+    let error = match prepare_listener(&socket) {
+        Ok(true) => return Ok(socket.into()),
+        Ok(false) => InheritedSocketError::NotListening {
+            descriptor: descriptor.to_owned(),
+        },
+        Err(source) => InheritedSocketError::Unusable {
+            descriptor: descriptor.to_owned(),
+            source,
+        },
+    };
+    let _not_closed = socket.into_raw_fd();
+    Err(error)
+}
+
+fn parse_descriptor(descriptor: &str) -> Result<RawFd, InheritedSocketError> {
+    let number: RawFd = descriptor
+        .parse()
+        .map_err(|source| InheritedSocketError::NotANumber {
+            descriptor: descriptor.to_owned(),
+            source,
+        })?;
+    if number < FIRST_INHERITABLE_DESCRIPTOR {
+        return Err(InheritedSocketError::NotInheritable {
+            descriptor: descriptor.to_owned(),
+        });
+    }
+    Ok(number)
+}
+
+/// Makes the socket non-blocking and returns whether it listens.
+fn prepare_listener(socket: &Socket) -> io::Result<bool> {
+    let is_listener = socket.is_listener()?;
+    socket.set_nonblocking(true)?;
+    Ok(is_listener)
+}
--- /dev/null
+++ b/tests/unit/upgrade/shared_folder.rs
@@ -0,0 +1,34 @@
+use super::*;
+
+#[test]
+fn files_of_this_dispatcher_are_classified_and_others_are_not() {
+    let folder = SharedFolder::new(Path::new("/shared"), "n1");
+    let process_id = std::process::id();
+    assert_eq!(
+        folder.classify(&folder.announcement(5)),
+        Some(SharedFile::Announcement(AnnouncementName {
+            started_at: Some(5),
+            process_id: Some(process_id),
+        }))
+    );
+    assert_eq!(
+        folder.classify(&folder.temporary_bans(7)),
+        Some(SharedFile::TemporaryBans {
+            process_id: Some(7)
+        })
+    );
+    let unreadable_name = folder.path().join(format!("{}-x.notice", folder.prefix));
+    assert_eq!(
+        folder.classify(&unreadable_name),
+        Some(SharedFile::Announcement(AnnouncementName::default()))
+    );
+    let other_dispatcher = SharedFolder::new(Path::new("/shared"), "n2");
+    for path in [
+        folder.temporary_announcement(5),
+        folder.stream_socket(5),
+        folder.bans(),
+        other_dispatcher.announcement(5),
+    ] {
+        assert_eq!(folder.classify(&path), None, "{path:?}");
+    }
+}
