--- a/src/main.rs
+++ b/src/main.rs
@@ -169,7 +169,7 @@
 }
 
 impl ResourceLimits for Shares {
-    fn set(&self, part: u32) -> u32 {
+    fn apply_share(&self, part: u32) -> u32 {
         self.rooms.set_share(part);
         let used = [&self.clients, &self.nodes].map(|places| {
             places.set_share(part, 4);
@@ -247,8 +247,11 @@
         .ok()
         .filter(|it| !it.is_empty());
     let platform_listener = match &inherited {
-        Some(descriptor) => TcpListener::from_std(upgrade::inherited_listener(descriptor)?)
-            .map_err(|it| it.to_string())?,
+        Some(descriptor) => {
+            let inherited =
+                upgrade::inherited_listener(descriptor).map_err(|error| error.to_string())?;
+            TcpListener::from_std(inherited).map_err(|error| error.to_string())?
+        }
         None => listen(&config.listen).await?,
     };
     info!(log, "start"; "stage" => "listening");
@@ -326,7 +329,7 @@
         rooms: BodyMemoryBudget::new(memory / 1024 / 3),
     };
     if view.predecessor {
-        limits.set(view.share);
+        limits.apply_share(view.share);
     }
     let Shares {
         clients,
