--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version beside the old one: two processes of the program on one inherited socket.
+//! Upgrades without downtime: two processes of the program on one inherited socket.
 
 mod testbed;
 
@@ -18,19 +18,27 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
 
-/// Processes of one dispatcher: their socket, their folder, and the fleet that they use.
-struct House {
+/// A dispatcher that is upgraded: the socket and the folder that its processes have in common, and the fleet that they
+/// use.
+struct UpgradeSetup {
     fleet: Fleet,
-    socket: std::net::TcpListener,
-    address: String,
+    platform_socket: std::net::TcpListener,
+    platform_address: String,
     folder: PathBuf,
-    discovery: String,
+    discovery_address: String,
+    /// Further command-line arguments of each process.
     arguments: Vec<String>,
 }
 
 struct Process {
     child: Child,
-    management: String,
+    management_address: String,
+}
+
+/// What a client reads of a response.
+struct Response {
+    status: u16,
+    keeps_connection: bool,
 }
 
 impl Drop for Process {
@@ -40,353 +48,434 @@
     }
 }
 
-impl Drop for House {
+impl Drop for UpgradeSetup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn request(name: &str) -> String {
-    format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {name}\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 9000\r\nX-Props: prompt_len=500,max_out=100\r\nContent-Length: 2\r\n\r\n{{}}")
+fn request(trace_id: &str) -> String {
+    format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace_id}\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 9000\r\nX-Props: prompt_len=500,max_out=100\r\nContent-Length: 2\r\n\r\n{{}}")
+}
+
+/// An address that nothing listens on.
+async fn free_address() -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    listener.local_addr().unwrap().to_string()
+}
+
+/// The endpoint list with two endpoints for prefill and the rest for decode.
+fn endpoint_list(addresses: &[String]) -> String {
+    let mut members = Vec::new();
+    for (number, address) in addresses.iter().enumerate() {
+        let role = if number < 2 { "prefill" } else { "decode" };
+        members.push(format!(
+            r#"{{"id":"n{number}","host_port":"{address}","locality":"east","flavor":"{role}","cell":1,"phase":"Ready"}}"#
+        ));
+    }
+    format!(
+        r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
+        members.join(",")
+    )
+}
+
+/// Serves this list; a watch for changes, which is a request with a query, is never answered.
+async fn start_discovery(endpoint_list: String) -> String {
+    let respond = move |uri: Uri| async move {
+        if uri.query().is_some() {
+            std::future::pending::<()>().await;
+        }
+        endpoint_list
+    };
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let routes = Router::new().route("/v1/endpoints", get(respond));
+    tokio::spawn(async move { axum::serve(listener, routes).await });
+    address
 }
 
-impl House {
-    async fn new(name: &str) -> House {
+impl UpgradeSetup {
+    async fn new(test_name: &str) -> UpgradeSetup {
         let fleet = Fleet::start(false).await;
-        let line = |(number, address): (usize, &String)| {
-            let kind = if number < 2 { "prefill" } else { "decode" };
-            format!(
-                r#"{{"id":"n{number}","host_port":"{address}","locality":"east","flavor":"{kind}","cell":1,"phase":"Ready"}}"#
-            )
-        };
-        let lines: Vec<String> = fleet.addresses.iter().enumerate().map(line).collect();
-        let list = format!(
-            r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
-            lines.join(",")
-        );
-        let tell = move |uri: Uri| async move {
-            if uri.query().is_some() {
-                std::future::pending::<()>().await;
-            }
-            list
-        };
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let discovery = listener.local_addr().unwrap().to_string();
-        let routes = Router::new().route("/v1/endpoints", get(tell));
-        tokio::spawn(async move { axum::serve(listener, routes).await });
-        let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = socket.local_addr().unwrap().to_string();
-        let folder = std::env::temp_dir().join(format!("quartzhall-{}-{name}", std::process::id()));
+        let discovery_address = start_discovery(endpoint_list(&fleet.addresses)).await;
+        let platform_socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let platform_address = platform_socket.local_addr().unwrap().to_string();
+        let folder_name = format!("quartzhall-{}-{test_name}", std::process::id());
+        let folder = std::env::temp_dir().join(folder_name);
         std::fs::create_dir_all(&folder).unwrap();
-        House {
+        UpgradeSetup {
             fleet,
-            socket,
-            address,
+            platform_socket,
+            platform_address,
             folder,
-            discovery,
+            discovery_address,
             arguments: Vec::new(),
         }
     }
 
-    fn command(&self, descriptor: &str, socket: OwnedFd, management: &str) -> Command {
+    /// A process that inherits `socket` as descriptor 5 and is told that it is `descriptor`.
+    fn command(&self, descriptor: &str, socket: OwnedFd, management_address: &str) -> Command {
         let config = self.folder.join("config.json");
-        let profile = testbed::PROFILE;
+        let settings = testbed::PROFILE;
         let text = format!(
-            r#"{{"name":"n1","listen":"{}","discovery":"{}","seed":"8c1f","limits":{{"memory_mb":192,"sockets":512}},"known":null,"settings":{profile}}}"#,
-            self.address, self.discovery
+            r#"{{"name":"n1","listen":"{}","discovery":"{}","seed":"8c1f","limits":{{"memory_mb":192,"sockets":512}},"known":null,"settings":{settings}}}"#,
+            self.platform_address, self.discovery_address
         );
         std::fs::write(&config, text).unwrap();
-        // The shell puts the inherited socket where the platform does.
+        // A shell puts the inherited socket where the platform does.
         let mut command = Command::new("sh");
         command
             .args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""])
-            .arg(PROGRAM);
-        command.args(&self.arguments);
-        command
+            .arg(PROGRAM)
+            .args(&self.arguments)
             .env("GW_CONFIG", config)
             .env("GW_SOCKET_FD", descriptor)
-            .env("TMPDIR", &self.folder);
-        command
-            .env("GW_MANAGEMENT", management)
+            .env("TMPDIR", &self.folder)
+            .env("GW_MANAGEMENT", management_address)
             .stdin(Stdio::from(socket))
             .stderr(Stdio::null());
         command
     }
 
-    /// Starts one more process and waits until it says that it takes clients.
-    async fn start(&self) -> Process {
-        let management = TcpListener::bind("127.0.0.1:0")
-            .await
-            .unwrap()
-            .local_addr()
-            .unwrap()
-            .to_string();
-        let socket = self.socket.try_clone().unwrap().into();
+    fn inheritable_socket(&self) -> OwnedFd {
+        self.platform_socket.try_clone().unwrap().into()
+    }
+
+    /// Starts one more process and waits until it reports that it accepts clients.
+    async fn start_process(&self) -> Process {
+        let management_address = free_address().await;
+        let mut command = self.command("5", self.inheritable_socket(), &management_address);
         let process = Process {
-            child: self.command("5", socket, &management).spawn().unwrap(),
-            management,
+            child: command.spawn().unwrap(),
+            management_address,
         };
-        let says = async {
+        let until_ready = async {
             while process.call("ready").await.as_deref() != Some("ACK\n") {
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(20), says)
+        tokio::time::timeout(Duration::from_secs(20), until_ready)
             .await
             .expect("ready");
         process
     }
 
-    /// One request on this connection; its answer's status, and whether the connection goes on. `None`: it ended
-    /// without an answer.
-    async fn ask(&self, stream: &mut BufReader<TcpStream>, name: &str) -> Option<(u16, bool)> {
-        let head = request(name);
-        stream.write_all(head.as_bytes()).await.ok()?;
-        let (mut status, mut goes_on, mut length) = (None, true, None);
-        loop {
-            let mut line = String::new();
-            if stream.read_line(&mut line).await.ok()? == 0 {
-                return None;
-            }
-            let line = line.trim_end().to_ascii_lowercase();
-            if let Some(rest) = line.strip_prefix("http/1.1 ") {
-                status = rest.get(..3).and_then(|code| code.parse().ok());
-            }
-            goes_on &= line != "connection: close";
-            length = line
-                .strip_prefix("content-length: ")
-                .map(|it| it.parse::<usize>().unwrap())
-                .or(length);
-            if line.is_empty() {
-                break;
-            }
+    async fn connect(&self) -> BufReader<TcpStream> {
+        BufReader::new(TcpStream::connect(&self.platform_address).await.unwrap())
+    }
+
+    /// The status of one request's response, on a connection of its own; `None` without a response.
+    async fn request_status(&self, trace_id: &str) -> Option<u16> {
+        let mut connection = self.connect().await;
+        let response = send_request(&mut connection, trace_id).await?;
+        Some(response.status)
+    }
+
+    /// Whether the endpoints that were sent anything, from this entry of the ledger on, are n1 and n3.
+    fn only_enabled_endpoints_were_used(&self, first_entry: usize) -> bool {
+        let ledger = self.fleet.ledger.lock().unwrap();
+        ledger.sent[first_entry..]
+            .iter()
+            .all(|(endpoint, _)| [1, 3].contains(endpoint))
+    }
+
+    fn sent_count(&self) -> usize {
+        self.fleet.ledger.lock().unwrap().sent.len()
+    }
+
+    fn announcement_count(&self) -> usize {
+        let mut count = 0;
+        for entry in std::fs::read_dir(&self.folder).unwrap() {
+            let path = entry.unwrap().path();
+            let is_announcement = path
+                .extension()
+                .is_some_and(|extension| extension == "notice");
+            count += usize::from(is_announcement);
         }
-        if let Some(length) = length {
-            stream.read_exact(&mut vec![0; length]).await.ok()?;
-            return Some((status?, goes_on));
+        count
+    }
+}
+
+/// Sends one request on this connection and reads its response to the end; `None` if the connection ends before.
+async fn send_request(connection: &mut BufReader<TcpStream>, trace_id: &str) -> Option<Response> {
+    connection
+        .write_all(request(trace_id).as_bytes())
+        .await
+        .ok()?;
+    let mut status = None;
+    let mut keeps_connection = true;
+    let mut content_length = None;
+    loop {
+        let line = read_line(connection).await?.to_ascii_lowercase();
+        if let Some(rest) = line.strip_prefix("http/1.1 ") {
+            status = rest.get(..3).and_then(|code| code.parse().ok());
         }
-        // Chunks, up to the last one.
-        loop {
-            let mut line = String::new();
-            if stream.read_line(&mut line).await.ok()? == 0 {
-                return None;
-            }
-            let size = usize::from_str_radix(line.trim_end(), 16).unwrap();
-            stream.read_exact(&mut vec![0; size + 2]).await.ok()?;
-            if size == 0 {
-                return Some((status?, goes_on));
-            }
+        if line == "connection: close" {
+            keeps_connection = false;
+        }
+        if let Some(length) = line.strip_prefix("content-length: ") {
+            content_length = Some(length.parse::<usize>().unwrap());
+        }
+        if line.is_empty() {
+            break;
         }
     }
+    match content_length {
+        Some(length) => read_bytes(connection, length).await?,
+        None => read_chunks(connection).await?,
+    }
+    Some(Response {
+        status: status?,
+        keeps_connection,
+    })
+}
 
-    async fn connect(&self) -> BufReader<TcpStream> {
-        BufReader::new(TcpStream::connect(&self.address).await.unwrap())
+async fn read_line(connection: &mut BufReader<TcpStream>) -> Option<String> {
+    let mut line = String::new();
+    if connection.read_line(&mut line).await.ok()? == 0 {
+        return None;
+    }
+    Some(line.trim_end().to_owned())
+}
+
+async fn read_bytes(connection: &mut BufReader<TcpStream>, count: usize) -> Option<()> {
+    connection.read_exact(&mut vec![0; count]).await.ok()?;
+    Some(())
+}
+
+/// Reads a chunked body up to its last chunk.
+async fn read_chunks(connection: &mut BufReader<TcpStream>) -> Option<()> {
+    loop {
+        let size_line = read_line(connection).await?;
+        let size = usize::from_str_radix(&size_line, 16).unwrap();
+        read_bytes(connection, size + "\r\n".len()).await?;
+        if size == 0 {
+            return Some(());
+        }
     }
 }
 
 impl Process {
+    /// The response to an operator's call; `None` if the process does not accept it.
     async fn call(&self, line: &str) -> Option<String> {
-        let mut stream = TcpStream::connect(&self.management).await.ok()?;
-        stream
+        let mut connection = TcpStream::connect(&self.management_address).await.ok()?;
+        connection
             .write_all(format!("{line}\n").as_bytes())
             .await
             .ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.ok()?;
-        Some(answer)
+        let mut response = String::new();
+        connection.read_to_string(&mut response).await.ok()?;
+        Some(response)
     }
 
-    fn terminate(&self) {
-        let line = format!("kill -TERM {}", self.child.id());
-        assert!(Command::new("sh")
-            .arg("-c")
-            .arg(line)
-            .status()
-            .unwrap()
-            .success());
+    async fn assert_acknowledged(&self, line: &str) {
+        assert_eq!(self.call(line).await.as_deref(), Some("ACK\n"));
+    }
+
+    fn send_sigterm(&self) {
+        let command = format!("kill -TERM {}", self.child.id());
+        let status = Command::new("sh").arg("-c").arg(command).status().unwrap();
+        assert!(status.success());
     }
 
-    async fn ends(mut self) -> Option<i32> {
-        let waits = tokio::task::spawn_blocking(move || self.child.wait().unwrap().code());
-        tokio::time::timeout(Duration::from_secs(20), waits)
+    async fn exit_code(mut self) -> Option<i32> {
+        let wait = tokio::task::spawn_blocking(move || self.child.wait().unwrap().code());
+        tokio::time::timeout(Duration::from_secs(20), wait)
             .await
-            .expect("it ends")
+            .expect("the process exits")
             .unwrap()
     }
 }
 
-/// Clients that keep their connections while told to, and clients that open one for each request.
+/// Sends requests one after another until told to stop; counts those that were served.
+async fn send_requests_until(
+    setup: Arc<UpgradeSetup>,
+    client: usize,
+    should_stop: Arc<AtomicBool>,
+    served: Arc<AtomicUsize>,
+) {
+    let opens_connection_per_request = client.is_multiple_of(2);
+    let mut connection = setup.connect().await;
+    for number in 0.. {
+        if should_stop.load(Ordering::SeqCst) {
+            return;
+        }
+        let trace_id = format!("c{client}-{number}");
+        let response = send_request(&mut connection, &trace_id).await;
+        let Response {
+            status,
+            keeps_connection,
+        } = response.expect("a response");
+        // Shedding is the router's decision, to which this machine's endpoints look too slow for so many clients.
+        assert!([200, 503].contains(&status), "{trace_id}: {status}");
+        served.fetch_add(usize::from(status == 200), Ordering::SeqCst);
+        if !keeps_connection || opens_connection_per_request {
+            connection = setup.connect().await;
+        }
+    }
+}
+
+/// Some clients keep their connections for as long as they may, others open one for each request.
 #[tokio::test]
-async fn no_request_ends_at_the_door_while_versions_change() {
-    let house = Arc::new(House::new("door").await);
-    let mut old = house.start().await;
-    let (stop, served) = (
-        Arc::new(AtomicBool::new(false)),
-        Arc::new(AtomicUsize::new(0)),
-    );
+async fn no_request_is_lost_while_versions_change() {
+    let setup = Arc::new(UpgradeSetup::new("door").await);
+    let mut predecessor = setup.start_process().await;
+    let should_stop = Arc::new(AtomicBool::new(false));
+    let served = Arc::new(AtomicUsize::new(0));
     let mut clients = tokio::task::JoinSet::new();
     for client in 0..6 {
-        let (house, stop, served) = (house.clone(), stop.clone(), served.clone());
-        clients.spawn(async move {
-            let mut stream = house.connect().await;
-            for number in 0.. {
-                if stop.load(Ordering::SeqCst) {
-                    return;
-                }
-                let name = format!("c{client}-{number}");
-                let (status, goes_on) = house.ask(&mut stream, &name).await.expect("an answer");
-                // A refusal is the module's, which thinks this machine's nodes too slow for such a crowd.
-                assert!([200, 503].contains(&status), "{name}: {status}");
-                served.fetch_add(usize::from(status == 200), Ordering::SeqCst);
-                if !goes_on || client % 2 == 0 {
-                    stream = house.connect().await;
-                }
-            }
-        });
+        clients.spawn(send_requests_until(
+            setup.clone(),
+            client,
+            should_stop.clone(),
+            served.clone(),
+        ));
     }
-    let more = || async {
-        let until = served.load(Ordering::SeqCst) + 50;
-        while served.load(Ordering::SeqCst) < until {
+    let until_more_are_served = || async {
+        let target = served.load(Ordering::SeqCst) + 50;
+        while served.load(Ordering::SeqCst) < target {
             tokio::task::yield_now().await;
         }
     };
     for _ in 0..3 {
-        more().await;
-        let new = house.start().await;
-        more().await;
-        old.terminate();
-        assert_eq!(old.ends().await, Some(0));
-        more().await;
-        old = new;
-    }
-    stop.store(true, Ordering::SeqCst);
-    while let Some(ended) = clients.join_next().await {
-        ended.unwrap();
+        until_more_are_served().await;
+        let successor = setup.start_process().await;
+        until_more_are_served().await;
+        predecessor.send_sigterm();
+        assert_eq!(predecessor.exit_code().await, Some(0));
+        until_more_are_served().await;
+        predecessor = successor;
+    }
+    should_stop.store(true, Ordering::SeqCst);
+    while let Some(result) = clients.join_next().await {
+        result.unwrap();
     }
 }
 
-/// A ban called at either process holds at both, and in the one that is left.
-#[tokio::test]
-async fn bans_hold_in_both_processes_and_across_the_upgrade() {
-    let house = House::new("bans").await;
-    let old = house.start().await;
-    assert_eq!(
-        old.call("disable-server n2").await.as_deref(),
-        Some("ACK\n")
-    );
-    let new = house.start().await;
-    assert_eq!(
-        new.call("disable-server n0").await.as_deref(),
-        Some("ACK\n")
-    );
-    // All writers and readers but n1 and n3 are out at both, however soon; whoever accepts must know.
-    let until_told = async {
-        loop {
-            let before = house.fleet.ledger.lock().unwrap().sent.len();
-            let mut all_kept = true;
-            for _ in 0..20 {
-                let mut stream = house.connect().await;
-                let name = format!("b{}", house.fleet.ledger.lock().unwrap().sent.len());
-                let answer = house.ask(&mut stream, &name).await;
-                all_kept &= answer.is_some_and(|(status, _)| status == 200);
-            }
-            let ledger = house.fleet.ledger.lock().unwrap();
-            if all_kept
-                && ledger.sent[before..]
-                    .iter()
-                    .all(|(node, _)| [1, 3].contains(node))
-            {
-                break;
-            }
+/// Waits until whichever process accepts a request sends it to n1 and n3 only.
+async fn until_both_processes_apply_bans(setup: &UpgradeSetup) {
+    loop {
+        let first_entry = setup.sent_count();
+        let mut are_all_served = true;
+        for _ in 0..20 {
+            let mut connection = setup.connect().await;
+            let trace_id = format!("b{}", setup.sent_count());
+            let response = send_request(&mut connection, &trace_id).await;
+            are_all_served &= response.is_some_and(|response| response.status == 200);
         }
-    };
-    tokio::time::timeout(Duration::from_secs(20), until_told)
-        .await
-        .expect("both know");
-    old.terminate();
-    assert_eq!(old.ends().await, Some(0));
-    // Now one after another, with a file that can't be read in between: it lifts nothing.
-    for entry in std::fs::read_dir(&house.folder).unwrap() {
+        if are_all_served && setup.only_enabled_endpoints_were_used(first_entry) {
+            return;
+        }
+    }
+}
+
+fn overwrite_ban_files(setup: &UpgradeSetup, text: &str) {
+    for entry in std::fs::read_dir(&setup.folder).unwrap() {
         let path = entry.unwrap().path();
-        if path.extension().is_some_and(|it| it == "bans") {
-            std::fs::write(path, "{\"version\":").unwrap();
+        if path
+            .extension()
+            .is_some_and(|extension| extension == "bans")
+        {
+            std::fs::write(path, text).unwrap();
         }
     }
-    let third = house.start().await;
-    new.terminate();
-    assert_eq!(new.ends().await, Some(0));
-    house.fleet.ledger.lock().unwrap().sent.clear();
+}
+
+/// A ban that operators call at either process is applied by both, and by the one that remains.
+#[tokio::test]
+async fn bans_hold_in_both_processes_and_across_the_upgrade() {
+    let setup = UpgradeSetup::new("bans").await;
+    let first = setup.start_process().await;
+    first.assert_acknowledged("disable-server n2").await;
+    let second = setup.start_process().await;
+    second.assert_acknowledged("disable-server n0").await;
+    tokio::time::timeout(
+        Duration::from_secs(20),
+        until_both_processes_apply_bans(&setup),
+    )
+    .await
+    .expect("both processes apply the bans");
+    first.send_sigterm();
+    assert_eq!(first.exit_code().await, Some(0));
+    // An invalid ban file between two processes lifts no ban.
+    overwrite_ban_files(&setup, "{\"version\":");
+    let third = setup.start_process().await;
+    second.send_sigterm();
+    assert_eq!(second.exit_code().await, Some(0));
+    setup.fleet.ledger.lock().unwrap().sent.clear();
     for number in 0..20 {
-        let mut stream = house.connect().await;
-        assert_eq!(
-            house
-                .ask(&mut stream, &format!("d{number}"))
-                .await
-                .map(|it| it.0),
-            Some(200)
-        );
+        let status = setup.request_status(&format!("d{number}")).await;
+        assert_eq!(status, Some(200));
     }
-    assert!(house
-        .fleet
-        .ledger
-        .lock()
-        .unwrap()
-        .sent
-        .iter()
-        .all(|(node, _)| [1, 3].contains(node)));
-    assert_eq!(
-        third.call("enable-server n2").await.as_deref(),
-        Some("ACK\n")
-    );
-    house.fleet.way(3, Way::Full);
-    let mut stream = house.connect().await;
-    assert_eq!(house.ask(&mut stream, "e").await.map(|it| it.0), Some(200));
-    assert_eq!(house.fleet.sent_to(2), 1);
+    assert!(setup.only_enabled_endpoints_were_used(0));
+    third.assert_acknowledged("enable-server n2").await;
+    setup.fleet.way(3, Way::Full);
+    assert_eq!(setup.request_status("e").await, Some(200));
+    assert_eq!(setup.fleet.sent_to(2), 1);
+}
+
+/// Reads a response to the connection's end; counts it in `begun` once its first event is there.
+async fn read_stream(
+    setup: Arc<UpgradeSetup>,
+    trace_id: String,
+    begun: Arc<AtomicUsize>,
+) -> String {
+    let mut connection = setup.connect().await;
+    connection
+        .write_all(request(&trace_id).as_bytes())
+        .await
+        .unwrap();
+    let mut text = Vec::new();
+    while !String::from_utf8_lossy(&text).contains(testbed::ANSWER[0]) {
+        assert_ne!(connection.read_buf(&mut text).await.unwrap(), 0);
+    }
+    begun.fetch_add(1, Ordering::SeqCst);
+    let _ = connection.read_to_end(&mut text).await;
+    String::from_utf8(text).unwrap()
 }
 
-/// Streams that have begun go on in the successor: the old process ends while they pause, and each client reads the whole
-/// of its answer on the connection on which it asked. One whose node breaks off ends without the last chunk.
+/// The predecessor exits while the streams pause, and each client reads the rest on the connection that it has. Where
+/// the upstream breaks off, the response ends without the last chunk.
 #[tokio::test]
-async fn live_streams_move_to_the_successor() {
+async fn live_streams_migrate_to_the_successor() {
     for way in [Way::Pause, Way::BreakLater] {
-        let house = Arc::new(House::new(&format!("{way:?}")).await);
-        let old = house.start().await;
-        (2..4).for_each(|writer| house.fleet.way(writer, way));
+        let setup = Arc::new(UpgradeSetup::new(&format!("{way:?}")).await);
+        let predecessor = setup.start_process().await;
+        for decode_endpoint in 2..4 {
+            setup.fleet.way(decode_endpoint, way);
+        }
         let mut clients = tokio::task::JoinSet::new();
         let begun = Arc::new(AtomicUsize::new(0));
         for client in 0..8 {
-            let (house, begun) = (house.clone(), begun.clone());
-            clients.spawn(async move {
-                let mut stream = house.connect().await;
-                stream
-                    .write_all(request(&format!("s{client}")).as_bytes())
-                    .await
-                    .unwrap();
-                let mut text = Vec::new();
-                while !String::from_utf8_lossy(&text).contains(testbed::ANSWER[0]) {
-                    assert_ne!(stream.read_buf(&mut text).await.unwrap(), 0);
-                }
-                begun.fetch_add(1, Ordering::SeqCst);
-                let _ = stream.read_to_end(&mut text).await;
-                String::from_utf8(text).unwrap()
-            });
+            clients.spawn(read_stream(
+                setup.clone(),
+                format!("s{client}"),
+                begun.clone(),
+            ));
         }
         while begun.load(Ordering::SeqCst) < 8 {
             tokio::task::yield_now().await;
         }
-        let _new = house.start().await;
-        old.terminate();
-        assert_eq!(old.ends().await, Some(0), "nothing is left for it to end");
+        let _successor = setup.start_process().await;
+        predecessor.send_sigterm();
+        assert_eq!(
+            predecessor.exit_code().await,
+            Some(0),
+            "no stream is left to the predecessor"
+        );
         assert!(clients.try_join_next().is_none(), "all streams live");
-        (0..8).for_each(|_| house.fleet.go.notify_waiters());
-        while let Some(text) = clients.join_next().await {
-            let text = text.unwrap();
+        for _ in 0..8 {
+            setup.fleet.go.notify_waiters();
+        }
+        while let Some(result) = clients.join_next().await {
+            let text = result.unwrap();
             assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-            let whole = testbed::ANSWER
+            let has_all_events = testbed::ANSWER
                 .iter()
                 .all(|event| text.matches(event).count() == 1);
+            let has_last_chunk = text.ends_with("0\r\n\r\n");
             assert_eq!(
-                (whole, text.ends_with("0\r\n\r\n")),
+                (has_all_events, has_last_chunk),
                 (way == Way::Pause, way == Way::Pause),
                 "{text}"
             );
@@ -394,64 +483,60 @@
     }
 }
 
-/// Operators are answered within 1 s while every place for clients is taken by half a request, more wait in the
-/// queue, and callers sit there that never end their line.
+/// Every place for clients is taken by half a request, more clients wait in the accept queue, and management
+/// connections stay open that never end their line.
 #[tokio::test]
-async fn operators_are_answered_whatever_clients_do() {
-    let house = House::new("full").await;
-    let process = house.start().await;
-    let mut crowd = Vec::new();
+async fn operators_are_answered_within_a_second_under_overload() {
+    let setup = UpgradeSetup::new("full").await;
+    let process = setup.start_process().await;
+    let mut open_connections = Vec::new();
     for _ in 0..400 {
-        let mut stream = house.connect().await;
-        stream
+        let mut client = setup.connect().await;
+        client
             .write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: half")
             .await
             .unwrap();
-        crowd.push(stream);
+        open_connections.push(client);
     }
     for _ in 0..30 {
-        let mut caller = BufReader::new(TcpStream::connect(&process.management).await.unwrap());
+        let connection = TcpStream::connect(&process.management_address).await;
+        let mut caller = BufReader::new(connection.unwrap());
         caller.write_all(b"disable-server n").await.unwrap();
-        crowd.push(caller);
+        open_connections.push(caller);
     }
-    for (line, answer) in [
+    for (line, expected) in [
         ("ready", "ACK\n"),
         ("disable-server n2", "ACK\n"),
         ("enable-server n2", "ACK\n"),
     ] {
-        let called = tokio::time::timeout(Duration::from_secs(1), process.call(line)).await;
+        let response = tokio::time::timeout(Duration::from_secs(1), process.call(line)).await;
         assert_eq!(
-            called.expect("within 1 s").as_deref(),
-            Some(answer),
+            response.expect("within 1 s").as_deref(),
+            Some(expected),
             "{line}"
         );
     }
 }
 
-/// The real program's recording holds what was asked of it, whole at its end; one that is there is never written over.
 #[tokio::test]
-async fn a_recording_is_whole_when_its_process_has_ended() {
-    let mut house = House::new("record").await;
-    let file = house.folder.join("traffic.qhr");
-    house.arguments = vec!["--record".into(), file.to_str().unwrap().into()];
-    let process = house.start().await;
-    let mut stream = house.connect().await;
+async fn recording_is_complete_once_its_process_has_exited_and_is_never_overwritten() {
+    let mut setup = UpgradeSetup::new("record").await;
+    let file = setup.folder.join("traffic.qhr");
+    setup.arguments = vec!["--record".into(), file.to_str().unwrap().into()];
+    let process = setup.start_process().await;
+    let mut connection = setup.connect().await;
     for number in 0..20 {
-        assert_eq!(
-            house
-                .ask(&mut stream, &format!("r{number}"))
-                .await
-                .map(|it| it.0),
-            Some(200)
-        );
+        let response = send_request(&mut connection, &format!("r{number}")).await;
+        assert_eq!(response.map(|response| response.status), Some(200));
     }
-    drop(stream);
-    process.terminate();
-    assert_eq!(process.ends().await, Some(0));
+    drop(connection);
+    process.send_sigterm();
+    assert_eq!(process.exit_code().await, Some(0));
     let mut reader = Reader::new(std::fs::File::open(&file).unwrap()).unwrap();
     let records: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
     assert!(!reader.was_cut());
-    let count = |holds: fn(&Record) -> bool| records.iter().filter(|record| holds(record)).count();
+    let count =
+        |matches: fn(&Record) -> bool| records.iter().filter(|record| matches(record)).count();
     assert_eq!(count(|record| matches!(record, Record::Arrival { .. })), 20);
     assert_eq!(
         count(|record| matches!(
@@ -463,88 +548,85 @@
         )),
         20
     );
-    let again = house.command("5", house.socket.try_clone().unwrap().into(), "127.0.0.1:0");
-    let output = { again }.stderr(Stdio::piped()).output().unwrap();
+    let output = setup
+        .command("5", setup.inheritable_socket(), "127.0.0.1:0")
+        .stderr(Stdio::piped())
+        .output()
+        .unwrap();
     assert!(
         !output.status.success()
             && String::from_utf8_lossy(&output.stderr).contains("the recording")
     );
 }
 
-/// Addresses that are not inherited go from one to the other: the successor waits for them and does not fail.
-#[tokio::test]
-async fn a_successor_takes_over_addresses_of_its_own_when_they_are_free() {
-    let mut house = House::new("late").await;
-    let agent = TcpListener::bind("127.0.0.1:0")
-        .await
-        .unwrap()
-        .local_addr()
-        .unwrap()
-        .to_string();
-    let file = house.folder.join("websocket.json");
-    std::fs::write(&file, format!(r#"{{"agent_check":"{agent}"}}"#)).unwrap();
-    house.arguments = vec!["--websocket".into(), file.to_str().unwrap().into()];
-    let line = |wanted: &'static str| {
-        let agent = agent.clone();
-        let asks = async move {
-            loop {
-                let mut line = String::new();
-                if let Ok(mut stream) = TcpStream::connect(&agent).await {
-                    let _ = stream.read_to_string(&mut line).await;
-                }
-                if line == wanted {
-                    return;
-                }
-                tokio::task::yield_now().await;
+/// Waits until the agent check at this address responds with this line.
+async fn until_agent_reports(address: &str, expected: &str) {
+    let poll = async {
+        loop {
+            let mut line = String::new();
+            if let Ok(mut connection) = TcpStream::connect(address).await {
+                let _ = connection.read_to_string(&mut line).await;
             }
-        };
-        async {
-            tokio::time::timeout(Duration::from_secs(20), asks)
-                .await
-                .expect("the line")
+            if line == expected {
+                return;
+            }
+            tokio::task::yield_now().await;
         }
     };
-    let old = house.start().await;
-    line("up ready\n").await;
-    let _new = house.start().await;
-    old.terminate();
-    line("up drain\n").await;
-    assert_eq!(old.ends().await, Some(0));
-    line("up ready\n").await;
+    tokio::time::timeout(Duration::from_secs(20), poll)
+        .await
+        .expect("the agent check's line");
+}
+
+/// Only the platform's socket is inherited; the successor waits for other addresses and does not fail.
+#[tokio::test]
+async fn successor_binds_other_addresses_once_the_predecessor_releases_them() {
+    let mut setup = UpgradeSetup::new("late").await;
+    let agent_address = free_address().await;
+    let file = setup.folder.join("websocket.json");
+    std::fs::write(&file, format!(r#"{{"agent_check":"{agent_address}"}}"#)).unwrap();
+    setup.arguments = vec!["--websocket".into(), file.to_str().unwrap().into()];
+    let predecessor = setup.start_process().await;
+    until_agent_reports(&agent_address, "up ready\n").await;
+    let _successor = setup.start_process().await;
+    predecessor.send_sigterm();
+    until_agent_reports(&agent_address, "up drain\n").await;
+    assert_eq!(predecessor.exit_code().await, Some(0));
+    until_agent_reports(&agent_address, "up ready\n").await;
 }
 
-/// What a killed process left stops no start; what is no listening socket stops one with one line.
 #[tokio::test]
-async fn leavings_stop_no_start_and_a_wrong_descriptor_does() {
-    let house = House::new("leavings").await;
-    let mut killed = house.start().await;
+async fn files_of_a_killed_process_do_not_prevent_a_start() {
+    let setup = UpgradeSetup::new("leavings").await;
+    let mut killed = setup.start_process().await;
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
-    let notices = || {
-        let names = std::fs::read_dir(&house.folder)
-            .unwrap()
-            .map(|it| it.unwrap().path());
-        names
-            .filter(|it| it.extension().is_some_and(|it| it == "notice"))
-            .count()
-    };
-    assert_eq!(notices(), 1);
-    std::fs::write(house.folder.join("quartzhall-nonsense.notice"), "1 2 3").unwrap();
-    let _second = house.start().await;
-    assert_eq!(notices(), 2, "its own and the one that is nobody's");
-
-    let plain = std::fs::File::open("/dev/null").unwrap();
-    let bound = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let listening = house.socket.try_clone().unwrap();
+    assert_eq!(setup.announcement_count(), 1);
+    let foreign_file = setup.folder.join("quartzhall-nonsense.notice");
+    std::fs::write(foreign_file, "1 2 3").unwrap();
+    let _second = setup.start_process().await;
+    assert_eq!(
+        setup.announcement_count(),
+        2,
+        "its own and the one that is no process's"
+    );
+}
+
+#[tokio::test]
+async fn descriptor_that_is_no_listening_socket_fails_the_start_with_one_line() {
+    let setup = UpgradeSetup::new("descriptor").await;
+    let _running = setup.start_process().await;
+    let file = std::fs::File::open("/dev/null").unwrap();
+    let datagram_socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let cases: [(&str, OwnedFd); 5] = [
-        ("5", plain.into()),
-        ("5", bound.into()),
-        ("77", listening.try_clone().unwrap().into()),
-        ("five", listening.try_clone().unwrap().into()),
-        ("-1", listening.into()),
+        ("5", file.into()),
+        ("5", datagram_socket.into()),
+        ("77", setup.inheritable_socket()),
+        ("five", setup.inheritable_socket()),
+        ("-1", setup.inheritable_socket()),
     ];
     for (descriptor, socket) in cases {
-        let output = house
+        let output = setup
             .command(descriptor, socket, "127.0.0.1:0")
             .stderr(Stdio::piped())
             .output()
@@ -554,13 +636,9 @@
             !output.status.success() && !error.contains("panicked"),
             "{error}"
         );
-        assert_eq!(
-            error
-                .lines()
-                .filter(|line| line.contains("the inherited socket"))
-                .count(),
-            1,
-            "{error}"
-        );
+        let error_lines = error
+            .lines()
+            .filter(|line| line.contains("the inherited socket"));
+        assert_eq!(error_lines.count(), 1, "{error}");
     }
 }
