--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,293 +1,21 @@
 //! Upgrades without downtime: two processes of the program on one inherited socket.
 
+#[path = "upgrade/setup.rs"]
+mod setup;
 mod testbed;
 
-use axum::http::Uri;
-use axum::routing::get;
-use axum::Router;
 use quartzhall_recording::{Reader, Record, RecordedOutcome};
+use setup::{free_address, request, send_request, Response, UpgradeSetup};
 use std::os::fd::OwnedFd;
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use testbed::{Fleet, Way};
-use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
-use tokio::net::{TcpListener, TcpStream};
+use testbed::Way;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
-
-/// A dispatcher that is upgraded: the socket and the folder that its processes have in common, and the fleet that they
-/// use.
-struct UpgradeSetup {
-    fleet: Fleet,
-    platform_socket: std::net::TcpListener,
-    platform_address: String,
-    folder: PathBuf,
-    discovery_address: String,
-    /// Further command-line arguments of each process.
-    arguments: Vec<String>,
-}
-
-struct Process {
-    child: Child,
-    management_address: String,
-}
-
-/// What a client reads of a response.
-struct Response {
-    status: u16,
-    keeps_connection: bool,
-}
-
-impl Drop for Process {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-impl Drop for UpgradeSetup {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
-    }
-}
-
-fn request(trace_id: &str) -> String {
-    format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace_id}\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 9000\r\nX-Props: prompt_len=500,max_out=100\r\nContent-Length: 2\r\n\r\n{{}}")
-}
-
-/// An address that nothing listens on.
-async fn free_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    listener.local_addr().unwrap().to_string()
-}
-
-/// The endpoint list with two endpoints for prefill and the rest for decode.
-fn endpoint_list(addresses: &[String]) -> String {
-    let mut members = Vec::new();
-    for (number, address) in addresses.iter().enumerate() {
-        let role = if number < 2 { "prefill" } else { "decode" };
-        members.push(format!(
-            r#"{{"id":"n{number}","host_port":"{address}","locality":"east","flavor":"{role}","cell":1,"phase":"Ready"}}"#
-        ));
-    }
-    format!(
-        r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
-        members.join(",")
-    )
-}
-
-/// Serves this list; a watch for changes, which is a request with a query, is never answered.
-async fn start_discovery(endpoint_list: String) -> String {
-    let respond = move |uri: Uri| async move {
-        if uri.query().is_some() {
-            std::future::pending::<()>().await;
-        }
-        endpoint_list
-    };
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap().to_string();
-    let routes = Router::new().route("/v1/endpoints", get(respond));
-    tokio::spawn(async move { axum::serve(listener, routes).await });
-    address
-}
-
-impl UpgradeSetup {
-    async fn new(test_name: &str) -> UpgradeSetup {
-        let fleet = Fleet::start(false).await;
-        let discovery_address = start_discovery(endpoint_list(&fleet.addresses)).await;
-        let platform_socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let platform_address = platform_socket.local_addr().unwrap().to_string();
-        let folder_name = format!("quartzhall-{}-{test_name}", std::process::id());
-        let folder = std::env::temp_dir().join(folder_name);
-        std::fs::create_dir_all(&folder).unwrap();
-        UpgradeSetup {
-            fleet,
-            platform_socket,
-            platform_address,
-            folder,
-            discovery_address,
-            arguments: Vec::new(),
-        }
-    }
-
-    /// A process that inherits `socket` as descriptor 5 and is told that it is `descriptor`.
-    fn command(&self, descriptor: &str, socket: OwnedFd, management_address: &str) -> Command {
-        let config = self.folder.join("config.json");
-        let settings = testbed::PROFILE;
-        let text = format!(
-            r#"{{"name":"n1","listen":"{}","discovery":"{}","seed":"8c1f","limits":{{"memory_mb":192,"sockets":512}},"known":null,"settings":{settings}}}"#,
-            self.platform_address, self.discovery_address
-        );
-        std::fs::write(&config, text).unwrap();
-        // A shell puts the inherited socket where the platform does.
-        let mut command = Command::new("sh");
-        command
-            .args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""])
-            .arg(PROGRAM)
-            .args(&self.arguments)
-            .env("GW_CONFIG", config)
-            .env("GW_SOCKET_FD", descriptor)
-            .env("TMPDIR", &self.folder)
-            .env("GW_MANAGEMENT", management_address)
-            .stdin(Stdio::from(socket))
-            .stderr(Stdio::null());
-        command
-    }
-
-    fn inheritable_socket(&self) -> OwnedFd {
-        self.platform_socket.try_clone().unwrap().into()
-    }
-
-    /// Starts one more process and waits until it reports that it accepts clients.
-    async fn start_process(&self) -> Process {
-        let management_address = free_address().await;
-        let mut command = self.command("5", self.inheritable_socket(), &management_address);
-        let process = Process {
-            child: command.spawn().unwrap(),
-            management_address,
-        };
-        let until_ready = async {
-            while process.call("ready").await.as_deref() != Some("ACK\n") {
-                tokio::task::yield_now().await;
-            }
-        };
-        tokio::time::timeout(Duration::from_secs(20), until_ready)
-            .await
-            .expect("ready");
-        process
-    }
-
-    async fn connect(&self) -> BufReader<TcpStream> {
-        BufReader::new(TcpStream::connect(&self.platform_address).await.unwrap())
-    }
-
-    /// The status of one request's response, on a connection of its own; `None` without a response.
-    async fn request_status(&self, trace_id: &str) -> Option<u16> {
-        let mut connection = self.connect().await;
-        let response = send_request(&mut connection, trace_id).await?;
-        Some(response.status)
-    }
-
-    /// Whether the endpoints that were sent anything, from this entry of the ledger on, are n1 and n3.
-    fn only_enabled_endpoints_were_used(&self, first_entry: usize) -> bool {
-        let ledger = self.fleet.ledger.lock().unwrap();
-        ledger.sent[first_entry..]
-            .iter()
-            .all(|(endpoint, _)| [1, 3].contains(endpoint))
-    }
-
-    fn sent_count(&self) -> usize {
-        self.fleet.ledger.lock().unwrap().sent.len()
-    }
-
-    fn announcement_count(&self) -> usize {
-        let mut count = 0;
-        for entry in std::fs::read_dir(&self.folder).unwrap() {
-            let path = entry.unwrap().path();
-            let is_announcement = path
-                .extension()
-                .is_some_and(|extension| extension == "notice");
-            count += usize::from(is_announcement);
-        }
-        count
-    }
-}
-
-/// Sends one request on this connection and reads its response to the end; `None` if the connection ends before.
-async fn send_request(connection: &mut BufReader<TcpStream>, trace_id: &str) -> Option<Response> {
-    connection
-        .write_all(request(trace_id).as_bytes())
-        .await
-        .ok()?;
-    let mut status = None;
-    let mut keeps_connection = true;
-    let mut content_length = None;
-    loop {
-        let line = read_line(connection).await?.to_ascii_lowercase();
-        if let Some(rest) = line.strip_prefix("http/1.1 ") {
-            status = rest.get(..3).and_then(|code| code.parse().ok());
-        }
-        if line == "connection: close" {
-            keeps_connection = false;
-        }
-        if let Some(length) = line.strip_prefix("content-length: ") {
-            content_length = Some(length.parse::<usize>().unwrap());
-        }
-        if line.is_empty() {
-            break;
-        }
-    }
-    match content_length {
-        Some(length) => read_bytes(connection, length).await?,
-        None => read_chunks(connection).await?,
-    }
-    Some(Response {
-        status: status?,
-        keeps_connection,
-    })
-}
-
-async fn read_line(connection: &mut BufReader<TcpStream>) -> Option<String> {
-    let mut line = String::new();
-    if connection.read_line(&mut line).await.ok()? == 0 {
-        return None;
-    }
-    Some(line.trim_end().to_owned())
-}
-
-async fn read_bytes(connection: &mut BufReader<TcpStream>, count: usize) -> Option<()> {
-    connection.read_exact(&mut vec![0; count]).await.ok()?;
-    Some(())
-}
-
-/// Reads a chunked body up to its last chunk.
-async fn read_chunks(connection: &mut BufReader<TcpStream>) -> Option<()> {
-    loop {
-        let size_line = read_line(connection).await?;
-        let size = usize::from_str_radix(&size_line, 16).unwrap();
-        read_bytes(connection, size + "\r\n".len()).await?;
-        if size == 0 {
-            return Some(());
-        }
-    }
-}
-
-impl Process {
-    /// The response to an operator's call; `None` if the process does not accept it.
-    async fn call(&self, line: &str) -> Option<String> {
-        let mut connection = TcpStream::connect(&self.management_address).await.ok()?;
-        connection
-            .write_all(format!("{line}\n").as_bytes())
-            .await
-            .ok()?;
-        let mut response = String::new();
-        connection.read_to_string(&mut response).await.ok()?;
-        Some(response)
-    }
-
-    async fn assert_acknowledged(&self, line: &str) {
-        assert_eq!(self.call(line).await.as_deref(), Some("ACK\n"));
-    }
-
-    fn send_sigterm(&self) {
-        let command = format!("kill -TERM {}", self.child.id());
-        let status = Command::new("sh").arg("-c").arg(command).status().unwrap();
-        assert!(status.success());
-    }
-
-    async fn exit_code(mut self) -> Option<i32> {
-        let wait = tokio::task::spawn_blocking(move || self.child.wait().unwrap().code());
-        tokio::time::timeout(Duration::from_secs(20), wait)
-            .await
-            .expect("the process exits")
-            .unwrap()
-    }
-}
-
-/// Sends requests one after another until told to stop; counts those that were served.
+/// Sends requests one after another until `should_stop` is set; counts those that were served.
 async fn send_requests_until(
     setup: Arc<UpgradeSetup>,
     client: usize,
@@ -318,7 +46,7 @@
 /// Some clients keep their connections for as long as they may, others open one for each request.
 #[tokio::test]
 async fn no_request_is_lost_while_versions_change() {
-    let setup = Arc::new(UpgradeSetup::new("door").await);
+    let setup = Arc::new(UpgradeSetup::new("lossless").await);
     let mut predecessor = setup.start_process().await;
     let should_stop = Arc::new(AtomicBool::new(false));
     let served = Arc::new(AtomicUsize::new(0));
@@ -581,7 +309,7 @@
 /// Only the platform's socket is inherited; the successor waits for other addresses and does not fail.
 #[tokio::test]
 async fn successor_binds_other_addresses_once_the_predecessor_releases_them() {
-    let mut setup = UpgradeSetup::new("late").await;
+    let mut setup = UpgradeSetup::new("deferred").await;
     let agent_address = free_address().await;
     let file = setup.folder.join("websocket.json");
     std::fs::write(&file, format!(r#"{{"agent_check":"{agent_address}"}}"#)).unwrap();
@@ -597,7 +325,7 @@
 
 #[tokio::test]
 async fn files_of_a_killed_process_do_not_prevent_a_start() {
-    let setup = UpgradeSetup::new("leavings").await;
+    let setup = UpgradeSetup::new("killed").await;
     let mut killed = setup.start_process().await;
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
