--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -3,11 +3,12 @@
 //!
 //! The processes find each other by files in `$TMPDIR`, whose names and contents are a contract between versions:
 //!
-//! * [`inherited_socket`] takes the listening socket that both accept from;
-//! * [`announcements`] publishes each process's [`process_announcement`] and finds those of live processes;
+//! * `inherited_socket` takes the listening socket that both accept from;
+//! * `announcements` publishes this process's `process_announcement` and finds those of live processes, in files
+//!   that `shared_folder` names;
 //! * [`resource_shares`] decides how the processes divide the dispatcher's limits;
-//! * [`ban_file`] shares the operators' bans;
-//! * [`coordinator`] runs the three above for as long as the process lives, and owns their state;
+//! * `ban_file` shares the operators' bans;
+//! * `coordinator` keeps announcement, share and bans up to date while the process runs, and owns their state;
 //! * [`stream_migration`] moves live streams to the successor.
 
 mod announcements;
