--- /dev/null
+++ b/src/config/error.rs
@@ -0,0 +1,127 @@
+//! Why a configuration can't be used. The text of an error is one line, which operators' tools match.
+
+use std::net::AddrParseError;
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// A configuration, a session file or an endpoint line that can't be used.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// A file can't be read.
+    #[error("{}: {source}", path.display())]
+    ReadFile {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The configuration file isn't JSON, or lacks a required field, or a field has another type.
+    #[error("the configuration is not the JSON object that is expected")]
+    NotJsonObject,
+    /// A text isn't JSON.
+    #[error("not JSON")]
+    NotJson,
+    /// `settings.classes` is empty, or a class has no `aim`.
+    #[error("the settings name no classes, or one without an aim")]
+    MissingClassObjective,
+    /// `settings.limits.most_tries` is absent.
+    #[error("the settings lack limits.most_tries")]
+    MissingMaxAttempts,
+    /// Two of `settings.classes` have one name.
+    #[error("the settings name a class twice")]
+    DuplicateClass,
+    /// `discovery` isn't an IP address with a port.
+    #[error("discovery is no address: {address:?}")]
+    InvalidDiscoveryAddress {
+        /// What stands there.
+        address: String,
+        /// Why it isn't an address.
+        source: AddrParseError,
+    },
+    /// A machine type's role is unknown.
+    #[error("unknown role {word:?}")]
+    UnknownRole {
+        /// The path of the setting.
+        setting: String,
+        /// What stands there.
+        word: String,
+    },
+    /// A class's deduplication scope is unknown.
+    #[error("unknown group {word:?}")]
+    UnknownDeduplicationScope {
+        /// The path of the setting.
+        setting: String,
+        /// What stands there.
+        word: String,
+    },
+    /// A class's idempotency is unknown.
+    #[error("unknown kind of repeat {word:?}")]
+    UnknownIdempotency {
+        /// The path of the setting.
+        setting: String,
+        /// What stands there.
+        word: String,
+    },
+    /// `settings.reporting.via` is unknown.
+    #[error("unknown way of reporting {word:?}")]
+    UnknownLoadReporting {
+        /// What stands there.
+        word: String,
+    },
+    /// An endpoint's machine type isn't one of `settings.machine_types`.
+    #[error("unknown kind {:?}", Some(machine_type))]
+    UnknownMachineType {
+        /// What the endpoint's line says.
+        machine_type: String,
+    },
+    /// `settings.family_info.role_by_kind` has no role for an endpoint's machine type.
+    #[error("a kind without a role")]
+    MissingRole {
+        /// The index of the machine type.
+        machine_type: usize,
+    },
+    /// Classes were replaced so often, while requests of the old ones are open, that no class id is free.
+    #[error("too many classes have come and gone while requests of theirs are open")]
+    TooManyClasses,
+    /// A number is negative or not finite.
+    #[error("{path} is no number from 0 on")]
+    NegativeNumber {
+        /// The path of the setting.
+        path: String,
+    },
+    /// A number that must be positive is 0.
+    #[error("{path} is not positive")]
+    NotPositive {
+        /// The path of the setting.
+        path: String,
+    },
+    /// A count has a fraction.
+    #[error("{path} is no whole number")]
+    NotWhole {
+        /// The path of the setting.
+        path: String,
+    },
+    /// A setting that the running configuration has is absent from the new one.
+    #[error("{path} is missing")]
+    MissingSetting {
+        /// The path of the setting.
+        path: String,
+    },
+    /// A setting has another type than in the running configuration.
+    #[error("{path} is not {expected}")]
+    WrongType {
+        /// The path of the setting.
+        path: String,
+        /// The type in the running configuration, with its article.
+        expected: &'static str,
+    },
+    /// The session file isn't JSON, or a field has another type.
+    #[error("the session file: not the JSON object expected")]
+    SessionFileNotJsonObject,
+    /// A limit in the session file is 0 or too large.
+    #[error("the session file: a bound that bounds nothing")]
+    InvalidSessionBound {
+        /// The name of the setting.
+        setting: &'static str,
+    },
+}
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,23 @@
 //! The configuration: its file, the settings in it, their validation, and the reload at SIGHUP.
+//!
+//! Everything here is plain data that the caller owns; only [`reload`] runs as a task.
 
+mod deployment;
+mod endpoint_list;
+mod error;
+mod file;
+mod machine_limits;
+mod name_table;
+mod raw_settings;
 pub mod reload;
-mod settings;
+mod session_file;
 pub mod validation;
 
-pub use settings::*;
+pub use deployment::{micros, Bounds, Deployment};
+pub use endpoint_list::{EndpointLine, EndpointList};
+pub use error::ConfigError;
+pub use file::{Config, LoadedConfig};
+pub use machine_limits::{MachineLimits, SocketBudgets};
+pub use name_table::{fnv1a_hash, NameTable};
+pub use raw_settings::SettingsObject;
+pub use session_file::{SessionBudget, SessionConfig};
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,74 +1,116 @@
-//! The configuration file, read again at SIGHUP while the dispatcher serves.
+//! The reload task: reads the configuration file again at each SIGHUP while the dispatcher serves.
 //!
-//! A file is taken whole or not at all: it has to have all that the running one has. Its `settings` go to the core,
-//! and `discovery` is followed. Listeners, limits, zone and kinds of machines hold until a restart.
+//! A file is applied as a whole or not at all: it must have all settings that the running one has. Its `settings` go to
+//! the core and a changed `discovery` is followed. Listeners, limits, the zone and the machine types stay as they are
+//! until a restart. The task owns the text of the running configuration.
 
-use crate::config::{Config, Deployment};
+use super::{Config, ConfigError, Deployment};
 use crate::dispatcher::DispatcherHandle;
 use slog::{info, warn, Logger};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A file that can't be used, because it is half-written as like as not, is read again after this ...
-const AGAIN: Duration = Duration::from_millis(100);
-/// ... and less and less often while it stays so, down to once in this ...
-const SELDOM: Duration = Duration::from_secs(1);
-/// ... and so often in all; then it is left until the next SIGHUP.
-const READINGS: usize = 10;
+/// The delay before the first retry. A file that can't be used is retried because it may be half-written.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The longest delay between retries: each is twice the one before.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How often a file is read after one SIGHUP; then nothing happens until the next one.
+const MAX_READS: usize = 10;
 
-/// Reads the file and has it taken; its text is the running one then.
-async fn take(
+/// Why a reload has changed nothing.
+#[derive(Debug, Error)]
+enum ReloadError {
+    #[error(transparent)]
+    ReadFile(std::io::Error),
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The core rejects the settings.
+    #[error("{0}")]
+    Rejected(String),
+    #[error("the dispatcher ends")]
+    ShuttingDown,
+}
+
+/// Retries after one SIGHUP.
+struct Retries {
+    delay: Duration,
+    reads_left: usize,
+    /// The last error that was logged: the same one is not logged again.
+    logged_error: String,
+}
+
+impl Retries {
+    fn new() -> Self {
+        Retries {
+            delay: INITIAL_RETRY_DELAY,
+            reads_left: MAX_READS,
+            logged_error: String::new(),
+        }
+    }
+
+    fn back_off(&mut self) {
+        self.delay = (self.delay * 2).min(MAX_RETRY_DELAY);
+        self.reads_left -= 1;
+    }
+}
+
+/// Reads the file and applies it; returns its text, which is the running configuration from then on.
+async fn apply_file(
     file: &Path,
     running: &str,
-    door: &DispatcherHandle,
+    dispatcher: &DispatcherHandle,
     discovery: &watch::Sender<String>,
-) -> Result<String, String> {
-    let text = std::fs::read_to_string(file).map_err(|error| error.to_string())?;
+) -> Result<String, ReloadError> {
+    let text = std::fs::read_to_string(file).map_err(ReloadError::ReadFile)?;
     let config = Config::parse_next(running, &text)?;
-    let site = Deployment::new(&config.settings)?;
-    door.apply_settings(site)
-        .await
-        .ok_or("the dispatcher ends")??;
-    discovery.send_if_modified(|old| {
-        let new = config.discovery != *old;
-        *old = config.discovery;
-        new
+    let deployment = Deployment::new(&config.settings)?;
+    let Some(applied) = dispatcher.apply_settings(deployment).await else {
+        return Err(ReloadError::ShuttingDown);
+    };
+    applied.map_err(|error| ReloadError::Rejected(error.to_string()))?;
+    discovery.send_if_modified(|address| {
+        let is_new = config.discovery != *address;
+        *address = config.discovery;
+        is_new
     });
     Ok(text)
 }
 
-/// Takes the file after each SIGHUP. A bad one is logged in one line and nothing of it is taken; it is read again
-/// shortly, and at once when the next SIGHUP comes.
+/// Reloads the file after each SIGHUP. A file that can't be used is logged in one line and changes nothing; it is read
+/// again with growing delays, and at once when the next SIGHUP arrives.
 pub async fn run(
     file: PathBuf,
     mut running: String,
     mut hangup: Signal,
-    door: DispatcherHandle,
+    dispatcher: DispatcherHandle,
     discovery: watch::Sender<String>,
     log: Logger,
 ) {
     while hangup.recv().await.is_some() {
-        let (mut pause, mut left, mut logged) = (AGAIN, READINGS, String::new());
-        while left > 0 {
-            match take(&file, &running, &door, &discovery).await {
+        let mut retries = Retries::new();
+        while retries.reads_left > 0 {
+            match apply_file(&file, &running, &dispatcher, &discovery).await {
                 Ok(text) => {
-                    info!(log, "the configuration was read again"; "discovery" => discovery.borrow().clone());
+                    info!(log, "configuration reloaded"; "discovery" => discovery.borrow().clone());
                     running = text;
                     break;
                 }
-                Err(error) if error != logged => {
-                    warn!(log, "the configuration can't be used: the old one holds"; "error" => &error);
-                    logged = error;
+                Err(error) => {
+                    let error = error.to_string();
+                    if error != retries.logged_error {
+                        warn!(log, "configuration rejected"; "error" => &error);
+                        retries.logged_error = error;
+                    }
                 }
-                Err(_) => {}
             }
             tokio::select! {
                 biased;
-                Some(()) = hangup.recv() => (pause, left, logged) = (AGAIN, READINGS, String::new()),
-                () = sleep(pause) => (pause, left) = ((pause * 2).min(SELDOM), left - 1),
+                Some(()) = hangup.recv() => retries = Retries::new(),
+                () = sleep(retries.delay) => retries.back_off(),
             }
         }
     }
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,16 +1,18 @@
-//! Whether a new configuration is whole: nothing of one that is not is taken. Pure.
+//! Validation of a new configuration as JSON: impossible numbers, and settings that the running one has and it lacks.
+//! Pure.
 
+use super::ConfigError;
 use miniserde::json::{Number, Value};
 
-/// Keys that may be absent though the running configuration has them: the list of members is only for the start, and
-/// not each class need stretch its aim.
-const MAY_LACK: [&str; 2] = ["known", "aim_stretch"];
-/// Numbers that must be positive, wherever they stand: with none of it nothing could be served.
-const POSITIVE: [&str; 4] = ["aim", "deadline", "most_tries", "tick"];
+/// Keys that may be absent though the running configuration has them: the endpoint list only matters at the start, and
+/// not every class has to stretch its objective.
+const OPTIONAL_KEYS: [&str; 2] = ["known", "aim_stretch"];
+/// Numbers that must be positive wherever they stand: with 0 nothing could be served.
+const POSITIVE_KEYS: [&str; 4] = ["aim", "deadline", "most_tries", "tick"];
 /// Numbers that are counts.
-const COUNTS: [&str; 2] = ["most_tries", "balancers"];
+const COUNT_KEYS: [&str; 2] = ["most_tries", "balancers"];
 
-fn kind(value: &Value) -> &'static str {
+fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "a truth value",
@@ -21,8 +23,8 @@
     }
 }
 
-/// A JSON number's value.
-pub fn number(number: &Number) -> f64 {
+/// The value of a JSON number.
+pub fn number_value(number: &Number) -> f64 {
     match number {
         Number::U64(number) => *number as f64,
         Number::I64(number) => *number as f64,
@@ -30,77 +32,95 @@
     }
 }
 
-fn check_number(path: &str, key: &str, value: f64) -> Result<(), String> {
+fn check_number(path: &str, value: f64) -> Result<(), ConfigError> {
+    let key = path.rsplit('.').next().unwrap_or(path);
+    let path = path.to_owned();
     if !value.is_finite() || value < 0.0 {
-        return Err(format!("{path} is no number from 0 on"));
+        return Err(ConfigError::NegativeNumber { path });
     }
-    if POSITIVE.contains(&key) && value <= 0.0 {
-        return Err(format!("{path} is not positive"));
+    if POSITIVE_KEYS.contains(&key) && value <= 0.0 {
+        return Err(ConfigError::NotPositive { path });
     }
-    if COUNTS.contains(&key) && value.fract() != 0.0 {
-        return Err(format!("{path} is no whole number"));
+    if COUNT_KEYS.contains(&key) && value.fract() != 0.0 {
+        return Err(ConfigError::NotWhole { path });
     }
     Ok(())
 }
 
-/// Numbers that make no sense; the error names the first one.
-pub fn check_values(path: &str, value: &Value) -> Result<(), String> {
-    let key = path.rsplit('.').next().unwrap_or(path);
+/// Checks every number in a value that stands at this path.
+///
+/// # Errors
+///
+/// A number is impossible; the error names the first one.
+pub fn check_values(path: &str, value: &Value) -> Result<(), ConfigError> {
     match value {
-        Value::Number(it) => check_number(path, key, number(it)),
-        Value::Array(list) => list
-            .iter()
-            .enumerate()
-            .try_for_each(|(at, it)| check_values(&format!("{path}[{at}]"), it)),
-        Value::Object(object) => object
-            .iter()
-            .try_for_each(|(key, it)| check_values(&format!("{path}.{key}"), it)),
-        Value::Null | Value::Bool(_) | Value::String(_) => Ok(()),
+        Value::Number(number) => check_number(path, number_value(number))?,
+        Value::Array(elements) => {
+            for (index, element) in elements.iter().enumerate() {
+                check_values(&format!("{path}[{index}]"), element)?;
+            }
+        }
+        Value::Object(object) => {
+            for (key, member) in object {
+                check_values(&format!("{path}.{key}"), member)?;
+            }
+        }
+        Value::Null | Value::Bool(_) | Value::String(_) => {}
     }
+    Ok(())
 }
 
-/// Whether the new value has all that the running one has, of the same types; the error names the first lack. Lists
-/// may have other lengths, but what all of the running one's members have, each of the new one's must.
-pub fn complete(path: &str, running: &Value, new: &Value) -> Result<(), String> {
+/// Checks that the new value has all that the running one has, of the same types. Lists may have other lengths, but each
+/// element of the new one must have what all elements of the running one have.
+///
+/// # Errors
+///
+/// A setting is missing or has another type; the error names the first one.
+pub fn check_complete(path: &str, running: &Value, new: &Value) -> Result<(), ConfigError> {
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => {
-            for (key, running) in running
-                .iter()
-                .filter(|(key, _)| !MAY_LACK.contains(&key.as_str()))
-            {
+            for (key, running) in running {
+                if OPTIONAL_KEYS.contains(&key.as_str()) {
+                    continue;
+                }
                 let path = format!("{path}.{key}");
-                let new = new.get(key).ok_or_else(|| format!("{path} is missing"))?;
-                complete(&path, running, new)?;
+                let Some(new) = new.get(key) else {
+                    return Err(ConfigError::MissingSetting { path });
+                };
+                check_complete(&path, running, new)?;
             }
             Ok(())
         }
         (Value::Array(running), Value::Array(new)) => {
-            let Some(common) = running.iter().cloned().reduce(common) else {
+            let Some(common) = running.iter().cloned().reduce(intersection) else {
                 return Ok(());
             };
-            let path = |at| format!("{path}[{at}]");
-            new.iter()
-                .enumerate()
-                .try_for_each(|(at, new)| complete(&path(at), &common, new))
+            for (index, new) in new.iter().enumerate() {
+                check_complete(&format!("{path}[{index}]"), &common, new)?;
+            }
+            Ok(())
         }
-        // Nothing stood there.
+        // The running configuration has no value there, so any type may follow.
         (Value::Null, _) => Ok(()),
-        (running, new) if kind(running) == kind(new) => Ok(()),
-        (running, _) => Err(format!("{path} is not {}", kind(running))),
+        (running, new) if type_name(running) == type_name(new) => Ok(()),
+        (running, _) => Err(ConfigError::WrongType {
+            path: path.to_owned(),
+            expected: type_name(running),
+        }),
     }
 }
 
 /// What two values have in common: the keys of both.
-fn common(one: Value, other: Value) -> Value {
-    match (one, other) {
-        (Value::Object(one), Value::Object(other)) => {
-            let keys = one.into_iter().filter_map(|(key, one)| {
-                let other = other.get(&key)?.clone();
-                Some((key, common(one, other)))
+fn intersection(first: Value, second: Value) -> Value {
+    match (first, second) {
+        (Value::Object(first), Value::Object(second)) => {
+            let common = first.into_iter().filter_map(|(key, value)| {
+                let other = second.get(&key)?.clone();
+                Some((key, intersection(value, other)))
             });
-            Value::Object(keys.collect())
+            Value::Object(common.collect())
         }
-        (one, other) if kind(&one) == kind(&other) => one,
+        (first, second) if type_name(&first) == type_name(&second) => first,
         _ => Value::Null,
     }
 }
