--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -55,8 +55,9 @@
         peer_listen: nowhere(),
         peers_all: nowhere(),
     };
-    let config = Config::parse(&config::text(&scenario, 0, 1, &addresses, &[]))?;
-    Deployment::new(&config.settings)
+    let config = Config::parse(&config::text(&scenario, 0, 1, &addresses, &[]))
+        .map_err(|error| error.to_string())?;
+    Deployment::new(&config.settings).map_err(|error| error.to_string())
 }
 
 fn name(entry: &EndpointRecord) -> String {
--- a/src/bin/quartzhall-simhost.rs
+++ b/src/bin/quartzhall-simhost.rs
@@ -109,7 +109,7 @@
 
 impl Instance {
     fn new(seed: u64, profile: &SettingsObject, now: Time) -> Result<Self, String> {
-        let site = Deployment::new(profile)?;
+        let site = Deployment::new(profile).map_err(|error| error.to_string())?;
         Ok(Instance {
             router: Router::new(site.settings.clone(), seed, now),
             servers: NameTable::default(),
@@ -118,10 +118,13 @@
     }
 
     fn entry(&mut self, line: &Line) -> Result<EndpointRecord, String> {
-        let server = self.servers.number(&line.worker);
-        let entry = self.site.entry(server, &line.worker, line.sku.as_deref())?;
+        let server = self.servers.intern(&line.worker);
+        let entry = self
+            .site
+            .endpoint_record(server, &line.worker, line.sku.as_deref())
+            .map_err(|error| error.to_string())?;
         Ok(EndpointRecord {
-            zone: self.site.zone(line.zone.as_deref()),
+            zone: self.site.zone_id(line.zone.as_deref()),
             cell: line.pack.unwrap_or(u32::MAX),
             status: match line.readiness {
                 0 => EndpointStatus::Ready,
@@ -137,7 +140,7 @@
     fn request(&self, input: Input) -> Result<Event, String> {
         let tenant = match &input.user_group {
             Some(json::Value::String(name)) => {
-                let tenant = self.site.tenants.known(name);
+                let tenant = self.site.tenants.lookup(name);
                 Some(tenant.ok_or_else(|| format!("unknown user_group {name:?}"))? as usize)
             }
             _ => None,
@@ -148,7 +151,7 @@
             class: self
                 .site
                 .classes
-                .known(&kind)
+                .lookup(&kind)
                 .ok_or_else(|| format!("unknown kind {kind:?}"))? as usize,
             tenant,
             session: key(&input.session, "session")?,
@@ -281,7 +284,7 @@
                     Ok(Event::AttemptEnded {
                         id: given(input.rid, "rid")?,
                         attempt: given(input.trial, "trial")?,
-                        endpoint: instance.servers.number(&given(input.worker, "worker")?),
+                        endpoint: instance.servers.intern(&given(input.worker, "worker")?),
                         status: status(&given(input.status, "status")?, remark)?,
                         request_closed: input.closed.unwrap_or(false),
                         cached_tokens: remark,
@@ -296,7 +299,7 @@
             "probe_result" => {
                 return self.tell(&who()?, |instance| {
                     let ok = status(&given(input.status, "status")?, 0.0)? == AttemptStatus::Served;
-                    let server = instance.servers.number(&given(input.worker, "worker")?);
+                    let server = instance.servers.intern(&given(input.worker, "worker")?);
                     Ok(Event::ProbeCompleted {
                         endpoint: server,
                         is_healthy: ok,
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -41,13 +41,14 @@
         Some("Gone") => EndpointStatus::Removed,
         other => return Err(format!("unknown phase {other:?}")),
     };
-    let zone = site.zone(line.locality.as_deref());
-    let mut whole = || {
+    let zone = site.zone_id(line.locality.as_deref());
+    let whole = || {
         let address = line.host_port.as_deref().unwrap_or_default();
         address
             .parse::<std::net::SocketAddr>()
             .map_err(|_| format!("no address: {address:?}"))?;
-        Ok((address, site.entry(0, id, line.flavor.as_deref())?))
+        let record = site.endpoint_record(0, id, line.flavor.as_deref());
+        Ok((address, record.map_err(|error| error.to_string())?))
     };
     let (address, entry, partial) = match whole() {
         Ok((address, entry)) => (address, entry, false),
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -360,7 +360,9 @@
         // What a front read by the old names may still be on its way.
         let used =
             |at: usize| open.contains(&at) || now < self.retired[at].saturating_add(CLASS_QUIET);
-        let site = site.following(&self.site, used)?;
+        let site = site
+            .replacing(&self.site, used)
+            .map_err(|error| error.to_string())?;
         self.retired.resize(site.settings.classes.len(), now);
         let names = site
             .settings
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -102,13 +102,13 @@
     let class = text("x-qos")?;
     ask.class = site
         .classes
-        .known(class)
+        .lookup(class)
         .ok_or_else(|| format!("unknown class {class:?}"))? as usize;
     if !site.settings.tenants.is_empty() {
         let tenant = text("x-customer")?;
         let number = site
             .tenants
-            .known(tenant)
+            .lookup(tenant)
             .ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
         ask.tenant = Some(number as usize);
     }
--- a/src/frontend/websocket.rs
+++ b/src/frontend/websocket.rs
@@ -90,7 +90,7 @@
     let class = said.class.ok_or("class is missing")?;
     let class = site
         .classes
-        .known(&class)
+        .lookup(&class)
         .ok_or_else(|| format!("unknown class {class:?}"))? as usize;
     let tenant = match (said.tenant, site.settings.tenants.is_empty()) {
         (_, true) => None,
@@ -98,7 +98,7 @@
         (Some(tenant), false) => {
             let number = site
                 .tenants
-                .known(&tenant)
+                .lookup(&tenant)
                 .ok_or_else(|| format!("unknown tenant {tenant:?}"))?;
             Some(number as usize)
         }
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -72,7 +72,7 @@
                 number,
                 name: name.clone(),
             };
-            self.notes.extend(NameTable::pairs(names).map(named));
+            self.notes.extend(NameTable::iter(names).map(named));
         }
     }
 
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -703,9 +703,9 @@
         .settings(&profile::PROFILE.replace(STRICTER.0, STRICTER.1))
         .unwrap();
     let site = bench.core.take_changed_deployment().unwrap();
-    let number = site.classes.known("status-query").unwrap() as usize;
+    let number = site.classes.lookup("status-query").unwrap() as usize;
     assert_ne!(number, 0, "another meaning has another number");
-    assert_eq!(site.classes.known("return-request"), Some(1));
+    assert_eq!(site.classes.lookup("return-request"), Some(1));
     let mut unsafe_now = bench.ask(2, number, "after");
     bench.ended(2, 0, AttemptStatus::PrefillDone);
     // A write that may have run: the old request may be tried again, the new one is given up.
@@ -754,9 +754,9 @@
             .settings(&profile::PROFILE.replace(STRICTER.0, &aim))
             .unwrap();
         let site = bench.core.take_changed_deployment().unwrap();
-        largest = largest.max(site.classes.known("status-query").unwrap());
+        largest = largest.max(site.classes.lookup("status-query").unwrap());
         assert_ne!(
-            site.classes.known("status-query"),
+            site.classes.lookup("status-query"),
             Some(0),
             "a request of it is open"
         );
@@ -775,7 +775,7 @@
     }
     assert!((200..260).contains(&taken), "{taken}");
     let aim = bench.core.take_changed_deployment().unwrap();
-    let number = aim.classes.known("status-query").unwrap() as usize;
+    let number = aim.classes.lookup("status-query").unwrap() as usize;
     assert_eq!(
         aim.settings.classes[number].ttft_objective,
         (taken - 1) * 1000 + 500
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -232,12 +232,14 @@
             r#""limits":{}"#,
             &format!(r#""limits":{{"sockets":{sockets}}}"#),
         );
-        let (clients, nodes) = Config::parse(&config).unwrap().limits.socket_budgets();
+        let budgets = Config::parse(&config).unwrap().limits.socket_budgets();
+        let (clients, nodes) = (budgets.clients, budgets.endpoints);
         assert_eq!(clients + nodes + 32, sockets);
         // SessionConfig fit into the clients' part and a small memory.
-        let (sessions, shaking) = SessionConfig::parse("{}")
+        let budget = SessionConfig::parse("{}")
             .unwrap()
-            .within(clients, 32 << 20);
+            .fit_to_machine(clients, 32 << 20);
+        let (sessions, shaking) = (budget.config, budget.handshake_sockets);
         assert!(sessions.max_sessions > 0 && sessions.max_sessions + shaking <= clients / 2);
         assert!(
             sessions.max_sessions * sessions.max_message_bytes + sessions.max_cache_bytes
