--- a/src/lib.rs
+++ b/src/lib.rs
@@ -83,6 +83,7 @@
 pub mod frontend;
 pub mod gossip;
 pub mod net;
+pub mod process;
 pub mod recording;
 pub mod routing;
 pub mod upgrade;
--- /dev/null
+++ b/src/process/listeners.rs
@@ -0,0 +1,122 @@
+//! The listening sockets: the clients' one, which may be inherited, and those for sessions, agent checks and operators.
+
+use super::{ServeError, ServeOptions};
+use crate::frontend::ShutdownPhase;
+use crate::upgrade;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+/// The environment variable that names the descriptor of an inherited listening socket.
+const INHERITED_SOCKET_VARIABLE: &str = "GW_SOCKET_FD";
+/// Time between two attempts to bind an address that a predecessor still has.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The descriptor of the inherited listening socket, as the environment names it.
+pub(super) fn inherited_descriptor() -> Option<String> {
+    let descriptor = std::env::var(INHERITED_SOCKET_VARIABLE).ok()?;
+    if descriptor.is_empty() {
+        return None;
+    }
+    Some(descriptor)
+}
+
+/// The listener for clients: the inherited one, or a new one on this address.
+pub(super) async fn bind_clients(
+    inherited: Option<&str>,
+    address: &str,
+) -> Result<TcpListener, ServeError> {
+    let Some(descriptor) = inherited else {
+        return bind(address).await;
+    };
+    let listener = upgrade::inherited_listener(descriptor)
+        .map_err(|error| ServeError::InheritedSocket(error.to_string()))?;
+    TcpListener::from_std(listener).map_err(ServeError::InheritedListener)
+}
+
+async fn bind(address: &str) -> Result<TcpListener, ServeError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| ServeError::Bind {
+            address: address.to_owned(),
+            source,
+        })
+}
+
+/// All listeners of the process.
+pub(super) struct Listeners {
+    pub clients: TcpListener,
+    pub side: SideListeners,
+}
+
+/// The listeners beside the clients' one; `None`: off.
+pub(super) struct SideListeners {
+    pub sessions: Option<DeferredListener>,
+    pub agent_check: Option<DeferredListener>,
+    pub management: Option<TcpListener>,
+}
+
+impl SideListeners {
+    pub async fn bind(
+        options: &ServeOptions,
+        has_predecessor: bool,
+    ) -> Result<SideListeners, ServeError> {
+        let files = &options.files;
+        let sessions =
+            DeferredListener::bind(files.sessions.listen.as_deref(), has_predecessor).await?;
+        let agent_check =
+            DeferredListener::bind(files.sessions.agent_check.as_deref(), has_predecessor).await?;
+        let management = match options.management_address() {
+            Some(address) => Some(bind(address).await?),
+            None => None,
+        };
+        Ok(SideListeners {
+            sessions,
+            agent_check,
+            management,
+        })
+    }
+}
+
+/// A listener on an address that is not inherited: a successor waits until its predecessor has closed it.
+pub(super) enum DeferredListener {
+    Bound(TcpListener),
+    /// To be bound to this address when it is free.
+    Pending(String),
+}
+
+impl DeferredListener {
+    async fn bind(
+        address: Option<&str>,
+        has_predecessor: bool,
+    ) -> Result<Option<DeferredListener>, ServeError> {
+        let Some(address) = address else {
+            return Ok(None);
+        };
+        if has_predecessor {
+            return Ok(Some(DeferredListener::Pending(address.to_owned())));
+        }
+        Ok(Some(DeferredListener::Bound(bind(address).await?)))
+    }
+
+    /// Waits for the listener. `None`: the process shuts down before the address is free.
+    pub async fn listener(
+        self,
+        mut shutdown_phase: watch::Receiver<ShutdownPhase>,
+    ) -> Option<TcpListener> {
+        let address = match self {
+            DeferredListener::Bound(listener) => return Some(listener),
+            DeferredListener::Pending(address) => address,
+        };
+        loop {
+            if let Ok(listener) = bind(&address).await {
+                return Some(listener);
+            }
+            let shutdown = shutdown_phase.wait_for(|phase| *phase > ShutdownPhase::Serving);
+            if timeout(BIND_RETRY_INTERVAL, shutdown).await.is_ok() {
+                return None;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/process/signals.rs
@@ -0,0 +1,43 @@
+//! The signals that the process handles: SIGHUP reloads the configuration, SIGTERM and SIGINT end the process.
+
+use super::ServeError;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+
+/// The installed signal handlers.
+pub(super) struct Signals {
+    pub hangup: Signal,
+    pub termination: TerminationSignals,
+}
+
+/// The signals that end the process.
+pub(super) struct TerminationSignals {
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl Signals {
+    /// Installs the handlers. This is the first step of a start: a signal that arrives earlier kills the process.
+    pub fn install() -> Result<Signals, ServeError> {
+        let hangup = signal(SignalKind::hangup()).map_err(ServeError::Signal)?;
+        let terminate = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
+        let interrupt = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
+        let termination = TerminationSignals {
+            terminate,
+            interrupt,
+        };
+        Ok(Signals {
+            hangup,
+            termination,
+        })
+    }
+}
+
+impl TerminationSignals {
+    /// Waits for the first of these signals.
+    pub async fn wait(&mut self) {
+        tokio::select! {
+            _ = self.terminate.recv() => {}
+            _ = self.interrupt.recv() => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/process/tasks.rs
@@ -0,0 +1,230 @@
+//! The tasks that run from the start to the end of the process: core, backend, gossip, discovery, configuration reload,
+//! management and process upgrade.
+
+use super::core_startup::{ConfiguredEndpoints, CoreStartup};
+use super::limits::SharedLimits;
+use super::Startup;
+use crate::config::reload;
+use crate::dispatcher::{Command, Core, DispatcherHandle, Event};
+use crate::frontend::admin;
+use crate::gossip::transport::GossipTransport;
+use crate::gossip::Gossip;
+use crate::upgrade::resource_shares::ProcessState;
+use crate::upgrade::stream_migration::{self, MigrationSender, MigrationSignal};
+use crate::upgrade::{PeerProcesses, UpgradeCoordinator};
+use crate::{backend, discovery, dispatcher, upgrade};
+use bytes::Bytes;
+use slog::{warn, Logger};
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::sync::{mpsc, watch};
+use tokio::task::{JoinError, JoinSet};
+
+/// Commands of the core that may wait for the backend.
+const COMMAND_QUEUE_LENGTH: usize = 1024;
+/// Streams that may wait for their migration.
+const MIGRATION_QUEUE_LENGTH: usize = 64;
+
+/// What the tasks need beside the core.
+pub(super) struct TaskInputs {
+    /// Reloads the configuration.
+    pub hangup: Signal,
+    pub limits: SharedLimits,
+    /// The listener for operators; `None`: off.
+    pub management: Option<TcpListener>,
+}
+
+/// The running tasks, and the ends of their channels that the rest of the process uses.
+pub(super) struct RunningTasks {
+    pub vital: VitalTasks,
+    pub dispatcher: DispatcherHandle,
+    /// The endpoint list of the configuration, where the core has not received it yet.
+    pub pending_endpoints: Option<Event>,
+    /// Where streams to migrate are sent, if they can be.
+    pub migrating_streams: MigrationSender,
+    pub upgrade: UpgradeChannels,
+}
+
+/// The channels to the process upgrade, which are idle in a process without a coordinator.
+pub(super) struct UpgradeChannels {
+    /// Turns on the migration of streams to a successor. Streams stop migrating for good when it is dropped.
+    pub migration_switch: watch::Sender<bool>,
+    /// What other processes are told about this one.
+    pub process_state: watch::Sender<ProcessState>,
+    pub peers: watch::Receiver<PeerProcesses>,
+}
+
+/// Tasks without any of which the dispatcher would accept requests and answer none: the process ends with the first.
+pub(super) struct VitalTasks {
+    tasks: JoinSet<()>,
+    dispatcher: DispatcherHandle,
+    log: Logger,
+}
+
+/// Starts all tasks, in an order that is part of the start: backend and core before what sends events to them.
+pub(super) fn spawn(startup: &mut Startup, core: CoreStartup, inputs: TaskInputs) -> RunningTasks {
+    let CoreStartup {
+        mut core,
+        dispatcher,
+        events,
+        recorder,
+        endpoints,
+    } = core;
+    let mut vital = VitalTasks {
+        tasks: JoinSet::new(),
+        dispatcher: dispatcher.clone(),
+        log: startup.log.clone(),
+    };
+    let (commands, backend_commands) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+    let (migration_switch, migration) = stream_migration::migration_signal();
+    vital.spawn_backend(startup, backend_commands, &inputs.limits, migration);
+    let gossip_queue = spawn_gossip(startup, &mut core, &dispatcher);
+    vital.tasks.spawn(dispatcher::run(
+        core,
+        startup.clock,
+        events,
+        commands,
+        recorder,
+        gossip_queue,
+    ));
+    let ConfiguredEndpoints {
+        deployment,
+        revision,
+        pending,
+    } = endpoints;
+    let (discovery_address, watched_address) = watch::channel(startup.config.discovery.clone());
+    vital.tasks.spawn(discovery::run(
+        watched_address,
+        deployment,
+        startup.seed,
+        revision,
+        dispatcher.clone(),
+        startup.log.clone(),
+    ));
+    vital.spawn_reload(startup, inputs.hangup, discovery_address);
+    if let Some(listener) = inputs.management {
+        // Operators are answered until the process ends.
+        let log = vital.log.clone();
+        let serve = admin::serve(listener, dispatcher.clone(), log);
+        vital.tasks.spawn(serve);
+    }
+    let (process_state, own_state) = watch::channel(ProcessState::Starting);
+    let (set_peers, peers) = watch::channel(startup.peers);
+    let mut migrating_streams = None;
+    if let Some(coordinator) = startup.upgrade.take() {
+        migrating_streams = Some(vital.spawn_migration(&coordinator, &inputs.limits, &peers));
+        vital.tasks.spawn(upgrade::run(
+            coordinator,
+            inputs.limits,
+            dispatcher.clone(),
+            own_state,
+            set_peers,
+        ));
+    }
+    RunningTasks {
+        vital,
+        dispatcher,
+        pending_endpoints: pending,
+        migrating_streams,
+        upgrade: UpgradeChannels {
+            migration_switch,
+            process_state,
+            peers,
+        },
+    }
+}
+
+/// Starts gossip with the other dispatchers if the deployment allows it and there are any; returns the queue of messages
+/// to them.
+fn spawn_gossip(
+    startup: &Startup,
+    core: &mut Core,
+    dispatcher: &DispatcherHandle,
+) -> Option<mpsc::Sender<Bytes>> {
+    let cost = startup.deployment.gossip_cost?;
+    let transport = GossipTransport::new(&startup.config)?;
+    if transport.peer_count() == 0 {
+        return None;
+    }
+    let (queue, messages) = GossipTransport::queue();
+    core.set_gossip(Gossip::new(transport.peer_count() + 1, cost));
+    tokio::spawn(transport.run(messages, dispatcher.clone(), startup.log.clone()));
+    Some(queue)
+}
+
+impl VitalTasks {
+    /// How many tasks run.
+    pub fn count(&self) -> usize {
+        self.tasks.len()
+    }
+
+    /// Waits until one of the tasks has ended, which none should.
+    pub async fn wait_for_end(&mut self) -> Option<Result<(), JoinError>> {
+        self.tasks.join_next().await
+    }
+
+    fn spawn_backend(
+        &mut self,
+        startup: &Startup,
+        commands: mpsc::Receiver<Command>,
+        limits: &SharedLimits,
+        migration: MigrationSignal,
+    ) {
+        let sessions = &startup.budgets.sessions.config;
+        self.tasks.spawn(backend::run(
+            commands,
+            self.dispatcher.clone(),
+            startup.deployment.bounds,
+            limits.endpoints.clone(),
+            sessions.websocket_endpoints.iter().cloned().collect(),
+            migration,
+            self.log.clone(),
+        ));
+    }
+
+    fn spawn_reload(
+        &mut self,
+        startup: &Startup,
+        hangup: Signal,
+        discovery_address: watch::Sender<String>,
+    ) {
+        self.tasks.spawn(reload::run(
+            startup.config_path.clone(),
+            startup.config_text.clone(),
+            hangup,
+            self.dispatcher.clone(),
+            discovery_address,
+            self.log.clone(),
+        ));
+    }
+
+    /// Starts the migration of streams from a predecessor and to a successor; returns the queue of the latter.
+    fn spawn_migration(
+        &mut self,
+        coordinator: &UpgradeCoordinator,
+        limits: &SharedLimits,
+        peers: &watch::Receiver<PeerProcesses>,
+    ) -> mpsc::Sender<stream_migration::MigratingStream> {
+        match coordinator.listen() {
+            Ok(listener) => {
+                self.tasks.spawn(stream_migration::receive_streams(
+                    listener,
+                    limits.clients.clone(),
+                    limits.endpoints.clone(),
+                    self.log.clone(),
+                ));
+            }
+            Err(error) => warn!(self.log, "stream migration listener failed"; "error" => %error),
+        }
+        let (queue, streams) = mpsc::channel(MIGRATION_QUEUE_LENGTH);
+        let socket_path = coordinator.stream_socket_path();
+        let peers = peers.clone();
+        let successor_path = move || peers.borrow().successor.map(&socket_path);
+        self.tasks.spawn(stream_migration::send_streams(
+            successor_path,
+            streams,
+            self.log.clone(),
+        ));
+        queue
+    }
+}
