--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program itself: its command line, its start, and its end at SIGTERM.
+//! The program: its command line, its start, its reload at SIGHUP and its shutdown at SIGTERM.
 
 mod testbed;
 
@@ -6,8 +6,9 @@
 use axum::http::Uri;
 use axum::routing::get;
 use axum::Router;
-use std::io::{BufRead, BufReader};
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::io::{BufRead, BufReader, Lines};
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, ExitStatus, Output, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -16,56 +17,116 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
 
-/// A file that goes when the test does.
-struct File(std::path::PathBuf);
+/// How long the program may take to answer or to end.
+const PATIENCE: Duration = Duration::from_secs(20);
 
-impl File {
-    fn new(name: &str, text: &str) -> File {
+const PREFILL_ENDPOINT: &str =
+    r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"}"#;
+const BOTH_ENDPOINTS: &str = r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"},
+        {"id":"w","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","phase":"Ready"}"#;
+
+/// A file that is removed when the test ends.
+struct TemporaryFile {
+    path: PathBuf,
+}
+
+impl TemporaryFile {
+    fn new(name: &str, text: &str) -> TemporaryFile {
         let path =
             std::env::temp_dir().join(format!("quartzhall-{}-{name}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
-        File(path)
+        TemporaryFile { path }
+    }
+
+    fn write(&self, text: &str) {
+        std::fs::write(&self.path, text).unwrap();
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.0);
+        let _ = std::fs::remove_file(&self.path);
     }
 }
 
-/// A program that does not outlive its test.
-struct Running(Child);
+/// A running dispatcher, which is killed when the test ends.
+struct Dispatcher {
+    child: Child,
+}
 
-impl Running {
-    fn start(command: &mut Command) -> Running {
-        Running(command.spawn().unwrap())
+impl Dispatcher {
+    /// Starts the dispatcher; its log goes to `log`.
+    fn start(config: &TemporaryFile, sessions: Option<&TemporaryFile>, log: Stdio) -> Dispatcher {
+        let child = serve(config, sessions).stderr(log).spawn().unwrap();
+        Dispatcher { child }
+    }
+
+    /// Starts the dispatcher with its log to be read.
+    fn start_with_log(config: &TemporaryFile) -> (Dispatcher, LogLines) {
+        let mut dispatcher = Dispatcher::start(config, None, Stdio::piped());
+        let log = dispatcher.child.stderr.take().unwrap();
+        (dispatcher, BufReader::new(log).lines())
+    }
+
+    fn signal(&self, name: &str) {
+        let kill = Command::new("sh")
+            .arg("-c")
+            .arg(format!("kill -{name} {}", self.child.id()))
+            .status()
+            .unwrap();
+        assert!(kill.success());
+    }
+
+    async fn wait_for_exit(mut self) -> ExitStatus {
+        let exit = tokio::task::spawn_blocking(move || self.child.wait().unwrap());
+        tokio::time::timeout(PATIENCE, exit)
+            .await
+            .expect("it ends")
+            .unwrap()
     }
 }
 
-impl Drop for Running {
+impl Drop for Dispatcher {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
+type LogLines = Lines<BufReader<ChildStderr>>;
+
+/// Reads the log up to a line with this text: whether there is one, and the lines after it.
+async fn read_log_until(mut lines: LogLines, text: &'static str) -> (bool, LogLines) {
+    let read = tokio::task::spawn_blocking(move || {
+        let is_found = lines.any(|line| line.unwrap().contains(text));
+        (is_found, lines)
+    });
+    tokio::time::timeout(PATIENCE, read).await.unwrap().unwrap()
+}
+
 fn config(listen: &str, discovery: &str, known: &str) -> String {
-    let profile = testbed::PROFILE;
+    let settings = testbed::PROFILE;
     format!(
-        r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{profile}}}"#
+        r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{settings}}}"#
     )
 }
 
-/// The program's command to serve with a configuration.
-fn serve(config: &File) -> Command {
+/// The command that serves with a configuration and, where there is one, a session file.
+fn serve(config: &TemporaryFile, sessions: Option<&TemporaryFile>) -> Command {
     let mut command = Command::new(PROGRAM);
-    command.args(["serve", "--config"]).arg(&config.0);
+    command.args(["serve", "--config"]).arg(&config.path);
+    if let Some(sessions) = sessions {
+        command.arg("--websocket").arg(&sessions.path);
+    }
     command
 }
 
+fn run(arguments: &[&str]) -> Output {
+    Command::new(PROGRAM).args(arguments).output().unwrap()
+}
+
 #[test]
-fn bad_files_end_it_with_one_line() {
+fn serve_fails_with_a_one_line_error_when_a_file_is_invalid() {
     let good = config("127.0.0.1:0", "127.0.0.1:1", "null");
     let cases = [
         ("cut", good[..good.len() / 2].to_owned(), "{}".to_owned()),
@@ -84,15 +145,9 @@
         ("bounds", good, "{\"most_requests\":0}".into()),
     ];
     for (name, text, sessions) in cases {
-        let (config, sessions) = (
-            File::new(name, &text),
-            File::new(&format!("{name}-ws"), &sessions),
-        );
-        let output = serve(&config)
-            .arg("--websocket")
-            .arg(&sessions.0)
-            .output()
-            .unwrap();
+        let config = TemporaryFile::new(name, &text);
+        let sessions = TemporaryFile::new(&format!("{name}-ws"), &sessions);
+        let output = serve(&config, Some(&sessions)).output().unwrap();
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{name}");
         let lines = error
@@ -104,18 +159,14 @@
 }
 
 #[test]
-fn version_and_check_say_what_they_are_asked() {
-    let version = Command::new(PROGRAM).arg("version").output().unwrap();
+fn version_and_check_print_their_summaries() {
+    let version = run(&["version"]);
     assert_eq!(
         String::from_utf8_lossy(&version.stdout),
         concat!("quartzhall ", env!("CARGO_PKG_VERSION"), "\n")
     );
-    let file = File::new("check", &config("127.0.0.1:0", "127.0.0.1:1", "null"));
-    let check = Command::new(PROGRAM)
-        .args(["check", "--config"])
-        .arg(&file.0)
-        .output()
-        .unwrap();
+    let file = TemporaryFile::new("check", &config("127.0.0.1:0", "127.0.0.1:1", "null"));
+    let check = run(&["check", "--config", file.path.to_str().unwrap()]);
     assert!(check.status.success());
     assert!(String::from_utf8_lossy(&check.stdout).contains("2 classes, 1 tenants"));
 }
@@ -125,53 +176,38 @@
     listener.local_addr().unwrap().to_string()
 }
 
-/// The whole answer to a `GET`, once the address answers at all.
-async fn ask(address: &str, path: &str) -> String {
-    let asks = async {
+/// The whole response to a `GET`, once the address answers at all.
+async fn get_response(address: &str, path: &str) -> String {
+    let requests = async {
         loop {
             if let Ok(mut stream) = TcpStream::connect(address).await {
-                let text = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-                stream.write_all(text.as_bytes()).await.unwrap();
-                let mut answer = String::new();
-                if stream.read_to_string(&mut answer).await.is_ok() && !answer.is_empty() {
-                    return answer;
+                let request =
+                    format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+                stream.write_all(request.as_bytes()).await.unwrap();
+                let mut response = String::new();
+                if stream.read_to_string(&mut response).await.is_ok() && !response.is_empty() {
+                    return response;
                 }
             }
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), asks)
+    tokio::time::timeout(PATIENCE, requests)
         .await
-        .expect("an answer")
+        .expect("a response")
 }
 
-async fn until_ready(address: &str, code: &str) {
-    while !ask(address, "/ready")
+/// Waits until the readiness check answers with this status code.
+async fn wait_for_readiness(address: &str, code: &str) {
+    while !get_response(address, "/ready")
         .await
         .starts_with(&format!("HTTP/1.1 {code}"))
     {}
 }
 
-fn signal(running: &Running, name: &str) {
-    let kill = Command::new("sh")
-        .arg("-c")
-        .arg(format!("kill -{name} {}", running.0.id()))
-        .status()
-        .unwrap();
-    assert!(kill.success());
-}
-
-async fn end(mut running: Running) -> ExitStatus {
-    let waits = tokio::task::spawn_blocking(move || running.0.wait().unwrap());
-    tokio::time::timeout(Duration::from_secs(20), waits)
-        .await
-        .expect("it ends")
-        .unwrap()
-}
-
-/// Discovery talks nonsense first, then tells of a fleet; the program is ready only then, and ends with 0.
+/// Discovery first sends a cut response, then a fleet; the program is ready only then, and exits with 0.
 #[tokio::test]
-async fn it_is_ready_when_it_can_serve_and_drains_at_sigterm() {
+async fn becomes_ready_with_an_endpoint_list_and_drains_at_sigterm() {
     let calls = Arc::new(AtomicUsize::new(0));
     let list = |State(calls): State<Arc<AtomicUsize>>| async move {
         match calls.fetch_add(1, Ordering::SeqCst) {
@@ -189,28 +225,23 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let discovery = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move { axum::serve(listener, routes).await });
-    let (listen, sessions, agent) = (
-        free_address().await,
-        free_address().await,
-        free_address().await,
-    );
-    let file = File::new("run", &config(&listen, &discovery, "null"));
-    let second = File::new(
+    let listen = free_address().await;
+    let sessions = free_address().await;
+    let agent = free_address().await;
+    let file = TemporaryFile::new("run", &config(&listen, &discovery, "null"));
+    let session_file = TemporaryFile::new(
         "run-ws",
         &format!(r#"{{"listen":"{sessions}","agent_check":"{agent}"}}"#),
     );
-    let running = Running::start(
-        serve(&file)
-            .arg("--websocket")
-            .arg(&second.0)
-            .stderr(Stdio::null()),
-    );
-    until_ready(&listen, "200").await;
+    let dispatcher = Dispatcher::start(&file, Some(&session_file), Stdio::null());
+    wait_for_readiness(&listen, "200").await;
     assert!(
         calls.load(Ordering::SeqCst) >= 2,
-        "nonsense was tried again"
+        "discovery is called again after a cut response"
     );
-    assert!(ask(&sessions, "/health").await.starts_with("HTTP/1.1 200"));
+    assert!(get_response(&sessions, "/health")
+        .await
+        .starts_with("HTTP/1.1 200"));
     let mut line = String::new();
     TcpStream::connect(&agent)
         .await
@@ -219,16 +250,19 @@
         .await
         .unwrap();
     assert_eq!(line, "up ready\n");
-    signal(&running, "TERM");
-    assert_eq!(end(running).await.code(), Some(0));
+    dispatcher.signal("TERM");
+    assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// A discovery that tells one full list and then waits; and what it was asked.
-async fn discovery_with(revision: u32, members: &'static str) -> (String, Arc<Mutex<Vec<String>>>) {
-    let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-    let notes = asked.clone();
+/// The targets of the requests to a discovery server.
+type RequestTargets = Arc<Mutex<Vec<String>>>;
+
+/// A discovery server that sends one full list and then leaves watches open: its address, and the requests to it.
+async fn start_discovery(revision: u32, members: &'static str) -> (String, RequestTargets) {
+    let requests = RequestTargets::default();
+    let received = requests.clone();
     let list = move |uri: Uri| {
-        notes.lock().unwrap().push(uri.to_string());
+        received.lock().unwrap().push(uri.to_string());
         async move {
             if uri.query().is_some() {
                 std::future::pending::<()>().await;
@@ -240,77 +274,68 @@
     let address = listener.local_addr().unwrap().to_string();
     let routes = Router::new().route("/v1/endpoints", get(list));
     tokio::spawn(async move { axum::serve(listener, routes).await });
-    (address, asked)
+    (address, requests)
 }
 
-/// At SIGHUP a half-written file changes nothing, and is read again until it is whole; then the new address of
-/// discovery is followed from a full list, though its revisions are older. Repeats, and SIGTERM after, work.
+/// At SIGHUP a half-written file changes nothing and is read again until it is complete; then the new discovery server
+/// is used from a full list on, though its revisions are lower. Further SIGHUPs, and SIGTERM after them, work.
 #[tokio::test]
-async fn it_follows_a_new_discovery_at_sighup() {
-    let reader = r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"}"#;
-    let both = r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"},
-        {"id":"w","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","phase":"Ready"}"#;
-    let (first, _) = discovery_with(900, reader).await;
-    let (second, asked) = discovery_with(3, both).await;
+async fn reload_retries_a_half_written_file_and_uses_the_new_discovery_address() {
+    let (first, _) = start_discovery(900, PREFILL_ENDPOINT).await;
+    let (second, requests) = start_discovery(3, BOTH_ENDPOINTS).await;
     let listen = free_address().await;
-    let file = File::new("hup", &config(&listen, &first, "null"));
-    let mut running = Running::start(serve(&file).stderr(Stdio::piped()));
-    let mut lines = BufReader::new(running.0.stderr.take().unwrap()).lines();
-    until_ready(&listen, "503").await;
+    let file = TemporaryFile::new("hup", &config(&listen, &first, "null"));
+    let (dispatcher, lines) = Dispatcher::start_with_log(&file);
+    wait_for_readiness(&listen, "503").await;
 
     let new = config(&listen, &second, "null");
-    std::fs::write(&file.0, &new[..new.len() / 2]).unwrap();
-    signal(&running, "HUP");
-    let told = tokio::task::spawn_blocking(move || {
-        let told = lines.any(|line| line.unwrap().contains("can't be used"));
-        (told, lines)
-    });
-    let (told, lines) = tokio::time::timeout(Duration::from_secs(20), told)
+    file.write(&new[..new.len() / 2]);
+    dispatcher.signal("HUP");
+    let (is_rejected, lines) = read_log_until(lines, "configuration rejected").await;
+    assert!(is_rejected);
+    assert!(get_response(&listen, "/ready")
         .await
-        .unwrap()
-        .unwrap();
-    assert!(told);
-    assert!(ask(&listen, "/ready").await.starts_with("HTTP/1.1 503"));
-    std::fs::write(&file.0, &new).unwrap();
-    until_ready(&listen, "200").await;
-    assert_eq!(asked.lock().unwrap()[0], "/v1/endpoints");
-
-    signal(&running, "HUP");
-    signal(&running, "HUP");
-    assert!(ask(&listen, "/ready").await.starts_with("HTTP/1.1 200"));
-    signal(&running, "TERM");
-    // Nobody reads the rest of the log: the program must not wait for that.
+        .starts_with("HTTP/1.1 503"));
+    file.write(&new);
+    wait_for_readiness(&listen, "200").await;
+    assert_eq!(requests.lock().unwrap()[0], "/v1/endpoints");
+
+    dispatcher.signal("HUP");
+    dispatcher.signal("HUP");
+    assert!(get_response(&listen, "/ready")
+        .await
+        .starts_with("HTTP/1.1 200"));
+    dispatcher.signal("TERM");
+    // Nobody reads the rest of the log: the program must not block on that.
     drop(lines);
-    assert_eq!(end(running).await.code(), Some(0));
+    assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// The list of the configuration is watched on from its revision: a full list costs discovery work at each start, and all of
-/// a fleet start together.
+/// The configuration's endpoint list is watched from its revision on: a full list costs discovery work at each start, and
+/// a whole fleet starts at once.
 #[tokio::test]
-async fn it_watches_from_the_revision_that_it_was_given() {
-    let known = r#"{"revision":41,"complete":true,"members":[
-        {"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"},
-        {"id":"w","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","phase":"Ready"}]}"#;
-    let (discovery, asked) = discovery_with(41, "").await;
+async fn watches_discovery_from_the_revision_of_the_configured_list() {
+    let known = format!(r#"{{"revision":41,"complete":true,"members":[{BOTH_ENDPOINTS}]}}"#);
+    let (discovery, requests) = start_discovery(41, "").await;
     let listen = free_address().await;
-    let file = File::new("known", &config(&listen, &discovery, known));
-    let running = Running::start(&mut serve(&file));
-    until_ready(&listen, "200").await;
-    while asked.lock().unwrap().is_empty() {
+    let file = TemporaryFile::new("known", &config(&listen, &discovery, &known));
+    let dispatcher = Dispatcher::start(&file, None, Stdio::inherit());
+    wait_for_readiness(&listen, "200").await;
+    while requests.lock().unwrap().is_empty() {
         tokio::task::yield_now().await;
     }
     assert!(
-        asked.lock().unwrap()[0].starts_with("/v1/endpoints?from=41&"),
-        "{asked:?}"
+        requests.lock().unwrap()[0].starts_with("/v1/endpoints?from=41&"),
+        "{requests:?}"
     );
-    signal(&running, "TERM");
-    assert_eq!(end(running).await.code(), Some(0));
+    dispatcher.signal("TERM");
+    assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// A restarted process is ready from the list that it was given, though discovery is down, silent, or turns all away, and
-/// though lists are asked for by 300 dispatchers in turn.
+/// A restarted process is ready with the configured list though discovery is down, silent or rejects all requests, and
+/// though 300 dispatchers poll for lists in turn.
 #[tokio::test]
-async fn it_is_ready_from_the_list_that_it_was_given_whatever_discovery_does() {
+async fn becomes_ready_with_the_configured_list_when_discovery_fails() {
     let known = r#"{"revision":41,"complete":true,"members":[
         {"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","cell":1,"phase":"Ready"},
         {"id":"w","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}]}"#;
@@ -321,44 +346,41 @@
         silent.local_addr().unwrap().to_string(),
         busy.local_addr().unwrap().to_string(),
     ];
-    let turned_away = || async { axum::http::StatusCode::SERVICE_UNAVAILABLE };
-    tokio::spawn(async move { axum::serve(busy, Router::new().fallback(turned_away)).await });
-    for (at, discovery) in addresses.iter().enumerate() {
+    let reject = || async { axum::http::StatusCode::SERVICE_UNAVAILABLE };
+    tokio::spawn(async move { axum::serve(busy, Router::new().fallback(reject)).await });
+    for (index, discovery) in addresses.iter().enumerate() {
         for mode in ["automatic", "subscribe"] {
             let listen = free_address().await;
-            let set = format!(r#""membership_mode":"{mode}","balancers":300"#);
-            let text = config(&listen, discovery, known).replacen(r#""balancers":1"#, &set, 1);
-            let file = File::new(&format!("ready-{at}-{mode}"), &text);
-            let began = std::time::Instant::now();
-            let running = Running::start(serve(&file).stderr(Stdio::null()));
-            until_ready(&listen, "200").await;
+            let polling = format!(r#""membership_mode":"{mode}","balancers":300"#);
+            let text = config(&listen, discovery, known).replacen(r#""balancers":1"#, &polling, 1);
+            let file = TemporaryFile::new(&format!("ready-{index}-{mode}"), &text);
+            let started = std::time::Instant::now();
+            let dispatcher = Dispatcher::start(&file, None, Stdio::null());
+            wait_for_readiness(&listen, "200").await;
             assert!(
-                began.elapsed() < Duration::from_secs(10),
+                started.elapsed() < Duration::from_secs(10),
                 "{discovery}, {mode}: {:?}",
-                began.elapsed()
+                started.elapsed()
             );
-            signal(&running, "TERM");
-            assert_eq!(end(running).await.code(), Some(0));
+            dispatcher.signal("TERM");
+            assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
         }
     }
 }
 
-/// A file from which nothing may be taken: its discovery is not asked, its classes are not known.
+/// A rejected file changes nothing: its discovery server gets no request, its classes stay unknown.
 #[tokio::test]
-async fn of_a_broken_file_nothing_is_taken_at_sighup() {
-    let both = r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"},
-        {"id":"w","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","phase":"Ready"}"#;
-    let (first, _) = discovery_with(1, both).await;
-    let (second, asked) = discovery_with(2, both).await;
+async fn reload_of_an_invalid_file_changes_nothing() {
+    let (first, _) = start_discovery(1, BOTH_ENDPOINTS).await;
+    let (second, requests) = start_discovery(2, BOTH_ENDPOINTS).await;
     let listen = free_address().await;
     let good = config(&listen, &first, "null");
-    let file = File::new("broken", &good);
-    let mut running = Running::start(serve(&file).stderr(Stdio::piped()));
-    let mut lines = BufReader::new(running.0.stderr.take().unwrap()).lines();
-    until_ready(&listen, "200").await;
+    let file = TemporaryFile::new("broken", &good);
+    let (dispatcher, mut lines) = Dispatcher::start_with_log(&file);
+    wait_for_readiness(&listen, "200").await;
     let next = config(&listen, &second, "null").replace("status-query", "balance-query");
     let classes = &next[next.find("\"classes\"").unwrap()..next.find(" \"dcs\"").unwrap()];
-    let broken = [
+    let invalid = [
         String::new(),
         next[..next.len() - 1].to_owned(),
         next.replace(classes, ""),
@@ -379,36 +401,31 @@
         next.replace("balance-query", "return-request"),
         next.replace("\"single_shot\"", "\"sometimes\""),
     ];
-    for (number, text) in broken.iter().enumerate() {
+    for (number, text) in invalid.iter().enumerate() {
         assert_ne!(*text, next, "{number}");
-        std::fs::write(&file.0, text).unwrap();
-        signal(&running, "HUP");
-        let told = tokio::task::spawn_blocking(move || {
-            let told = lines.any(|line| line.unwrap().contains("can't be used"));
-            (told, lines)
-        });
-        let told = tokio::time::timeout(Duration::from_secs(20), told)
+        file.write(text);
+        dispatcher.signal("HUP");
+        let is_rejected;
+        (is_rejected, lines) = read_log_until(lines, "configuration rejected").await;
+        assert!(is_rejected, "{number}");
+        assert!(get_response(&listen, "/ready")
             .await
-            .unwrap()
-            .unwrap();
-        assert!(told.0, "{number}");
-        lines = told.1;
-        assert!(ask(&listen, "/ready").await.starts_with("HTTP/1.1 200"));
+            .starts_with("HTTP/1.1 200"));
     }
     assert!(
-        asked.lock().unwrap().is_empty(),
-        "nothing of a broken file is taken"
+        requests.lock().unwrap().is_empty(),
+        "nothing of an invalid file is applied"
     );
-    // The next good one is, however many bad ones came before.
-    std::fs::write(&file.0, &next).unwrap();
-    signal(&running, "HUP");
-    let followed = async {
-        while asked.lock().unwrap().is_empty() {
+    // The next valid one is applied at once, however many invalid ones came before.
+    file.write(&next);
+    dispatcher.signal("HUP");
+    let request_arrives = async {
+        while requests.lock().unwrap().is_empty() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(Duration::from_millis(1200), followed)
+    tokio::time::timeout(Duration::from_millis(1200), request_arrives)
         .await
-        .expect("in force at once");
+        .expect("applied at once");
     drop(lines);
 }
--- a/tests/unit/config/validation.rs
+++ b/tests/unit/config/validation.rs
@@ -1,31 +1,32 @@
 use super::*;
 use miniserde::json;
 
-fn value(text: &str) -> Value {
+fn parse(text: &str) -> Value {
     json::from_str(text).unwrap()
 }
 
 const RUNNING: &str = r#"{"name":"n","known":{"revision":1},"settings":{"limits":{"most_tries":5,"cancel":true},
     "classes":[{"name":"a","aim":1.5,"deadline":7,"aim_stretch":1},{"name":"b","aim":2,"deadline":9,"extra":1}]}}"#;
 
-fn check(new: &str) -> Result<(), String> {
-    let new = value(new);
-    check_values("the configuration", &new)?;
-    complete("the configuration", &value(RUNNING), &new)
+/// The text of the first error in a configuration that is to replace the running one.
+fn check(new: &Value) -> Result<(), String> {
+    check_values("the configuration", new)
+        .and_then(|()| check_complete("the configuration", &parse(RUNNING), new))
+        .map_err(|error| error.to_string())
 }
 
 #[test]
-fn what_is_whole_is_taken() {
-    assert_eq!(check(RUNNING), Ok(()));
-    // Another number of classes, another count, one more key, no list of members.
+fn accepts_a_configuration_with_all_running_settings() {
+    assert_eq!(check(&parse(RUNNING)), Ok(()));
+    // Another number of classes, another count, one more setting, no endpoint list.
     let new = r#"{"name":"n","settings":{"limits":{"most_tries":1,"cancel":false,"more":[]},
         "classes":[{"name":"c","aim":1,"deadline":4}]}}"#;
-    assert_eq!(check(new), Ok(()));
+    assert_eq!(check(&parse(new)), Ok(()));
 }
 
 #[test]
-fn what_lacks_a_key_or_has_no_sense_is_not() {
-    for (from, to, says) in [
+fn rejects_missing_settings_wrong_types_and_impossible_numbers() {
+    for (from, to, expected) in [
         (r#""name":"n","#, "", "name is missing"),
         (
             r#""most_tries":5,"#,
@@ -89,13 +90,15 @@
         let Ok(new) = json::from_str::<Value>(&new) else {
             continue;
         };
-        let told = check_values("it", &new).and_then(|()| complete("it", &value(RUNNING), &new));
+        let checked = check(&new);
         assert!(
-            told.as_ref().is_err_and(|it| it.contains(says)),
-            "{says}: {told:?}"
+            checked
+                .as_ref()
+                .is_err_and(|error| error.contains(expected)),
+            "{expected}: {checked:?}"
         );
     }
-    let empty = value(r#"{"name":"n","settings":{}}"#);
-    assert!(complete("it", &value(RUNNING), &empty).is_err());
-    assert!(complete("it", &value(RUNNING), &value("[]")).is_err());
+    let empty = parse(r#"{"name":"n","settings":{}}"#);
+    assert!(check_complete("root", &parse(RUNNING), &empty).is_err());
+    assert!(check_complete("root", &parse(RUNNING), &parse("[]")).is_err());
 }
