--- a/src/config/deployment.rs
+++ b/src/config/deployment.rs
@@ -349,3 +349,7 @@
         }),
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/config/deployment.rs"]
+mod tests;
--- a/src/process/core_startup.rs
+++ b/src/process/core_startup.rs
@@ -1,4 +1,4 @@
-//! The creation of the core, with all that it learns before its first event.
+//! The creation of the core, with all that is settled before it runs: the recording, bans and the configured endpoints.
 
 use super::{trace_recording, ServeError, Startup};
 use crate::config::{Config, Deployment};
@@ -8,7 +8,7 @@
 use quartzhall_recording::Recorder;
 use slog::{info, Logger};
 
-/// The core before it runs, and what belongs to it.
+/// The core before it runs, and the ends of its channels.
 pub(super) struct CoreStartup {
     pub core: Core,
     pub dispatcher: DispatcherHandle,
@@ -79,10 +79,10 @@
 impl ConfiguredEndpoints {
     fn read(config: &Config, log: &Logger) -> Result<ConfiguredEndpoints, ServeError> {
         let mut deployment = Deployment::new(&config.settings)?;
-        let pending = match &config.known {
-            Some(list) => Some(discovery::endpoints_changed(&mut deployment, list, log)),
-            None => None,
-        };
+        let mut pending = None;
+        if let Some(list) = &config.known {
+            pending = Some(discovery::endpoints_changed(&mut deployment, list, log));
+        }
         Ok(ConfiguredEndpoints {
             deployment,
             revision: None,
--- a/src/process/tasks.rs
+++ b/src/process/tasks.rs
@@ -87,50 +87,21 @@
         recorder,
         gossip_queue,
     ));
-    let ConfiguredEndpoints {
-        deployment,
-        revision,
-        pending,
-    } = endpoints;
-    let (discovery_address, watched_address) = watch::channel(startup.config.discovery.clone());
-    vital.tasks.spawn(discovery::run(
-        watched_address,
-        deployment,
-        startup.seed,
-        revision,
-        dispatcher.clone(),
-        startup.log.clone(),
-    ));
-    vital.spawn_reload(startup, inputs.hangup, discovery_address);
+    let pending_endpoints = vital.spawn_discovery(startup, endpoints, inputs.hangup);
     if let Some(listener) = inputs.management {
         // Operators are answered until the process ends.
         let log = vital.log.clone();
         let serve = admin::serve(listener, dispatcher.clone(), log);
         vital.tasks.spawn(serve);
     }
-    let (process_state, own_state) = watch::channel(ProcessState::Starting);
-    let (set_peers, peers) = watch::channel(startup.peers);
-    let mut migrating_streams = None;
-    if let Some(coordinator) = startup.upgrade.take() {
-        migrating_streams = Some(vital.spawn_migration(&coordinator, &inputs.limits, &peers));
-        vital.tasks.spawn(upgrade::run(
-            coordinator,
-            inputs.limits,
-            dispatcher.clone(),
-            own_state,
-            set_peers,
-        ));
-    }
+    let (upgrade, migrating_streams) =
+        vital.spawn_upgrade(startup, inputs.limits, migration_switch);
     RunningTasks {
         vital,
         dispatcher,
-        pending_endpoints: pending,
+        pending_endpoints,
         migrating_streams,
-        upgrade: UpgradeChannels {
-            migration_switch,
-            process_state,
-            peers,
-        },
+        upgrade,
     }
 }
 
@@ -182,20 +153,60 @@
         ));
     }
 
-    fn spawn_reload(
+    /// Starts the discovery client and the reload that changes its address; returns the endpoint list that the core has
+    /// not received yet.
+    fn spawn_discovery(
         &mut self,
         startup: &Startup,
+        endpoints: ConfiguredEndpoints,
         hangup: Signal,
-        discovery_address: watch::Sender<String>,
-    ) {
+    ) -> Option<Event> {
+        let (set_address, address) = watch::channel(startup.config.discovery.clone());
+        self.tasks.spawn(discovery::run(
+            address,
+            endpoints.deployment,
+            startup.seed,
+            endpoints.revision,
+            self.dispatcher.clone(),
+            self.log.clone(),
+        ));
         self.tasks.spawn(reload::run(
             startup.config_path.clone(),
             startup.config_text.clone(),
             hangup,
             self.dispatcher.clone(),
-            discovery_address,
+            set_address,
             self.log.clone(),
         ));
+        endpoints.pending
+    }
+
+    /// Starts what this process does beside others of its dispatcher, if there can be any: migration first.
+    fn spawn_upgrade(
+        &mut self,
+        startup: &mut Startup,
+        limits: SharedLimits,
+        migration_switch: watch::Sender<bool>,
+    ) -> (UpgradeChannels, MigrationSender) {
+        let (process_state, own_state) = watch::channel(ProcessState::Starting);
+        let (set_peers, peers) = watch::channel(startup.peers);
+        let mut migrating_streams = None;
+        if let Some(coordinator) = startup.upgrade.take() {
+            migrating_streams = Some(self.spawn_migration(&coordinator, &limits, &peers));
+            self.tasks.spawn(upgrade::run(
+                coordinator,
+                limits,
+                self.dispatcher.clone(),
+                own_state,
+                set_peers,
+            ));
+        }
+        let channels = UpgradeChannels {
+            migration_switch,
+            process_state,
+            peers,
+        };
+        (channels, migrating_streams)
     }
 
     /// Starts the migration of streams from a predecessor and to a successor; returns the queue of the latter.
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -81,7 +81,7 @@
         let exit = tokio::task::spawn_blocking(move || self.child.wait().unwrap());
         tokio::time::timeout(PATIENCE, exit)
             .await
-            .expect("it ends")
+            .expect("the dispatcher exits")
             .unwrap()
     }
 }
--- a/tests/unit/config/validation.rs
+++ b/tests/unit/config/validation.rs
@@ -8,6 +8,67 @@
 const RUNNING: &str = r#"{"name":"n","known":{"revision":1},"settings":{"limits":{"most_tries":5,"cancel":true},
     "classes":[{"name":"a","aim":1.5,"deadline":7,"aim_stretch":1},{"name":"b","aim":2,"deadline":9,"extra":1}]}}"#;
 
+/// Changes to the running configuration, each with what the error says about it.
+const INVALID_CHANGES: [(&str, &str, &str); 13] = [
+    (r#""name":"n","#, "", "name is missing"),
+    (
+        r#""most_tries":5,"#,
+        "",
+        "settings.limits.most_tries is missing",
+    ),
+    (
+        r#""most_tries":5"#,
+        r#""most_tries":0"#,
+        "most_tries is not positive",
+    ),
+    (
+        r#""most_tries":5"#,
+        r#""most_tries":-1"#,
+        "most_tries is no number from 0 on",
+    ),
+    (
+        r#""most_tries":5"#,
+        r#""most_tries":2.5"#,
+        "most_tries is no whole number",
+    ),
+    (
+        r#""most_tries":5"#,
+        r#""most_tries":"5""#,
+        "most_tries is not a number",
+    ),
+    (
+        r#""most_tries":5"#,
+        r#""most_tries":null"#,
+        "most_tries is not a number",
+    ),
+    (
+        r#""deadline":9"#,
+        r#""deadline":0"#,
+        "classes[1].deadline is not positive",
+    ),
+    (r#""deadline":9,"#, "", "classes[1].deadline is missing"),
+    (
+        r#""deadline":9"#,
+        r#""deadline":-9"#,
+        "classes[1].deadline is no number from 0 on",
+    ),
+    (
+        r#""deadline":9"#,
+        r#""deadline":1e999"#,
+        "deadline is no number",
+    ),
+    (
+        r#""deadline":9"#,
+        r#""deadline":"soon""#,
+        "classes[1].deadline is not a number",
+    ),
+    (
+        r#""cancel":true"#,
+        r#""cancel":1"#,
+        "limits.cancel is not a truth value",
+    ),
+];
+
 /// The text of the first error in a configuration that is to replace the running one.
 fn check(new: &Value) -> Result<(), String> {
     check_values("the configuration", new)
@@ -26,65 +87,7 @@
 
 #[test]
 fn rejects_missing_settings_wrong_types_and_impossible_numbers() {
-    for (from, to, expected) in [
-        (r#""name":"n","#, "", "name is missing"),
-        (
-            r#""most_tries":5,"#,
-            "",
-            "settings.limits.most_tries is missing",
-        ),
-        (
-            r#""most_tries":5"#,
-            r#""most_tries":0"#,
-            "most_tries is not positive",
-        ),
-        (
-            r#""most_tries":5"#,
-            r#""most_tries":-1"#,
-            "most_tries is no number from 0 on",
-        ),
-        (
-            r#""most_tries":5"#,
-            r#""most_tries":2.5"#,
-            "most_tries is no whole number",
-        ),
-        (
-            r#""most_tries":5"#,
-            r#""most_tries":"5""#,
-            "most_tries is not a number",
-        ),
-        (
-            r#""most_tries":5"#,
-            r#""most_tries":null"#,
-            "most_tries is not a number",
-        ),
-        (
-            r#""deadline":9"#,
-            r#""deadline":0"#,
-            "classes[1].deadline is not positive",
-        ),
-        (r#""deadline":9,"#, "", "classes[1].deadline is missing"),
-        (
-            r#""deadline":9"#,
-            r#""deadline":-9"#,
-            "classes[1].deadline is no number from 0 on",
-        ),
-        (
-            r#""deadline":9"#,
-            r#""deadline":1e999"#,
-            "deadline is no number",
-        ),
-        (
-            r#""deadline":9"#,
-            r#""deadline":"soon""#,
-            "classes[1].deadline is not a number",
-        ),
-        (
-            r#""cancel":true"#,
-            r#""cancel":1"#,
-            "limits.cancel is not a truth value",
-        ),
-    ] {
+    for (from, to, expected) in INVALID_CHANGES {
         let new = RUNNING.replace(from, to);
         assert_ne!(new, RUNNING);
         let Ok(new) = json::from_str::<Value>(&new) else {
