--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -206,7 +206,7 @@
         is_active: true,
     };
     RoutingSettings {
-        dispatchers: dispatchers,
+        dispatchers,
         zone: 0,
         classes: vec![
             class(3.0, 510 * MS, Idempotency::Idempotent),
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -146,13 +146,13 @@
         ..RequestMetadata::default()
     };
     let class = header_text(headers, "x-qos")?;
-    let Some(class_number) = deployment.classes.known(class) else {
+    let Some(class_number) = deployment.classes.lookup(class) else {
         return Err(InvalidRequest::UnknownClass(class.to_owned()));
     };
     metadata.class = class_number as usize;
     if !deployment.settings.tenants.is_empty() {
         let tenant = header_text(headers, "x-customer")?;
-        let Some(tenant_number) = deployment.tenants.known(tenant) else {
+        let Some(tenant_number) = deployment.tenants.lookup(tenant) else {
             return Err(InvalidRequest::UnknownTenant(tenant.to_owned()));
         };
         metadata.tenant = Some(tenant_number as usize);
--- a/src/frontend/websocket/messages.rs
+++ b/src/frontend/websocket/messages.rs
@@ -122,7 +122,7 @@
     deployment: &Deployment,
 ) -> Result<(RequestMetadata, Bytes), InvalidMessageReason> {
     let class = required(fields.class, "class")?;
-    let Some(class) = deployment.classes.known(&class) else {
+    let Some(class) = deployment.classes.lookup(&class) else {
         return Err(InvalidMessageReason::UnknownClass(class));
     };
     let metadata = RequestMetadata {
@@ -152,7 +152,7 @@
         return Ok(None);
     }
     let tenant = required(tenant, "tenant")?;
-    match deployment.tenants.known(&tenant) {
+    match deployment.tenants.lookup(&tenant) {
         Some(number) => Ok(Some(number as usize)),
         None => Err(InvalidMessageReason::UnknownTenant(tenant)),
     }
