--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,75 +1,85 @@
-//! When a service that a whole fleet calls is called: spread out, and after failures less and less often.
+//! The delays between calls to a service that the whole fleet calls: spread out, and growing with each failure in a row.
 //!
-//! What one dispatcher may do ten times a second keeps a service down when all of a fleet do it: its queue is then as long
-//! as its patience, each call expires as its turn comes, and none is served. So pauses grow with the number of callers.
+//! A call rate that is harmless from one dispatcher keeps a service down when every dispatcher of a fleet has it: the
+//! queue then takes as long as the callers' timeout, each call expires as its turn comes, and none is served. So the
+//! delays grow with the number of callers. Each caller owns its [`Backoff`].
 
+use crate::discovery::watch_state::MAX_RETRY_DELAY;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
+use std::ops::Range;
 use std::time::Duration;
 
-/// All callers together make a call in this time, on the mean.
-const EACH: Duration = Duration::from_millis(60);
-/// The first pause of the only caller, and the longest on the mean.
-const ALONE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
-/// The first call of any caller comes within this ...
-const FIRST_MOST: Duration = crate::discovery::watch_state::PAUSE_MOST;
-/// ... and no mean pause is longer than this.
-const MEAN_MOST: Duration = Duration::from_secs(16);
-/// Pauses are drawn from this part of their mean up to that.
-const DRAWN: (f64, f64) = (0.5, 1.5);
+/// The mean interval between two calls of the whole fleet.
+const FLEET_CALL_INTERVAL: Duration = Duration::from_millis(60);
+/// The mean delay of a sole caller after its first failure.
+const MIN_SOLE_CALLER_DELAY: Duration = Duration::from_millis(200);
+/// The longest mean delay of a sole caller.
+const MAX_SOLE_CALLER_DELAY: Duration = Duration::from_secs(2);
+/// The longest delay before the first call, for any number of callers.
+const MAX_INITIAL_DELAY: Duration = MAX_RETRY_DELAY;
+/// The longest mean delay, for any number of callers.
+const MAX_MEAN_DELAY: Duration = Duration::from_secs(16);
+/// Delays are drawn uniformly from this range, as multiples of their mean.
+const JITTER: Range<f64> = 0.5..1.5;
+/// The mean delay is doubled at most this many times.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// One of the callers.
+/// The delays of one of the callers.
 pub struct Backoff {
-    callers: u32,
-    failures: u32,
+    caller_count: u32,
+    consecutive_failures: u32,
     rng: Pcg32,
 }
 
 impl Backoff {
-    /// One of so many callers.
-    pub fn new(callers: u32, seed: u64) -> Self {
+    /// The delays of one of `caller_count` callers. Callers need different seeds, or they call at the same moments.
+    pub fn new(caller_count: u32, seed: u64) -> Self {
         Backoff {
-            callers,
-            failures: 0,
+            caller_count,
+            consecutive_failures: 0,
             rng: Pcg32::seed_from_u64(seed),
         }
     }
 
-    fn turn(&self) -> Duration {
-        EACH.saturating_mul(self.callers).min(MEAN_MOST)
+    /// The mean interval between two calls of this caller that keeps the fleet at its call rate.
+    fn caller_interval(&self) -> Duration {
+        FLEET_CALL_INTERVAL
+            .saturating_mul(self.caller_count)
+            .min(MAX_MEAN_DELAY)
     }
 
-    /// How long to wait before the first call, lest all that start at once call at once.
+    /// The delay before the first call, which spreads out callers that start at the same moment. Zero for a sole caller.
     pub fn initial_delay(&mut self) -> Duration {
-        match self.callers {
-            0..=1 => Duration::ZERO,
-            _ => self
-                .turn()
-                .min(FIRST_MOST)
-                .mul_f64(self.rng.gen_range(0.0..1.0)),
+        if self.caller_count <= 1 {
+            return Duration::ZERO;
         }
+        let max_delay = self.caller_interval().min(MAX_INITIAL_DELAY);
+        max_delay.mul_f64(self.rng.gen_range(0.0..1.0))
     }
 
-    /// A call has failed: how long to wait before the next. Doubled with each failure in turn.
+    /// Records a failed call and returns the delay before the next one. The mean doubles with each failure in a row.
     pub fn next_delay(&mut self) -> Duration {
         self.next_delay_within(Duration::MAX)
     }
 
-    /// The same, and no longer than this.
-    pub fn next_delay_within(&mut self, longest: Duration) -> Duration {
-        let (least, most) = (
-            ALONE.0.max(self.turn()),
-            ALONE.1.max(self.turn() * 2).min(MEAN_MOST),
-        );
-        let mean = least.saturating_mul(1 << self.failures.min(16)).min(most);
-        self.failures = self.failures.saturating_add(1);
-        mean.min(longest.div_f64(DRAWN.1))
-            .mul_f64(self.rng.gen_range(DRAWN.0..DRAWN.1))
+    /// The same as [`Backoff::next_delay`], with delays no longer than `max_delay`.
+    pub fn next_delay_within(&mut self, max_delay: Duration) -> Duration {
+        let min_mean = MIN_SOLE_CALLER_DELAY.max(self.caller_interval());
+        let max_mean = MAX_SOLE_CALLER_DELAY
+            .max(self.caller_interval() * 2)
+            .min(MAX_MEAN_DELAY);
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        let mean = min_mean.saturating_mul(1 << doublings).min(max_mean);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        // Bounds the mean rather than the delay, so that bounded delays still differ between callers.
+        let bounded_mean = mean.min(max_delay.div_f64(JITTER.end));
+        bounded_mean.mul_f64(self.rng.gen_range(JITTER))
     }
 
-    /// A call has succeeded: the next failure is a first one.
+    /// Records a successful call: the next failure counts as a first one.
     pub fn reset(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 }
 
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,213 +1,183 @@
-//! Discovery: the list of members and the watch on it, told to the core as member events.
+//! The watch on discovery: requests over HTTP, and the lists they bring as events for the dispatcher.
 //!
-//! The agent may be silent or talk nonsense; both are logged and tried again, and the list held stays valid.
+//! Discovery may be silent, reject requests or send invalid lists. Each is logged and the request repeated; the list that
+//! the dispatcher has stays valid meanwhile. [`ListWatcher`] owns the deployment by which records are read and the
+//! backoff; a [`WatchState`] lives as long as the watch on one address.
 
-use crate::config::{Deployment, EndpointLine, EndpointList};
+use crate::config::{Deployment, EndpointList};
 use crate::discovery::backoff::Backoff;
+use crate::discovery::endpoint_list::{endpoints_changed, parse_list, ListError};
 use crate::discovery::watch_state::WatchState;
-use crate::dispatcher::{DiscoveredEndpoint, DispatcherHandle, Event};
-use crate::routing::api::{EndpointRecord, EndpointStatus};
+use crate::dispatcher::{DispatcherHandle, Event};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use miniserde::json;
 use slog::{debug, info, warn, Logger};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Who answers sooner, with nothing newer, does not wait as a watch should, and is called again after this.
-const IDLE: Duration = Duration::from_millis(20);
-/// A list is not read beyond this.
-const LONGEST: usize = 4 * 1024 * 1024;
+/// The delay after a response without a newer revision that came sooner than this, so that a discovery which ignores the
+/// hold time is not polled in a busy loop.
+const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The longest list that is read.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A member's line in the core's terms; an error where it makes no sense. Who is announced as leaving leaves, whatever
-/// else its line says: where the rest can't be read, that stays as it was told before.
-pub fn parse_endpoint(
-    site: &mut Deployment,
-    line: &EndpointLine,
-) -> Result<DiscoveredEndpoint, String> {
-    let id = line
-        .id
-        .as_deref()
-        .filter(|id| !id.is_empty())
-        .ok_or("no id")?;
-    let state = match line.phase.as_deref() {
-        Some("Ready") => EndpointStatus::Ready,
-        Some("Terminating") => EndpointStatus::Draining,
-        Some("Gone") => EndpointStatus::Removed,
-        other => return Err(format!("unknown phase {other:?}")),
-    };
-    let zone = site.zone(line.locality.as_deref());
-    let mut whole = || {
-        let address = line.host_port.as_deref().unwrap_or_default();
-        address
-            .parse::<std::net::SocketAddr>()
-            .map_err(|_| format!("no address: {address:?}"))?;
-        Ok((address, site.entry(0, id, line.flavor.as_deref())?))
-    };
-    let (address, entry, partial) = match whole() {
-        Ok((address, entry)) => (address, entry, false),
-        Err(_) if state != EndpointStatus::Ready => ("", EndpointRecord::default(), true),
-        Err(error) => return Err(error),
-    };
-    let started = line
-        .up_since_ms
-        .filter(|at| *at > 0.0)
-        .map(|ms| (ms * 1000.0) as u64);
-    let entry = EndpointRecord {
-        zone,
-        cell: line.cell.unwrap_or(u32::MAX),
-        status: state,
-        started_at: started,
-        ..entry
-    };
-    Ok(DiscoveredEndpoint {
-        id: id.into(),
-        address: address.into(),
-        record: entry,
-        is_partial: partial,
-    })
-}
+type HttpClient = Client<HttpConnector, Empty<Bytes>>;
 
-/// A list in the core's terms. A line that makes no sense is logged and left out.
-pub fn endpoints_changed(site: &mut Deployment, list: &EndpointList, log: &Logger) -> Event {
-    let mut members = Vec::new();
-    for line in &list.members {
-        let line = EndpointLine::from(line);
-        match parse_endpoint(site, &line) {
-            Ok(member) => members.push(member),
-            Err(error) => {
-                warn!(log, "a member makes no sense"; "member" => line.id, "error" => error)
-            }
-        }
-    }
-    Event::EndpointsChanged {
-        is_full: list.complete,
-        endpoints: members,
-    }
-}
-
-/// Reads a list as discovery writes it.
-pub fn parse_list(text: &[u8]) -> Result<EndpointList, String> {
-    let text = std::str::from_utf8(text).map_err(|_| "not UTF-8")?;
-    json::from_str(text).map_err(|_| "not a list of members".to_owned())
-}
-
-type Agent = Client<HttpConnector, Empty<Bytes>>;
-
-fn agent() -> Agent {
+fn http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(Duration::from_millis(500)));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .build(connector)
 }
 
-/// Why there is no list.
-enum Failure {
-    /// An answer that is none.
-    Answered(String),
-    /// Nobody answered.
-    Silent(String),
+/// Why a request brought no list.
+#[derive(Debug, Error)]
+enum PollError {
+    /// Discovery answered with another status than 200.
+    #[error("status {0}")]
+    Rejected(StatusCode),
+    /// Discovery answered with an invalid list.
+    #[error(transparent)]
+    InvalidList(#[from] ListError),
+    /// The address makes no URI.
+    #[error(transparent)]
+    InvalidAddress(#[from] hyper::http::Error),
+    /// No connection, or none that brought a response.
+    #[error(transparent)]
+    Unreachable(#[from] hyper_util::client::legacy::Error),
+    /// The body broke off, or is longer than [`MAX_LIST_BYTES`].
+    #[error(transparent)]
+    IncompleteBody(Box<dyn std::error::Error + Send + Sync>),
+    /// The request has timed out.
+    #[error("no answer in time")]
+    Timeout,
+}
+
+impl PollError {
+    /// Whether discovery has answered, and so spent work on the request.
+    fn is_answered(&self) -> bool {
+        matches!(self, PollError::Rejected(_) | PollError::InvalidList(_))
+    }
 }
 
-async fn call(agent: &Agent, address: &str, target: &str) -> Result<EndpointList, Failure> {
-    let silent = |error: &dyn std::fmt::Display| Failure::Silent(error.to_string());
-    let request = Request::get(format!("http://{address}{target}")).body(Empty::new());
-    let response = agent
-        .request(request.map_err(|error| silent(&error))?)
-        .await;
-    let response = response.map_err(|error| silent(&error))?;
+async fn fetch_list(
+    client: &HttpClient,
+    address: &str,
+    target: &str,
+) -> Result<EndpointList, PollError> {
+    let request = Request::get(format!("http://{address}{target}")).body(Empty::new())?;
+    let response = client.request(request).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), LONGEST).collect().await;
-    let body = body.map_err(|error| silent(&error))?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
+        .collect()
+        .await
+        .map_err(PollError::IncompleteBody)?
+        .to_bytes();
     if status != StatusCode::OK {
-        return Err(Failure::Answered(format!("status {status}")));
+        return Err(PollError::Rejected(status));
     }
-    parse_list(&body).map_err(Failure::Answered)
+    Ok(parse_list(&body)?)
 }
 
-/// Watches discovery for as long as the dispatcher runs, at the address that it was last told of.
-/// `seed` is this dispatcher's own; `known` the revision of the list that it has, if it has one.
+/// Watches discovery for as long as the dispatcher runs, at the address that `address` holds at any time.
+/// `seed` is this dispatcher's own; `known_revision` is the revision of the list that the dispatcher has, if it has one.
 pub async fn run(
     mut address: Receiver<String>,
-    mut site: Deployment,
+    deployment: Deployment,
     seed: u64,
-    mut known: Option<u64>,
-    door: DispatcherHandle,
+    mut known_revision: Option<u64>,
+    dispatcher: DispatcherHandle,
     log: Logger,
 ) {
-    let mut backoff = Backoff::new(site.settings.dispatchers, seed);
-    // Where lists must be asked for, that costs discovery work, and all that were ended together start together.
-    if site.settings.must_poll_endpoints && known.is_some() {
-        sleep(backoff.initial_delay()).await;
+    let backoff = Backoff::new(deployment.settings.dispatchers, seed);
+    let mut watcher = ListWatcher {
+        deployment,
+        backoff,
+        dispatcher,
+        log,
+    };
+    // Polling costs discovery work, and dispatchers that were restarted together start together.
+    if watcher.deployment.settings.must_poll_endpoints && known_revision.is_some() {
+        sleep(watcher.backoff.initial_delay()).await;
     }
     loop {
-        let now = address.borrow_and_update().clone();
+        let current = address.borrow_and_update().clone();
         tokio::select! {
-            // The sender is gone: the address is the last one.
-            Ok(()) = address.changed() => info!(log, "discovery has moved"),
-            () = follow(&now, &mut site, known, &mut backoff, &door, &log) => return,
+            // Once the sender is dropped this branch is disabled: the address is the last one.
+            Ok(()) = address.changed() => info!(watcher.log, "discovery address changed"),
+            () = watcher.watch(&current, known_revision) => return,
         }
-        // Another agent's revisions need not be this one's.
-        known = None;
-        backoff.reset();
+        // Revisions of another discovery are not comparable.
+        known_revision = None;
+        watcher.backoff.reset();
     }
 }
 
-/// Watches one address, from the revision that is known on, or from a full list. Its connections end with it.
-async fn follow(
-    address: &str,
-    site: &mut Deployment,
-    known: Option<u64>,
-    backoff: &mut Backoff,
-    door: &DispatcherHandle,
-    log: &Logger,
-) {
-    let agent = agent();
-    let mut watch = WatchState::starting_at(known, !site.settings.must_poll_endpoints);
-    loop {
-        let next = watch.next_poll();
-        let began = Instant::now();
-        let called = timeout(next.patience, call(&agent, address, &next.target)).await;
-        match called.unwrap_or_else(|_| Err(Failure::Silent("no answer in time".into()))) {
-            Ok(list) => {
-                backoff.reset();
-                debug!(log, "a list"; "revision" => list.revision, "complete" => list.complete,
-                    "members" => list.members.len());
-                let news = !list.members.is_empty() || list.complete;
-                let newer = watch.on_response(list.revision);
-                if newer || news {
-                    // Who leaves is not to be sent what comes meanwhile.
-                    door.send_urgent(endpoints_changed(site, &list, log)).await;
-                }
-                if !newer && began.elapsed() < IDLE {
-                    sleep(IDLE).await;
-                }
-            }
-            Err(failure) => {
-                let heard_before = watch.is_synced();
-                let (error, pause) = match failure {
-                    Failure::Answered(error) => (
-                        error,
-                        backoff.next_delay_within(watch.max_backoff(began.elapsed())),
-                    ),
-                    Failure::Silent(error) => (error, watch.on_timeout()),
-                };
-                let again_in_ms = pause.as_millis() as u64;
-                if heard_before {
-                    warn!(log, "discovery failed"; "error" => error, "again_in_ms" => again_in_ms);
-                } else {
-                    debug!(log, "discovery is still silent"; "error" => error, "again_in_ms" => again_in_ms);
-                }
-                door.send(Event::EndpointListFailed).await;
-                sleep(pause).await;
+/// What stays the same, or goes on, when discovery's address changes.
+struct ListWatcher {
+    deployment: Deployment,
+    backoff: Backoff,
+    dispatcher: DispatcherHandle,
+    log: Logger,
+}
+
+impl ListWatcher {
+    /// Watches one address, from the known revision on or from a full list. Its connections close when this is dropped.
+    async fn watch(&mut self, address: &str, known_revision: Option<u64>) {
+        let client = http_client();
+        let is_pushed = !self.deployment.settings.must_poll_endpoints;
+        let mut state = WatchState::starting_at(known_revision, is_pushed);
+        loop {
+            let poll = state.next_poll();
+            let started = Instant::now();
+            let response = timeout(poll.patience, fetch_list(&client, address, &poll.target)).await;
+            match response.unwrap_or(Err(PollError::Timeout)) {
+                Ok(list) => self.on_list(&mut state, &list, started).await,
+                Err(error) => self.on_error(&mut state, &error, started).await,
             }
         }
     }
+
+    async fn on_list(&mut self, state: &mut WatchState, list: &EndpointList, started: Instant) {
+        self.backoff.reset();
+        debug!(self.log, "endpoint list received"; "revision" => list.revision, "is_full" => list.complete,
+            "endpoints" => list.members.len());
+        let has_changes = !list.members.is_empty() || list.complete;
+        let is_newer = state.on_response(list.revision);
+        if is_newer || has_changes {
+            let event = endpoints_changed(&mut self.deployment, list, &self.log);
+            // Ahead of waiting requests: none of them may be sent to an endpoint that drains.
+            self.dispatcher.send_urgent(event).await;
+        }
+        if !is_newer && started.elapsed() < MIN_IDLE_POLL_INTERVAL {
+            sleep(MIN_IDLE_POLL_INTERVAL).await;
+        }
+    }
+
+    async fn on_error(&mut self, state: &mut WatchState, error: &PollError, started: Instant) {
+        let was_synced = state.is_synced();
+        let delay = if error.is_answered() {
+            let max_delay = state.max_backoff(started.elapsed());
+            self.backoff.next_delay_within(max_delay)
+        } else {
+            state.on_timeout()
+        };
+        let retry_in_ms = delay.as_millis() as u64;
+        if was_synced {
+            warn!(self.log, "endpoint list request failed"; "error" => %error, "retry_in_ms" => retry_in_ms);
+        } else {
+            debug!(self.log, "endpoint list request failed again"; "error" => %error, "retry_in_ms" => retry_in_ms);
+        }
+        self.dispatcher.send(Event::EndpointListFailed).await;
+        sleep(delay).await;
+    }
 }
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -1,116 +1,139 @@
-//! The calls by which discovery's list is followed, and when one that nobody answers is taken for silent. No I/O.
+//! The requests with which the endpoint list is watched, their timeouts, and the delays between them. Pure: the client
+//! owns the [`WatchState`] and does the I/O.
 //!
-//! A watch that has fallen silent is broken, and looks like one that has nothing to tell. What it misses counts as told
-//! 6 s after it fell silent, which may be the moment after it was opened, or 2 s after its wait is over where that is
-//! later. And whatever came of a call, a change counts as told 6 s after discovery had it. So a call is given up, and a
-//! failed one made again, early enough for the next one to be answered by then.
+//! A watch whose connection has broken silently looks like one that has nothing to report. A change that it misses
+//! counts as delivered to this dispatcher 6 s after the connection broke, which may be the moment after the request was
+//! sent, or 2 s after the end of the request's hold time where that is later. A change also counts as delivered 6 s
+//! after discovery had it, whatever failed meanwhile. So a request times out, and a failed one is repeated, early enough
+//! for the next one to be answered by then.
 //!
-//! Where lists are pushed, they come from an agent on this machine that answers at once and at no cost, and is silent
-//! while discovery is down. What it has when that is over counts as told in that moment: it is asked in short turns.
+//! Where lists are pushed, an agent on this machine serves them: it answers at once and at no cost, and is silent while
+//! discovery is down. What it has when that ends counts as delivered in that moment, so it is polled with short timeouts.
 
 use std::time::Duration;
 
-/// How long a watch waits for something new: where lists must be asked for, ...
-const HOLD: Duration = Duration::from_millis(1800);
-/// ... and where they come to this machine.
-const HOLD_HERE: Duration = Duration::from_secs(1);
-/// An agent that has not answered so long after it should have is silent: the call is made again. Where discovery
-/// has much to do a call waits its turn, and one that is given up has cost as much as one that was answered.
-const LATE: Duration = Duration::from_secs(2);
-/// Between a call that nobody answered and the next: nobody is worse off for it.
-const RETRY: Duration = Duration::from_millis(100);
-/// Between a call that was turned away, or answered with what is no list, and the next, at most: that one may have to
-/// wait its turn, and be answered in the time in which news counts as told.
-pub const PAUSE_MOST: Duration = Duration::from_millis(3800);
-/// What was turned away only after this had waited its turn: discovery has more calls than it can answer, and all that
-/// call it have to leave it more time.
-const QUEUED: Duration = Duration::from_secs(1);
-/// An agent on this machine is silent after this, ...
-const LATE_HERE: Duration = Duration::from_millis(100);
-/// ... is called again after this, or where it answered with what is no list, ...
-const RETRY_HERE: Duration = Duration::from_millis(20);
-/// ... and may be slow where it has not answered so many calls in turn: one in so many is then given more time.
-const TURNS: u32 = 100;
+/// How long a request waits at a polled discovery for a newer revision.
+const POLLED_HOLD: Duration = Duration::from_millis(1800);
+/// How long a request waits at the agent on this machine for a newer revision.
+const PUSHED_HOLD: Duration = Duration::from_secs(1);
+/// The time past the hold after which a request has timed out. A busy discovery queues requests, and one that timed out
+/// has cost it as much as one that was answered.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
+/// The same for the agent on this machine.
+const PUSHED_RESPONSE_GRACE: Duration = Duration::from_millis(100);
+/// The delay between a request that timed out and the next one. Short, as the service did not spend work on an answer.
+const TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The delay between a failed request to the agent on this machine and the next one.
+const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The longest delay between a request that was rejected, or answered with an invalid list, and the next one: that one
+/// may be queued, and still has to be answered before a change counts as delivered.
+pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(3800);
+/// A request that was rejected only after this time had been queued: discovery is overloaded, and its callers have to
+/// leave it more time than [`MAX_RETRY_DELAY`].
+const QUEUEING_THRESHOLD: Duration = Duration::from_secs(1);
+/// The agent on this machine may be slow rather than silent: one in this many unanswered requests in a row is given
+/// [`RESPONSE_GRACE`].
+const REQUESTS_PER_PATIENT_REQUEST: u32 = 100;
 
-/// A call to discovery.
+/// A request for the endpoint list.
 #[derive(Debug)]
 pub struct PollRequest {
     /// Path and query.
     pub target: String,
-    /// It is silent where nothing has come for so long.
+    /// The time after which the request has timed out.
     pub patience: Duration,
 }
 
-/// Where the watch stands.
+/// The state of the watch on one address.
 pub struct WatchState {
     revision: Option<u64>,
-    pushed: bool,
-    silent: u32, // calls in turn that nobody answered
+    is_pushed: bool,
+    consecutive_timeouts: u32,
 }
 
 impl WatchState {
-    /// A watch from a revision that is known on, or from a full list. `pushed`: lists come to an agent on this machine.
-    pub fn starting_at(revision: Option<u64>, pushed: bool) -> Self {
+    /// A watch that continues from `revision`, or starts with a full list. `is_pushed`: an agent on this machine serves
+    /// the lists.
+    pub fn starting_at(revision: Option<u64>, is_pushed: bool) -> Self {
         WatchState {
             revision,
-            pushed,
-            silent: 0,
+            is_pushed,
+            consecutive_timeouts: 0,
         }
     }
 
-    /// The next call.
+    /// The next request.
     pub fn next_poll(&self) -> PollRequest {
-        let patient = self.silent > 0 && self.silent.is_multiple_of(TURNS);
-        let late = if self.pushed && !patient {
-            LATE_HERE
-        } else {
-            LATE
-        };
-        let hold = match self.pushed {
-            // One that was silent is asked for what it has, without a wait in which it may fall silent again unseen.
-            true if self.silent > 0 => Duration::ZERO,
-            true => HOLD_HERE,
-            false => HOLD,
-        };
-        match self.revision {
-            None => PollRequest {
+        let grace = self.response_grace();
+        let Some(revision) = self.revision else {
+            return PollRequest {
                 target: "/v1/endpoints".to_owned(),
-                patience: late,
-            },
-            Some(from) => PollRequest {
-                target: format!("/v1/endpoints?from={from}&hold_ms={}", hold.as_millis()),
-                patience: hold + late,
-            },
+                patience: grace,
+            };
+        };
+        let hold = self.hold();
+        let hold_ms = hold.as_millis();
+        PollRequest {
+            target: format!("/v1/endpoints?from={revision}&hold_ms={hold_ms}"),
+            patience: hold + grace,
+        }
+    }
+
+    fn response_grace(&self) -> Duration {
+        let is_patient = !self.is_synced() && self.is_patient_turn();
+        if self.is_pushed && !is_patient {
+            PUSHED_RESPONSE_GRACE
+        } else {
+            RESPONSE_GRACE
         }
     }
 
-    /// A list of this revision has come; true where it is another than the last.
+    fn hold(&self) -> Duration {
+        if !self.is_pushed {
+            POLLED_HOLD
+        } else if self.is_synced() {
+            PUSHED_HOLD
+        } else {
+            // An agent that was silent is asked for what it has: during a hold it could fall silent again unnoticed.
+            Duration::ZERO
+        }
+    }
+
+    fn is_patient_turn(&self) -> bool {
+        self.consecutive_timeouts
+            .is_multiple_of(REQUESTS_PER_PATIENT_REQUEST)
+    }
+
+    /// Records a list of this revision; true where it differs from the last one.
     pub fn on_response(&mut self, revision: u64) -> bool {
-        self.silent = 0;
+        self.consecutive_timeouts = 0;
         self.revision.replace(revision) != Some(revision)
     }
 
-    /// Whether the last call was answered.
+    /// Whether the last request was answered.
     pub fn is_synced(&self) -> bool {
-        self.silent == 0
+        self.consecutive_timeouts == 0
     }
 
-    /// Nobody has answered. When to call again.
+    /// Records a request without an answer, and returns the delay before the next one.
     pub fn on_timeout(&mut self) -> Duration {
-        self.silent = self.silent.saturating_add(1);
-        if self.pushed && !self.silent.is_multiple_of(TURNS) {
-            RETRY_HERE
+        self.consecutive_timeouts = self.consecutive_timeouts.saturating_add(1);
+        if self.is_pushed && !self.is_patient_turn() {
+            PUSHED_RETRY_DELAY
         } else {
-            RETRY
+            TIMEOUT_RETRY_DELAY
         }
     }
 
-    /// What was answered, so long after the call, is no list. The longest pause before the next call.
-    pub fn max_backoff(&self, after: Duration) -> Duration {
-        match self.pushed {
-            true => RETRY_HERE,
-            false if after < QUEUED => PAUSE_MOST,
-            false => Duration::MAX,
+    /// The longest delay before the next request where this one was answered, `elapsed` after it was sent, with anything
+    /// but a list.
+    pub fn max_backoff(&self, elapsed: Duration) -> Duration {
+        if self.is_pushed {
+            PUSHED_RETRY_DELAY
+        } else if elapsed < QUEUEING_THRESHOLD {
+            MAX_RETRY_DELAY
+        } else {
+            Duration::MAX
         }
     }
 }
--- a/tests/unit/discovery/backoff.rs
+++ b/tests/unit/discovery/backoff.rs
@@ -1,86 +1,96 @@
 use super::*;
+use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// A service that takes one call after another, 50 ms each, and turns those away that have waited for 2 s when their
-/// turn comes; the work on them was done for nothing. Tells how many of the callers were served by then.
-fn served(
-    callers: u32,
-    until: Duration,
-    mut pause: impl FnMut(u32, &mut Backoff) -> Duration,
+/// A service that handles one call after another, 50 ms each, and rejects those that have waited for 2 s when their
+/// turn comes; the work on them was done for nothing. Returns how many of the callers were served by `end`.
+fn count_served(
+    caller_count: u32,
+    end: Duration,
+    mut retry_delay: impl FnMut(u32, &mut Backoff) -> Duration,
 ) -> usize {
-    let (work, patience) = (Duration::from_millis(50), Duration::from_secs(2));
-    let mut all: Vec<Backoff> = (0..callers)
-        .map(|it| Backoff::new(callers, it.into()))
+    let service_time = Duration::from_millis(50);
+    let timeout = Duration::from_secs(2);
+    let mut callers: Vec<Backoff> = (0..caller_count)
+        .map(|caller| Backoff::new(caller_count, caller.into()))
         .collect();
-    let first =
-        |(it, backoff): (usize, &mut Backoff)| std::cmp::Reverse((backoff.initial_delay(), it));
-    let mut calls: BinaryHeap<_> = all.iter_mut().enumerate().map(first).collect();
-    let (mut free, mut served) = (Duration::ZERO, VecDeque::new());
-    while let Some(std::cmp::Reverse((at, it))) = calls.pop().filter(|it| it.0 .0 < until) {
-        free = free.max(at) + work;
-        if free <= at + patience {
-            served.push_back(it);
+    let mut calls: BinaryHeap<Reverse<(Duration, usize)>> = BinaryHeap::new();
+    for (caller, backoff) in callers.iter_mut().enumerate() {
+        calls.push(Reverse((backoff.initial_delay(), caller)));
+    }
+    let mut service_idle_at = Duration::ZERO;
+    let mut served = VecDeque::new();
+    while let Some(Reverse((called_at, caller))) = calls.pop() {
+        if called_at >= end {
+            break;
+        }
+        service_idle_at = service_idle_at.max(called_at) + service_time;
+        if service_idle_at <= called_at + timeout {
+            served.push_back(caller);
         } else {
-            calls.push(std::cmp::Reverse((
-                at + patience + pause(it as u32, &mut all[it]),
-                it,
-            )));
+            let delay = retry_delay(caller as u32, &mut callers[caller]);
+            calls.push(Reverse((called_at + timeout + delay, caller)));
         }
     }
     served.len()
 }
 
 #[test]
-fn a_hundred_callers_that_start_at_once_are_all_served() {
+fn hundred_callers_starting_together_are_all_served() {
     assert_eq!(
-        served(100, Duration::from_secs(8), |_, backoff| backoff
+        count_served(100, Duration::from_secs(8), |_, backoff| backoff
             .next_delay()),
         100
     );
 }
 
 #[test]
-fn three_hundred_callers_are_served_though_the_first_calls_come_too_fast() {
+fn three_hundred_callers_are_served_though_initial_calls_exceed_capacity() {
     assert_eq!(
-        served(300, Duration::from_secs(40), |_, backoff| backoff
+        count_served(300, Duration::from_secs(40), |_, backoff| backoff
             .next_delay()),
         300
     );
-    // What it guards against: with short pauses the queue stays as long as the service's patience.
-    let short = served(300, Duration::from_secs(40), |_, _| {
+    // The fault that this guards against: with short delays the queue stays as long as the callers' timeout.
+    let served_with_short_delays = count_served(300, Duration::from_secs(40), |_, _| {
         Duration::from_millis(100)
     });
-    assert!(short < 200, "{short} of 300 served");
+    assert!(
+        served_with_short_delays < 200,
+        "{served_with_short_delays} of 300 served"
+    );
 }
 
 #[test]
-fn a_single_caller_calls_at_once_and_again_soon() {
-    let mut alone = Backoff::new(1, 7);
-    assert_eq!(alone.initial_delay(), Duration::ZERO);
-    assert!(alone.next_delay() <= Duration::from_millis(300));
-    let last = (0..40).map(|_| alone.next_delay()).last();
+fn sole_caller_starts_at_once_and_retries_soon() {
+    let mut backoff = Backoff::new(1, 7);
+    assert_eq!(backoff.initial_delay(), Duration::ZERO);
+    assert!(backoff.next_delay() <= Duration::from_millis(300));
+    let last = (0..40).map(|_| backoff.next_delay()).last();
     assert!(last >= Some(Duration::from_secs(1)) && last <= Some(Duration::from_secs(3)));
-    alone.reset();
-    assert!(alone.next_delay() <= Duration::from_millis(300));
+    backoff.reset();
+    assert!(backoff.next_delay() <= Duration::from_millis(300));
 }
 
-/// However many call, and whatever failed before, a pause can be bounded; pauses still differ then.
+/// However many callers there are, and whatever failed before, a delay can be bounded; delays still differ then.
 #[test]
-fn a_pause_can_be_bounded_and_is_still_drawn() {
-    let most = Duration::from_millis(3800);
-    for callers in [1, 30, 300] {
-        let mut backoff = Backoff::new(callers, 7);
-        let pauses: Vec<_> = (0..200).map(|_| backoff.next_delay_within(most)).collect();
+fn bounded_delays_are_still_jittered() {
+    let max_delay = Duration::from_millis(3800);
+    for caller_count in [1, 30, 300] {
+        let mut backoff = Backoff::new(caller_count, 7);
+        let delays: Vec<_> = (0..200)
+            .map(|_| backoff.next_delay_within(max_delay))
+            .collect();
         assert!(
-            pauses.iter().all(|pause| *pause <= most),
-            "{callers} callers"
+            delays.iter().all(|delay| *delay <= max_delay),
+            "{caller_count} callers"
         );
         assert!(
-            pauses.iter().max() > pauses.iter().min().map(|it| *it * 2).as_ref(),
-            "{callers} callers"
+            delays.iter().max() > delays.iter().min().map(|delay| *delay * 2).as_ref(),
+            "{caller_count} callers"
         );
         assert!(
-            Backoff::new(callers, 8).initial_delay() + Duration::from_secs(2)
+            Backoff::new(caller_count, 8).initial_delay() + Duration::from_secs(2)
                 <= Duration::from_secs(6)
         );
     }
--- a/tests/unit/discovery/watch_state.rs
+++ b/tests/unit/discovery/watch_state.rs
@@ -2,96 +2,107 @@
 
 const ROUND_TRIP: Duration = Duration::from_millis(30);
 
-/// When what a watch misses counts as told, for one that was opened at 0 and fell silent at `silent`.
-fn told(silent: Duration, hold: Duration) -> Duration {
-    (silent + Duration::from_secs(6)).max(hold + Duration::from_secs(2))
+/// When a missed change counts as delivered, for a request that was sent at 0 and whose connection broke at `broken_at`.
+fn delivery_deadline(broken_at: Duration, hold: Duration) -> Duration {
+    (broken_at + Duration::from_secs(6)).max(hold + Duration::from_secs(2))
 }
 
-fn hold(call: &PollRequest) -> Duration {
-    let hold = call.target.rsplit_once("hold_ms=").map_or("0", |it| it.1);
-    Duration::from_millis(hold.parse().unwrap())
+fn hold(request: &PollRequest) -> Duration {
+    let hold_ms = request
+        .target
+        .rsplit_once("hold_ms=")
+        .map_or("0", |(_, hold_ms)| hold_ms);
+    Duration::from_millis(hold_ms.parse().unwrap())
 }
 
-/// Guards against patience that outlasts the rule: after 6.5 s a watch that had fallen silent as it was opened was
-/// half a second late, and requests went to nodes that drained.
+/// Guards against timeouts that outlast the deadline: with 6.5 s a watch whose connection broke as it was opened was
+/// half a second late, and requests went to draining endpoints.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
-    for (revision, pushed) in [
+fn broken_watch_is_reopened_before_missed_changes_count_as_delivered() {
+    for (revision, is_pushed) in [
         (None, false),
         (Some(41), false),
         (None, true),
         (Some(41), true),
     ] {
-        let mut watch = WatchState::starting_at(revision, pushed);
-        let call = watch.next_poll();
-        // The new call may find nobody at first, and is on its way for a while.
-        let noticed = call.patience + watch.on_timeout() * 2 + ROUND_TRIP;
-        for silent in (0..3_000).step_by(50).map(Duration::from_millis) {
+        let mut watch = WatchState::starting_at(revision, is_pushed);
+        let request = watch.next_poll();
+        // The new request may fail to connect once, and takes a round trip.
+        let received_at = request.patience + watch.on_timeout() * 2 + ROUND_TRIP;
+        for broken_at in (0..3_000).step_by(50).map(Duration::from_millis) {
             assert!(
-                noticed <= told(silent, hold(&call)),
-                "{call:?}: {noticed:?}, silent at {silent:?}"
+                received_at <= delivery_deadline(broken_at, hold(&request)),
+                "{request:?}: {received_at:?}, broken at {broken_at:?}"
             );
         }
     }
 }
 
-/// An agent that is silent from `down` to `up` and answers no call that began before it was back.
-fn heard_after(pushed: bool, down: Duration, up: Duration) -> Duration {
-    let (mut watch, mut at) = (WatchState::starting_at(Some(41), pushed), Duration::ZERO);
+/// How long after its recovery an agent is heard that is silent from `down` to `up`, and that answers no request sent
+/// before it has recovered.
+fn delay_after_recovery(is_pushed: bool, down: Duration, up: Duration) -> Duration {
+    let mut watch = WatchState::starting_at(Some(41), is_pushed);
+    let mut now = Duration::ZERO;
     loop {
-        let call = watch.next_poll();
-        if at >= up {
-            return at + ROUND_TRIP - up;
+        let request = watch.next_poll();
+        if now >= up {
+            return now + ROUND_TRIP - up;
         }
-        let ends = at + hold(&call);
-        at = if ends < down {
+        let hold_ends_at = now + hold(&request);
+        now = if hold_ends_at < down {
             watch.on_response(41);
-            ends
+            hold_ends_at
         } else {
-            at + call.patience + watch.on_timeout()
+            now + request.patience + watch.on_timeout()
         };
     }
 }
 
-/// What the agent has when discovery is back counts as told at once, and nothing may go to a node that drains 250 ms
-/// later. With the patience that a distant discovery needs it would be heard of seconds late.
+/// What the agent has when discovery has recovered counts as delivered at once, and nothing may go to a draining endpoint
+/// 250 ms later. With the timeouts that a remote discovery needs, the list would be seconds late.
 #[test]
-fn an_agent_that_was_silent_is_heard_at_once_when_it_is_back() {
-    for (down, up) in (0..60).map(|it| (100 * it, 100 * it + 4_000 + 37 * it)) {
-        let (down, up) = (Duration::from_millis(down), Duration::from_millis(up));
-        let after = heard_after(true, down, up);
+fn recovered_agent_is_polled_at_once() {
+    for step in 0..60 {
+        let down = Duration::from_millis(100 * step);
+        let up = Duration::from_millis(100 * step + 4_000 + 37 * step);
+        let delay = delay_after_recovery(true, down, up);
         assert!(
-            after <= Duration::from_millis(250),
-            "{after:?} after {up:?}, silent from {down:?}"
+            delay <= Duration::from_millis(250),
+            "{delay:?} after {up:?}, silent from {down:?}"
         );
     }
-    let distant = (0..60).map(|it| {
-        heard_after(
+    let remote_delays = (0..60).map(|step| {
+        delay_after_recovery(
             false,
             Duration::ZERO,
-            Duration::from_millis(4_000 + 37 * it),
+            Duration::from_millis(4_000 + 37 * step),
         )
     });
-    assert!(distant.max() > Some(Duration::from_secs(1)));
+    assert!(remote_delays.max() > Some(Duration::from_secs(1)));
 }
 
 #[test]
-fn an_agent_that_is_only_slow_is_given_time() {
+fn slow_agent_gets_an_occasional_long_timeout() {
     let mut watch = WatchState::starting_at(Some(41), true);
-    let pauses: Vec<_> = (0..TURNS).map(|_| watch.on_timeout()).collect();
-    assert!(pauses[0] < RETRY && pauses[TURNS as usize - 1] == RETRY);
-    assert!(watch.next_poll().patience >= LATE);
+    let delays: Vec<_> = (0..REQUESTS_PER_PATIENT_REQUEST)
+        .map(|_| watch.on_timeout())
+        .collect();
+    assert!(
+        delays[0] < TIMEOUT_RETRY_DELAY
+            && delays[REQUESTS_PER_PATIENT_REQUEST as usize - 1] == TIMEOUT_RETRY_DELAY
+    );
+    assert!(watch.next_poll().patience >= RESPONSE_GRACE);
     watch.on_response(42);
-    assert!(watch.next_poll().patience < HOLD + LATE);
+    assert!(watch.next_poll().patience < POLLED_HOLD + RESPONSE_GRACE);
 }
 
 #[test]
-fn a_watch_goes_on_from_the_list_that_has_come() {
-    for pushed in [false, true] {
-        let mut watch = WatchState::starting_at(None, pushed);
+fn watch_continues_from_the_last_revision() {
+    for is_pushed in [false, true] {
+        let mut watch = WatchState::starting_at(None, is_pushed);
         assert_eq!(watch.next_poll().target, "/v1/endpoints");
         assert!(watch.on_response(7) && !watch.on_response(7) && watch.on_response(8));
-        let hold = if pushed { HOLD_HERE } else { HOLD };
+        let hold = if is_pushed { PUSHED_HOLD } else { POLLED_HOLD };
         assert_eq!(
             watch.next_poll().target,
             format!("/v1/endpoints?from=8&hold_ms={}", hold.as_millis())
@@ -99,48 +110,53 @@
     }
 }
 
-/// Where discovery is not on this machine a call may wait for its turn there, as long as it is given time for that: also
-/// the one that comes after a watch that fell silent.
+/// A request to a remote discovery may be queued there for as long as its timeout allows: also the one that follows a
+/// watch whose connection broke.
 #[test]
-fn what_a_distant_watch_misses_is_told_in_time_though_the_next_call_waits_for_its_turn() {
+fn changes_missed_by_a_polled_watch_arrive_in_time_though_the_next_request_is_queued() {
     let mut watch = WatchState::starting_at(Some(41), false);
-    let call = watch.next_poll();
-    let noticed = call.patience + watch.on_timeout();
+    let request = watch.next_poll();
+    let repeated_at = request.patience + watch.on_timeout();
     assert!(
-        noticed + LATE <= told(Duration::ZERO, hold(&call)),
-        "{call:?}"
+        repeated_at + RESPONSE_GRACE <= delivery_deadline(Duration::ZERO, hold(&request)),
+        "{request:?}"
     );
 }
 
-/// Whatever was answered that is no list: the next call is made, and has waited its turn, before a change counts as told.
+/// After any response that is no list, the next request is sent, and has left the queue, before a change counts as
+/// delivered.
 #[test]
-fn a_call_that_was_turned_away_is_made_again_in_time() {
-    let told = Duration::from_secs(6);
+fn rejected_request_is_repeated_in_time() {
+    let delivery_deadline = Duration::from_secs(6);
     let watch = WatchState::starting_at(Some(41), false);
-    for after in (0..QUEUED.as_millis() as u64)
+    for elapsed in (0..QUEUEING_THRESHOLD.as_millis() as u64)
         .step_by(50)
         .map(Duration::from_millis)
     {
         assert!(
-            watch.max_backoff(after) + LATE + ROUND_TRIP <= told,
-            "{after:?}"
+            watch.max_backoff(elapsed) + RESPONSE_GRACE + ROUND_TRIP <= delivery_deadline,
+            "{elapsed:?}"
         );
     }
-    // What waited its turn only to be turned away leaves the others room: discovery can't be reached then.
-    assert_eq!(watch.max_backoff(QUEUED), Duration::MAX);
-    let here = WatchState::starting_at(Some(41), true);
-    for after in [Duration::ZERO, QUEUED] {
-        assert!(here.max_backoff(after) + LATE_HERE + ROUND_TRIP <= Duration::from_millis(250));
+    // A request that was queued only to be rejected leaves the others room: discovery counts as unreachable then.
+    assert_eq!(watch.max_backoff(QUEUEING_THRESHOLD), Duration::MAX);
+    let pushed_watch = WatchState::starting_at(Some(41), true);
+    for elapsed in [Duration::ZERO, QUEUEING_THRESHOLD] {
+        assert!(
+            pushed_watch.max_backoff(elapsed) + PUSHED_RESPONSE_GRACE + ROUND_TRIP
+                <= Duration::from_millis(250)
+        );
     }
 }
 
-/// An outage of any length is over for a pushed list when it is over: one call in a hundred is given more time.
+/// The end of an outage of any length is noticed at once where lists are pushed: one request in a hundred has a long
+/// timeout.
 #[test]
-fn an_agent_that_was_silent_for_long_is_still_asked_in_short_turns() {
+fn long_silent_agent_is_still_polled_with_short_timeouts() {
     let mut watch = WatchState::starting_at(Some(41), true);
-    let patient = (0..10 * TURNS).filter(|_| {
+    let patient_requests = (0..10 * REQUESTS_PER_PATIENT_REQUEST).filter(|_| {
         watch.on_timeout();
-        watch.next_poll().patience >= LATE
+        watch.next_poll().patience >= RESPONSE_GRACE
     });
-    assert_eq!(patient.count(), 10);
+    assert_eq!(patient_requests.count(), 10);
 }
