--- a/src/net/connection_limit.rs
+++ b/src/net/connection_limit.rs
@@ -1,92 +1,96 @@
-//! ConnectionLimit of which there is a bounded number: connections, kilobytes. The number may change while they are taken.
+//! Counted resources with a limit that may change while they are in use: connections, kilobytes of memory.
+//!
+//! The owner of a resource holds a [`ConnectionLimit`]; whoever uses the resource holds a [`ConnectionPermit`].
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The limits of a dispatcher are shared between its processes in such parts.
+/// The limits of a dispatcher are divided among its processes in so many units.
 pub const SHARE_UNITS: u32 = 16;
 
-/// ConnectionLimit that are taken: free again when they are let go.
+/// The right to use what was acquired of a [`ConnectionLimit`]. Dropping it makes that available again.
 pub type ConnectionPermit = OwnedSemaphorePermit;
 
-struct Most {
-    most: usize,
-    owed: usize, // places over the number, to be taken away as they come free
+struct LimitState {
+    limit: usize,
+    /// Permits in use beyond the limit, which are still to be removed as they become available.
+    excess_permits: usize,
 }
 
-/// ConnectionLimit. Cheap to clone; clones share them.
+/// A number of permits that changes with the process's share of it. Clones share the same permits.
 #[derive(Clone)]
 pub struct ConnectionLimit {
-    whole: usize,
-    free: Arc<Semaphore>,
-    most: Arc<Mutex<Most>>,
+    capacity: usize,
+    permits: Arc<Semaphore>,
+    state: Arc<Mutex<LimitState>>,
 }
 
 impl ConnectionLimit {
-    /// So many, all of them free.
-    pub fn new(whole: usize) -> ConnectionLimit {
-        let most = Arc::new(Mutex::new(Most {
-            most: whole,
-            owed: 0,
-        }));
+    /// A limit of `capacity` permits, all of them available.
+    pub fn new(capacity: usize) -> ConnectionLimit {
+        let state = LimitState {
+            limit: capacity,
+            excess_permits: 0,
+        };
         ConnectionLimit {
-            whole,
-            free: Arc::new(Semaphore::new(whole)),
-            most,
+            capacity,
+            permits: Arc::new(Semaphore::new(capacity)),
+            state: Arc::new(Mutex::new(state)),
         }
     }
 
-    fn most(&self) -> MutexGuard<'_, Most> {
-        self.most.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, LimitState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many there are when this process has the limits for itself.
+    /// The limit of a process that has all units.
     pub fn capacity(&self) -> usize {
-        self.whole
+        self.capacity
     }
 
-    /// Waits for so many.
+    /// Waits for `count` permits, which are released together.
     pub async fn acquire(&self, count: u32) -> Option<ConnectionPermit> {
-        self.free.clone().acquire_many_owned(count).await.ok()
+        self.permits.clone().acquire_many_owned(count).await.ok()
     }
 
-    /// So many, if they are free now.
+    /// Acquires `count` permits, if they are available now.
     pub fn try_acquire(&self, count: u32) -> Option<ConnectionPermit> {
-        self.free.clone().try_acquire_many_owned(count).ok()
+        self.permits.clone().try_acquire_many_owned(count).ok()
     }
 
-    /// How many are free.
+    /// The number of permits that are available.
     pub fn available(&self) -> usize {
-        self.free.available_permits()
+        self.permits.available_permits()
     }
 
-    /// How many are taken.
+    /// The number of permits in use.
     pub fn in_use(&self) -> usize {
-        let most = self.most();
-        (most.most + most.owed).saturating_sub(self.free.available_permits())
+        let state = self.state();
+        (state.limit + state.excess_permits).saturating_sub(self.permits.available_permits())
     }
 
-    /// How many are taken beyond the number.
+    /// The number of permits in use beyond the limit.
     pub fn over_limit(&self) -> usize {
-        self.in_use().saturating_sub(self.most().most)
+        self.in_use().saturating_sub(self.state().limit)
     }
 
-    /// From now on there are so many of [`SHARE_UNITS`] parts, though not fewer than `least`. What is taken beyond
-    /// goes as it comes free: call again, until nothing is [`ConnectionLimit::over`].
-    pub fn set_share(&self, part: u32, least: usize) {
-        let wanted = (self.whole * part.min(SHARE_UNITS) as usize / SHARE_UNITS as usize)
-            .max(least)
-            .min(self.whole);
-        let mut most = self.most();
-        let there = most.most + most.owed;
-        if wanted >= there {
-            self.free.add_permits(wanted - there);
-            most.owed = 0;
+    /// Sets the limit to `share_units` of [`SHARE_UNITS`], and at least to `min_limit`. Permits in use beyond it are
+    /// removed as they become available: call again until [`ConnectionLimit::over_limit`] is zero.
+    pub fn set_share(&self, share_units: u32, min_limit: usize) {
+        let share_units = share_units.min(SHARE_UNITS) as usize;
+        let new_limit = (self.capacity * share_units / SHARE_UNITS as usize)
+            .max(min_limit)
+            .min(self.capacity);
+        let mut state = self.state();
+        let total_permits = state.limit + state.excess_permits;
+        if new_limit >= total_permits {
+            self.permits.add_permits(new_limit - total_permits);
+            state.excess_permits = 0;
         } else {
-            most.owed = there - wanted;
-            most.owed -= self.free.forget_permits(most.owed);
+            let excess_permits = total_permits - new_limit;
+            state.excess_permits = excess_permits - self.permits.forget_permits(excess_permits);
         }
-        most.most = wanted;
+        state.limit = new_limit;
     }
 }
 
--- /dev/null
+++ b/src/net/message_framing/request.rs
@@ -0,0 +1,191 @@
+//! The framing of the requests on one connection.
+
+use super::{complete_line_length, parse_field, ChunkedDecoder, FramingError, MAX_HEAD_LINE_BYTES};
+use std::collections::VecDeque;
+
+/// How many heads may wait for [`RequestFraming::next_head`].
+const MAX_PENDING_HEADS: usize = 64;
+
+/// What the head of a request declares of its body.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DeclaredBody {
+    /// The body is chunked.
+    pub chunked: bool,
+    /// The declared length, in bytes.
+    pub length: Option<u64>,
+    /// The head declares a transfer encoding, followed here or not.
+    pub has_transfer_encoding: bool,
+}
+
+/// The position among the requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum RequestState {
+    /// In a head, or before one.
+    #[default]
+    Head,
+    /// In a body of a declared length, of which so many bytes remain.
+    Length(u64),
+    /// In a chunked body.
+    Chunked(ChunkedDecoder),
+    /// The bytes could not be followed: nothing is known of any later request.
+    Lost,
+}
+
+/// The framing of the requests on one connection.
+#[derive(Debug, Default)]
+pub struct RequestFraming {
+    state: RequestState,
+    /// The line that is incomplete so far.
+    line: Vec<u8>,
+    /// How many lines the current head has so far.
+    line_count: usize,
+    /// What the current head declares so far.
+    declared: DeclaredBody,
+    pending_heads: VecDeque<DeclaredBody>,
+    ended: u64,
+}
+
+impl RequestFraming {
+    /// Reads on, to the end of a request at most. Returns how many of the bytes were read.
+    pub fn feed(&mut self, bytes: &[u8]) -> usize {
+        let ended_before = self.ended;
+        let mut consumed = 0;
+        while consumed < bytes.len() && self.ended == ended_before {
+            match self.feed_state(&bytes[consumed..]) {
+                Ok(length) => consumed += length,
+                Err(FramingError) => {
+                    self.stop();
+                    return bytes.len();
+                }
+            }
+        }
+        consumed
+    }
+
+    /// Reads on within the current state, and returns how many of the bytes were read.
+    fn feed_state(&mut self, bytes: &[u8]) -> Result<usize, FramingError> {
+        match &mut self.state {
+            RequestState::Lost => Ok(bytes.len()),
+            RequestState::Head => self.feed_head(bytes),
+            RequestState::Length(remaining) => {
+                let length = usize::try_from(*remaining)
+                    .unwrap_or(usize::MAX)
+                    .min(bytes.len());
+                *remaining -= length as u64;
+                if *remaining == 0 {
+                    self.on_request_end();
+                }
+                Ok(length)
+            }
+            RequestState::Chunked(decoder) => {
+                let length = decoder.feed(bytes, |_| {})?;
+                if decoder.ended() {
+                    self.on_request_end();
+                }
+                Ok(length)
+            }
+        }
+    }
+
+    fn on_request_end(&mut self) {
+        self.state = RequestState::Head;
+        self.ended += 1;
+    }
+
+    /// The number of requests that were read to their end.
+    pub fn ended(&self) -> u64 {
+        self.ended
+    }
+
+    /// Stops following: the bytes from now on are no requests, or can't be followed.
+    pub fn stop(&mut self) {
+        self.state = RequestState::Lost;
+        self.line = Vec::new();
+    }
+
+    /// What the next head declares, in the order of the requests. `None`: the requests can't be followed up to it.
+    pub fn next_head(&mut self) -> Option<DeclaredBody> {
+        self.pending_heads.pop_front()
+    }
+
+    /// Reads to the end of a line at most, and returns how many of the bytes were read.
+    fn feed_head(&mut self, bytes: &[u8]) -> Result<usize, FramingError> {
+        let line_length = complete_line_length(bytes);
+        let length = line_length.unwrap_or(bytes.len());
+        if self.line.len() + length > MAX_HEAD_LINE_BYTES {
+            return Err(FramingError);
+        }
+        self.line.extend_from_slice(&bytes[..length]);
+        if line_length.is_some() {
+            let line = std::mem::take(&mut self.line);
+            let line = line.strip_suffix(b"\n").unwrap_or(&line);
+            self.on_line(line.strip_suffix(b"\r").unwrap_or(line))?;
+        }
+        Ok(length)
+    }
+
+    fn on_line(&mut self, line: &[u8]) -> Result<(), FramingError> {
+        if line.is_empty() {
+            // Empty lines before a request are ignored.
+            if self.line_count == 0 {
+                return Ok(());
+            }
+            return self.on_head_end();
+        }
+        self.line_count += 1;
+        if self.line_count == 1 {
+            return Ok(());
+        }
+        self.on_field(line)
+    }
+
+    fn on_head_end(&mut self) -> Result<(), FramingError> {
+        self.line_count = 0;
+        let declared = std::mem::take(&mut self.declared);
+        let has_unknown_encoding = declared.has_transfer_encoding && !declared.chunked;
+        if self.pending_heads.len() >= MAX_PENDING_HEADS || has_unknown_encoding {
+            return Err(FramingError);
+        }
+        self.pending_heads.push_back(declared);
+        if declared.chunked {
+            self.state = RequestState::Chunked(ChunkedDecoder::default());
+            return Ok(());
+        }
+        match declared.length {
+            Some(length) if length > 0 => self.state = RequestState::Length(length),
+            _ => self.on_request_end(),
+        }
+        Ok(())
+    }
+
+    fn on_field(&mut self, line: &[u8]) -> Result<(), FramingError> {
+        let Some((name, value)) = parse_field(line) else {
+            return Ok(());
+        };
+        if name.eq_ignore_ascii_case("content-length") {
+            let length = parse_length(value)?;
+            if self.declared.length.is_some_and(|other| other != length) {
+                return Err(FramingError);
+            }
+            self.declared.length = Some(length);
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            // Only a single field with the single encoding `chunked` is followed.
+            let is_repeated = self.declared.has_transfer_encoding;
+            self.declared.has_transfer_encoding = true;
+            self.declared.chunked = !is_repeated && value.eq_ignore_ascii_case("chunked");
+        }
+        Ok(())
+    }
+}
+
+/// Stricter than `parse`, which takes a sign.
+fn parse_length(value: &str) -> Result<u64, FramingError> {
+    if !value.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(FramingError);
+    }
+    value.parse().map_err(|_| FramingError)
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/net/message_framing/request.rs"]
+mod tests;
--- /dev/null
+++ b/src/net/message_framing/response.rs
@@ -0,0 +1,158 @@
+//! The framing of the response to one request.
+
+use super::{complete_line_length, parse_field, ChunkedDecoder, MAX_HEAD_LINE_BYTES};
+
+/// The position in the response.
+#[derive(Clone, Copy, Debug, Default)]
+enum ResponseState {
+    /// In a head.
+    #[default]
+    Head,
+    /// In a body of a declared length, of which so many bytes remain.
+    Length(u64),
+    /// In a chunked body, or behind it.
+    Chunked(ChunkedDecoder),
+    /// Behind a response without a body, or with one of a declared length.
+    Complete,
+    /// The bytes could not be followed: nothing is known any more.
+    Lost,
+}
+
+/// What a status line says of the message.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum StatusKind {
+    /// A final response, with the body that its head declares.
+    #[default]
+    Final,
+    /// A final response that has no body, whatever its head declares.
+    WithoutBody,
+    /// An interim response: another one follows.
+    Interim,
+}
+
+/// What was read of a head.
+#[derive(Debug, Default)]
+struct ResponseHead {
+    line_count: usize,
+    status: StatusKind,
+    is_chunked: bool,
+    length: Option<u64>,
+}
+
+/// The framing of the response to one request, as its bytes arrive.
+#[derive(Debug, Default)]
+pub struct ResponseFraming {
+    state: ResponseState,
+    head: ResponseHead,
+    /// The line that is incomplete so far.
+    line: Vec<u8>,
+    /// The bytes of data in a chunked body so far.
+    chunk_data_bytes: u64,
+}
+
+impl ResponseFraming {
+    /// Reads on. What follows the end of the response is ignored.
+    pub fn feed(&mut self, mut bytes: &[u8]) {
+        while !bytes.is_empty() {
+            match &mut self.state {
+                ResponseState::Head => bytes = self.feed_head(bytes),
+                ResponseState::Length(remaining) => {
+                    *remaining = remaining.saturating_sub(bytes.len() as u64);
+                    if *remaining == 0 {
+                        self.state = ResponseState::Complete;
+                    }
+                    return;
+                }
+                ResponseState::Chunked(decoder) => {
+                    let data_bytes = &mut self.chunk_data_bytes;
+                    let fed = decoder.feed(bytes, |data| *data_bytes += data.len() as u64);
+                    if fed.is_err() {
+                        self.state = ResponseState::Lost;
+                    }
+                    return;
+                }
+                ResponseState::Complete | ResponseState::Lost => return,
+            }
+        }
+    }
+
+    /// Reads to the end of a line at most, and returns the bytes behind it.
+    fn feed_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let line_length = complete_line_length(bytes);
+        let (line, rest) = bytes.split_at(line_length.unwrap_or(bytes.len()));
+        self.line.extend_from_slice(line);
+        if self.line.len() > MAX_HEAD_LINE_BYTES {
+            self.state = ResponseState::Lost;
+        }
+        if line_length.is_some() {
+            let line = std::mem::take(&mut self.line);
+            self.on_line(line.strip_suffix(b"\r\n").unwrap_or(&line));
+        }
+        rest
+    }
+
+    fn on_line(&mut self, line: &[u8]) {
+        self.head.line_count += 1;
+        if self.head.line_count == 1 {
+            self.on_status_line(line);
+        } else if line.is_empty() {
+            self.on_head_end();
+        } else if let Some((name, value)) = parse_field(line) {
+            if name.eq_ignore_ascii_case("transfer-encoding") {
+                self.head.is_chunked = value.eq_ignore_ascii_case("chunked");
+            } else if name.eq_ignore_ascii_case("content-length") {
+                self.head.length = value.parse().ok();
+            }
+        }
+    }
+
+    fn on_status_line(&mut self, line: &[u8]) {
+        self.head.status = if line.get(9) == Some(&b'1') {
+            StatusKind::Interim
+        } else if matches!(line.get(9..12), Some(b"204" | b"304")) {
+            StatusKind::WithoutBody
+        } else {
+            StatusKind::Final
+        };
+        self.state = if line.starts_with(b"HTTP/1.1 ") {
+            ResponseState::Head
+        } else {
+            ResponseState::Lost
+        };
+    }
+
+    fn on_head_end(&mut self) {
+        let head = std::mem::take(&mut self.head);
+        self.state = match (head.status, head.is_chunked, head.length) {
+            (StatusKind::Interim, _, _) => ResponseState::Head,
+            (StatusKind::WithoutBody, _, _) => ResponseState::Complete,
+            (StatusKind::Final, true, _) => ResponseState::Chunked(ChunkedDecoder::default()),
+            (StatusKind::Final, false, Some(0)) => ResponseState::Complete,
+            (StatusKind::Final, false, Some(length)) => ResponseState::Length(length),
+            // The body ends with the connection, which is not followed.
+            (StatusKind::Final, false, None) => ResponseState::Lost,
+        };
+    }
+
+    /// Whether all of the response was read, for certain: its connection is idle then.
+    pub fn is_over(&self) -> bool {
+        match &self.state {
+            ResponseState::Complete => true,
+            ResponseState::Chunked(decoder) => decoder.ended(),
+            ResponseState::Head | ResponseState::Length(_) | ResponseState::Lost => false,
+        }
+    }
+
+    /// The decoder of a chunked body and the bytes of data so far; `None` where the body is not chunked, has not begun,
+    /// or could not be followed.
+    pub fn body(&self) -> Option<(ChunkedDecoder, u64)> {
+        match &self.state {
+            ResponseState::Chunked(decoder) => Some((*decoder, self.chunk_data_bytes)),
+            _ => None,
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/net/message_framing/response.rs"]
+mod tests;
--- a/src/net/system_errors.rs
+++ b/src/net/system_errors.rs
@@ -1,90 +1,94 @@
-//! Errors of system calls: which ones concern one connection, and which ones this machine itself. No I/O.
+//! The errors of system calls: which ones concern one connection, and which ones this machine. Does no I/O; each listener
+//! owns its [`AcceptPauses`].
 
+use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// The first pause after this machine could not take a connection, and the longest one.
-const FIRST_PAUSE: Duration = Duration::from_millis(5);
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
-/// After so many connections on end that were over before they were taken, there is a pause all the same.
-const MOST_AT_ONCE: u32 = 64;
+/// The delay after the first failure of this machine to accept a connection.
+const MIN_ACCEPT_DELAY: Duration = Duration::from_millis(5);
+/// The longest delay after failures in a row.
+const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(200);
+/// After this many connections in a row that broke before they were accepted, there is a delay all the same: the listener
+/// must not spin.
+const MAX_IMMEDIATE_RETRIES: u32 = 64;
 
-/// Whether this machine is short of something for a moment: descriptors, memory, ports or a route. It tells nothing of the
-/// other side.
-pub fn is_local_shortage(error: &io::Error) -> bool {
+/// The errors by which this machine lacks descriptors, memory, ports or a route for a moment.
+const LOCAL_SHORTAGES: [Errno; 9] = [
+    Errno::MFILE,
+    Errno::NFILE,
+    Errno::NOBUFS,
+    Errno::NOMEM,
+    Errno::ADDRNOTAVAIL,
+    Errno::NETUNREACH,
+    Errno::NETDOWN,
+    Errno::AGAIN,
+    Errno::INTR,
+];
+
+/// The errors of `accept` that Linux passes on from a connection that has broken while it waited, or that concern no other
+/// connection.
+const CONNECTION_ERRORS: [Errno; 12] = [
+    Errno::CONNABORTED,
+    Errno::CONNRESET,
+    Errno::INTR,
+    Errno::PROTO,
+    Errno::NOPROTOOPT,
+    Errno::HOSTDOWN,
+    Errno::HOSTUNREACH,
+    Errno::NETDOWN,
+    Errno::NETUNREACH,
+    Errno::TIMEDOUT,
+    Errno::OPNOTSUPP,
+    Errno::PERM,
+];
+
+fn is_any_of(error: &io::Error, errnos: &[Errno]) -> bool {
     let Some(code) = error.raw_os_error() else {
         return false;
     };
-    let shortages = [
-        rustix::io::Errno::MFILE,
-        rustix::io::Errno::NFILE,
-        rustix::io::Errno::NOBUFS,
-        rustix::io::Errno::NOMEM,
-        rustix::io::Errno::ADDRNOTAVAIL,
-        rustix::io::Errno::NETUNREACH,
-        rustix::io::Errno::NETDOWN,
-        rustix::io::Errno::AGAIN,
-        rustix::io::Errno::INTR,
-    ];
-    shortages
-        .iter()
-        .any(|shortage| shortage.raw_os_error() == code)
+    errnos.iter().any(|errno| errno.raw_os_error() == code)
 }
 
-/// Whether a failed `accept` concerns only the connection that was to be taken: the next one may be taken at once. These are
-/// the errors that Linux passes on from a connection that has broken while it waited.
-fn is_of_one_connection(error: &io::Error) -> bool {
-    let Some(code) = error.raw_os_error() else {
-        return false;
-    };
-    let broken = [
-        rustix::io::Errno::CONNABORTED,
-        rustix::io::Errno::CONNRESET,
-        rustix::io::Errno::INTR,
-        rustix::io::Errno::PROTO,
-        rustix::io::Errno::NOPROTOOPT,
-        rustix::io::Errno::HOSTDOWN,
-        rustix::io::Errno::HOSTUNREACH,
-        rustix::io::Errno::NETDOWN,
-        rustix::io::Errno::NETUNREACH,
-        rustix::io::Errno::TIMEDOUT,
-        rustix::io::Errno::OPNOTSUPP,
-        rustix::io::Errno::PERM,
-    ];
-    broken.iter().any(|broken| broken.raw_os_error() == code)
+/// Whether this machine is short of descriptors, memory, ports or a route for a moment. Such an error says nothing of the
+/// other side.
+pub fn is_local_shortage(error: &io::Error) -> bool {
+    is_any_of(error, &LOCAL_SHORTAGES)
 }
 
-/// How long a listener pauses after a failed `accept`.
+/// The delays of one listener after a failed `accept`.
 #[derive(Debug)]
 pub struct AcceptPauses {
-    next: Duration,
-    at_once: u32,
+    next_delay: Duration,
+    immediate_retries: u32,
 }
 
 impl Default for AcceptPauses {
     fn default() -> Self {
         AcceptPauses {
-            next: FIRST_PAUSE,
-            at_once: 0,
+            next_delay: MIN_ACCEPT_DELAY,
+            immediate_retries: 0,
         }
     }
 }
 
 impl AcceptPauses {
-    /// A connection was taken.
+    /// Records an accepted connection.
     pub fn reset(&mut self) {
         *self = AcceptPauses::default();
     }
 
-    /// The pause after this error; none where others may wait behind the connection that has broken.
+    /// Records an error, and returns the delay before the next `accept`. Zero where only the connection has broken: others
+    /// may wait behind it.
     pub fn delay_after(&mut self, error: &io::Error) -> Duration {
-        if is_of_one_connection(error) && self.at_once < MOST_AT_ONCE {
-            self.at_once += 1;
+        let is_connection_error = is_any_of(error, &CONNECTION_ERRORS);
+        if is_connection_error && self.immediate_retries < MAX_IMMEDIATE_RETRIES {
+            self.immediate_retries += 1;
             return Duration::ZERO;
         }
-        let pause = self.next;
-        self.next = (self.next * 2).min(LONGEST_PAUSE);
-        pause
+        let delay = self.next_delay;
+        self.next_delay = (delay * 2).min(MAX_ACCEPT_DELAY);
+        delay
     }
 }
 
--- a/tests/unit/net/connection_limit.rs
+++ b/tests/unit/net/connection_limit.rs
@@ -1,38 +1,38 @@
 use super::*;
 
 #[test]
-fn the_number_changes_while_places_are_taken() {
-    let places = ConnectionLimit::new(32);
-    let taken: Vec<_> = (0..20).map(|_| places.try_acquire(1).unwrap()).collect();
-    places.set_share(8, 1);
+fn limit_changes_while_permits_are_in_use() {
+    let limit = ConnectionLimit::new(32);
+    let permits: Vec<_> = (0..20).map(|_| limit.try_acquire(1).unwrap()).collect();
+    limit.set_share(8, 1);
     assert_eq!(
-        (places.available(), places.in_use(), places.over_limit()),
+        (limit.available(), limit.in_use(), limit.over_limit()),
         (0, 20, 4)
     );
-    let mut taken = taken.into_iter();
-    drop(taken.by_ref().take(3).collect::<Vec<_>>());
-    places.set_share(8, 1);
+    let mut permits = permits.into_iter();
+    drop(permits.by_ref().take(3).collect::<Vec<_>>());
+    limit.set_share(8, 1);
     assert_eq!(
-        (places.available(), places.in_use(), places.over_limit()),
+        (limit.available(), limit.in_use(), limit.over_limit()),
         (0, 17, 1)
     );
-    drop(taken.by_ref().take(3).collect::<Vec<_>>());
-    places.set_share(8, 1);
+    drop(permits.by_ref().take(3).collect::<Vec<_>>());
+    limit.set_share(8, 1);
     assert_eq!(
-        (places.available(), places.in_use(), places.over_limit()),
+        (limit.available(), limit.in_use(), limit.over_limit()),
         (2, 14, 0)
     );
-    places.set_share(SHARE_UNITS, 1);
+    limit.set_share(SHARE_UNITS, 1);
     assert_eq!(
-        (places.available(), places.in_use(), places.over_limit()),
+        (limit.available(), limit.in_use(), limit.over_limit()),
         (18, 14, 0)
     );
-    drop(taken);
-    places.set_share(0, 5);
+    drop(permits);
+    limit.set_share(0, 5);
     assert_eq!(
-        (places.available(), places.in_use(), places.over_limit()),
+        (limit.available(), limit.in_use(), limit.over_limit()),
         (5, 0, 0)
     );
-    places.set_share(SHARE_UNITS, 5);
-    assert_eq!(places.available(), 32);
+    limit.set_share(SHARE_UNITS, 5);
+    assert_eq!(limit.available(), 32);
 }
--- a/tests/unit/net/system_errors.rs
+++ b/tests/unit/net/system_errors.rs
@@ -1,12 +1,11 @@
 use super::*;
-use rustix::io::Errno;
 
 fn error(errno: Errno) -> io::Error {
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
 #[test]
-fn a_connection_that_broke_while_it_waited_keeps_no_other_waiting() {
+fn broken_connection_delays_no_other() {
     let mut pauses = AcceptPauses::default();
     for errno in [
         Errno::CONNABORTED,
@@ -21,15 +20,15 @@
             "{errno:?}"
         );
     }
-    // Where it never ends, the loop does not spin.
-    let paused = (0..200)
+    // Where such errors never end, the listener does not spin.
+    let delayed = (0..200)
         .filter(|_| pauses.delay_after(&error(Errno::CONNABORTED)) > Duration::ZERO)
         .count();
-    assert!(paused >= 100, "{paused}");
+    assert!(delayed >= 100, "{delayed}");
 }
 
 #[test]
-fn a_shortage_of_this_machine_is_waited_for_longer_and_longer() {
+fn delays_grow_during_a_local_shortage() {
     let mut pauses = AcceptPauses::default();
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         assert!(
@@ -37,16 +36,16 @@
             "{errno:?}"
         );
     }
-    let many: Vec<Duration> = (0..20)
+    let delays: Vec<Duration> = (0..20)
         .map(|_| pauses.delay_after(&error(Errno::NFILE)))
         .collect();
-    assert_eq!(many.last(), Some(&LONGEST_PAUSE));
+    assert_eq!(delays.last(), Some(&MAX_ACCEPT_DELAY));
     pauses.reset();
-    assert_eq!(pauses.delay_after(&error(Errno::NFILE)), FIRST_PAUSE);
+    assert_eq!(pauses.delay_after(&error(Errno::NFILE)), MIN_ACCEPT_DELAY);
 }
 
 #[test]
-fn only_what_this_machine_lacks_is_a_local_shortage() {
+fn only_a_lack_of_this_machine_is_a_local_shortage() {
     for errno in [
         Errno::ADDRNOTAVAIL,
         Errno::NETUNREACH,
