--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -1,11 +1,12 @@
-//! What discovery tells, from its wire to the core: nothing may go to a server that has been told to leave.
+//! Discovery from its HTTP responses to the core's events: no request may go to an endpoint that discovery has announced as
+//! draining.
 
 mod testbed;
 
 use futures_util::FutureExt;
 use quartzhall::config::{Deployment, SettingsObject};
 use quartzhall::discovery;
-use quartzhall::dispatcher::{self, Event, EventReceiver, UpstreamRequest};
+use quartzhall::dispatcher::{self, DispatcherHandle, Event, EventReceiver, UpstreamRequest};
 use quartzhall::routing::api::RequestMetadata;
 use slog::{o, Discard, Logger};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,59 +18,82 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-fn site(pushed: bool, balancers: u32) -> Deployment {
-    let mode = if pushed { "automatic" } else { "subscribe" };
-    let set = format!(r#""membership_mode":"{mode}","balancers":{balancers}"#);
-    let profile = testbed::PROFILE.replacen(r#""balancers":1"#, &set, 1);
+fn deployment(is_pushed: bool, dispatcher_count: u32) -> Deployment {
+    let mode = if is_pushed { "automatic" } else { "subscribe" };
+    let settings = format!(r#""membership_mode":"{mode}","balancers":{dispatcher_count}"#);
+    let profile = testbed::PROFILE.replacen(r#""balancers":1"#, &settings, 1);
     let profile: SettingsObject = miniserde::json::from_str(&profile).unwrap();
     Deployment::new(&profile).unwrap()
 }
 
-/// What the stand-in answers a call with: bytes as they are, and whether it closes the connection then.
+/// What the fake discovery answers a request with: bytes as they are, and whether it closes the connection then.
 #[derive(Clone, Copy)]
-enum Says {
+enum FakeResponse {
     Nothing,
     Text(&'static str),
-    Cut(&'static str),
+    TextAndClose(&'static str),
 }
 
-/// An agent that answers its calls in turn as told, the last way from then on, and counts them; and how many connections it
-/// has open at most, at any time.
-async fn agent(says: &'static [Says]) -> (String, Arc<AtomicUsize>, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap().to_string();
-    let (calls, most): (Arc<AtomicUsize>, Arc<AtomicUsize>) = Default::default();
-    let open = Arc::new(AtomicUsize::new(0));
-    let (counted, counted_most) = (calls.clone(), most.clone());
-    tokio::spawn(async move {
-        loop {
-            let (mut stream, _) = listener.accept().await.unwrap();
-            let (calls, open) = (counted.clone(), open.clone());
-            counted_most.fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
-            tokio::spawn(async move {
-                serve(&mut stream, says, &calls).await;
-                open.fetch_sub(1, Ordering::SeqCst);
-            });
-        }
-    });
-    (address, calls, most)
+/// A discovery that answers the requests in their order with these responses, and all further ones with the last.
+struct FakeDiscovery {
+    address: String,
+    request_count: Arc<AtomicUsize>,
+    /// The most connections that were open at the same time.
+    max_open_connections: Arc<AtomicUsize>,
 }
 
-async fn serve(stream: &mut TcpStream, says: &'static [Says], calls: &AtomicUsize) {
-    let mut text = Vec::new();
-    let mut some = [0; 1024];
+impl FakeDiscovery {
+    async fn start(responses: &'static [FakeResponse]) -> FakeDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let discovery = FakeDiscovery {
+            address: listener.local_addr().unwrap().to_string(),
+            request_count: Arc::default(),
+            max_open_connections: Arc::default(),
+        };
+        let request_count = discovery.request_count.clone();
+        let max_open = discovery.max_open_connections.clone();
+        let open = Arc::new(AtomicUsize::new(0));
+        tokio::spawn(async move {
+            loop {
+                let (mut stream, _) = listener.accept().await.unwrap();
+                let request_count = request_count.clone();
+                let open = open.clone();
+                max_open.fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+                tokio::spawn(async move {
+                    serve(&mut stream, responses, &request_count).await;
+                    open.fetch_sub(1, Ordering::SeqCst);
+                });
+            }
+        });
+        discovery
+    }
+
+    fn request_count(&self) -> usize {
+        self.request_count.load(Ordering::SeqCst)
+    }
+}
+
+async fn serve(
+    stream: &mut TcpStream,
+    responses: &'static [FakeResponse],
+    request_count: &AtomicUsize,
+) {
+    let mut received = Vec::new();
+    let mut buffer = [0; 1024];
     loop {
-        match stream.read(&mut some).await {
+        match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return,
-            Ok(read) => text.extend_from_slice(&some[..read]),
+            Ok(length) => received.extend_from_slice(&buffer[..length]),
         }
-        while let Some(end) = text.windows(4).position(|it| it == b"\r\n\r\n") {
-            text.drain(..end + 4);
-            let turn = calls.fetch_add(1, Ordering::SeqCst).min(says.len() - 1);
-            match says[turn] {
-                Says::Nothing => {}
-                Says::Text(text) => stream.write_all(text.as_bytes()).await.unwrap(),
-                Says::Cut(text) => {
+        while let Some(head_length) = head_length(&received) {
+            received.drain(..head_length);
+            let index = request_count
+                .fetch_add(1, Ordering::SeqCst)
+                .min(responses.len() - 1);
+            match responses[index] {
+                FakeResponse::Nothing => {}
+                FakeResponse::Text(text) => stream.write_all(text.as_bytes()).await.unwrap(),
+                FakeResponse::TextAndClose(text) => {
                     stream.write_all(text.as_bytes()).await.unwrap();
                     return;
                 }
@@ -78,66 +102,95 @@
     }
 }
 
-/// Discovery's task ends with the set that is returned.
-fn follow(
-    address: String,
-    pushed: bool,
-    balancers: u32,
-    known: Option<u64>,
-) -> (dispatcher::DispatcherHandle, EventReceiver, JoinSet<()>) {
-    let (door, inbox) = dispatcher::channel(Arc::new(site(pushed, balancers)));
-    let (set, told) = watch::channel(address);
-    std::mem::forget(set); // the address stays as it is
-    let log = Logger::root(Discard, o!());
-    let mut task = JoinSet::new();
-    task.spawn(discovery::run(
-        told,
-        site(pushed, balancers),
-        7,
-        known,
-        door.clone(),
-        log,
-    ));
-    (door, inbox, task)
+fn head_length(received: &[u8]) -> Option<usize> {
+    let end = received
+        .windows(4)
+        .position(|window| window == b"\r\n\r\n")?;
+    Some(end + 4)
 }
 
-/// Waits for the list; how long that took.
-async fn heard(inbox: &mut EventReceiver) -> Duration {
-    let began = Instant::now();
-    let told = timeout(Duration::from_secs(60), async {
-        while !matches!(inbox.recv().await, Some(Event::EndpointsChanged { .. })) {}
-    });
-    told.await.expect("the list");
-    began.elapsed()
+/// The watch on a discovery, and the core's ends of its events. The watch ends when this is dropped.
+struct Watch {
+    dispatcher: DispatcherHandle,
+    events: EventReceiver,
+    _task: JoinSet<()>,
+    _address: watch::Sender<String>,
+}
+
+impl Watch {
+    fn start(
+        discovery: &FakeDiscovery,
+        is_pushed: bool,
+        dispatcher_count: u32,
+        known_revision: Option<u64>,
+    ) -> Watch {
+        let (dispatcher, events) =
+            dispatcher::channel(Arc::new(deployment(is_pushed, dispatcher_count)));
+        let (address_sender, address) = watch::channel(discovery.address.clone());
+        let mut task = JoinSet::new();
+        task.spawn(discovery::run(
+            address,
+            deployment(is_pushed, dispatcher_count),
+            7,
+            known_revision,
+            dispatcher.clone(),
+            Logger::root(Discard, o!()),
+        ));
+        Watch {
+            dispatcher,
+            events,
+            _task: task,
+            _address: address_sender,
+        }
+    }
+
+    /// Waits for a list, and returns how long that took.
+    async fn wait_for_list(&mut self) -> Duration {
+        let started = Instant::now();
+        let list = timeout(Duration::from_secs(60), async {
+            while !matches!(
+                self.events.recv().await,
+                Some(Event::EndpointsChanged { .. })
+            ) {}
+        });
+        list.await.expect("the list");
+        started.elapsed()
+    }
 }
 
-/// The core's queue is full of requests when a list comes: the list is heard first. It waited for a place behind them.
+/// The core's queue is full of requests when a list arrives: the list is handled first. It used to wait for a place behind
+/// them.
 #[tokio::test]
-async fn a_list_is_heard_before_the_requests_that_wait() {
-    let (address, calls, _) = agent(&[Says::Text(OK), Says::Nothing]).await;
-    let (door, mut inbox, _task) = follow(address, true, 1, None);
-    let mut waiting = Vec::new();
-    let ask = |number| {
-        let work = UpstreamRequest {
+async fn list_is_handled_before_queued_requests() {
+    let discovery = FakeDiscovery::start(&[FakeResponse::Text(OK), FakeResponse::Nothing]).await;
+    let mut watch = Watch::start(&discovery, true, 1, None);
+    let mut queued = Vec::new();
+    let dispatcher = watch.dispatcher.clone();
+    let submit = |number| {
+        let request = UpstreamRequest {
             client_request_id: format!("n{number}").into(),
             target: "/".into(),
             body: "{}".into(),
         };
-        tokio::task::unconstrained(door.submit(RequestMetadata::default(), work)).now_or_never()
+        tokio::task::unconstrained(dispatcher.submit(RequestMetadata::default(), request))
+            .now_or_never()
     };
-    while let Some(asked) = ask(waiting.len()) {
-        waiting.push(asked);
+    while let Some(pending) = submit(queued.len()) {
+        queued.push(pending);
     }
-    assert!(waiting.len() > 4000, "a full queue");
-    // The list is told when discovery is watched again.
-    let told = timeout(Duration::from_secs(20), async {
-        while calls.load(Ordering::SeqCst) < 2 {
+    assert!(queued.len() > 4000, "a full queue");
+    // The list has been sent to the core when discovery is requested again.
+    let list_sent = timeout(Duration::from_secs(20), async {
+        while discovery.request_count() < 2 {
             tokio::task::yield_now().await;
         }
     });
-    told.await.expect("a list that waits for no request");
+    list_sent.await.expect("a list that waits for no request");
     assert!(
-        matches!(inbox.recv().await, Some(Event::EndpointsChanged { .. })),
+        matches!(
+            watch.events.recv().await,
+            Some(Event::EndpointsChanged { .. })
+        ),
         "a request came first"
     );
 }
@@ -151,95 +204,114 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Le";
 const ENDLESS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"rev\r\n";
 
-/// Whatever came of earlier calls, what discovery has is heard within 6 s where it answers by then, and at once where it
-/// is an agent on this machine. After an answer that was no list the next call was made up to 24 s later.
+/// Whatever came of earlier requests, a list arrives within 6 s where discovery answers by then, and at once where it is an
+/// agent on this machine. After a response that was no list the next request used to be sent up to 24 s later.
 #[tokio::test(start_paused = true)]
-async fn a_list_is_heard_in_time_whatever_came_of_the_calls_before() {
-    let orders: &[&'static [Says]] = &[
-        &[Says::Text(ERROR), Says::Text(OK), Says::Nothing],
+async fn list_arrives_in_time_after_any_failed_requests() {
+    let sequences: &[&'static [FakeResponse]] = &[
+        &[
+            FakeResponse::Text(ERROR),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
+        ],
+        &[
+            FakeResponse::Text(BUSY),
+            FakeResponse::Text(BUSY),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
+        ],
+        &[
+            FakeResponse::Text(GARBLED),
+            FakeResponse::Text(GARBLED),
+            FakeResponse::Text(GARBLED),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
+        ],
+        &[
+            FakeResponse::TextAndClose(HALF),
+            FakeResponse::Text(ERROR),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
+        ],
         &[
-            Says::Text(BUSY),
-            Says::Text(BUSY),
-            Says::Text(OK),
-            Says::Nothing,
+            FakeResponse::TextAndClose(HEAD),
+            FakeResponse::TextAndClose(""),
+            FakeResponse::Text(ERROR),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
         ],
         &[
-            Says::Text(GARBLED),
-            Says::Text(GARBLED),
-            Says::Text(GARBLED),
-            Says::Text(OK),
-            Says::Nothing,
+            FakeResponse::Text(ENDLESS),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
         ],
         &[
-            Says::Cut(HALF),
-            Says::Text(ERROR),
-            Says::Text(OK),
-            Says::Nothing,
+            FakeResponse::Text(HEAD),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
         ],
         &[
-            Says::Cut(HEAD),
-            Says::Cut(""),
-            Says::Text(ERROR),
-            Says::Text(OK),
-            Says::Nothing,
+            FakeResponse::Nothing,
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
         ],
-        &[Says::Text(ENDLESS), Says::Text(OK), Says::Nothing],
-        &[Says::Text(HEAD), Says::Text(OK), Says::Nothing],
-        &[Says::Nothing, Says::Text(OK), Says::Nothing],
         &[
-            Says::Nothing,
-            Says::Text(GARBLED),
-            Says::Text(OK),
-            Says::Nothing,
+            FakeResponse::Nothing,
+            FakeResponse::Text(GARBLED),
+            FakeResponse::Text(OK),
+            FakeResponse::Nothing,
         ],
     ];
-    for (pushed, known, each) in [
+    for (is_pushed, known_revision, max_ms_per_failure) in [
         (true, None, 150),
         (true, Some(7), 1_150),
         (false, None, 6_000),
         (false, Some(7), 6_000),
     ] {
-        for (at, order) in orders.iter().enumerate() {
-            for balancers in [1, 300] {
-                let (address, calls, _) = agent(order).await;
-                let (_door, mut inbox, _task) = follow(address, pushed, balancers, known);
-                let took = heard(&mut inbox).await;
-                // Each failed call is the last one before discovery could be reached: the bound is for one of them.
-                let most = Duration::from_millis(each) * (order.len() as u32 - 2);
+        for (index, responses) in sequences.iter().enumerate() {
+            for dispatcher_count in [1, 300] {
+                let discovery = FakeDiscovery::start(responses).await;
+                let mut watch =
+                    Watch::start(&discovery, is_pushed, dispatcher_count, known_revision);
+                let elapsed = watch.wait_for_list().await;
+                // Each failed request is the last one before discovery could be reached: the bound is for one of them.
+                let failures = responses.len() as u32 - 2;
+                let max_elapsed = Duration::from_millis(max_ms_per_failure) * failures;
                 assert!(
-                    took <= most,
-                    "{took:?} of {most:?}: order {at}, pushed: {pushed}, {balancers} balancers"
+                    elapsed <= max_elapsed,
+                    "{elapsed:?} of {max_elapsed:?}: sequence {index}, pushed: {is_pushed}, \
+                     {dispatcher_count} dispatchers"
                 );
-                assert!(calls.load(Ordering::SeqCst) + 1 >= order.len());
+                assert!(discovery.request_count() + 1 >= responses.len());
             }
         }
     }
 }
 
-/// Discovery is silent for a long time: each call's connection is closed when the call is given up.
+/// Discovery is silent for a long time: the connection of each request is closed when the request times out.
 #[tokio::test(start_paused = true)]
-async fn silent_calls_leave_no_connections() {
-    let (address, calls, most) = agent(&[Says::Nothing]).await;
-    let (_door, _inbox, _task) = follow(address, true, 300, Some(7));
-    while calls.load(Ordering::SeqCst) < 200 {
+async fn requests_that_timed_out_leave_no_connections() {
+    let discovery = FakeDiscovery::start(&[FakeResponse::Nothing]).await;
+    let _watch = Watch::start(&discovery, true, 300, Some(7));
+    while discovery.request_count() < 200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let most = most.load(Ordering::SeqCst);
-    assert!(most <= 2, "{most} connections at once");
+    let max_open = discovery.max_open_connections.load(Ordering::SeqCst);
+    assert!(max_open <= 2, "{max_open} connections at once");
 }
 
-/// A discovery that answers each watch at once, with the same list, is not called without a pause.
+/// A discovery that ignores the hold time, and always has the same list, is not requested in a busy loop.
 #[tokio::test(start_paused = true)]
-async fn who_does_not_wait_is_not_called_without_a_pause() {
-    let (address, calls, _) = agent(&[Says::Text(OK)]).await;
-    let (_door, mut inbox, _task) = follow(address, true, 1, None);
-    let began = Instant::now();
-    while calls.load(Ordering::SeqCst) < 100 {
-        inbox.recv().await;
+async fn discovery_that_ignores_the_hold_time_is_polled_with_delays() {
+    let discovery = FakeDiscovery::start(&[FakeResponse::Text(OK)]).await;
+    let mut watch = Watch::start(&discovery, true, 1, None);
+    let started = Instant::now();
+    while discovery.request_count() < 100 {
+        watch.events.recv().await;
     }
     assert!(
-        began.elapsed() > Duration::from_secs(1),
+        started.elapsed() > Duration::from_secs(1),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
 }
--- a/tests/unit/discovery/watch_state.rs
+++ b/tests/unit/discovery/watch_state.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// How long after its recovery an agent is heard that is silent from `down` to `up`, and that answers no request sent
-/// before it has recovered.
+/// How long after its recovery an agent's list arrives where the agent is silent from `down` to `up`, and answers no
+/// request that was sent before it has recovered.
 fn delay_after_recovery(is_pushed: bool, down: Duration, up: Duration) -> Duration {
     let mut watch = WatchState::starting_at(Some(41), is_pushed);
     let mut now = Duration::ZERO;
