--- a/src/net/message_framing/chunked.rs
+++ b/src/net/message_framing/chunked.rs
@@ -1,4 +1,5 @@
-//! The decoder of chunked bodies. It is two words of state and can be handed to another process between any two bytes.
+//! The decoder of chunked bodies. Its state is ten bytes, which another process can take over between any two bytes of a
+//! body.
 
 use super::FramingError;
 
