--- a/src/dispatcher/bans.rs
+++ b/src/dispatcher/bans.rs
@@ -1,137 +1,150 @@
-//! Replicas that operators have taken out of use, by id. State only: no clock, no file, no socket.
+//! The endpoints that operators have banned, by endpoint id. State only: no clock, no file, no socket.
 //!
-//! What was said last of an id counts, whoever said it and whatever discovery tells meanwhile. What is said here of
-//! ids that are listed no more is bounded; a ban is never forgotten to make room.
+//! The latest record of an id counts, whichever process made it and whatever discovery reports meanwhile. What is
+//! remembered of ids that have left the endpoint list is bounded; a ban is never forgotten to make room. The
+//! [`BanList`] is owned by the endpoint table.
 
 use crate::routing::api::Time;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// So many ids that have left the list are remembered, the latest ones.
-const MOST_LEFT: usize = 4096;
-/// So many bans may hold at once.
-const MOST_BANS: usize = 4096;
-/// The end of a ban is remembered so long: by then every process that serves has heard of it.
-const ENDED_KEPT: Time = 60_000_000;
+/// How many ids that have left the list are remembered, the latest ones.
+const MAX_REMOVED_IDS: usize = 4096;
+/// How many bans may be in force at once.
+const MAX_BANS: usize = 4096;
+/// How long the end of a ban is remembered (microseconds): by then every process that serves has received it.
+const BAN_END_RETENTION: Time = 60_000_000;
 
-/// What was said last of an id.
+/// The latest change of an id's ban.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BanRecord {
-    /// When, in Unix microseconds.
+    /// When it was made, in Unix microseconds.
     pub at: Time,
-    /// It is out of use; else its ban has ended.
+    /// The endpoint is banned; else its ban has ended.
     pub banned: bool,
 }
 
-/// Why a call was turned down.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a ban, or its end, was rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BanError {
     /// The id was never listed.
+    #[error("no replica of this id was listed")]
     Unknown,
-    /// As many replicas are out of use as may be.
+    /// As many bans are in force as may be.
+    #[error("too many replicas are out of use")]
     TooMany,
 }
 
-/// All marks.
+/// The latest record of each id.
 pub type BanRecords = BTreeMap<Arc<str>, BanRecord>;
 
 /// The bans of a dispatcher.
 #[derive(Default)]
 pub struct BanList {
-    marks: BanRecords,
-    ended_at: BTreeMap<Arc<str>, Time>, // when the ends among them were heard of here, by this process's own clock
-    left: VecDeque<Arc<str>>,
-    left_set: HashSet<Arc<str>>,
+    records: BanRecords,
+    /// When this process learned of the end of a ban, by its own clock.
+    ban_ends: BTreeMap<Arc<str>, Time>,
+    removed_ids: HashSet<Arc<str>>,
+    removed_ids_by_age: VecDeque<Arc<str>>, // the same, oldest first
 }
 
 impl BanList {
-    /// An id has left the list; it stays known.
+    /// Remembers an id that has left the endpoint list, so that it stays known.
     pub fn on_endpoint_removed(&mut self, id: Arc<str>) {
-        if self.left_set.insert(id.clone()) {
-            self.left.push_back(id);
+        if self.removed_ids.insert(id.clone()) {
+            self.removed_ids_by_age.push_back(id);
         }
-        if self.left.len() > MOST_LEFT {
-            self.left
-                .pop_front()
-                .map(|oldest| self.left_set.remove(&oldest));
+        if self.removed_ids_by_age.len() > MAX_REMOVED_IDS {
+            if let Some(oldest) = self.removed_ids_by_age.pop_front() {
+                self.removed_ids.remove(&oldest);
+            }
         }
     }
 
-    /// Takes an id out of use, or back. `listed`: the list has it now. Tells whether anything changes: calls may
-    /// come more than once.
+    /// Bans an id, or ends its ban. `is_listed`: the endpoint list has it now. Returns whether anything changes: the same
+    /// call may be repeated.
+    ///
+    /// # Errors
+    ///
+    /// [`BanError`] where the id is not known or there are too many bans; nothing changes then.
     pub fn set(
         &mut self,
         now: Time,
         id: &Arc<str>,
         banned: bool,
-        listed: bool,
+        is_listed: bool,
     ) -> Result<bool, BanError> {
-        self.forget_ended(now);
-        let known = listed || self.left_set.contains(id) || self.marks.contains_key(id);
-        if !known {
+        self.remove_expired(now);
+        let is_known = is_listed || self.removed_ids.contains(id) || self.records.contains_key(id);
+        if !is_known {
             return Err(BanError::Unknown);
         }
         if self.is_banned(id) == banned {
             return Ok(false);
         }
-        if banned && self.marks.values().filter(|mark| mark.banned).count() >= MOST_BANS {
+        let bans = self.records.values().filter(|record| record.banned);
+        if banned && bans.count() >= MAX_BANS {
             return Err(BanError::TooMany);
         }
-        // A word is newer than the one that it replaces, also where another process's clock ran ahead.
-        let at = self.marks.get(id).map_or(now, |old| now.max(old.at + 1));
+        // A record is newer than the one that it replaces, also where another process's clock ran ahead.
+        let at = self
+            .records
+            .get(id)
+            .map_or(now, |previous| now.max(previous.at + 1));
         self.store(now, id, BanRecord { at, banned });
         Ok(true)
     }
 
-    /// Takes in what another process knows; the newest word on each id counts. Tells the ids whose state changed.
+    /// Merges the records of another process; the newest record of each id counts. Returns the ids whose ban changed.
     pub fn merge(&mut self, now: Time, others: &BanRecords) -> Vec<Arc<str>> {
-        self.forget_ended(now);
-        let mut changed = Vec::new();
-        for (id, mark) in others {
-            // Other processes' clocks may be off: the end of a ban that holds here is news, whenever it was said.
-            let is_old = mark.at.saturating_add(ENDED_KEPT) < now;
-            let stale = !mark.banned && is_old && !self.is_banned(id);
+        self.remove_expired(now);
+        let mut changed_ids = Vec::new();
+        for (id, record) in others {
+            // Other processes' clocks may be off: the end of a ban that is in force here counts, whenever it was made.
+            let is_old = record.at.saturating_add(BAN_END_RETENTION) < now;
+            let is_stale = !record.banned && is_old && !self.is_banned(id);
             // At the same moment the ban counts: it can do no harm that the rules forbid.
-            if stale || self.marks.get(id).is_some_and(|own| own >= mark) {
+            if is_stale || self.records.get(id).is_some_and(|own| own >= record) {
                 continue;
             }
-            if self.is_banned(id) != mark.banned {
-                changed.push(id.clone());
+            if self.is_banned(id) != record.banned {
+                changed_ids.push(id.clone());
             }
-            self.store(now, id, *mark);
+            self.store(now, id, *record);
         }
-        changed
+        changed_ids
     }
 
-    fn store(&mut self, now: Time, id: &Arc<str>, mark: BanRecord) {
-        match mark.banned {
-            true => drop(self.ended_at.remove(id)),
-            false => drop(self.ended_at.insert(id.clone(), now)),
+    fn store(&mut self, now: Time, id: &Arc<str>, record: BanRecord) {
+        if record.banned {
+            self.ban_ends.remove(id);
+        } else {
+            self.ban_ends.insert(id.clone(), now);
         }
-        self.marks.insert(id.clone(), mark);
+        self.records.insert(id.clone(), record);
     }
 
-    fn forget_ended(&mut self, now: Time) {
-        self.ended_at
-            .retain(|_, at| at.saturating_add(ENDED_KEPT) >= now);
-        self.marks
-            .retain(|id, mark| mark.banned || self.ended_at.contains_key(id));
+    fn remove_expired(&mut self, now: Time) {
+        self.ban_ends
+            .retain(|_, ended_at| ended_at.saturating_add(BAN_END_RETENTION) >= now);
+        self.records
+            .retain(|id, record| record.banned || self.ban_ends.contains_key(id));
     }
 
-    /// Whether an id is out of use.
+    /// Whether an id is banned.
     pub fn is_banned(&self, id: &str) -> bool {
-        self.marks.get(id).is_some_and(|mark| mark.banned)
+        self.records.get(id).is_some_and(|record| record.banned)
     }
 
-    /// When the end of an id's ban was heard of here, where that is remembered: by this process's own clock, for that of who
-    /// said it may be off.
+    /// When this process learned of the end of an id's ban, while that is remembered: by this process's own clock, because
+    /// that of the process that made the record may be off.
     pub fn ended_at(&self, id: &str) -> Option<Time> {
-        self.ended_at.get(id).copied()
+        self.ban_ends.get(id).copied()
     }
 
-    /// What was said of each id.
+    /// The latest record of each id.
     pub fn records(&self) -> &BanRecords {
-        &self.marks
+        &self.records
     }
 }
 
--- a/src/dispatcher/clock.rs
+++ b/src/dispatcher/clock.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's clock.
+//! The dispatcher's clock: Unix time that never jumps.
 
 use crate::routing::api::Time;
 use std::time::Duration;
@@ -7,26 +7,27 @@
 /// Unix time in microseconds, from one reading of the system's clock and a clock that never jumps.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix: Time,
+    started_at: Time,
     start: Instant,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Clock {
-            unix: unix.map_or(0, |unix| unix.as_micros() as Time),
+            started_at: since_epoch.map_or(0, |elapsed| elapsed.as_micros() as Time),
             start: Instant::now(),
         }
     }
 
-    /// The time.
+    /// The current Unix time in microseconds.
     pub fn now(&self) -> Time {
-        self.unix + self.start.elapsed().as_micros() as Time
+        self.started_at + self.start.elapsed().as_micros() as Time
     }
 
-    pub(super) fn instant(&self, at: Time) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.unix))
+    /// The moment of a Unix time; the clock's start for times before that.
+    pub(super) fn instant(&self, time: Time) -> Instant {
+        self.start + Duration::from_micros(time.saturating_sub(self.started_at))
     }
 }
--- /dev/null
+++ b/src/dispatcher/core/attempts.rs
@@ -0,0 +1,238 @@
+//! Attempts: their start, the first event of their stream, and their end.
+
+use super::Core;
+use crate::dispatcher::guard::Guard;
+use crate::dispatcher::messages::{Command, Outcome, StreamChunk};
+use crate::dispatcher::reasons::{CloseReason, EndReason};
+use crate::dispatcher::request::{Attempt, EndedAttempt, Request};
+use crate::dispatcher::rules::Rule;
+use crate::routing::api::{self, AttemptStatus, EndpointId, LoadReport, RequestId, Role, Time};
+use quartzhall_recording::RecordedOutcome;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// The end of an attempt.
+pub(super) struct AttemptEnd {
+    pub id: RequestId,
+    pub attempt: u32,
+    pub reason: EndReason,
+    pub cached_tokens: f64,
+    pub load: Option<LoadReport>,
+}
+
+impl Core {
+    /// Starts an attempt where the rules allow it. All attempts start here.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        endpoint: EndpointId,
+        timeout: Time,
+    ) {
+        let guard = Guard {
+            settings: self.settings.routing(),
+            target_of: |endpoint| self.endpoints.target(endpoint),
+            now,
+        };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let checked = guard.check_attempt(request, endpoint);
+        let attempt = request.attempts.len() as u32;
+        let previous_end = request.last_end_reason();
+        let allowed_target = checked.as_ref().ok().copied();
+        request
+            .attempts
+            .push(Attempt::new(now, endpoint, allowed_target));
+        let (target, listed) = match (checked, self.endpoints.get(endpoint)) {
+            (Ok(target), Some(listed)) => (target, listed),
+            // What the rules forbid is not sent, whatever the router decides.
+            (checked, _) => {
+                self.report_violation(now, checked.err().unwrap_or(Rule::Drain), id);
+                self.end_attempt(now, AttemptEnd::not_sent(id, attempt));
+                return;
+            }
+        };
+        self.report.attempt_started(id, attempt, endpoint);
+        // An attempt that follows a prefill is the second stage, and one beside another in flight is a hedged request.
+        if let Some(previous_end) = previous_end {
+            if previous_end != EndReason::PrefillDone {
+                self.report
+                    .attempt_retried(now, id, request, listed, previous_end);
+            }
+        }
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_attempt(now, id, attempt, endpoint);
+        }
+        let time_left = request.deadline - now;
+        let timeout = if timeout == 0 {
+            time_left
+        } else {
+            timeout.min(time_left)
+        };
+        self.commands.push(Command::StartAttempt {
+            id,
+            attempt,
+            address: listed.address.clone(),
+            upstream: request.upstream.clone(),
+            timeout: Duration::from_micros(timeout),
+            // A prefill has no effect, so that it may be repeated.
+            needs_new_connection: request.must_not_repeat && target.role != Role::Prefill,
+        });
+    }
+
+    pub(super) fn on_first_event(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u32,
+        stream: mpsc::Receiver<StreamChunk>,
+    ) {
+        let guard = Guard {
+            settings: self.settings.routing(),
+            target_of: |endpoint| self.endpoints.target(endpoint),
+            now,
+        };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        // Dropping the stream of an attempt that came too late ends it at its endpoint.
+        if guard.check_stream(request, attempt).is_err() {
+            return;
+        }
+        let Some(outcome) = request.outcome.take() else {
+            return;
+        };
+        if outcome.send(Outcome::Stream(stream)).is_err() {
+            // The client disconnected at this moment; its event is on the way.
+            return;
+        }
+        request.start_stream(attempt);
+        if let Some(started) = request.attempts.get(attempt as usize) {
+            self.endpoints.record_contact(now, started.endpoint);
+        }
+        self.report.first_event(id, attempt);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_first_event(now, id, attempt);
+        }
+        self.drive_router(now, api::Event::FirstEvent { id, attempt });
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, now: Time, end: AttemptEnd, completion_tokens: f64) {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_attempt_end(
+                now,
+                end.id,
+                end.attempt,
+                end.reason.status(),
+                end.cached_tokens,
+                completion_tokens,
+            );
+        }
+        self.end_attempt(now, end);
+    }
+
+    fn end_attempt(&mut self, now: Time, end: AttemptEnd) {
+        let AttemptEnd {
+            id,
+            attempt,
+            reason,
+            cached_tokens,
+            load,
+        } = end;
+        let status = reason.status();
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let role_of = |endpoint| self.endpoints.get(endpoint).map(|listed| listed.role);
+        let Some(ended) = request.end_attempt(now, attempt, reason, role_of) else {
+            return;
+        };
+        let EndedAttempt {
+            endpoint,
+            was_open_stream,
+        } = ended;
+        if reason.is_response() {
+            self.endpoints.record_contact(now, endpoint);
+        }
+        if was_open_stream {
+            self.record_stream_end(now, id, endpoint, status);
+        }
+        // While attempts reach no endpoint, the router may start the next one at once, each time: what a broken prefill may
+        // have left is released in between.
+        if self.requests.get(id).is_some_and(Request::is_waiting) {
+            self.release_or_remove(now, id);
+        }
+        // The other endpoints would find the request invalid too: it would go round the whole fleet, and its endpoints would
+        // be ejected for it.
+        if status == AttemptStatus::InvalidRequest {
+            let invalid = Outcome::InvalidRequest;
+            self.close_request(now, id, CloseReason::InvalidRequest, invalid);
+        }
+        let request = self.requests.get(id);
+        let request_closed = request.is_some_and(Request::is_closed);
+        let endpoint_id_of = |endpoint| Some(self.endpoints.get(endpoint)?.id.to_string());
+        self.report
+            .attempt_end_counted(now, id, attempt, reason, request, endpoint_id_of);
+        self.report
+            .attempt_ended(id, attempt, endpoint, status, cached_tokens, request_closed);
+        if let Some(load) = &load {
+            self.share_load(now, endpoint, load);
+        }
+        if is_endpoint_failure(status) {
+            self.share_failure(endpoint);
+        }
+        self.drive_router(
+            now,
+            api::Event::AttemptEnded {
+                id,
+                attempt,
+                endpoint,
+                status,
+                request_closed,
+                cached_tokens,
+                load,
+            },
+        );
+        self.release_or_remove(now, id);
+    }
+
+    /// Records how the client's stream ended, by its complete end or by its break; its client may have disconnected before.
+    fn record_stream_end(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        endpoint: EndpointId,
+        status: AttemptStatus,
+    ) {
+        if status == AttemptStatus::Served {
+            self.record_outcome(now, id, RecordedOutcome::Served);
+            return;
+        }
+        self.record_outcome(now, id, RecordedOutcome::StreamBroken);
+        if let Some(request) = self.requests.get(id) {
+            self.report.stream_broken(id, request, endpoint, status);
+        }
+    }
+}
+
+impl AttemptEnd {
+    /// The end of an attempt that the rules forbid.
+    fn not_sent(id: RequestId, attempt: u32) -> Self {
+        AttemptEnd {
+            id,
+            attempt,
+            reason: EndReason::NotSent,
+            cached_tokens: 0.0,
+            load: None,
+        }
+    }
+}
+
+/// Whether other dispatchers are told that an attempt at this endpoint failed.
+fn is_endpoint_failure(status: AttemptStatus) -> bool {
+    matches!(
+        status,
+        AttemptStatus::Reset | AttemptStatus::Error | AttemptStatus::ConnectFailed
+    )
+}
--- /dev/null
+++ b/src/dispatcher/core/requests.rs
@@ -0,0 +1,245 @@
+//! The life of a request: its arrival, its final outcome, its deadline, and the release of what is reserved for it.
+
+use super::Core;
+use crate::dispatcher::guard::Guard;
+use crate::dispatcher::messages::{Command, Outcome, UpstreamRequest};
+use crate::dispatcher::reasons::CloseReason;
+use crate::dispatcher::request::Request;
+use crate::dispatcher::reservation::ReservationDemand;
+use crate::dispatcher::rules::Rule;
+use crate::routing::api::{self, FailureReason, Idempotency, RequestId, RequestMetadata, Time};
+use crate::variants::{breaks, Variant};
+use quartzhall_recording::RecordedOutcome;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+impl Core {
+    pub(super) fn on_request_arrived(
+        &mut self,
+        now: Time,
+        metadata: RequestMetadata,
+        upstream: UpstreamRequest,
+        outcome: oneshot::Sender<Outcome>,
+    ) {
+        let client_request_id = &upstream.client_request_id;
+        let idempotency = self.settings.idempotency_of(metadata.class);
+        // An id that is in flight is never a second request: endpoints know requests by it alone.
+        if self.requests.is_open(client_request_id) {
+            let reason = CloseReason::DuplicateId;
+            self.reject_request(
+                now,
+                client_request_id,
+                reason,
+                outcome,
+                Outcome::DuplicateId,
+            );
+            return;
+        }
+        // A client that submits an id again of which something may have run is never told that it may try again.
+        let is_idempotent = idempotency == Idempotency::Idempotent;
+        if !is_idempotent && self.requests.may_have_run(client_request_id) {
+            let reason = CloseReason::MayHaveRun;
+            self.reject_request(
+                now,
+                client_request_id,
+                reason,
+                outcome,
+                Outcome::DuplicateId,
+            );
+            return;
+        }
+        // A request beyond the limit never reaches the router. Nothing was sent, so it may be shed.
+        if self.requests.len() >= self.settings.max_requests() {
+            let shed = Outcome::Shed {
+                retry_after: self.settings.max_retry_after(),
+            };
+            let reason = CloseReason::TableFull;
+            self.reject_request(now, client_request_id, reason, outcome, shed);
+            return;
+        }
+        if let Some(gossip) = &mut self.gossip {
+            gossip.on_request();
+        }
+        self.report.request_arrived(&metadata, client_request_id);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_arrival(now, &metadata);
+        }
+        let request = Request::new(now, &metadata, upstream, idempotency, outcome);
+        self.requests.insert(metadata.id, request);
+        self.drive_router(now, api::Event::RequestArrived(metadata));
+    }
+
+    /// Answers a request that does not enter the table.
+    fn reject_request(
+        &mut self,
+        now: Time,
+        client_request_id: &str,
+        reason: CloseReason,
+        sender: oneshot::Sender<Outcome>,
+        outcome: Outcome,
+    ) {
+        let open_requests = self.requests.len();
+        self.report
+            .request_rejected(now, client_request_id, reason, open_requests);
+        let _ = sender.send(outcome);
+    }
+
+    pub(super) fn on_client_disconnected(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        may_have_run_reply: Option<oneshot::Sender<bool>>,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if breaks(Variant::ClientGone) && request.is_waiting() {
+            return;
+        }
+        request.may_have_run_reply = may_have_run_reply;
+        // A stream that has begun ends at its endpoint when its receiver is dropped, as the client's side does.
+        if request.close() {
+            request.outcome = None;
+            self.report.client_disconnected(now, id);
+            self.record_outcome(now, id, RecordedOutcome::ClientDisconnected);
+            self.drive_router(now, api::Event::ClientDisconnected { id });
+        }
+        self.release_or_remove(now, id);
+    }
+
+    /// Sheds a request, or fails it where the client must not be told that trying again is harmless.
+    pub(super) fn shed_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        reason: FailureReason,
+        retry_after: Duration,
+    ) {
+        let guard = Guard {
+            settings: self.settings.routing(),
+            target_of: |endpoint| self.endpoints.target(endpoint),
+            now,
+        };
+        if let Some(request) = self.requests.get(id) {
+            match guard.check_shed(request) {
+                // A client that is shed may try again, here or elsewhere, before the close of that attempt has arrived.
+                Ok(())
+                    if !guard.is_idempotent(request) && guard.was_abandoned_recently(request) =>
+                {
+                    self.close_request(now, id, CloseReason::Failed(reason), Outcome::Failed);
+                }
+                Ok(()) => {
+                    let shed = Outcome::Shed { retry_after };
+                    self.close_request(now, id, CloseReason::Shed(reason), shed);
+                }
+                Err(rule) => {
+                    self.report_violation(now, rule, id);
+                    self.close_request(now, id, CloseReason::Failed(reason), Outcome::Failed);
+                }
+            }
+        }
+        self.release_or_remove(now, id);
+    }
+
+    /// Sends the final outcome of a request that waits for it; every outcome but a stream passes here.
+    pub(super) fn close_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        reason: CloseReason,
+        outcome: Outcome,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if !request.is_waiting() {
+            return;
+        }
+        request.close();
+        self.report.request_closed(now, id, request, reason);
+        self.report.outcome_ready(id, &outcome);
+        let recorded = match &outcome {
+            Outcome::Shed { .. } => RecordedOutcome::Shed,
+            _ => RecordedOutcome::Failed,
+        };
+        if let Some(sender) = request.outcome.take() {
+            if breaks(Variant::FinalAnswer) {
+                std::mem::forget(sender);
+            } else {
+                let _ = sender.send(outcome);
+            }
+        }
+        self.record_outcome(now, id, recorded);
+    }
+
+    pub(super) fn record_outcome(&mut self, now: Time, id: RequestId, outcome: RecordedOutcome) {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_outcome(now, id, outcome);
+        }
+    }
+
+    /// Counts and logs that a rule was violated, or that a violation was prevented.
+    pub(super) fn report_violation(&mut self, now: Time, rule: Rule, id: RequestId) {
+        let request = self.requests.get(id);
+        self.report.violation(now, rule, id, request);
+    }
+
+    /// Checks every request: its deadline, and for how long something has been reserved for it.
+    pub(super) fn check_deadlines(&mut self, now: Time) {
+        for id in self.requests.ids_to_check() {
+            self.check_deadline(now, id);
+        }
+    }
+
+    fn check_deadline(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if request.is_waiting() && now >= request.deadline {
+            // The router closes requests in time by itself; this guards the client against a fault there.
+            let slack = self.settings.response_slack();
+            if now >= request.deadline.saturating_add(slack) {
+                self.report_violation(now, Rule::FinalAnswer, id);
+            }
+            self.close_request(now, id, CloseReason::DeadlinePassed, Outcome::Failed);
+            self.drive_router(now, api::Event::ClientDisconnected { id });
+        }
+        self.release_or_remove(now, id);
+    }
+
+    pub(super) fn on_release_completed(&mut self, now: Time, id: RequestId, is_confirmed: bool) {
+        if !is_confirmed {
+            self.report.release_failed(now);
+            self.report_violation(now, Rule::HeldState, id);
+        }
+        if let Some(request) = self.requests.get_mut(id) {
+            request.reservation.on_release_completed(now);
+        }
+        self.release_or_remove(now, id);
+    }
+
+    /// Releases what is reserved for a request where it is due, and removes the request when it is finished.
+    pub(super) fn release_or_remove(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let demand = request.reservation_demand();
+        if demand == ReservationDemand::AttemptInFlight && breaks(Variant::HeldState) {
+            return;
+        }
+        let ttl = self.settings.reservation_ttl();
+        if let Some(reason) = request.reservation.start_release(now, ttl, demand) {
+            self.report.release_started(now, id, request, reason);
+            // Any endpoint forwards the release to the one that holds the KV cache.
+            let addresses = self
+                .endpoints
+                .release_addresses(request.attempted_endpoints());
+            self.commands.push(Command::ReleaseReservation {
+                id,
+                client_request_id: request.upstream.client_request_id.clone(),
+                addresses,
+            });
+        }
+        self.requests.remove_if_finished(now, id);
+    }
+}
--- /dev/null
+++ b/src/dispatcher/core/router_actions.rs
@@ -0,0 +1,71 @@
+//! The core's side of the router: it passes events to the router and executes the actions that follow.
+
+use super::Core;
+use crate::dispatcher::messages::{Command, Outcome};
+use crate::dispatcher::reasons::CloseReason;
+use crate::routing::api::{self, Action, FailureReason, RequestId, Time};
+use crate::variants::{breaks, Variant};
+use std::cmp::Reverse;
+use std::time::Duration;
+
+impl Core {
+    /// Passes one event to the router and executes its actions, in order.
+    pub(super) fn drive_router(&mut self, now: Time, event: api::Event) {
+        let mut actions = Vec::new();
+        self.router.handle(now, event, &mut actions);
+        for action in actions {
+            self.execute(now, action);
+        }
+    }
+
+    fn execute(&mut self, now: Time, action: Action) {
+        match action {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => self.start_attempt(now, id, endpoint, timeout),
+            Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::Shed {
+                id,
+                retry_after,
+                reason,
+            } => self.shed_request(now, id, reason, Duration::from_micros(retry_after)),
+            Action::Fail { id, reason } => self.fail_request(now, id, reason),
+            Action::ReleaseReservation { id } => self.abandon_reservation(now, id),
+            Action::SetTimer { at } => self.timers.push(Reverse(at)),
+            Action::Probe { endpoint } => self.probe_endpoint(endpoint),
+            // Discovery is always watched.
+            Action::WatchEndpoints => {}
+        }
+    }
+
+    fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        // A stream that has begun belongs to the client and is not cancelled.
+        if request.stream() != Some(attempt) && request.is_in_flight(attempt) {
+            self.commands.push(Command::CancelAttempt { id, attempt });
+        }
+    }
+
+    fn fail_request(&mut self, now: Time, id: RequestId, reason: FailureReason) {
+        let outcome = if breaks(Variant::Duplicate) {
+            Outcome::Shed {
+                retry_after: Duration::ZERO,
+            }
+        } else {
+            Outcome::Failed
+        };
+        self.close_request(now, id, CloseReason::Failed(reason), outcome);
+        self.release_or_remove(now, id);
+    }
+
+    fn abandon_reservation(&mut self, now: Time, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.reservation.abandon(now);
+        }
+        self.release_or_remove(now, id);
+    }
+}
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -1,42 +1,48 @@
-//! The nodes' table: what the list says of each, what operators say, and what holds. It does no I/O: what follows
-//! for connections is returned as commands.
+//! The endpoint table: what the list reports of each endpoint, what operators have banned, and the status that results. It
+//! does no I/O: what follows for connections is returned as commands. The core owns the table; the table owns the bans.
 
-use super::guard::EndpointTarget;
-use super::messages::{Command, DiscoveredEndpoint};
+mod contacts;
+mod update;
+
+use self::contacts::Contacts;
+use super::endpoint_target::EndpointTarget;
+use super::messages::Command;
+use super::report::Report;
 use crate::dispatcher::bans::{BanError, BanList, BanRecords};
 use crate::gossip;
 use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use crate::variants::{breaks, Variant};
-use slog::{debug, info, Logger};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Addresses that one call is passed on to at the most: any node takes it, and all of a large fleet are not to be listed
-/// for each.
-const MOST_ADDRESSES: usize = 64;
-/// EndpointChanges of a start takes no longer than this, by the protocol.
-const NEWS_TAKES: Time = 6_000_000;
-/// Of these, so many are the servers that were heard of last.
-const MOST_HEARD: usize = 32;
+/// How many addresses a release names at most: any endpoint accepts it, and a large fleet is not to be listed for each.
+const MAX_RELEASE_ADDRESSES: usize = 64;
+/// How many of these are the endpoints with the latest contact.
+const MAX_RECENT_CONTACTS: usize = 32;
 
-/// A node of the table.
+/// An endpoint of the table.
 pub(super) struct Endpoint {
-    pub name: Arc<str>,
+    pub id: Arc<str>,
     pub address: Arc<str>,
     pub role: Role,
-    pub state: EndpointStatus, // what holds: operators' word comes before the list's
-    pub listed: EndpointRecord, // what the list says
-    listed_start: Option<Time>, // when it started, as the list has it
-    back_at: Option<Time>,     // when operators let it be used again
-    past: Option<Arc<str>>,    // where it was before it moved
+    /// The status in force: bans come before the list.
+    pub status: EndpointStatus,
+    /// What the list reports.
+    pub listed: EndpointRecord,
+    /// When it started, as the list reports it: not corrected for the clocks of others.
+    listed_start: Option<Time>,
+    /// When its latest ban ended.
+    ban_ended_at: Option<Time>,
+    /// Its address before it moved.
+    previous_address: Option<Arc<str>>,
 }
 
 impl Endpoint {
-    /// What the module is told: one that is out of use drains, and one that is back has started then.
-    pub fn entry(&self) -> EndpointRecord {
+    /// What the router receives: an endpoint that is banned is draining, and one whose ban has ended started then.
+    pub fn effective_record(&self) -> EndpointRecord {
         EndpointRecord {
-            status: self.state,
-            started_at: self.listed.started_at.max(self.back_at),
+            status: self.status,
+            started_at: self.listed.started_at.max(self.ban_ended_at),
             ..self.listed.clone()
         }
     }
@@ -45,349 +51,257 @@
 /// What a change of the table means for others.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
-    /// For the module.
-    pub entries: Vec<EndpointRecord>,
-    /// Those that are in another state or place than before, by name.
-    pub noted: Vec<(Arc<str>, EndpointRecord)>,
+    /// For the router.
+    pub records: Vec<EndpointRecord>,
+    /// For the recording, with their ids: endpoints whose status or address has changed.
+    pub recorded: Vec<(Arc<str>, EndpointRecord)>,
 }
 
-/// The table. Numbers name nodes to the module; a number is used once.
+/// The table. Numbers name endpoints to the router; a number is used once.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     numbers: HashMap<Arc<str>, EndpointId>,
-    hashed: HashMap<u32, BTreeSet<EndpointId>>, // by what other dispatchers know them by
     next_number: EndpointId,
-    nodes: BTreeMap<EndpointId, Endpoint>,
-    barred: HashSet<Arc<str>>, // addresses to which nothing new may go, as was last commanded
+    endpoints: BTreeMap<EndpointId, Endpoint>,
+    by_gossip_hash: HashMap<u32, BTreeSet<EndpointId>>,
+    /// Addresses that are blocked by the commands given so far.
+    blocked_addresses: HashSet<Arc<str>>,
     has_list: bool,
     bans: BanList,
-    bans_changed: bool,
-    heard: BTreeSet<(Time, EndpointId)>, // when each server was last heard of
-    heard_at: HashMap<EndpointId, Time>,
+    has_ban_changes: bool,
+    contacts: Contacts,
 }
 
 impl EndpointTable {
-    pub fn get(&self, server: EndpointId) -> Option<&Endpoint> {
-        self.nodes.get(&server)
+    pub fn get(&self, endpoint: EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(&endpoint)
     }
 
-    /// Those of the list, and those that are gone and still have attempts out.
+    /// How many endpoints there are: those of the list, and removed ones with attempts in flight.
     pub fn len(&self) -> usize {
-        self.nodes.len()
+        self.endpoints.len()
+    }
+
+    /// Whether an endpoint is ready that can process the prompt, alone or with others.
+    pub fn can_prefill(&self) -> bool {
+        self.is_any_ready_besides(Role::Decode)
+    }
+
+    /// Whether an endpoint is ready that can generate the response, alone or with others.
+    pub fn can_decode(&self) -> bool {
+        self.is_any_ready_besides(Role::Prefill)
     }
 
-    /// Whether one that is not of this role could be used.
-    pub fn any_ready(&self, spared: Role) -> bool {
-        self.nodes
+    fn is_any_ready_besides(&self, role: Role) -> bool {
+        self.endpoints
             .values()
-            .any(|it| it.state == EndpointStatus::Ready && it.role != spared)
+            .any(|endpoint| endpoint.status == EndpointStatus::Ready && endpoint.role != role)
     }
 
-    /// The one node that others know by this hash; none where two share it.
-    pub fn by_hash(&self, hash: u32) -> Option<EndpointId> {
-        let named = self.hashed.get(&hash).filter(|named| named.len() == 1)?;
-        named.first().copied()
+    /// The one endpoint that other dispatchers know by this hash; none where two share it.
+    pub fn by_gossip_hash(&self, hash: u32) -> Option<EndpointId> {
+        let endpoints = self.by_gossip_hash.get(&hash)?;
+        if endpoints.len() == 1 {
+            endpoints.first().copied()
+        } else {
+            None
+        }
     }
 
-    /// What the rules ask of a server; `None` where it is not known.
-    pub fn target(&self, server: EndpointId) -> Option<EndpointTarget> {
-        let node = self.nodes.get(&server)?;
+    /// What the rules depend on; `None` where the endpoint is not known.
+    pub fn target(&self, endpoint: EndpointId) -> Option<EndpointTarget> {
+        let endpoint = self.endpoints.get(&endpoint)?;
         Some(EndpointTarget {
-            role: node.role,
-            zone: node.listed.zone,
-            cell: node.listed.cell,
-            state: node.state,
+            role: endpoint.role,
+            zone: endpoint.listed.zone,
+            cell: endpoint.listed.cell,
+            status: endpoint.status,
         })
     }
 
-    /// A server has answered something: it runs.
-    pub fn heard_from(&mut self, now: Time, server: EndpointId) {
-        if !self.nodes.contains_key(&server) {
-            return;
+    /// Records that an endpoint has responded: it is running.
+    pub fn record_contact(&mut self, now: Time, endpoint: EndpointId) {
+        if self.endpoints.contains_key(&endpoint) {
+            self.contacts.record(now, endpoint);
         }
-        if let Some(before) = self.heard_at.insert(server, now) {
-            self.heard.remove(&(before, server));
-        }
-        self.heard.insert((now, server));
     }
 
-    /// Where something may be passed on for a request: the servers heard of last, for they are the likeliest to run; then those
-    /// where it was tried, in that order; then some others.
-    pub fn addresses(&self, tried: impl Iterator<Item = EndpointId>) -> Vec<Arc<str>> {
-        let heard = self
-            .heard
-            .iter()
-            .rev()
-            .map(|(_, server)| *server)
-            .take(MOST_HEARD);
-        let known = heard
-            .chain(tried)
-            .filter_map(|server| self.nodes.get(&server));
-        let rest = self
-            .nodes
+    /// Addresses that may be told to release what is reserved for a request: the endpoints with the latest contact first,
+    /// which are the most likely to run; then those where the request was attempted, in that order; then some others.
+    pub fn release_addresses(&self, attempted: impl Iterator<Item = EndpointId>) -> Vec<Arc<str>> {
+        let preferred = self
+            .contacts
+            .latest_first()
+            .take(MAX_RECENT_CONTACTS)
+            .chain(attempted)
+            .filter_map(|endpoint| self.endpoints.get(&endpoint));
+        let ready = self
+            .endpoints
             .values()
-            .filter(|node| node.state == EndpointStatus::Ready);
+            .filter(|endpoint| endpoint.status == EndpointStatus::Ready);
         let mut seen = HashSet::new();
-        let known = known
-            .chain(rest)
-            .filter(|node| node.state != EndpointStatus::Removed);
-        let addresses = known
-            .map(|node| &node.address)
-            .filter(|address| seen.insert(*address));
-        addresses.take(MOST_ADDRESSES).cloned().collect()
-    }
-
-    /// Gives a member of which only the state could be read the rest, as it was told before; false where nothing was.
-    fn complement(&self, member: &mut DiscoveredEndpoint) -> bool {
-        let Some(node) = self
-            .numbers
-            .get(&member.id)
-            .and_then(|it| self.nodes.get(it))
-        else {
-            return false;
-        };
-        member.address = node.address.clone();
-        member.record = EndpointRecord {
-            status: member.record.status,
-            ..node.listed.clone()
-        };
-        true
-    }
-
-    /// When a server started, by this process's clock: it is told in Unix time, and a wall clock may have been stepped, there or
-    /// here. A start of which a list tells that had another one before, or none, came at most so long before as news may take.
-    fn started_at(&self, now: Time, before: Option<&Endpoint>, told: Option<Time>) -> Option<Time> {
-        let told = told?;
-        let same = before.filter(|node| node.listed_start == Some(told));
-        if let Some(node) = same {
-            return node.listed.started_at;
+        let mut addresses = Vec::new();
+        for endpoint in preferred.chain(ready) {
+            if addresses.len() == MAX_RELEASE_ADDRESSES {
+                break;
+            }
+            let is_removed = endpoint.status == EndpointStatus::Removed;
+            if !is_removed && seen.insert(&endpoint.address) {
+                addresses.push(endpoint.address.clone());
+            }
         }
-        let earliest = if self.has_list {
-            now.saturating_sub(NEWS_TAKES)
-        } else {
-            0
-        };
-        Some(told.clamp(earliest, now))
+        addresses
     }
 
-    /// What the list says now: all of it, or what has changed.
-    pub fn list(
-        &mut self,
-        now: Time,
-        complete: bool,
-        members: Vec<DiscoveredEndpoint>,
-        log: &Logger,
-    ) -> EndpointChanges {
-        let mut news = EndpointChanges::default();
-        let mut named = HashSet::new();
-        for mut member in members {
-            if member.is_partial && !self.complement(&mut member) {
-                continue;
+    /// Commands for what has changed for connections: nothing new goes to the address of an endpoint that is not ready,
+    /// nor to one that an endpoint has left, unless a ready endpoint has that address now.
+    pub fn take_block_commands(&mut self) -> Vec<Command> {
+        let mut blocked = HashSet::new();
+        for endpoint in self.endpoints.values() {
+            if endpoint.status != EndpointStatus::Ready {
+                blocked.insert(endpoint.address.clone());
             }
-            let DiscoveredEndpoint {
-                id: name,
+            blocked.extend(endpoint.previous_address.clone());
+        }
+        for endpoint in self.endpoints.values() {
+            if endpoint.status == EndpointStatus::Ready {
+                blocked.remove(&endpoint.address);
+            }
+        }
+        let previously_blocked = std::mem::replace(&mut self.blocked_addresses, blocked);
+        let newly_blocked = sorted_difference(&self.blocked_addresses, &previously_blocked);
+        let unblocked = sorted_difference(&previously_blocked, &self.blocked_addresses);
+        let mut commands = Vec::new();
+        for address in newly_blocked {
+            commands.push(Command::BlockAddress {
                 address,
-                record: mut entry,
-                is_partial: partial,
-            } = member;
-            let server = *self.numbers.entry(name.clone()).or_insert_with(|| {
-                self.next_number += 1;
-                self.next_number - 1
+                is_blocked: true,
             });
-            named.insert(server);
-            entry.endpoint = server;
-            let before = self.nodes.remove(&server);
-            let back_at = before
-                .as_ref()
-                .and_then(|it| it.back_at)
-                .max(self.bans.ended_at(&name));
-            let state = self.state_of(&name, entry.status);
-            let role = entry.role;
-            let moved = before
-                .as_ref()
-                .filter(|it| it.address != address)
-                .map(|it| it.address.clone());
-            if moved.is_some() {
-                debug!(log, "a node has moved"; "server" => server, "address" => %address);
-            }
-            let past = moved.or_else(|| before.as_ref().and_then(|it| it.past.clone()));
-            let told = entry.started_at;
-            // Of one that leaves only that could be read: its start is as it was.
-            let listed_start = if partial {
-                before.as_ref().and_then(|it| it.listed_start)
-            } else {
-                told
-            };
-            if !partial {
-                entry.started_at = self.started_at(now, before.as_ref(), told);
-            }
-            let address_here = address.clone();
-            let node = Endpoint {
-                name,
-                address: address_here,
-                role,
-                state,
-                listed: entry,
-                listed_start,
-                back_at,
-                past,
-            };
-            let entry = node.entry();
-            if before
-                .as_ref()
-                .is_none_or(|it| it.state != state || it.address != address)
-            {
-                debug!(log, "a node's state"; "server" => server, "name" => %node.name,
-                    "address" => %address, "role" => ?role, "state" => ?state, "started" => ?node.listed.started_at);
-                news.noted.push((node.name.clone(), entry.clone()));
-            }
-            self.hashed
-                .entry(gossip::endpoint_hash(entry.key))
-                .or_default()
-                .insert(server);
-            self.nodes.insert(server, node);
-            news.entries.push(entry);
         }
-        self.has_list = true;
-        if complete {
-            for (_, node) in self
-                .nodes
-                .iter_mut()
-                .filter(|(server, _)| !named.contains(server))
-            {
-                (node.listed.status, node.state) =
-                    (EndpointStatus::Removed, EndpointStatus::Removed);
-            }
+        for address in unblocked {
+            commands.push(Command::BlockAddress {
+                address,
+                is_blocked: false,
+            });
         }
-        news
+        commands
     }
 
-    /// What has changed for connections: nothing new goes to the address of a node that is to get nothing, nor to one
-    /// that a node has left, unless one that may be used is there now.
-    pub fn bars(&mut self) -> Vec<Command> {
-        let ready = |node: &&Endpoint| node.state == EndpointStatus::Ready;
-        let left = self
-            .nodes
-            .values()
-            .filter(|it| !ready(it))
-            .map(|it| &it.address);
-        let past = self.nodes.values().filter_map(|it| it.past.as_ref());
-        let mut barred: HashSet<Arc<str>> = left.chain(past).cloned().collect();
-        for node in self.nodes.values().filter(ready) {
-            barred.remove(&node.address);
+    /// Removes endpoints that have left the list and have no attempt in flight: ids and addresses are ever new, and the
+    /// table must not grow with them. Their blocks go too, because nothing can be sent to an endpoint that is not in the
+    /// table.
+    pub fn forget_removed(&mut self, in_use: &HashSet<EndpointId>) -> Vec<EndpointId> {
+        let mut forgotten = Vec::new();
+        for (number, endpoint) in &self.endpoints {
+            if endpoint.status == EndpointStatus::Removed && !in_use.contains(number) {
+                forgotten.push(*number);
+            }
         }
-        let before = std::mem::replace(&mut self.barred, barred);
-        let changed = |from: &HashSet<Arc<str>>, to: &HashSet<Arc<str>>, barred| {
-            let mut changed: Vec<Arc<str>> = to.difference(from).cloned().collect();
-            changed.sort();
-            changed
-                .into_iter()
-                .map(move |address| Command::BlockAddress {
-                    address,
-                    is_blocked: barred,
-                })
-        };
-        changed(&before, &self.barred, true)
-            .chain(changed(&self.barred, &before, false))
-            .collect()
+        for number in &forgotten {
+            self.forget(*number);
+        }
+        forgotten
     }
 
-    /// The state that holds, by what the list says.
-    fn state_of(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
-        match listed {
-            EndpointStatus::Draining if breaks(Variant::Drain) => EndpointStatus::Ready,
-            EndpointStatus::Ready if self.bans.is_banned(name) => EndpointStatus::Draining,
-            other => other,
+    fn forget(&mut self, number: EndpointId) {
+        let Some(endpoint) = self.endpoints.remove(&number) else {
+            return;
+        };
+        self.contacts.forget(number);
+        self.numbers.remove(&endpoint.id);
+        let hash = gossip::endpoint_hash(endpoint.listed.key);
+        if let Some(endpoints) = self.by_gossip_hash.get_mut(&hash) {
+            endpoints.remove(&number);
+            if endpoints.is_empty() {
+                self.by_gossip_hash.remove(&hash);
+            }
         }
+        self.bans.on_endpoint_removed(endpoint.id);
     }
+}
 
-    /// An operator takes a node out of use, or back; no news where that holds already.
-    pub fn ban(
+/// Bans.
+impl EndpointTable {
+    /// Bans an endpoint, or ends its ban. Nothing changes where that is in force already.
+    ///
+    /// # Errors
+    ///
+    /// [`BanError`] where the id is not known or there are too many bans.
+    pub fn set_ban(
         &mut self,
         now: Time,
-        name: Arc<str>,
+        id: Arc<str>,
         banned: bool,
-        log: &Logger,
+        report: &Report,
     ) -> Result<EndpointChanges, BanError> {
-        let listed = self.numbers.contains_key(&name);
-        if !self.bans.set(now, &name, banned, listed)? {
+        let is_listed = self.numbers.contains_key(&id);
+        if !self.bans.set(now, &id, banned, is_listed)? {
             return Ok(EndpointChanges::default());
         }
-        self.bans_changed = true;
-        Ok(self.banned(&[name], log))
+        self.has_ban_changes = true;
+        Ok(self.apply_bans(&[id], report))
     }
 
-    /// What another process of this dispatcher knows of nodes that are out of use.
-    pub fn merge(&mut self, now: Time, marks: &BanRecords, log: &Logger) -> EndpointChanges {
-        let changed = self.bans.merge(now, marks);
-        self.bans_changed |= !changed.is_empty();
-        self.banned(&changed, log)
+    /// Merges the ban records of another process of this dispatcher.
+    pub fn merge_bans(
+        &mut self,
+        now: Time,
+        records: &BanRecords,
+        report: &Report,
+    ) -> EndpointChanges {
+        let changed_ids = self.bans.merge(now, records);
+        if !changed_ids.is_empty() {
+            self.has_ban_changes = true;
+        }
+        self.apply_bans(&changed_ids, report)
     }
 
-    /// Operators have taken these out of use, or back.
-    fn banned(&mut self, names: &[Arc<str>], log: &Logger) -> EndpointChanges {
-        let mut news = EndpointChanges::default();
-        for name in names {
-            let banned = self.bans.is_banned(name);
-            info!(log, "operators' word on a replica"; "name" => %name, "banned" => banned);
-            let Some(server) = self.numbers.get(name) else {
+    /// Updates the endpoints of ids whose ban has changed.
+    fn apply_bans(&mut self, ids: &[Arc<str>], report: &Report) -> EndpointChanges {
+        let mut changes = EndpointChanges::default();
+        for id in ids {
+            report.ban_changed(id, self.bans.is_banned(id));
+            let Some(number) = self.numbers.get(id) else {
                 continue;
             };
-            let state = self
-                .nodes
-                .get(server)
-                .map(|node| self.state_of(name, node.listed.status));
-            let (Some(node), Some(state)) = (self.nodes.get_mut(server), state) else {
+            let Some(endpoint) = self.endpoints.get_mut(number) else {
                 continue;
             };
-            node.state = state;
-            node.back_at = node.back_at.max(self.bans.ended_at(name));
-            let entry = node.entry();
-            news.noted.push((name.clone(), entry.clone()));
-            news.entries.push(entry);
+            endpoint.status = effective_status(&self.bans, id, endpoint.listed.status);
+            endpoint.ban_ended_at = endpoint.ban_ended_at.max(self.bans.ended_at(id));
+            let record = endpoint.effective_record();
+            changes.recorded.push((id.clone(), record.clone()));
+            changes.records.push(record);
         }
-        news
+        changes
     }
 
-    /// What operators have said, where that is new since the last call.
-    pub fn new_marks(&mut self) -> Option<BanRecords> {
-        std::mem::take(&mut self.bans_changed).then(|| self.bans.records().clone())
+    /// All ban records, if one has changed since the last call.
+    pub fn take_changed_bans(&mut self) -> Option<BanRecords> {
+        if std::mem::take(&mut self.has_ban_changes) {
+            Some(self.bans.records().clone())
+        } else {
+            None
+        }
     }
+}
 
-    /// Lets go of nodes that are gone and have no attempt out: names and addresses are ever new, and the table
-    /// must not grow with them. Their bars go too, for nothing can be sent to a node that is not in the table.
-    pub fn forget_gone(&mut self, busy: &HashSet<EndpointId>) -> Vec<EndpointId> {
-        let over = |(server, node): &(&EndpointId, &Endpoint)| {
-            node.state == EndpointStatus::Removed && !busy.contains(server)
-        };
-        let over: Vec<EndpointId> = self
-            .nodes
-            .iter()
-            .filter(over)
-            .map(|(server, _)| *server)
-            .collect();
-        for server in &over {
-            let Some(node) = self.nodes.remove(server) else {
-                continue;
-            };
-            if let Some(at) = self.heard_at.remove(server) {
-                self.heard.remove(&(at, *server));
-            }
-            self.numbers.remove(&node.name);
-            let hash = gossip::endpoint_hash(node.listed.key);
-            let named = self.hashed.get_mut(&hash).is_some_and(|named| {
-                named.remove(server);
-                !named.is_empty()
-            });
-            if !named {
-                self.hashed.remove(&hash);
-            }
-            self.bans.on_endpoint_removed(node.name);
-        }
-        over
+/// The status in force, by what the list reports.
+fn effective_status(bans: &BanList, id: &str, listed: EndpointStatus) -> EndpointStatus {
+    match listed {
+        EndpointStatus::Draining if breaks(Variant::Drain) => EndpointStatus::Ready,
+        EndpointStatus::Ready if bans.is_banned(id) => EndpointStatus::Draining,
+        other => other,
     }
 }
 
+/// Addresses of `set` that are not in `other`, sorted.
+fn sorted_difference(set: &HashSet<Arc<str>>, other: &HashSet<Arc<str>>) -> Vec<Arc<str>> {
+    let mut addresses: Vec<Arc<str>> = set.difference(other).cloned().collect();
+    addresses.sort();
+    addresses
+}
+
 #[cfg(test)]
 #[path = "../../tests/unit/dispatcher/endpoint_table.rs"]
 mod tests;
--- a/src/dispatcher/handle.rs
+++ b/src/dispatcher/handle.rs
@@ -1,6 +1,10 @@
-//! The bounded queue before the core: [`DispatcherHandle`] is the way in for socket code, [`EventReceiver`] what it leads to.
+//! The bounded queue in front of the core: [`DispatcherHandle`] sends events, [`EventReceiver`] receives them.
+//!
+//! The receiver also owns the sending side of what the core publishes: the deployment in force, the ban records, the
+//! readiness and the number of open requests.
 
 use super::messages::{Event, Outcome, Readiness, UpstreamRequest};
+use super::settings_error::SettingsError;
 use crate::config::Deployment;
 use crate::dispatcher::bans::{BanError, BanRecords};
 use crate::routing::api::{RequestId, RequestMetadata};
@@ -8,77 +12,78 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Events that may wait for the core; senders wait when it is full.
-const QUEUE: usize = 4096;
-/// Operators' calls that may wait for it: they never wait behind requests.
-const URGENT: usize = 16;
+/// Events that may wait for the core; senders wait when the queue is full.
+const EVENT_QUEUE_CAPACITY: usize = 4096;
+/// Urgent events, such as operators' calls, that may wait for the core: they never wait behind requests.
+const URGENT_QUEUE_CAPACITY: usize = 16;
 
-/// The way in for socket code: cheap to clone.
+/// The way to the core for connection code: cheap to clone.
 #[derive(Clone)]
 pub struct DispatcherHandle {
     events: mpsc::Sender<Event>,
-    urgent: mpsc::Sender<Event>,
-    marks: watch::Receiver<BanRecords>,
-    site: watch::Receiver<Arc<Deployment>>,
-    next: Arc<AtomicU64>,
+    urgent_events: mpsc::Sender<Event>,
+    ban_records: watch::Receiver<BanRecords>,
+    deployment: watch::Receiver<Arc<Deployment>>,
+    next_request_id: Arc<AtomicU64>,
     readiness: watch::Receiver<Readiness>,
-    open: watch::Receiver<usize>,
+    open_requests: watch::Receiver<usize>,
 }
 
-/// A client's hold on its request: letting it go tells the core that the client has left.
+/// A client's request in the core. Dropping it reports that the client has disconnected.
 pub struct PendingRequest {
     id: RequestId,
-    door: DispatcherHandle,
-    fate: Option<oneshot::Sender<bool>>,
+    handle: DispatcherHandle,
+    may_have_run: Option<oneshot::Sender<bool>>,
 }
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.door.send_detached(Event::ClientDisconnected {
+        self.handle.send_detached(Event::ClientDisconnected {
             id: self.id,
-            may_have_run: self.fate.take(),
+            may_have_run: self.may_have_run.take(),
         });
     }
 }
 
 impl DispatcherHandle {
-    /// Takes a request in; its answer comes on the channel.
+    /// Submits a request; its outcome is sent on the channel. Waits while the queue is full.
     pub async fn submit(
         &self,
-        ask: RequestMetadata,
-        work: UpstreamRequest,
+        metadata: RequestMetadata,
+        upstream: UpstreamRequest,
     ) -> (PendingRequest, oneshot::Receiver<Outcome>) {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let (answer, answered) = oneshot::channel();
-        // The ticket comes first: a client that leaves while the queue is full is told of all the same.
-        let ticket = PendingRequest {
+        let id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let (outcome_sender, outcome) = oneshot::channel();
+        // The pending request is made before the wait: a client that disconnects while the queue is full is reported too.
+        let pending = PendingRequest {
             id,
-            door: self.clone(),
-            fate: None,
+            handle: self.clone(),
+            may_have_run: None,
         };
         let event = Event::RequestArrived {
-            metadata: RequestMetadata { id, ..ask },
-            upstream: work,
-            outcome: answer,
+            metadata: RequestMetadata { id, ..metadata },
+            upstream,
+            outcome: outcome_sender,
         };
         let _ = self.events.send(event).await;
-        (ticket, answered)
+        (pending, outcome)
     }
 
-    /// Leaves a request; when all of it is over, tells whether it may have run. `None`: nobody knows.
-    pub async fn disconnect(&self, mut ticket: PendingRequest) -> Option<bool> {
-        let (fate, told) = oneshot::channel();
-        ticket.fate = Some(fate);
-        drop(ticket);
-        told.await.ok()
+    /// Disconnects from a request, waits until it has left the core's table and returns whether it may have run. `None`: that
+    /// is not known.
+    pub async fn disconnect(&self, mut pending: PendingRequest) -> Option<bool> {
+        let (reply, may_have_run) = oneshot::channel();
+        pending.may_have_run = Some(reply);
+        drop(pending);
+        may_have_run.await.ok()
     }
 
-    /// Tells the core; waits while the queue is full.
+    /// Sends an event to the core; waits while the queue is full.
     pub async fn send(&self, event: Event) {
         let _ = self.events.send(event).await;
     }
 
-    /// Tells the core from where nothing can wait. A full queue loses nothing: a task waits instead.
+    /// Sends an event to the core from code that can't wait. A full queue loses nothing: a task waits instead.
     pub fn send_detached(&self, event: Event) {
         if let Err(mpsc::error::TrySendError::Full(event)) = self.events.try_send(event) {
             let events = self.events.clone();
@@ -88,123 +93,130 @@
         }
     }
 
-    /// Takes a replica out of use, or back, ahead of all that waits. `None`: the core has ended.
-    pub async fn set_ban(&self, name: Arc<str>, banned: bool) -> Option<Result<(), BanError>> {
-        let (answer, answered) = oneshot::channel();
-        self.urgent
+    /// Bans an endpoint, or ends its ban, ahead of all that waits in the queue. `None`: the core has ended.
+    pub async fn set_ban(
+        &self,
+        endpoint_id: Arc<str>,
+        banned: bool,
+    ) -> Option<Result<(), BanError>> {
+        let (reply, result) = oneshot::channel();
+        self.urgent_events
             .send(Event::BanRequested {
-                endpoint_id: name,
+                endpoint_id,
                 banned,
-                reply: answer,
+                reply,
             })
             .await
             .ok()?;
-        answered.await.ok()
+        result.await.ok()
     }
 
-    /// Tells the core ahead of all that waits.
+    /// Sends an event to the core ahead of all that waits in the queue.
     pub async fn send_urgent(&self, event: Event) {
-        let _ = self.urgent.send(event).await;
+        let _ = self.urgent_events.send(event).await;
     }
 
-    /// Takes new settings. `None`: the core has ended.
-    pub async fn apply_settings(&self, site: Deployment) -> Option<Result<(), String>> {
-        let (answer, answered) = oneshot::channel();
-        self.urgent
+    /// Applies new settings. `None`: the core has ended.
+    pub async fn apply_settings(
+        &self,
+        deployment: Deployment,
+    ) -> Option<Result<(), SettingsError>> {
+        let (reply, result) = oneshot::channel();
+        self.urgent_events
             .send(Event::SettingsChanged {
-                deployment: Box::new(site),
-                reply: answer,
+                deployment: Box::new(deployment),
+                reply,
             })
             .await
             .ok()?;
-        answered.await.ok()
+        result.await.ok()
     }
 
-    /// The settings that hold now.
+    /// The deployment in force.
     pub fn deployment(&self) -> Arc<Deployment> {
-        self.site.borrow().clone()
+        self.deployment.borrow().clone()
     }
 
-    /// What operators have said of replicas.
+    /// The ban records, and their changes.
     pub fn ban_records(&self) -> watch::Receiver<BanRecords> {
-        self.marks.clone()
+        self.ban_records.clone()
     }
 
-    /// The state that balancers in front are told.
+    /// The state that load balancers see.
     pub fn readiness(&self) -> Readiness {
         *self.readiness.borrow()
     }
 
     /// Waits until the core's state is the given one.
     pub async fn wait_for_readiness(&self, readiness: Readiness) {
-        let mut watched = self.readiness.clone();
-        let _ = watched.wait_for(|now| *now == readiness).await;
+        let mut published = self.readiness.clone();
+        let _ = published.wait_for(|current| *current == readiness).await;
     }
 
-    /// Requests in the core's table, with those whose states are being let go.
+    /// The number of requests in the core's table, with those whose reservations are being released.
     pub fn open_requests(&self) -> usize {
-        *self.open.borrow()
+        *self.open_requests.borrow()
     }
 
     /// Waits until the core's table is empty.
     pub async fn wait_until_idle(&self) {
-        let mut watched = self.open.clone();
-        let _ = watched.wait_for(|open| *open == 0).await;
+        let mut published = self.open_requests.clone();
+        let _ = published.wait_for(|open| *open == 0).await;
     }
 }
 
-/// The way in and what it leads to, for [`run`].
+/// The core's side of the queue, for [`run`](super::run).
 pub struct EventReceiver {
     events: mpsc::Receiver<Event>,
-    urgent: mpsc::Receiver<Event>,
-    pub(crate) marks: watch::Sender<BanRecords>,
-    pub(super) site: watch::Sender<Arc<Deployment>>,
+    urgent_events: mpsc::Receiver<Event>,
+    pub(crate) ban_records: watch::Sender<BanRecords>,
+    pub(super) deployment: watch::Sender<Arc<Deployment>>,
     pub(super) readiness: watch::Sender<Readiness>,
-    pub(super) open: watch::Sender<usize>,
+    pub(super) open_requests: watch::Sender<usize>,
 }
 
 impl EventReceiver {
-    /// The next event, urgent ones first; `None` when every door is gone.
+    /// The next event, urgent ones first; `None` when every handle has been dropped.
     pub async fn recv(&mut self) -> Option<Event> {
         tokio::select! {
             biased;
-            Some(event) = self.urgent.recv() => Some(event),
+            Some(event) = self.urgent_events.recv() => Some(event),
             event = self.events.recv() => event,
         }
     }
 
     pub(super) fn try_recv(&mut self) -> Option<Event> {
-        self.urgent
+        self.urgent_events
             .try_recv()
             .or_else(|_| self.events.try_recv())
             .ok()
     }
 }
 
-/// Makes the queue of a core.
-pub fn channel(site: Arc<Deployment>) -> (DispatcherHandle, EventReceiver) {
-    let (events, queue) = mpsc::channel(QUEUE);
-    let (urgent, urgent_queue) = mpsc::channel(URGENT);
-    let (set_site, site) = watch::channel(site);
-    let (set_marks, marks) = watch::channel(BanRecords::new());
-    let (set_readiness, readiness) = watch::channel(Readiness::Starting);
-    let (set_open, open) = watch::channel(0);
-    let door = DispatcherHandle {
+/// Creates the queue of a core.
+pub fn channel(deployment: Arc<Deployment>) -> (DispatcherHandle, EventReceiver) {
+    let (events, event_queue) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let (urgent_events, urgent_queue) = mpsc::channel(URGENT_QUEUE_CAPACITY);
+    let (deployment_sender, deployment) = watch::channel(deployment);
+    let (ban_records_sender, ban_records) = watch::channel(BanRecords::new());
+    let (readiness_sender, readiness) = watch::channel(Readiness::Starting);
+    let (open_requests_sender, open_requests) = watch::channel(0);
+    let handle = DispatcherHandle {
         events,
-        urgent,
-        marks,
-        site,
-        next: Arc::new(AtomicU64::new(1)),
+        urgent_events,
+        ban_records,
+        deployment,
+        next_request_id: Arc::new(AtomicU64::new(1)),
         readiness,
-        open,
+        open_requests,
     };
-    let inbox = EventReceiver {
-        events: queue,
-        urgent: urgent_queue,
-        marks: set_marks,
-        site: set_site,
-        readiness: set_readiness,
-        open: set_open,
+    let receiver = EventReceiver {
+        events: event_queue,
+        urgent_events: urgent_queue,
+        ban_records: ban_records_sender,
+        deployment: deployment_sender,
+        readiness: readiness_sender,
+        open_requests: open_requests_sender,
     };
-    (door, inbox)
+    (handle, receiver)
 }
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -1,6 +1,7 @@
-//! What goes in and out of the core: requests, answers, events and commands. No wire, no socket.
+//! The types that go in and out of the core: requests, outcomes, events and commands. No wire, no socket, no state.
 
 use super::reasons::EndReason;
+use super::settings_error::SettingsError;
 use crate::config::Deployment;
 use crate::dispatcher::bans::{BanError, BanRecords};
 use crate::routing::api::{EndpointId, EndpointRecord, LoadReport, RequestId, RequestMetadata};
@@ -10,84 +11,86 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a node is to be given: the client's own request, kept once.
+/// The client's own request, as endpoints receive it. Cloning shares the body.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// The name by which the client, and so every node, knows the request.
+    /// The id that the client chose, by which every endpoint knows the request.
     pub client_request_id: Arc<str>,
-    /// What is asked for: the client's own path and query.
+    /// The client's own path and query.
     pub target: Arc<str>,
     /// The request's body.
     pub body: Bytes,
 }
 
-/// A piece of an answer's stream. Where the channel closes without `End`, the stream has broken.
+/// A chunk of a response stream. Where the channel closes without `End`, the stream has broken.
 #[derive(Debug, PartialEq)]
 pub enum StreamChunk {
-    /// Some of its bytes, as they came.
+    /// Bytes of the stream, as they were received.
     Data(Bytes),
-    /// Its good end.
+    /// The stream is complete.
     End,
-    /// It is to go on in another process: for the front to have moved, or to let go of.
+    /// The stream continues in another process: the frontend migrates this half, or drops it.
     Migrate(UpstreamHalf),
 }
 
-/// The final answer to a request; there is one for each.
+/// The final outcome of a request; there is one for each.
 #[derive(Debug)]
 pub enum Outcome {
-    /// A node's stream, from its first event on.
+    /// An endpoint's stream, from its first event on.
     Stream(mpsc::Receiver<StreamChunk>),
-    /// Nothing was done; trying again is harmless, after this time.
-    Shed(Duration),
-    /// Failed, and nothing is promised about its effect.
+    /// Nothing ran; trying again is harmless.
+    Shed {
+        /// How long the client should wait before it tries again.
+        retry_after: Duration,
+    },
+    /// It failed, and may have run.
     Failed,
-    /// A request of this name is in flight.
+    /// A request of this client request id is in flight, or ended recently and may have run.
     DuplicateId,
-    /// A node found that the request itself is bad; it did not run.
+    /// An endpoint found the request itself invalid; it did not run.
     InvalidRequest,
 }
 
-/// A member of the fleet, as discovery tells of it.
+/// An endpoint of the fleet, as discovery reports it.
 #[derive(Clone, Debug)]
 pub struct DiscoveredEndpoint {
-    /// Its name, the same at every dispatcher.
+    /// Its id, the same at every dispatcher.
     pub id: Arc<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Arc<str>,
-    /// What the module is told; the core sets its number.
+    /// What the router receives; the core sets its number.
     pub record: EndpointRecord,
-    /// Only its name and its state could be read: the rest is as it was told before, and where nothing was, it is no
-    /// member.
+    /// Only its id and its status could be read: the rest is as it was reported before, and an endpoint that was never
+    /// reported is ignored.
     pub is_partial: bool,
 }
 
-/// What the core hears.
+/// An event that the core handles.
 #[derive(Debug)]
 pub enum Event {
-    /// A client's request.
+    /// A client's request has arrived.
     RequestArrived {
-        /// What the module is told, with the number that the door gave.
+        /// What the router receives, with the number that the handle assigned.
         metadata: RequestMetadata,
-        /// What nodes are told.
+        /// What endpoints receive.
         upstream: UpstreamRequest,
-        /// Where the answer goes.
+        /// Receives the outcome.
         outcome: oneshot::Sender<Outcome>,
     },
-    /// The client has left, or the request's ticket was let go after its end. When all of it is over, `fate`
-    /// is told whether it may have run.
+    /// The client has disconnected, or its [`PendingRequest`](super::PendingRequest) was dropped after the end.
     ClientDisconnected {
         /// The request.
         id: RequestId,
-        /// Who wants to know.
+        /// Receives whether the request may have run, when it leaves the table.
         may_have_run: Option<oneshot::Sender<bool>>,
     },
-    /// An attempt's answer has begun.
+    /// An attempt's response stream has begun.
     FirstEvent {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
-        /// Its stream.
+        /// The stream.
         stream: mpsc::Receiver<StreamChunk>,
     },
     /// An attempt has ended; each ends once.
@@ -96,80 +99,80 @@
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
-        /// Why, and with what outcome.
+        /// Why it ended.
         reason: EndReason,
-        /// Tokens found kept, or 1 where no state was there.
+        /// Prompt tokens that were found cached.
         cached_tokens: f64,
-        /// Tokens of the answer, where that was told.
+        /// Tokens of the response, where they were reported; else 0.
         completion_tokens: f64,
-        /// The node's load, where it was told.
+        /// The endpoint's load, where it was reported.
         load: Option<LoadReport>,
     },
-    /// A release that was commanded is over.
+    /// A release that was commanded has completed.
     ReleaseCompleted {
         /// The request.
         id: RequestId,
-        /// A server said that it has let go; else none did in time.
+        /// An endpoint confirmed the release; else none did in time.
         confirmed: bool,
     },
-    /// A probe's answer.
+    /// A probe has completed.
     ProbeCompleted {
-        /// The node.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// It answered.
+        /// It responded.
         is_healthy: bool,
-        /// Its load, where it was told.
+        /// Its load, where it was reported.
         load: Option<LoadReport>,
     },
-    /// A message from another dispatcher.
+    /// A gossip message from another dispatcher was received.
     GossipReceived {
-        /// Its number.
+        /// The sender's number among the peers.
         from: usize,
-        /// As it came.
+        /// The message, as received.
         message: Bytes,
     },
-    /// The list of members, whole or what changed in it.
+    /// The list of endpoints has changed.
     EndpointsChanged {
-        /// Members that are absent are gone.
+        /// The list is complete: endpoints that are absent have been removed. Else it holds only what changed.
         is_full: bool,
-        /// The members.
+        /// The endpoints.
         endpoints: Vec<DiscoveredEndpoint>,
     },
-    /// A call for the list failed.
+    /// A call for the list of endpoints failed.
     EndpointListFailed,
-    /// An operator takes a replica out of use, or back.
+    /// An operator bans an endpoint, or ends its ban.
     BanRequested {
-        /// Its name.
+        /// The endpoint's id.
         endpoint_id: Arc<str>,
-        /// Out, or back.
+        /// Whether it is to be banned from now on.
         banned: bool,
-        /// Whether that holds now.
+        /// Receives whether the ban was applied.
         reply: oneshot::Sender<Result<(), BanError>>,
     },
-    /// New settings. The snapshot that holds from now on goes to whoever watches it.
+    /// The settings have changed. The deployment in force is then published to those who watch it.
     SettingsChanged {
-        /// As read, with numbers of its own.
+        /// The new deployment, as read, with its own class numbers.
         deployment: Box<Deployment>,
-        /// Whether they were taken.
-        reply: oneshot::Sender<Result<(), String>>,
+        /// Receives whether the settings were applied.
+        reply: oneshot::Sender<Result<(), SettingsError>>,
     },
-    /// Clients are taken from now on.
+    /// Clients are accepted from now on.
     AcceptClients,
-    /// The part of its limits that this process keeps to, of [`SHARE_UNITS`], and how many processes there are.
+    /// This process's share of the limits, or the number of processes, has changed.
     ResourceShareChanged {
-        /// The part.
+        /// The share, in [`SHARE_UNITS`](crate::net::connection_limit::SHARE_UNITS).
         share: u32,
-        /// Processes of this dispatcher.
+        /// Processes of this dispatcher that share the limits.
         processes: u32,
     },
-    /// What another process of this dispatcher knows of replicas that are out of use.
+    /// Another process of this dispatcher has published its ban records.
     BanRecordsReceived(BanRecords),
-    /// The dispatcher is to end: it takes no more from balancers, and serves what still comes. All that is no stream
-    /// has its final answer within this time.
+    /// The dispatcher shuts down: load balancers stop sending, and requests that still arrive are served. Every request
+    /// that has no stream by then has its final outcome within this time.
     Drain(Duration),
 }
 
-/// What the core has done.
+/// A command to the backend.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Start an attempt.
@@ -178,65 +181,65 @@
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
-        /// The node's address.
+        /// The endpoint's address.
         address: Arc<str>,
-        /// What it is given.
+        /// The request to send.
         upstream: UpstreamRequest,
-        /// How long the first event is waited for.
+        /// How long to wait for the first event.
         timeout: Duration,
-        /// It must not run twice, and so must not go on a kept connection, which its node may have closed: what
-        /// breaks there may have run.
+        /// It must not run twice, and so must not use a pooled connection, which its endpoint may have closed: a request
+        /// whose connection breaks may have run.
         needs_new_connection: bool,
     },
-    /// Stop waiting for an attempt whose first event the core has not been told of.
+    /// Cancel an attempt whose first event the core has not received.
     CancelAttempt {
         /// The request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
     },
-    /// Let go of what is held for a request, at the first of these nodes that can be reached.
+    /// Release what is reserved for a request, by a call to the first of these endpoints that can be reached.
     ReleaseReservation {
         /// The request.
         id: RequestId,
-        /// Its name.
+        /// Its client request id.
         client_request_id: Arc<str>,
-        /// Where it may be told, best first.
+        /// Addresses that accept the call, best first.
         addresses: Vec<Arc<str>>,
     },
-    /// RequestMetadata a node for its load.
+    /// Probe an endpoint for its load.
     Probe {
-        /// The node.
+        /// The endpoint.
         endpoint: EndpointId,
         /// Its address.
         address: Arc<str>,
     },
-    /// Nothing new may go to this address any more, not even what waits for a connection; or it may again.
+    /// Block or unblock an address: nothing new is sent to a blocked address, not even what waits for a connection.
     BlockAddress {
         /// The address.
         address: Arc<str>,
-        /// Whether it is barred.
+        /// Whether it is blocked from now on.
         is_blocked: bool,
     },
 }
 
 impl Command {
-    /// Bars before all else, each sort in its order: what was commanded before a node was told to leave is not sent
-    /// there afterwards.
+    /// Sorts blocks before all other commands, and keeps the order among each kind: an attempt that was commanded before its
+    /// endpoint began to drain is not sent there afterwards.
     pub fn blocks_first(commands: &mut [Command]) {
         commands.sort_by_key(|command| !matches!(command, Command::BlockAddress { .. }));
     }
 }
 
-/// What balancers in front are told; the fronts only render it.
+/// The state that load balancers see; frontends only render it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Nothing could be served yet: no reader or no writer is known.
+    /// Nothing can be served: no endpoint is ready for prefill, or none for decode.
     Starting,
-    /// Able to serve, but no clients are taken yet.
+    /// Able to serve, but clients are not accepted yet.
     Standby,
     /// Able to serve.
     Ready,
-    /// About to end; still serving.
+    /// Shutting down; still serving.
     Draining,
 }
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -1,56 +1,56 @@
-//! Typed reasons: why an attempt ended, and why a request was closed or its lease released.
+//! Typed reasons: why an attempt ended, and why a request was closed or its reservation released.
 //!
-//! They are what the log and the counters name, so that the cause of an answer can be read without a second run.
+//! The log and the counters name them, so that the cause of an outcome can be read without a second run.
 
 use crate::routing::api::{AttemptStatus, FailureReason};
 
-/// Why an attempt ended. Each reason belongs to one [`AttemptStatus`], which is all that the decision module is told.
+/// Why an attempt ended. Each reason belongs to one [`AttemptStatus`], which is all that the router receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
-    /// A writer's stream came to its good end.
+    /// A decode endpoint's stream is complete.
     Served,
-    /// A reader has read the prompt.
+    /// A prefill endpoint has processed the prompt.
     PrefillDone,
-    /// The server was full or draining, and says that it did not run.
+    /// The endpoint was overloaded or draining, and reports that the request did not run.
     Overloaded,
-    /// The server found no read state for the request.
+    /// The endpoint found no KV cache for the request.
     KvStateMissing,
-    /// The server found the request itself bad.
+    /// The endpoint found the request itself invalid.
     InvalidRequest,
-    /// The server answered with an error.
+    /// The endpoint responded with an error.
     ErrorResponse,
-    /// The server's answer could not be read.
+    /// The endpoint's response could not be parsed.
     UnreadableResponse,
-    /// The server's stream held something that is no event.
+    /// The endpoint's stream held something that is not an event.
     MalformedStream,
-    /// Nothing was heard from the server within the attempt's time.
+    /// Nothing was received from the endpoint within the attempt's timeout.
     Timeout,
-    /// A stream had begun, and then no event came for too long.
+    /// A stream had begun, and then no event was received for too long.
     StreamIdleTimeout,
-    /// The connection did not come up.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The server's address was barred before the request was written.
+    /// The endpoint's address was blocked before the request was written.
     EndpointBlocked,
-    /// All places for connections were taken.
+    /// All permits for connections were in use.
     NoConnectionPermit,
     /// The connection broke before the request's last byte was written.
     RequestNotWritten,
-    /// The request could not be put into the wire's form, or the rules forbid the send.
+    /// The request could not be encoded, or the rules forbid the attempt.
     NotSent,
     /// The connection broke after the request was written.
     ConnectionReset,
-    /// A kept connection broke before anything came back.
+    /// A pooled connection broke before anything was received.
     StaleConnection,
     /// The core cancelled the attempt.
     Cancelled,
-    /// The client left its stream.
+    /// The client disconnected from its stream.
     ClientDisconnected,
-    /// The task of the attempt died.
+    /// The attempt's task panicked.
     TaskPanicked,
 }
 
 impl EndReason {
-    /// The outcome that the decision module is told.
+    /// The status that the router receives.
     pub fn status(self) -> AttemptStatus {
         match self {
             EndReason::Served => AttemptStatus::Served,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The reason of an outcome of which no more is known.
+    /// The reason for a status of which no more is known.
     pub fn of(status: AttemptStatus) -> EndReason {
         match status {
             AttemptStatus::Served => EndReason::Served,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Whether a running server has answered this attempt.
-    pub fn is_answer(self) -> bool {
+    /// Whether a running endpoint has responded to this attempt.
+    pub fn is_response(self) -> bool {
         matches!(
             self,
             EndReason::Served
@@ -105,15 +105,15 @@
         )
     }
 
-    /// Whether the attempt was ended here, by closing its connection, while a server may have had it.
-    pub fn is_given_up(self) -> bool {
+    /// Whether the attempt was ended here, by closing its connection, while an endpoint may have had it.
+    pub fn is_abandoned(self) -> bool {
         matches!(
             self,
             EndReason::Timeout | EndReason::Cancelled | EndReason::ClientDisconnected
         )
     }
 
-    /// Whether it is certain that no server had the whole request.
+    /// Whether it is certain that no endpoint had the whole request.
     pub fn never_arrived(self) -> bool {
         matches!(
             self.status(),
@@ -121,24 +121,24 @@
         )
     }
 
-    /// Whether it is certain that the request had no effect by this attempt.
+    /// Whether it is certain that this attempt had no effect.
     pub fn never_ran(self) -> bool {
-        let turned_away = matches!(
+        let was_rejected = matches!(
             self.status(),
             AttemptStatus::Overloaded
                 | AttemptStatus::KvStateMissing
                 | AttemptStatus::InvalidRequest
                 | AttemptStatus::PrefillDone
         );
-        turned_away || self.never_arrived()
+        was_rejected || self.never_arrived()
     }
 
-    /// Whether a server that reads may have read the prompt to its end, although it did not say so.
-    pub fn may_have_read(self) -> bool {
-        !self.never_arrived() && (!self.is_answer() || self == EndReason::ErrorResponse)
+    /// Whether a prefill endpoint may have completed the prefill, although it did not report that.
+    pub fn may_have_prefilled(self) -> bool {
+        !self.never_arrived() && (!self.is_response() || self == EndReason::ErrorResponse)
     }
 
-    /// Whether attempts end so in the ordinary course of a request.
+    /// Whether attempts end for this reason in the ordinary course of a request.
     pub fn is_ordinary(self) -> bool {
         matches!(
             self,
@@ -153,31 +153,31 @@
 /// Why a request was closed without a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The decision module refused it: nothing may have run.
+    /// The router shed it: nothing may have run.
     Shed(FailureReason),
-    /// The decision module gave it up: something may have run.
+    /// The router failed it: something may have run.
     Failed(FailureReason),
-    /// Its deadline passed, and the module had not answered it.
+    /// Its deadline passed, and the router had not closed it.
     DeadlinePassed,
-    /// A server found it bad.
+    /// An endpoint found it invalid.
     InvalidRequest,
-    /// As many requests are held as may be.
+    /// The request table is full.
     TableFull,
-    /// A request of its id is in flight.
+    /// A request of its client request id is in flight.
     DuplicateId,
-    /// A request of its id ended of late and may have run.
+    /// A request of its client request id ended recently and may have run.
     MayHaveRun,
-    /// Its client left.
+    /// Its client disconnected.
     ClientDisconnected,
 }
 
-/// Why servers are told to release what they hold for a request.
+/// Why endpoints are told to release what they reserve for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReleaseReason {
-    /// The request is over, or its stream has begun.
+    /// The request is closed, or its stream has begun.
     NoLongerNeeded,
-    /// A state has waited for as long as it may, and no attempt is out.
+    /// A KV cache has waited for as long as it may, and no attempt is in flight.
     Expired,
-    /// A state has waited for as long as it may, and nothing proves that the attempt that is out has arrived.
+    /// A KV cache has waited for as long as it may, and nothing proves that the attempt in flight has arrived.
     AttemptUnconfirmed,
 }
--- a/src/dispatcher/report.rs
+++ b/src/dispatcher/report.rs
@@ -1,7 +1,10 @@
-//! What the core counts and logs of its requests: ends of attempts, closes, releases, broken rules.
+//! What the core counts and logs: ends of attempts, closed requests, releases, violations of rules, changes of state.
 //!
-//! Each kind of line has a budget, so that a bad hour can't fill the log; what the budget holds back is counted, and a
-//! summary of all counts is logged from time to time and at the end.
+//! Each counter's log lines have a budget, so that an hour of failures can't fill the log; lines beyond the budget are
+//! counted, and a summary of all counters is logged from time to time and at the end. [`Report`] owns the counters, the
+//! budgets and the core's logger; the log lines themselves are in [`log_lines`].
+
+mod log_lines;
 
 use super::reasons::{CloseReason, EndReason, ReleaseReason};
 use super::rules::Rule;
@@ -10,115 +13,118 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Lines of one kind that may be logged at once ...
-const BURST: u32 = 10;
-/// ... and after that one for each such span.
-const LINE_EACH: Time = 1_000_000;
-/// Between two summaries.
-const SUMMARY_EACH: Time = 60_000_000;
+/// Lines of one counter that may be logged at once ...
+const MAX_BURST_LINES: u32 = 10;
+/// ... and after that one line in each such interval (microseconds).
+const LINE_INTERVAL: Time = 1_000_000;
+/// The time between two summaries (microseconds).
+const SUMMARY_INTERVAL: Time = 60_000_000;
 
-/// What is counted, and whose lines share a budget.
+/// What is counted, and whose log lines share a budget. The summary names counters by their `Debug` form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Kind {
+pub(super) enum Counter {
     /// An attempt ended.
     End(EndReason),
-    /// A further attempt follows one that ended so.
+    /// A further attempt follows one that ended for this reason.
     Retry(EndReason),
     /// A request was closed without a stream.
     Close(CloseReason),
-    /// Servers are told to release what they hold.
+    /// Endpoints are told to release what they reserve.
     Release(ReleaseReason),
-    /// No server took a release in time.
+    /// No endpoint confirmed a release in time.
     ReleaseFailed,
-    /// A rule was about to be broken, or was.
+    /// A rule was violated, or a violation was prevented.
     Violation(Rule),
 }
 
 /// A token bucket for log lines.
-struct Budget {
+struct LineBudget {
     lines: u32,
     refilled_at: Time,
 }
 
-impl Budget {
-    /// Takes a line, if there is one.
+impl LineBudget {
+    /// Takes one line, if there is one left.
     fn take(&mut self, now: Time) -> bool {
-        let refills = now.saturating_sub(self.refilled_at) / LINE_EACH;
+        let refills = now.saturating_sub(self.refilled_at) / LINE_INTERVAL;
         if refills > 0 {
             self.lines = self
                 .lines
-                .saturating_add(refills.min(u64::from(BURST)) as u32)
-                .min(BURST);
+                .saturating_add(refills.min(u64::from(MAX_BURST_LINES)) as u32)
+                .min(MAX_BURST_LINES);
             self.refilled_at = now;
         }
-        let has_one = self.lines > 0;
-        self.lines -= u32::from(has_one);
-        has_one
+        let has_line = self.lines > 0;
+        self.lines -= u32::from(has_line);
+        has_line
     }
 }
 
-/// Counters and budgets. Kinds are few, so that this is bounded.
+/// The counters, their budgets and the log. There are few counters, so that this is bounded.
 pub(super) struct Report {
-    counts: BTreeMap<Kind, u64>,
-    budgets: BTreeMap<Kind, Budget>,
-    held_back: u64,
-    changed: bool,
+    log: Logger,
+    counts: BTreeMap<Counter, u64>,
+    budgets: BTreeMap<Counter, LineBudget>,
+    suppressed_lines: u64,
+    has_changed: bool,
     next_summary: Time,
 }
 
 impl Report {
-    pub fn new(now: Time) -> Report {
+    /// A report without counts; `now` is Unix time in microseconds.
+    pub fn new(now: Time, log: Logger) -> Report {
         Report {
+            log,
             counts: BTreeMap::new(),
             budgets: BTreeMap::new(),
-            held_back: 0,
-            changed: false,
-            next_summary: now.saturating_add(SUMMARY_EACH),
+            suppressed_lines: 0,
+            has_changed: false,
+            next_summary: now.saturating_add(SUMMARY_INTERVAL),
         }
     }
 
-    /// Counts one, and tells whether a line may be logged for it.
-    pub fn count(&mut self, now: Time, kind: Kind) -> bool {
-        *self.counts.entry(kind).or_default() += 1;
-        self.changed = true;
-        let budget = self.budgets.entry(kind).or_insert(Budget {
-            lines: BURST,
+    /// Counts one, and returns whether a line may be logged for it.
+    pub fn count(&mut self, now: Time, counter: Counter) -> bool {
+        *self.counts.entry(counter).or_default() += 1;
+        self.has_changed = true;
+        let budget = self.budgets.entry(counter).or_insert(LineBudget {
+            lines: MAX_BURST_LINES,
             refilled_at: now,
         });
         let may_log = budget.take(now);
-        self.held_back += u64::from(!may_log);
+        self.suppressed_lines += u64::from(!may_log);
         may_log
     }
 
-    /// Breaches of rules so far.
+    /// Violations of rules so far.
     pub fn violations(&self) -> u64 {
-        let is_violation = |kind: &Kind| matches!(kind, Kind::Violation(_));
+        let is_violation = |counter: &Counter| matches!(counter, Counter::Violation(_));
         self.counts
             .iter()
-            .filter(|(kind, _)| is_violation(kind))
+            .filter(|(counter, _)| is_violation(counter))
             .map(|(_, count)| count)
             .sum()
     }
 
-    /// Logs all counts where it is time for it and something has changed.
-    pub fn summarize_at(&mut self, now: Time, open: usize, log: &Logger) {
+    /// Logs all counters if it is time for it and one has changed.
+    pub fn summarize_if_due(&mut self, now: Time, open_requests: usize) {
         if now >= self.next_summary {
-            self.next_summary = now.saturating_add(SUMMARY_EACH);
-            self.summarize(open, log);
+            self.next_summary = now.saturating_add(SUMMARY_INTERVAL);
+            self.summarize(open_requests);
         }
     }
 
-    /// Logs all counts where something has changed since the last time.
-    pub fn summarize(&mut self, open: usize, log: &Logger) {
-        if std::mem::take(&mut self.changed) {
-            info!(log, "summary"; "violations" => self.violations(), "lines_held_back" => self.held_back,
-                "open" => open, "counts" => text(&self.counts));
+    /// Logs all counters if one has changed since the last summary.
+    pub fn summarize(&mut self, open_requests: usize) {
+        if std::mem::take(&mut self.has_changed) {
+            info!(self.log, "summary"; "violations" => self.violations(), "suppressed_lines" => self.suppressed_lines,
+                "open_requests" => open_requests, "counts" => format_counts(&self.counts));
         }
     }
 }
 
-fn text(counts: &BTreeMap<impl Debug, u64>) -> String {
-    let pair = |(kind, count): (&_, &u64)| format!("{kind:?}={count}");
+fn format_counts(counts: &BTreeMap<impl Debug, u64>) -> String {
+    let pair = |(counter, count): (&_, &u64)| format!("{counter:?}={count}");
     counts.iter().map(pair).collect::<Vec<_>>().join(" ")
 }
 
--- /dev/null
+++ b/src/dispatcher/report/log_lines.rs
@@ -0,0 +1,202 @@
+//! The core's log lines: one function for each message, which also counts what is counted.
+
+use super::{Counter, Report};
+use crate::dispatcher::endpoint_table::Endpoint;
+use crate::dispatcher::messages::{Outcome, Readiness};
+use crate::dispatcher::reasons::{CloseReason, EndReason, ReleaseReason};
+use crate::dispatcher::request::{Attempt, Request};
+use crate::dispatcher::rules::Rule;
+use crate::routing::api::{AttemptStatus, EndpointId, RequestId, RequestMetadata, Time};
+use slog::{debug, info, warn};
+use std::fmt::Debug;
+
+/// Microseconds in a millisecond.
+const MILLISECOND: Time = 1000;
+
+/// Lines about requests.
+impl Report {
+    pub fn request_arrived(&self, metadata: &RequestMetadata, client_request_id: &str) {
+        debug!(self.log, "request arrived"; "id" => metadata.id, "client_request_id" => client_request_id,
+            "class" => metadata.class, "time_left_us" => metadata.time_left, "prompt_tokens" => metadata.prompt_tokens,
+            "prefix_tokens" => metadata.prefix_tokens);
+    }
+
+    pub fn request_rejected(
+        &mut self,
+        now: Time,
+        client_request_id: &str,
+        reason: CloseReason,
+        open_requests: usize,
+    ) {
+        if self.count(now, Counter::Close(reason)) {
+            info!(self.log, "request rejected"; "client_request_id" => client_request_id, "reason" => ?reason,
+                "open_requests" => open_requests);
+        }
+    }
+
+    pub fn request_closed(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        request: &Request,
+        reason: CloseReason,
+    ) {
+        if self.count(now, Counter::Close(reason)) {
+            info!(self.log, "request closed"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
+                "reason" => ?reason, "attempts" => request.attempts.len(),
+                "last_end" => ?request.last_end_reason());
+        }
+    }
+
+    pub fn outcome_ready(&self, id: RequestId, outcome: &Outcome) {
+        debug!(self.log, "request outcome"; "id" => id, "outcome" => ?outcome);
+    }
+
+    pub fn client_disconnected(&mut self, now: Time, id: RequestId) {
+        self.count(now, Counter::Close(CloseReason::ClientDisconnected));
+        debug!(self.log, "client disconnected"; "id" => id);
+    }
+
+    pub fn stream_broken(
+        &self,
+        id: RequestId,
+        request: &Request,
+        endpoint: EndpointId,
+        status: AttemptStatus,
+    ) {
+        info!(self.log, "stream broken"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
+            "endpoint" => endpoint, "status" => ?status);
+    }
+
+    pub fn release_started(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        request: &Request,
+        reason: ReleaseReason,
+    ) {
+        let may_log = self.count(now, Counter::Release(reason));
+        if may_log && reason != ReleaseReason::NoLongerNeeded {
+            info!(self.log, "reservation release"; "id" => id,
+                "client_request_id" => %request.upstream.client_request_id, "reason" => ?reason,
+                "attempts" => request.attempts.len(),
+                "time_left_ms" => request.deadline.saturating_sub(now) / MILLISECOND);
+        }
+    }
+
+    pub fn release_failed(&mut self, now: Time) {
+        self.count(now, Counter::ReleaseFailed);
+    }
+
+    /// A rule was violated, or a violation was prevented.
+    pub fn violation(&mut self, now: Time, rule: Rule, id: RequestId, request: Option<&Request>) {
+        if self.count(now, Counter::Violation(rule)) {
+            let client_request_id =
+                request.map(|request| request.upstream.client_request_id.to_string());
+            warn!(self.log, "violation"; "rule" => ?rule, "id" => id, "client_request_id" => client_request_id);
+        }
+    }
+}
+
+/// Lines about attempts.
+impl Report {
+    pub fn attempt_started(&self, id: RequestId, attempt: u32, endpoint: EndpointId) {
+        debug!(self.log, "attempt started"; "id" => id, "attempt" => attempt, "endpoint" => endpoint);
+    }
+
+    /// A further attempt follows one that ended for `previous_end`; `request` has the new one already.
+    pub fn attempt_retried(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        request: &Request,
+        endpoint: &Endpoint,
+        previous_end: EndReason,
+    ) {
+        if self.count(now, Counter::Retry(previous_end)) {
+            info!(self.log, "retry"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
+                "attempt" => request.attempts.len() - 1, "endpoint" => %endpoint.id, "previous_end" => ?previous_end,
+                "time_left_ms" => (request.deadline - now) / MILLISECOND);
+        }
+    }
+
+    pub fn first_event(&self, id: RequestId, attempt: u32) {
+        debug!(self.log, "first event"; "id" => id, "attempt" => attempt);
+    }
+
+    /// Counts why an attempt ended, and logs it within the budget; the ordinary reasons are only counted.
+    pub fn attempt_end_counted(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u32,
+        reason: EndReason,
+        request: Option<&Request>,
+        endpoint_id: impl Fn(EndpointId) -> Option<String>,
+    ) {
+        let may_log = self.count(now, Counter::End(reason));
+        if !may_log || reason.is_ordinary() {
+            return;
+        }
+        let Some(request) = request else {
+            return;
+        };
+        let Some(ended) = request.attempts.get(attempt as usize) else {
+            return;
+        };
+        let Attempt {
+            endpoint,
+            started_at,
+            ..
+        } = ended;
+        info!(self.log, "attempt failed"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
+            "attempt" => attempt, "endpoint" => endpoint_id(*endpoint), "reason" => ?reason,
+            "duration_ms" => now.saturating_sub(*started_at) / MILLISECOND);
+    }
+
+    pub fn attempt_ended(
+        &self,
+        id: RequestId,
+        attempt: u32,
+        endpoint: EndpointId,
+        status: AttemptStatus,
+        cached_tokens: f64,
+        is_request_closed: bool,
+    ) {
+        debug!(self.log, "attempt ended"; "id" => id, "attempt" => attempt, "endpoint" => endpoint,
+            "status" => ?status, "cached_tokens" => cached_tokens, "request_closed" => is_request_closed);
+    }
+}
+
+/// Lines about endpoints, gossip, settings and the process.
+impl Report {
+    pub fn endpoint_moved(&self, endpoint: EndpointId, address: &str) {
+        debug!(self.log, "endpoint moved"; "endpoint" => endpoint, "address" => address);
+    }
+
+    pub fn endpoint_updated(&self, endpoint: &Endpoint) {
+        debug!(self.log, "endpoint updated"; "endpoint" => endpoint.listed.endpoint, "endpoint_id" => %endpoint.id,
+            "address" => %endpoint.address, "role" => ?endpoint.role, "status" => ?endpoint.status,
+            "started_at" => ?endpoint.listed.started_at);
+    }
+
+    pub fn ban_changed(&self, endpoint_id: &str, is_banned: bool) {
+        info!(self.log, "ban changed"; "endpoint_id" => endpoint_id, "banned" => is_banned);
+    }
+
+    pub fn unknown_endpoint_probed(&self, endpoint: EndpointId) {
+        warn!(self.log, "probe of unknown endpoint"; "endpoint" => endpoint);
+    }
+
+    pub fn gossip_dropped(&self, peer: usize, reason: &impl Debug) {
+        debug!(self.log, "gossip message dropped"; "peer" => peer, "reason" => ?reason);
+    }
+
+    pub fn settings_applied(&self, classes: usize, max_attempts: u32) {
+        info!(self.log, "settings applied"; "classes" => classes, "max_attempts" => max_attempts);
+    }
+
+    pub fn readiness_changed(&self, readiness: Readiness) {
+        info!(self.log, "readiness"; "state" => ?readiness);
+    }
+}
--- a/src/dispatcher/request.rs
+++ b/src/dispatcher/request.rs
@@ -1,110 +1,135 @@
-//! One request in the table: its phase, its attempts, and what servers may hold for it.
+//! One request in the table: its phase, its attempts, and its reservation at endpoints.
+//!
+//! A [`Request`] is owned by the request table; handlers of the core change it through the methods here.
 
-use super::guard::EndpointTarget;
+use super::endpoint_target::EndpointTarget;
 use super::messages::{Outcome, UpstreamRequest};
 use super::reasons::EndReason;
-use super::reservation::Reservation;
-use crate::routing::api::{EndpointId, RequestMetadata, Role, Time};
+use super::reservation::{Reservation, ReservationDemand};
+use crate::routing::api::{EndpointId, Idempotency, RequestMetadata, Role, Time};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 
 /// One attempt for a request.
 pub(super) struct Attempt {
-    pub server: EndpointId,
-    /// What the server was when it was sent there; `None` where the rules forbade the send.
+    pub endpoint: EndpointId,
+    /// The endpoint as it was when the attempt started; `None` where the rules forbade the attempt.
     pub target: Option<EndpointTarget>,
-    pub sent: Time,
-    /// Why it ended; it is out until then.
-    pub ended: Option<EndReason>,
+    pub started_at: Time,
+    /// Why it ended; it is in flight until then.
+    pub end_reason: Option<EndReason>,
     pub ended_at: Time,
 }
 
 impl Attempt {
-    pub fn is_out(&self) -> bool {
-        self.ended.is_none()
+    /// An attempt that starts now.
+    pub fn new(now: Time, endpoint: EndpointId, target: Option<EndpointTarget>) -> Self {
+        Attempt {
+            endpoint,
+            target,
+            started_at: now,
+            end_reason: None,
+            ended_at: now,
+        }
+    }
+
+    pub fn is_in_flight(&self) -> bool {
+        self.end_reason.is_none()
+    }
+
+    fn has_response(&self) -> bool {
+        self.end_reason.is_some_and(EndReason::is_response)
     }
 }
 
-/// Where a request stands. It goes from top to bottom, and may leave out the stream.
+/// Where a request stands. It goes from top to bottom, and may skip the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Nothing of its answer is settled yet.
+    /// It has no outcome yet.
     Waiting,
     /// This attempt's stream goes to the client.
     Streaming { attempt: u32 },
-    /// It has its final answer, or its client has left. The attempt of its stream, if it had one, may still be out.
+    /// It has its final outcome, or its client has disconnected. The attempt of its stream, if it had one, may still be in
+    /// flight.
     Closed { stream: Option<u32> },
 }
 
-/// A request, from its arrival until it is closed, no attempt is out, and nothing is held for it.
+/// A request, from its arrival until it is closed, no attempt is in flight, and nothing is reserved for it.
 pub(super) struct Request {
     pub class: usize,
-    pub work: UpstreamRequest,
+    pub upstream: UpstreamRequest,
     /// It must not run twice.
-    pub once: bool,
-    pub answer: Option<oneshot::Sender<Outcome>>,
+    pub must_not_repeat: bool,
+    /// Where the outcome goes; taken when it is sent.
+    pub outcome: Option<oneshot::Sender<Outcome>>,
     pub deadline: Time,
     pub attempts: Vec<Attempt>,
-    pub lease: Reservation,
-    /// Something other than a read ended without proof that it never ran.
+    pub reservation: Reservation,
+    /// An attempt other than a prefill ended without proof that it never ran.
     pub may_have_run: bool,
-    /// Who wants to know whether it may have run.
-    pub fate: Option<oneshot::Sender<bool>>,
+    /// Receives `may_have_run` when the request leaves the table.
+    pub may_have_run_reply: Option<oneshot::Sender<bool>>,
     phase: Phase,
 }
 
-/// An attempt that has ended: where it was, and whether it was the stream of a request that was not closed before.
-pub(super) struct Ended {
-    pub server: EndpointId,
-    pub streamed: bool,
+/// An attempt that has ended.
+pub(super) struct EndedAttempt {
+    pub endpoint: EndpointId,
+    /// It was the client's stream, and the request was not closed before.
+    pub was_open_stream: bool,
 }
 
 impl Request {
-    /// As it arrives.
+    /// A request as it arrives.
     pub fn new(
         now: Time,
-        ask: &RequestMetadata,
-        work: UpstreamRequest,
-        once: bool,
-        answer: oneshot::Sender<Outcome>,
+        metadata: &RequestMetadata,
+        upstream: UpstreamRequest,
+        idempotency: Idempotency,
+        outcome: oneshot::Sender<Outcome>,
     ) -> Self {
         Request {
-            class: ask.class,
-            work,
-            once,
-            answer: Some(answer),
-            deadline: now.saturating_add(ask.time_left),
+            class: metadata.class,
+            upstream,
+            must_not_repeat: idempotency == Idempotency::NonIdempotent,
+            outcome: Some(outcome),
+            deadline: now.saturating_add(metadata.time_left),
             attempts: Vec::new(),
-            lease: Reservation::default(),
+            reservation: Reservation::default(),
             may_have_run: false,
-            fate: None,
+            may_have_run_reply: None,
             phase: Phase::Waiting,
         }
     }
 
-    pub fn has_attempt_out(&self) -> bool {
-        self.attempts.iter().any(Attempt::is_out)
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    pub fn is_out(&self, attempt: u32) -> bool {
+    pub fn is_in_flight(&self, attempt: u32) -> bool {
         self.attempts
             .get(attempt as usize)
-            .is_some_and(Attempt::is_out)
+            .is_some_and(Attempt::is_in_flight)
     }
 
-    /// Servers of its attempts: first those that have answered, the last before the others.
-    pub fn tried(&self) -> impl Iterator<Item = EndpointId> + '_ {
-        let answered = |attempt: &Attempt| attempt.ended.is_some_and(EndReason::is_answer);
-        let by = move |wanted| {
-            self.attempts
-                .iter()
-                .rev()
-                .filter(move |it| answered(it) == wanted)
-        };
-        by(true).chain(by(false)).map(|attempt| attempt.server)
+    /// Why the last attempt ended; `None` where there is none or it is in flight.
+    pub fn last_end_reason(&self) -> Option<EndReason> {
+        self.attempts.last()?.end_reason
     }
 
-    /// Nothing of its answer is settled yet.
+    /// Endpoints of its attempts: first those that have responded, the latest before the others.
+    pub fn attempted_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
+        let latest_first = self.attempts.iter().rev();
+        let with_response = latest_first
+            .clone()
+            .filter(|attempt| attempt.has_response());
+        let without_response = latest_first.filter(|attempt| !attempt.has_response());
+        with_response
+            .chain(without_response)
+            .map(|attempt| attempt.endpoint)
+    }
+
+    /// Whether it has no outcome yet.
     pub fn is_waiting(&self) -> bool {
         self.phase == Phase::Waiting
     }
@@ -122,14 +147,26 @@
         }
     }
 
+    /// Who may still use what is reserved for it. A stream in flight needs no KV cache of another endpoint any more; any
+    /// other attempt may wait for one.
+    pub fn reservation_demand(&self) -> ReservationDemand {
+        if self.stream().is_none() && self.has_attempt_in_flight() {
+            ReservationDemand::AttemptInFlight
+        } else if self.is_waiting() {
+            ReservationDemand::RequestWaiting
+        } else {
+            ReservationDemand::NotNeeded
+        }
+    }
+
     /// An attempt's first event has gone to the client.
-    pub fn begin_stream(&mut self, attempt: u32) {
+    pub fn start_stream(&mut self, attempt: u32) {
         self.phase = Phase::Streaming { attempt };
-        self.lease.stream_began();
-        self.work.body = Bytes::new(); // nothing is sent for it any more
+        self.reservation.on_stream_started();
+        self.upstream.body = Bytes::new(); // no further attempt will need it
     }
 
-    /// It has its final answer, or its client has left. False where it was closed before.
+    /// It has its final outcome, or its client has disconnected. False where it was closed before.
     pub fn close(&mut self) -> bool {
         let was_open = !self.is_closed();
         self.phase = Phase::Closed {
@@ -138,35 +175,39 @@
         was_open
     }
 
-    /// An attempt has ended: what may be held and what may have run by that. `None`: it was not out.
-    pub fn attempt_ended(
+    /// Records the end of an attempt, what may be reserved and what may have run by it. `None`: it was not in flight.
+    pub fn end_attempt(
         &mut self,
         now: Time,
         attempt: u32,
         reason: EndReason,
-        role: impl Fn(EndpointId) -> Option<Role>,
-    ) -> Option<Ended> {
+        role_of: impl Fn(EndpointId) -> Option<Role>,
+    ) -> Option<EndedAttempt> {
         let ended = self
             .attempts
             .get_mut(attempt as usize)
-            .filter(|it| it.is_out())?;
-        (ended.ended, ended.ended_at) = (Some(reason), now);
-        let server = ended.server;
-        let role = role(server);
+            .filter(|attempt| attempt.is_in_flight())?;
+        ended.end_reason = Some(reason);
+        ended.ended_at = now;
+        let endpoint = ended.endpoint;
+        let role = role_of(endpoint);
         self.may_have_run |= !reason.never_ran() && role != Some(Role::Prefill);
         let is_stream = self.stream() == Some(attempt);
-        let streamed = is_stream && self.close();
+        let was_open_stream = is_stream && self.close();
         if !is_stream {
-            self.lease.attempt_ended(now, role, reason);
+            self.reservation.on_attempt_ended(now, role, reason);
         }
-        Some(Ended { server, streamed })
+        Some(EndedAttempt {
+            endpoint,
+            was_open_stream,
+        })
     }
 
-    /// Nothing of it is left to be done.
-    pub fn is_over(&self) -> bool {
+    /// Whether it can leave the table.
+    pub fn is_finished(&self) -> bool {
         self.is_closed()
-            && !self.has_attempt_out()
-            && !self.lease.is_releasing()
-            && !self.lease.may_be_held()
+            && !self.has_attempt_in_flight()
+            && !self.reservation.is_releasing()
+            && !self.reservation.may_be_held()
     }
 }
--- a/src/dispatcher/request_table.rs
+++ b/src/dispatcher/request_table.rs
@@ -1,21 +1,29 @@
-//! The request table: requests by number and by name, and the names of those that ended of late and may have run.
+//! The request table: open requests by number and by client request id, and the ids of requests that ended recently and may
+//! have run. It is owned by the core.
 
 use super::request::{Attempt, Request};
 use crate::routing::api::{EndpointId, RequestId, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// NameTable of requests that may have run are known for so long after their end, and so many of them.
-const KNOWN_AFTER: Time = 30_000_000;
-const MOST_KNOWN: usize = 8_192;
+/// How long the id of a request that may have run is remembered after its end (microseconds).
+const RECENT_ID_RETENTION: Time = 30_000_000;
+/// How many ids of requests that may have run are remembered.
+const MAX_RECENT_IDS: usize = 8_192;
 
-/// The table: requests by number, and the names that are in flight.
+/// A request that left the table.
+struct RecentId {
+    ended_at: Time,
+    client_request_id: Arc<str>,
+}
+
+/// The table of requests.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
-    names: HashSet<Arc<str>>,
-    may_have_run: HashSet<Arc<str>>,   // names of some that are over
-    ended: VecDeque<(Time, Arc<str>)>, // the same, oldest first
+    open_ids: HashSet<Arc<str>>,
+    recent_ids: HashSet<Arc<str>>, // of finished requests that may have run
+    recent_ids_by_age: VecDeque<RecentId>, // the same, oldest first
 }
 
 impl RequestTable {
@@ -23,31 +31,36 @@
         self.requests.len()
     }
 
-    pub fn is_in_flight(&self, name: &str) -> bool {
-        self.names.contains(name)
+    /// Whether a request of this client request id is in the table.
+    pub fn is_open(&self, client_request_id: &str) -> bool {
+        self.open_ids.contains(client_request_id)
     }
 
-    /// Whether a request of this name is over of late and may have run.
-    pub fn may_have_run(&self, name: &str) -> bool {
-        self.may_have_run.contains(name)
+    /// Whether a request of this client request id ended recently and may have run.
+    pub fn may_have_run(&self, client_request_id: &str) -> bool {
+        self.recent_ids.contains(client_request_id)
     }
 
-    fn note_end(&mut self, now: Time, name: Arc<str>) {
-        if self.may_have_run.insert(name.clone()) {
-            self.ended.push_back((now, name));
+    fn remember_id(&mut self, now: Time, client_request_id: Arc<str>) {
+        if self.recent_ids.insert(client_request_id.clone()) {
+            self.recent_ids_by_age.push_back(RecentId {
+                ended_at: now,
+                client_request_id,
+            });
         }
-        let is_old = |at: Time| at.saturating_add(KNOWN_AFTER) < now;
-        while self.ended.front().is_some_and(|(at, _)| is_old(*at)) || self.ended.len() > MOST_KNOWN
-        {
-            let Some((_, name)) = self.ended.pop_front() else {
+        while let Some(oldest) = self.recent_ids_by_age.front() {
+            let is_expired = oldest.ended_at.saturating_add(RECENT_ID_RETENTION) < now;
+            if !is_expired && self.recent_ids_by_age.len() <= MAX_RECENT_IDS {
                 break;
-            };
-            self.may_have_run.remove(&name);
+            }
+            self.recent_ids.remove(&oldest.client_request_id);
+            self.recent_ids_by_age.pop_front();
         }
     }
 
-    pub fn enter(&mut self, id: RequestId, request: Request) {
-        self.names.insert(request.work.client_request_id.clone());
+    pub fn insert(&mut self, id: RequestId, request: Request) {
+        self.open_ids
+            .insert(request.upstream.client_request_id.clone());
         self.requests.insert(id, request);
     }
 
@@ -59,19 +72,19 @@
         self.requests.get_mut(&id)
     }
 
-    /// Requests that have to be looked after: all but those of which nothing is left but a stream that goes on.
-    pub fn ids_to_look_after(&self) -> Vec<RequestId> {
-        let waits = |request: &Request| {
-            request.is_waiting() || request.is_closed() || request.lease.may_be_held()
+    /// Requests whose deadlines must be checked: all but those of which nothing is left but a stream in flight.
+    pub fn ids_to_check(&self) -> Vec<RequestId> {
+        let needs_check = |request: &Request| {
+            request.is_waiting() || request.is_closed() || request.reservation.may_be_held()
         };
         self.requests
             .iter()
-            .filter(|(_, request)| waits(request))
+            .filter(|(_, request)| needs_check(request))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Classes of which some request is in the table.
+    /// Classes that a request in the table belongs to.
     pub fn classes(&self) -> HashSet<usize> {
         self.requests
             .values()
@@ -79,29 +92,29 @@
             .collect()
     }
 
-    /// EndpointTable at which an attempt is out.
-    pub fn busy(&self) -> HashSet<EndpointId> {
+    /// Endpoints with an attempt in flight.
+    pub fn endpoints_in_use(&self) -> HashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts
-            .filter(|it| it.is_out())
-            .map(|it: &Attempt| it.server)
+            .filter(|attempt| attempt.is_in_flight())
+            .map(|attempt: &Attempt| attempt.endpoint)
             .collect()
     }
 
-    /// Forgets a request when all of it is over, and tells who wants to know whether it may have run.
-    pub fn forget_if_over(&mut self, now: Time, id: RequestId) {
-        if !self.requests.get(&id).is_some_and(Request::is_over) {
+    /// Removes a request that is finished, and reports whether it may have run to whoever waits for that.
+    pub fn remove_if_finished(&mut self, now: Time, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(Request::is_finished) {
             return;
         }
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        self.names.remove(&request.work.client_request_id);
+        self.open_ids.remove(&request.upstream.client_request_id);
         if request.may_have_run {
-            self.note_end(now, request.work.client_request_id.clone());
+            self.remember_id(now, request.upstream.client_request_id.clone());
         }
-        if let Some(fate) = request.fate {
-            let _ = fate.send(request.may_have_run);
+        if let Some(reply) = request.may_have_run_reply {
+            let _ = reply.send(request.may_have_run);
         }
     }
 }
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -1,4 +1,5 @@
-//! What the core notes for a recording, in the recording's terms. It holds no file: whoever owns the core takes the notes.
+//! The core's trace, in the terms of the recording. [`TraceRecorder`] owns the records that are not taken yet; it holds no
+//! file, so that the owner of the core takes them and writes them.
 
 use crate::config::{Deployment, NameTable};
 use crate::routing::api::{
@@ -8,18 +9,19 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// The notes that nobody has taken yet.
+/// Collects records until they are taken. All times are Unix time in microseconds.
 pub struct TraceRecorder {
     key: Key,
-    notes: Vec<Record>,
-    nodes: HashSet<EndpointId>,
+    records: Vec<Record>,
+    /// Endpoints whose names are recorded.
+    named_endpoints: HashSet<EndpointId>,
 }
 
-fn tokens(tokens: f64) -> u32 {
+fn token_count(tokens: f64) -> u32 {
     tokens.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-fn role(role: Role) -> quartzhall_recording::RecordedRole {
+fn recorded_role(role: Role) -> quartzhall_recording::RecordedRole {
     match role {
         Role::Prefill => quartzhall_recording::RecordedRole::Prefill,
         Role::Decode => quartzhall_recording::RecordedRole::Decode,
@@ -27,7 +29,7 @@
     }
 }
 
-fn status(status: AttemptStatus) -> quartzhall_recording::RecordedStatus {
+fn recorded_status(status: AttemptStatus) -> quartzhall_recording::RecordedStatus {
     use quartzhall_recording::RecordedStatus;
     match status {
         AttemptStatus::Served => RecordedStatus::Served,
@@ -45,138 +47,143 @@
 }
 
 impl TraceRecorder {
-    /// TraceRecorder of a dispatcher, from now on.
-    pub fn new(key: Key, at: Time, dispatcher: &str, site: &Deployment) -> TraceRecorder {
+    /// A recorder for a dispatcher, from `at` on. `key` keeps sessions and prefixes secret.
+    pub fn new(key: Key, at: Time, dispatcher: &str, deployment: &Deployment) -> TraceRecorder {
         let start = Record::Start {
             at,
             dispatcher: dispatcher.into(),
-            dispatchers: site.settings.dispatchers,
+            dispatchers: deployment.settings.dispatchers,
         };
-        let mut notes = TraceRecorder {
+        let mut recorder = TraceRecorder {
             key,
-            notes: vec![start],
-            nodes: HashSet::new(),
+            records: vec![start],
+            named_endpoints: HashSet::new(),
         };
-        notes.record_names(site);
-        notes
+        recorder.record_names(deployment);
+        recorder
     }
 
-    /// The numbers of classes and tenants mean this from now on.
-    pub fn record_names(&mut self, site: &Deployment) {
+    /// Records what the numbers of classes and tenants mean from now on.
+    pub fn record_names(&mut self, deployment: &Deployment) {
         for (table, names) in [
-            (Table::Class, &site.classes),
-            (Table::Tenant, &site.tenants),
+            (Table::Class, &deployment.classes),
+            (Table::Tenant, &deployment.tenants),
         ] {
-            let named = |(name, number): (&String, u32)| Record::Name {
-                table,
-                number,
-                name: name.clone(),
-            };
-            self.notes.extend(NameTable::pairs(names).map(named));
+            for (name, number) in NameTable::pairs(names) {
+                self.records.push(Record::Name {
+                    table,
+                    number,
+                    name: name.clone(),
+                });
+            }
         }
     }
 
-    /// A node is as told here.
-    pub fn record_endpoint(&mut self, at: Time, name: &Arc<str>, entry: &EndpointRecord) {
-        let node = entry.endpoint;
-        if self.nodes.insert(node) {
-            self.notes.push(Record::Name {
+    /// Records an endpoint's status, and its name when it is recorded for the first time.
+    pub fn record_endpoint(&mut self, at: Time, endpoint_id: &Arc<str>, record: &EndpointRecord) {
+        let endpoint = record.endpoint;
+        if self.named_endpoints.insert(endpoint) {
+            self.records.push(Record::Name {
                 table: Table::Node,
-                number: node,
-                name: name.to_string(),
+                number: endpoint,
+                name: endpoint_id.to_string(),
             });
         }
-        let ready = entry.status == EndpointStatus::Ready;
-        let started = entry.started_at.unwrap_or(0);
-        self.notes.push(Record::Node {
+        self.records.push(Record::Node {
             at,
-            node,
-            role: role(entry.role),
-            cell: entry.cell,
-            ready,
-            started,
+            node: endpoint,
+            role: recorded_role(record.role),
+            cell: record.cell,
+            ready: record.status == EndpointStatus::Ready,
+            started: record.started_at.unwrap_or(0),
         });
     }
 
-    /// A node is gone; its number is not used again.
-    pub fn forget_endpoint(&mut self, node: EndpointId) {
-        self.nodes.remove(&node);
+    /// Forgets an endpoint that has been removed; its number is not used again.
+    pub fn forget_endpoint(&mut self, endpoint: EndpointId) {
+        self.named_endpoints.remove(&endpoint);
     }
 
-    /// A request has come.
-    pub fn record_arrival(&mut self, at: Time, ask: &RequestMetadata) {
-        let digest =
-            |sort, name: Option<u64>| name.map(|name| self.key.digest(sort, &name.to_le_bytes()));
-        self.notes.push(Record::Arrival {
+    /// Records that a request has arrived.
+    pub fn record_arrival(&mut self, at: Time, metadata: &RequestMetadata) {
+        let digest = |kind, hash: Option<u64>| {
+            let hash = hash?;
+            Some(self.key.digest(kind, &hash.to_le_bytes()))
+        };
+        self.records.push(Record::Arrival {
             at,
-            request: ask.id,
-            class: ask.class as u32,
-            tenant: ask.tenant.map(|tenant| tenant as u32),
-            session: digest(DigestKind::Session, ask.session),
-            opening: digest(DigestKind::Opening, ask.prefix),
-            prompt: tokens(ask.prompt_tokens),
-            prefix: tokens(ask.prefix_tokens),
-            most: tokens(ask.max_output_tokens),
-            expires_in: ask.time_left,
+            request: metadata.id,
+            class: metadata.class as u32,
+            tenant: metadata.tenant.map(|tenant| tenant as u32),
+            session: digest(DigestKind::Session, metadata.session),
+            opening: digest(DigestKind::Opening, metadata.prefix),
+            prompt: token_count(metadata.prompt_tokens),
+            prefix: token_count(metadata.prefix_tokens),
+            most: token_count(metadata.max_output_tokens),
+            expires_in: metadata.time_left,
         });
     }
 
-    /// An attempt has been sent.
-    pub fn record_attempt(&mut self, at: Time, request: u64, attempt: u32, node: EndpointId) {
-        self.notes.push(Record::Sent {
+    /// Records that an attempt has started.
+    pub fn record_attempt(&mut self, at: Time, request: u64, attempt: u32, endpoint: EndpointId) {
+        self.records.push(Record::Sent {
             at,
             request,
             attempt,
-            node,
+            node: endpoint,
         });
     }
 
-    /// An attempt's first event has come.
+    /// Records that an attempt's first event has been received.
     pub fn record_first_event(&mut self, at: Time, request: u64, attempt: u32) {
-        self.notes.push(Record::First {
+        self.records.push(Record::First {
             at,
             request,
             attempt,
         });
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub fn record_attempt_end(
         &mut self,
         at: Time,
         request: u64,
         attempt: u32,
-        how: AttemptStatus,
-        kept: f64,
-        written: f64,
+        status: AttemptStatus,
+        cached_tokens: f64,
+        completion_tokens: f64,
     ) {
-        // The file has no status of its own for a missing KV state: it is the one for overload, with 1 in place of cached tokens.
-        let kept = match how {
+        // The file has no status of its own for a missing KV cache: it is the one for overload, with 1 in place of the cached
+        // tokens.
+        let cached_tokens = match status {
             AttemptStatus::KvStateMissing => 1,
-            _ => tokens(kept),
+            _ => token_count(cached_tokens),
         };
-        let (status, written) = (status(how), tokens(written));
-        self.notes.push(Record::Ended {
+        self.records.push(Record::Ended {
             at,
             request,
             attempt,
-            status,
-            kept,
-            written,
+            status: recorded_status(status),
+            kept: cached_tokens,
+            written: token_count(completion_tokens),
         });
     }
 
-    /// A request is over.
-    pub fn record_outcome(&mut self, at: Time, request: u64, answer: RecordedOutcome) {
-        self.notes.push(Record::Final {
+    /// Records a request's outcome.
+    pub fn record_outcome(&mut self, at: Time, request: u64, outcome: RecordedOutcome) {
+        self.records.push(Record::Final {
             at,
             request,
-            answer,
+            answer: outcome,
         });
     }
 
-    /// Takes what was noted.
+    /// Takes the records that have been collected since the last call.
     pub fn take_records(&mut self) -> Vec<Record> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.records)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/recording.rs"]
+mod tests;
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -204,7 +204,7 @@
         bench.pass(40 * MS);
         assert!(matches!(
             answered.try_recv(),
-            Ok(Outcome::Shed(_) | Outcome::Failed)
+            Ok(Outcome::Shed { .. } | Outcome::Failed)
         ));
         for (id, attempt) in bench.cancels() {
             bench.ended(id, attempt, AttemptStatus::Cancelled);
@@ -229,7 +229,11 @@
         bench.ended(1, 0, AttemptStatus::Timeout);
         bench.pass(2 * MS);
         let answer = answered.try_recv().expect("its time is up");
-        assert_eq!(matches!(answer, Outcome::Shed(_)), refused, "{answer:?}");
+        assert_eq!(
+            matches!(answer, Outcome::Shed { .. }),
+            refused,
+            "{answer:?}"
+        );
     }
 }
 
@@ -263,7 +267,7 @@
     let _first = bench.ask(1, 0, "a");
     assert!(matches!(
         bench.ask(2, 1, "b").try_recv(),
-        Ok(Outcome::Shed(_))
+        Ok(Outcome::Shed { .. })
     ));
     assert_eq!(bench.sends(), 1);
 }
@@ -674,7 +678,7 @@
 }
 
 impl Bench {
-    fn settings(&mut self, profile: &str) -> Result<(), String> {
+    fn settings(&mut self, profile: &str) -> Result<(), dispatcher::SettingsError> {
         let (answer, mut answered) = oneshot::channel();
         self.hear(Event::SettingsChanged {
             deployment: Box::new(site(profile)),
@@ -730,7 +734,7 @@
     assert_eq!(bench.sends(), 2);
     assert!(matches!(
         answered.try_recv(),
-        Ok(Outcome::Shed(_) | Outcome::Failed)
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
     ));
 }
 
@@ -807,16 +811,16 @@
     bench.pass(100 * MS);
     assert!(matches!(
         read.try_recv(),
-        Ok(Outcome::Shed(_) | Outcome::Failed)
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
     ));
     // What was only read has had no effect.
     assert!(matches!(
         reads.try_recv(),
-        Ok(Outcome::Shed(_) | Outcome::Failed)
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
     ));
     assert!(matches!(
         late.try_recv(),
-        Ok(Outcome::Shed(_) | Outcome::Failed)
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
     ));
     for (id, attempt) in bench.cancels() {
         bench.ended(id, attempt, AttemptStatus::Cancelled);
@@ -1318,7 +1322,7 @@
         let _other = bench.ask(2, class, "other");
         assert!(matches!(
             bench.ask(3, class, "third").try_recv(),
-            Ok(Outcome::Shed(_))
+            Ok(Outcome::Shed { .. })
         ));
         let again = bench.ask(4, class, "again").try_recv();
         assert_eq!(
@@ -1326,7 +1330,11 @@
             harmful,
             "{again:?}"
         );
-        assert_eq!(matches!(again, Ok(Outcome::Shed(_))), !harmful, "{again:?}");
+        assert_eq!(
+            matches!(again, Ok(Outcome::Shed { .. })),
+            !harmful,
+            "{again:?}"
+        );
     }
     let mut bench = Bench::new(1);
     let run = |bench: &mut Bench, id: u64, name: &str| {
--- a/tests/unit/dispatcher/bans.rs
+++ b/tests/unit/dispatcher/bans.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_call_out_holds_until_one_call_back() {
+fn a_ban_is_in_force_until_it_is_ended() {
     let mut bans = BanList::default();
     assert_eq!(bans.set(1, &id("a"), true, true), Ok(true));
     assert_eq!(bans.set(2, &id("a"), true, false), Ok(false));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn only_an_id_that_was_listed_is_known_and_what_is_remembered_is_bounded() {
+fn only_listed_ids_are_known_and_memory_of_removed_ids_is_bounded() {
     let mut bans = BanList::default();
     assert_eq!(
         bans.set(1, &id("never"), true, false),
@@ -26,20 +26,25 @@
         bans.set(1, &id("never"), false, false),
         Err(BanError::Unknown)
     );
-    for number in 0..2 * MOST_LEFT {
+    for number in 0..2 * MAX_REMOVED_IDS {
         bans.on_endpoint_removed(id(&format!("r{number}")));
         bans.on_endpoint_removed(id(&format!("r{number}")));
     }
     assert_eq!(
-        (bans.left.len(), bans.left_set.len()),
-        (MOST_LEFT, MOST_LEFT)
+        (bans.removed_ids_by_age.len(), bans.removed_ids.len()),
+        (MAX_REMOVED_IDS, MAX_REMOVED_IDS)
     );
     assert_eq!(bans.set(1, &id("r0"), true, false), Err(BanError::Unknown));
     assert_eq!(
-        bans.set(1, &id(&format!("r{}", 2 * MOST_LEFT - 1)), true, false),
+        bans.set(
+            1,
+            &id(&format!("r{}", 2 * MAX_REMOVED_IDS - 1)),
+            true,
+            false
+        ),
         Ok(true)
     );
-    for number in 1..MOST_BANS {
+    for number in 1..MAX_BANS {
         assert_eq!(
             bans.set(2, &id(&format!("b{number}")), true, true),
             Ok(true)
@@ -47,18 +52,18 @@
     }
     assert_eq!(bans.set(3, &id("more"), true, true), Err(BanError::TooMany));
     assert_eq!(
-        bans.set(ENDED_KEPT * 9, &id("b1"), false, false),
+        bans.set(BAN_END_RETENTION * 9, &id("b1"), false, false),
         Ok(true),
         "no ban is ever forgotten"
     );
 }
 
 #[test]
-fn ends_are_forgotten_in_time() {
+fn ends_of_bans_are_forgotten_after_their_retention() {
     let mut bans = BanList::default();
     for number in 0..100 {
         let name = id(&format!("r{number}"));
-        let at = number * ENDED_KEPT;
+        let at = number * BAN_END_RETENTION;
         bans.set(at, &name, true, true).unwrap();
         bans.set(at + 1, &name, false, true).unwrap();
     }
@@ -66,26 +71,26 @@
 }
 
 #[test]
-fn two_processes_agree_whatever_the_order() {
+fn two_processes_agree_whatever_the_order_of_changes() {
     let (mut one, mut two) = (BanList::default(), BanList::default());
     one.set(10, &id("a"), true, true).unwrap();
     two.set(11, &id("b"), true, true).unwrap();
     assert_eq!(two.merge(12, one.records()), [id("a")]);
     two.set(12, &id("a"), false, true).unwrap();
-    // The other one's file is older than what is known here: it lifts and sets nothing.
+    // The other process's records are older than what is known here: they change nothing.
     assert!(two.merge(13, &one.records().clone()).is_empty());
     assert_eq!(one.merge(13, two.records()), [id("a"), id("b")]);
     assert_eq!(one.records(), two.records());
     assert!(!one.is_banned("a") && one.is_banned("b"));
-    // A call here after one over there is the newer one, even if this clock is behind.
+    // A change here after one in the other process is the newer one, even if this clock is behind.
     one.set(5, &id("b"), false, true).unwrap();
     assert_eq!(two.merge(14, one.records()), [id("b")]);
 }
 
-/// Another process's clock is an hour behind, or ahead: what it says last counts all the same, and for no longer than a
-/// process's own word.
+/// Another process's clock is an hour behind, or ahead: its latest change counts all the same, and for no longer than a
+/// change of this process.
 #[test]
-fn the_last_word_counts_whatever_the_clock_of_who_says_it() {
+fn the_latest_change_counts_whatever_the_clock_of_the_other_process() {
     const HOUR: Time = 3_600_000_000;
     for (here, there) in [(10 * HOUR, 9 * HOUR), (9 * HOUR, 10 * HOUR)] {
         let (mut one, mut two) = (BanList::default(), BanList::default());
@@ -93,17 +98,17 @@
         assert_eq!(two.merge(there, one.records()), [id("a")]);
         two.set(there + 1, &id("a"), false, true).unwrap();
         assert_eq!(
-            one.merge(here + 2 * ENDED_KEPT, two.records()),
+            one.merge(here + 2 * BAN_END_RETENTION, two.records()),
             [id("a")],
             "{here} {there}"
         );
         assert!(!one.is_banned("a"));
         assert_eq!(
             one.ended_at("a"),
-            Some(here + 2 * ENDED_KEPT),
-            "by the clock of who hears it"
+            Some(here + 2 * BAN_END_RETENTION),
+            "by the clock of the process that receives it"
         );
-        one.merge(here + 4 * ENDED_KEPT, &BanRecords::new());
+        one.merge(here + 4 * BAN_END_RETENTION, &BanRecords::new());
         assert!(one.records().is_empty(), "forgotten in time");
     }
 }
--- a/tests/unit/dispatcher/endpoint_table.rs
+++ b/tests/unit/dispatcher/endpoint_table.rs
@@ -1,96 +1,107 @@
-//! The nodes' table by itself.
+//! The endpoint table by itself.
 
 use super::*;
-use slog::{o, Discard};
+use crate::dispatcher::DiscoveredEndpoint;
+use slog::{o, Discard, Logger};
 
-fn member(name: &str, key: u64, state: EndpointStatus) -> DiscoveredEndpoint {
-    let entry = EndpointRecord {
+fn discovered(name: &str, key: u64, status: EndpointStatus) -> DiscoveredEndpoint {
+    let record = EndpointRecord {
         key,
-        status: state,
+        status,
         ..EndpointRecord::default()
     };
     DiscoveredEndpoint {
         id: name.into(),
         address: format!("127.0.0.1:{}", 7_000 + name.len()).into(),
-        record: entry,
+        record,
         is_partial: false,
     }
 }
 
-/// Others know a server by a part of its key. Two that share it are not told apart; when one of them has gone, the other
-/// one is meant; and one that has gone is never meant, whatever came before.
+/// Other dispatchers know an endpoint by a part of its key. Two that share it can't be distinguished; when one of them has
+/// been removed, the hash means the other one; and it never means one that has been removed.
 #[test]
-fn a_server_is_known_by_its_hash_while_it_is_alone_in_it() {
-    let log = Logger::root(Discard, o!());
-    let mut nodes = EndpointTable::default();
-    let list = |nodes: &mut EndpointTable, named: &[(&str, u64)]| {
-        let members = named
+fn an_endpoint_is_known_by_its_gossip_hash_while_no_other_shares_it() {
+    let report = Report::new(0, Logger::root(Discard, o!()));
+    let mut endpoints = EndpointTable::default();
+    let replace_list = |endpoints: &mut EndpointTable, named: &[(&str, u64)]| {
+        let list = named
             .iter()
-            .map(|(name, key)| member(name, *key, EndpointStatus::Ready))
+            .map(|(name, key)| discovered(name, *key, EndpointStatus::Ready))
             .collect();
-        nodes.list(0, true, members, &log);
-        nodes.forget_gone(&HashSet::new());
+        endpoints.replace_list(0, list, &report);
+        endpoints.forget_removed(&HashSet::new());
     };
-    let name = |nodes: &EndpointTable, hash| {
-        nodes
-            .by_hash(hash)
-            .and_then(|it| nodes.get(it))
-            .map(|it| it.name.to_string())
+    let name = |endpoints: &EndpointTable, hash| {
+        endpoints
+            .by_gossip_hash(hash)
+            .and_then(|number| endpoints.get(number))
+            .map(|endpoint| endpoint.id.to_string())
     };
-    // The upper part of a key is not told.
+    // The upper part of a key is not sent.
     let same = 7 + (1 << 40);
-    list(&mut nodes, &[("a", 7), ("bb", 9)]);
+    replace_list(&mut endpoints, &[("a", 7), ("bb", 9)]);
     assert_eq!(
-        (name(&nodes, 7).as_deref(), name(&nodes, 9).as_deref()),
+        (
+            name(&endpoints, 7).as_deref(),
+            name(&endpoints, 9).as_deref()
+        ),
         (Some("a"), Some("bb"))
     );
-    assert_eq!(name(&nodes, 8), None);
-    list(&mut nodes, &[("a", 7), ("bb", 9), ("ccc", same)]);
+    assert_eq!(name(&endpoints, 8), None);
+    replace_list(&mut endpoints, &[("a", 7), ("bb", 9), ("ccc", same)]);
     assert_eq!(
-        (name(&nodes, 7), name(&nodes, 9).as_deref()),
+        (name(&endpoints, 7), name(&endpoints, 9).as_deref()),
         (None, Some("bb"))
     );
-    list(&mut nodes, &[("bb", 9), ("ccc", same)]);
-    assert_eq!(name(&nodes, 7).as_deref(), Some("ccc"));
-    list(&mut nodes, &[("bb", 9)]);
-    assert_eq!(name(&nodes, 7), None);
-    list(&mut nodes, &[]);
-    assert!(nodes.hashed.is_empty(), "nothing is left behind");
+    replace_list(&mut endpoints, &[("bb", 9), ("ccc", same)]);
+    assert_eq!(name(&endpoints, 7).as_deref(), Some("ccc"));
+    replace_list(&mut endpoints, &[("bb", 9)]);
+    assert_eq!(name(&endpoints, 7), None);
+    replace_list(&mut endpoints, &[]);
+    assert!(
+        endpoints.by_gossip_hash.is_empty(),
+        "nothing is left behind"
+    );
 }
 
-/// A wall clock was stepped by an hour, there or here: a server that has just started is not taken for warm, and one that runs
-/// for long is not cold for an hour.
+/// A wall clock was stepped by an hour, there or here: an endpoint that has just started is not taken for warmed up, and one
+/// that has run for long is not in slow start for an hour.
 #[test]
-fn the_age_of_a_server_is_bounded_by_when_its_start_was_heard_of() {
+fn the_start_of_an_endpoint_is_bounded_by_when_it_was_reported() {
     const SECOND: Time = 1_000_000;
     const HOUR: Time = 3_600 * SECOND;
-    let log = Logger::root(Discard, o!());
-    let started = |nodes: &EndpointTable| nodes.get(0).and_then(|it| it.entry().started_at);
-    let list = |nodes: &mut EndpointTable, now, at| {
-        let mut member = member("a", 7, EndpointStatus::Ready);
-        member.record.started_at = Some(at);
-        nodes.list(now, false, vec![member], &log);
+    let report = Report::new(0, Logger::root(Discard, o!()));
+    let started = |endpoints: &EndpointTable| {
+        endpoints
+            .get(0)
+            .and_then(|endpoint| endpoint.effective_record().started_at)
+    };
+    let update_list = |endpoints: &mut EndpointTable, now, started_at| {
+        let mut discovered = discovered("a", 7, EndpointStatus::Ready);
+        discovered.record.started_at = Some(started_at);
+        endpoints.update_list(now, vec![discovered], &report);
     };
-    let (mut nodes, now) = (EndpointTable::default(), 100 * HOUR);
-    // At first nothing but the list tells; a start to come is none.
-    list(&mut nodes, now, 99 * HOUR);
-    assert_eq!(started(&nodes), Some(99 * HOUR));
-    for told in [99 * HOUR + 7, 101 * HOUR + 7] {
-        let heard = now + 10 * SECOND;
-        list(&mut nodes, heard, told);
+    let (mut endpoints, now) = (EndpointTable::default(), 100 * HOUR);
+    // At first only the list is known; a start in the future is none.
+    update_list(&mut endpoints, now, 99 * HOUR);
+    assert_eq!(started(&endpoints), Some(99 * HOUR));
+    for reported in [99 * HOUR + 7, 101 * HOUR + 7] {
+        let received = now + 10 * SECOND;
+        update_list(&mut endpoints, received, reported);
         assert!(
-            (heard - 6 * SECOND..=heard).contains(&started(&nodes).unwrap()),
-            "{told}"
+            (received - 6 * SECOND..=received).contains(&started(&endpoints).unwrap()),
+            "{reported}"
         );
-        // It ages by this process's clock, however often the list tells of it.
-        let before = started(&nodes);
-        list(&mut nodes, heard + 5 * SECOND, told);
-        assert_eq!(started(&nodes), before);
+        // It ages by this process's clock, however often the list reports it.
+        let before = started(&endpoints);
+        update_list(&mut endpoints, received + 5 * SECOND, reported);
+        assert_eq!(started(&endpoints), before);
     }
-    // Where the clocks agree, what is told holds.
-    list(&mut nodes, now + 30 * SECOND, now + 28 * SECOND);
-    assert_eq!(started(&nodes), Some(now + 28 * SECOND));
+    // Where the clocks agree, the reported start counts.
+    update_list(&mut endpoints, now + 30 * SECOND, now + 28 * SECOND);
+    assert_eq!(started(&endpoints), Some(now + 28 * SECOND));
     let mut first = EndpointTable::default();
-    list(&mut first, now, 101 * HOUR);
+    update_list(&mut first, now, 101 * HOUR);
     assert_eq!(started(&first), Some(now));
 }
--- a/tests/unit/dispatcher/guard.rs
+++ b/tests/unit/dispatcher/guard.rs
@@ -5,138 +5,141 @@
 use crate::routing::api::{AttemptStatus, RequestMetadata};
 
 const MS: Time = 1_000;
-const READER: EndpointId = 1;
-const WRITER: EndpointId = 2;
+const PREFILL: EndpointId = 1;
+const DECODE: EndpointId = 2;
 const OTHER_CELL: EndpointId = 3;
 const OTHER_ZONE: EndpointId = 4;
 const DRAINING: EndpointId = 5;
 
-fn target(server: EndpointId) -> Option<EndpointTarget> {
-    let role = if server == READER {
+fn target(endpoint: EndpointId) -> Option<EndpointTarget> {
+    let role = if endpoint == PREFILL {
         Role::Prefill
     } else {
         Role::Decode
     };
-    let state = if server == DRAINING {
+    let status = if endpoint == DRAINING {
         EndpointStatus::Draining
     } else {
         EndpointStatus::Ready
     };
-    let (zone, cell) = match server {
+    let (zone, cell) = match endpoint {
         OTHER_CELL => (0, 1),
         OTHER_ZONE => (1, 2),
         _ => (0, 0),
     };
-    (server <= DRAINING).then_some(EndpointTarget {
+    (endpoint <= DRAINING).then_some(EndpointTarget {
         role,
         zone,
         cell,
-        state,
+        status,
     })
 }
 
-fn settings(effect: Idempotency) -> RoutingSettings {
+fn settings(idempotency: Idempotency) -> RoutingSettings {
     let profile: SettingsObject = miniserde::json::from_str(
         r#"{"classes":[{"name":"c","repeat":"free"}],"limits":{"most_tries":3,"second_copies":true}}"#,
     )
     .unwrap();
     let mut settings = Deployment::new(&profile).unwrap().settings;
-    settings.classes[0].idempotency = effect;
+    settings.classes[0].idempotency = idempotency;
     settings
 }
 
-/// A request with attempts at servers; those without a reason are out. Its time is up after 5 s.
+/// A request with attempts at endpoints; those without a reason are in flight. Its deadline is after 5 s.
 fn request(attempts: &[(EndpointId, Option<EndReason>)]) -> Request {
-    let (answer, _) = tokio::sync::oneshot::channel();
-    let work = UpstreamRequest {
+    let (outcome, _) = tokio::sync::oneshot::channel();
+    let upstream = UpstreamRequest {
         client_request_id: "a".into(),
         target: "/".into(),
         body: "{}".into(),
     };
-    let ask = RequestMetadata {
+    let metadata = RequestMetadata {
         time_left: 5_000 * MS,
         ..RequestMetadata::default()
     };
-    let mut request = Request::new(0, &ask, work, false, answer);
-    let attempt = |(server, ended): &(EndpointId, Option<EndReason>)| Attempt {
-        ended_at: 0,
-        server: *server,
-        target: target(*server),
-        sent: 0,
-        ended: *ended,
+    let mut request = Request::new(0, &metadata, upstream, Idempotency::Idempotent, outcome);
+    let attempt = |(endpoint, end_reason): &(EndpointId, Option<EndReason>)| Attempt {
+        end_reason: *end_reason,
+        ..Attempt::new(0, *endpoint, target(*endpoint))
     };
     request.attempts = attempts.iter().map(attempt).collect();
     request
 }
 
-fn send(
-    effect: Idempotency,
+fn check_attempt(
+    idempotency: Idempotency,
     now: Time,
-    server: EndpointId,
+    endpoint: EndpointId,
     attempts: &[(EndpointId, Option<EndReason>)],
 ) -> Result<(), Rule> {
-    let settings = settings(effect);
+    let settings = settings(idempotency);
     Guard {
         settings: &settings,
-        target,
+        target_of: target,
         now,
     }
-    .check_send(&request(attempts), server)
+    .check_attempt(&request(attempts), endpoint)
     .map(drop)
 }
 
-fn refusal(
-    effect: Idempotency,
+fn check_shed(
+    idempotency: Idempotency,
     now: Time,
     attempts: &[(EndpointId, Option<EndReason>)],
 ) -> Result<(), Rule> {
-    let settings = settings(effect);
+    let settings = settings(idempotency);
     Guard {
         settings: &settings,
-        target,
+        target_of: target,
         now,
     }
-    .check_refusal(&request(attempts))
+    .check_shed(&request(attempts))
 }
 
 #[test]
-fn nothing_goes_to_a_server_that_is_not_ready_nor_for_what_is_over() {
-    assert_eq!(send(Idempotency::Idempotent, 0, WRITER, &[]), Ok(()));
+fn no_attempt_goes_to_an_endpoint_that_is_not_ready_nor_for_a_closed_request() {
     assert_eq!(
-        send(Idempotency::Idempotent, 0, DRAINING, &[]),
+        check_attempt(Idempotency::Idempotent, 0, DECODE, &[]),
+        Ok(())
+    );
+    assert_eq!(
+        check_attempt(Idempotency::Idempotent, 0, DRAINING, &[]),
+        Err(Rule::Drain)
+    );
+    assert_eq!(
+        check_attempt(Idempotency::Idempotent, 0, 99, &[]),
         Err(Rule::Drain)
     );
-    assert_eq!(send(Idempotency::Idempotent, 0, 99, &[]), Err(Rule::Drain));
     assert_eq!(
-        send(Idempotency::Idempotent, 5_000 * MS, WRITER, &[]),
+        check_attempt(Idempotency::Idempotent, 5_000 * MS, DECODE, &[]),
         Err(Rule::RequestOver)
     );
     let settings = settings(Idempotency::Idempotent);
     let guard = Guard {
         settings: &settings,
-        target,
+        target_of: target,
         now: 0,
     };
-    let mut closed = request(&[(WRITER, None)]);
+    let mut closed = request(&[(DECODE, None)]);
     assert_eq!(guard.check_stream(&closed, 0), Ok(()));
     assert_eq!(guard.check_stream(&closed, 1), Err(Rule::RequestOver));
     closed.close();
-    assert_eq!(guard.check_send(&closed, WRITER), Err(Rule::RequestOver));
+    assert_eq!(guard.check_attempt(&closed, DECODE), Err(Rule::RequestOver));
     assert_eq!(guard.check_stream(&closed, 0), Err(Rule::RequestOver));
 }
 
 #[test]
-fn attempts_are_as_many_as_the_settings_allow() {
-    let failed = (READER, Some(EndReason::ErrorResponse));
+fn attempts_are_limited_by_the_settings() {
+    let failed = (PREFILL, Some(EndReason::ErrorResponse));
     assert_eq!(
-        send(Idempotency::Idempotent, 0, WRITER, &[failed, failed]),
+        check_attempt(Idempotency::Idempotent, 0, DECODE, &[failed, failed]),
         Ok(())
     );
     assert_eq!(
-        send(
+        check_attempt(
             Idempotency::Idempotent,
             0,
-            WRITER,
+            DECODE,
             &[failed, failed, failed]
         ),
         Err(Rule::Attempts)
@@ -147,17 +150,17 @@
     };
     let guard = Guard {
         settings: &alone,
-        target,
+        target_of: target,
         now: 0,
     };
     assert_eq!(
-        guard.check_send(&request(&[(READER, None)]), READER),
+        guard.check_attempt(&request(&[(PREFILL, None)]), PREFILL),
         Err(Rule::Attempts)
     );
 }
 
 #[test]
-fn what_must_not_run_twice_goes_on_only_where_nothing_ran() {
+fn a_non_idempotent_request_is_repeated_only_where_nothing_ran() {
     for reason in [
         AttemptStatus::PrefillDone,
         AttemptStatus::Reset,
@@ -167,17 +170,17 @@
     .map(EndReason::of)
     {
         assert_eq!(
-            send(
+            check_attempt(
                 Idempotency::NonIdempotent,
                 0,
-                WRITER,
-                &[(READER, Some(reason))]
+                DECODE,
+                &[(PREFILL, Some(reason))]
             ),
             Ok(()),
             "{reason:?}"
         );
         assert_eq!(
-            refusal(Idempotency::NonIdempotent, 0, &[(READER, Some(reason))]),
+            check_shed(Idempotency::NonIdempotent, 0, &[(PREFILL, Some(reason))]),
             Ok(()),
             "{reason:?}"
         );
@@ -192,17 +195,17 @@
     .map(EndReason::of)
     {
         assert_eq!(
-            send(
+            check_attempt(
                 Idempotency::NonIdempotent,
                 0,
-                READER,
-                &[(WRITER, Some(reason))]
+                PREFILL,
+                &[(DECODE, Some(reason))]
             ),
             Err(Rule::Duplicate),
             "{reason:?}"
         );
         assert_eq!(
-            refusal(Idempotency::NonIdempotent, 0, &[(WRITER, Some(reason))]),
+            check_shed(Idempotency::NonIdempotent, 0, &[(DECODE, Some(reason))]),
             Err(Rule::Duplicate),
             "{reason:?}"
         );
@@ -216,44 +219,44 @@
     .map(EndReason::of)
     {
         assert_eq!(
-            send(
+            check_attempt(
                 Idempotency::NonIdempotent,
                 0,
-                WRITER,
-                &[(WRITER, Some(reason))]
+                DECODE,
+                &[(DECODE, Some(reason))]
             ),
             Ok(()),
             "{reason:?}"
         );
         assert_eq!(
-            refusal(Idempotency::NonIdempotent, 0, &[(WRITER, Some(reason))]),
+            check_shed(Idempotency::NonIdempotent, 0, &[(DECODE, Some(reason))]),
             Ok(()),
             "{reason:?}"
         );
     }
-    // While an attempt is out, at a reader too, nothing proves that it had no effect.
+    // While an attempt is in flight, also at a prefill endpoint, nothing proves that it had no effect.
     assert_eq!(
-        refusal(Idempotency::NonIdempotent, 0, &[(READER, None)]),
+        check_shed(Idempotency::NonIdempotent, 0, &[(PREFILL, None)]),
         Err(Rule::Duplicate)
     );
     assert_eq!(
-        send(Idempotency::NonIdempotent, 0, READER, &[(READER, None)]),
+        check_attempt(Idempotency::NonIdempotent, 0, PREFILL, &[(PREFILL, None)]),
         Err(Rule::Duplicate)
     );
 }
 
 #[test]
-fn keyed_requests_are_repeated_where_and_while_repeats_are_dropped() {
-    let lost = [(WRITER, Some(EndReason::Timeout))];
-    let keyed = |group| Idempotency::IdempotencyKey {
-        scope: group,
+fn requests_with_idempotency_keys_are_repeated_where_and_while_repeats_are_dropped() {
+    let lost = [(DECODE, Some(EndReason::Timeout))];
+    let keyed = |scope| Idempotency::IdempotencyKey {
+        scope,
         window: 1_000 * MS,
     };
-    for (group, server, allowed) in [
+    for (scope, endpoint, allowed) in [
         (DeduplicationScope::AllEndpoints, OTHER_ZONE, true),
         (DeduplicationScope::Zone, OTHER_CELL, true),
         (DeduplicationScope::Zone, OTHER_ZONE, false),
-        (DeduplicationScope::Cell, WRITER, true),
+        (DeduplicationScope::Cell, DECODE, true),
         (DeduplicationScope::Cell, OTHER_CELL, false),
     ] {
         let expected = if allowed {
@@ -262,26 +265,26 @@
             Err(Rule::Duplicate)
         };
         assert_eq!(
-            send(keyed(group), 999 * MS, server, &lost),
+            check_attempt(keyed(scope), 999 * MS, endpoint, &lost),
             expected,
-            "{group:?} {server}"
+            "{scope:?} {endpoint}"
         );
         assert_eq!(
-            send(keyed(group), 1_000 * MS, server, &lost),
+            check_attempt(keyed(scope), 1_000 * MS, endpoint, &lost),
             Err(Rule::Duplicate),
-            "{group:?} {server}"
+            "{scope:?} {endpoint}"
         );
     }
     assert_eq!(
-        refusal(keyed(DeduplicationScope::AllEndpoints), 999 * MS, &lost),
+        check_shed(keyed(DeduplicationScope::AllEndpoints), 999 * MS, &lost),
         Ok(())
     );
     assert_eq!(
-        refusal(keyed(DeduplicationScope::AllEndpoints), 1_000 * MS, &lost),
+        check_shed(keyed(DeduplicationScope::AllEndpoints), 1_000 * MS, &lost),
         Err(Rule::Duplicate)
     );
     assert_eq!(
-        refusal(keyed(DeduplicationScope::Zone), 0, &lost),
+        check_shed(keyed(DeduplicationScope::Zone), 0, &lost),
         Err(Rule::Duplicate)
     );
 }
--- a/tests/unit/dispatcher/reservation.rs
+++ b/tests/unit/dispatcher/reservation.rs
@@ -1,47 +1,48 @@
+use super::ReservationDemand::{AttemptInFlight, NotNeeded, RequestWaiting};
 use super::*;
 
 const MS: Time = 1_000;
-const WITHIN: Time = 1_000 * MS;
-const READER: Option<Role> = Some(Role::Prefill);
-const WRITER: Option<Role> = Some(Role::Decode);
+const TTL: Time = 1_000 * MS;
+const PREFILL: Option<Role> = Some(Role::Prefill);
+const DECODE: Option<Role> = Some(Role::Decode);
 
-/// When a release starts, and why, for a request that waits.
-fn release(
-    lease: &mut Reservation,
+/// After which time a release starts, and why.
+fn start_release_when_due(
+    reservation: &mut Reservation,
     from: Time,
-    attempt_out: bool,
+    demand: ReservationDemand,
 ) -> Option<(Time, ReleaseReason)> {
-    (from..from + 2 * WITHIN)
+    (from..from + 2 * TTL)
         .step_by(10 * MS as usize)
         .find_map(|now| {
-            let reason = lease.start_release(now, WITHIN, true, attempt_out)?;
+            let reason = reservation.start_release(now, TTL, demand)?;
             Some((now - from, reason))
         })
 }
 
 #[test]
-fn a_state_that_was_read_is_released_in_time_with_and_without_a_send() {
-    for (attempt_out, reason) in [
-        (false, ReleaseReason::Expired),
-        (true, ReleaseReason::AttemptUnconfirmed),
+fn a_confirmed_kv_cache_is_released_in_time_with_and_without_an_attempt_in_flight() {
+    for (demand, reason) in [
+        (RequestWaiting, ReleaseReason::Expired),
+        (AttemptInFlight, ReleaseReason::AttemptUnconfirmed),
     ] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::PrefillDone);
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
         assert_eq!(
-            release(&mut lease, 0, attempt_out),
+            start_release_when_due(&mut reservation, 0, demand),
             Some((900 * MS, reason))
         );
         assert_eq!(
-            release(&mut lease, 900 * MS, attempt_out),
+            start_release_when_due(&mut reservation, 900 * MS, demand),
             None,
-            "one is under way"
+            "one is in progress"
         );
     }
 }
 
-/// No end of an attempt of which nothing was heard gives a state new time: it need not have arrived.
+/// The end of an attempt without a response gives a KV cache no new time: the attempt need not have arrived.
 #[test]
-fn only_answers_give_a_state_new_time() {
+fn only_responses_give_a_kv_cache_new_time() {
     let silent = [
         EndReason::Timeout,
         EndReason::Cancelled,
@@ -53,21 +54,23 @@
         EndReason::TaskPanicked,
     ];
     for reason in silent {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::PrefillDone);
-        lease.attempt_ended(600 * MS, WRITER, reason);
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+        reservation.on_attempt_ended(600 * MS, DECODE, reason);
         assert_eq!(
-            release(&mut lease, 600 * MS, false).map(|it| it.0),
+            start_release_when_due(&mut reservation, 600 * MS, RequestWaiting)
+                .map(|(delay, _)| delay),
             Some(300 * MS),
             "{reason:?}"
         );
     }
     for reason in [EndReason::Overloaded, EndReason::ErrorResponse] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::PrefillDone);
-        lease.attempt_ended(600 * MS, WRITER, reason);
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+        reservation.on_attempt_ended(600 * MS, DECODE, reason);
         assert_eq!(
-            release(&mut lease, 600 * MS, false).map(|it| it.0),
+            start_release_when_due(&mut reservation, 600 * MS, RequestWaiting)
+                .map(|(delay, _)| delay),
             Some(900 * MS),
             "{reason:?}"
         );
@@ -75,12 +78,12 @@
 }
 
 #[test]
-fn what_a_broken_read_may_have_left_is_released_sooner_where_nothing_is_out() {
-    for (attempt_out, after) in [(false, 400 * MS), (true, 900 * MS)] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::ConnectionReset);
+fn a_suspected_kv_cache_is_released_sooner_when_no_attempt_is_in_flight() {
+    for (demand, after) in [(RequestWaiting, 400 * MS), (AttemptInFlight, 900 * MS)] {
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::ConnectionReset);
         assert_eq!(
-            release(&mut lease, 0, attempt_out).map(|it| it.0),
+            start_release_when_due(&mut reservation, 0, demand).map(|(delay, _)| delay),
             Some(after)
         );
     }
@@ -89,29 +92,31 @@
         EndReason::ConnectFailed,
         EndReason::InvalidRequest,
     ] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, reason);
-        assert!(!lease.may_be_held(), "{reason:?}");
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, reason);
+        assert!(!reservation.may_be_held(), "{reason:?}");
     }
 }
 
-/// A server that had taken the send kept the state when the others were told to release; when that send ends it waits again.
+/// An endpoint that had received the attempt kept the KV cache when the others were told to release; when the attempt ends,
+/// the KV cache waits again.
 #[test]
-fn a_release_under_an_attempt_is_repeated_when_that_one_has_ended() {
+fn a_release_during_an_attempt_is_repeated_when_the_attempt_has_ended() {
     for reason in [
         EndReason::Timeout,
         EndReason::Cancelled,
         EndReason::Overloaded,
         EndReason::ErrorResponse,
     ] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::PrefillDone);
-        assert!(release(&mut lease, 0, true).is_some());
-        lease.release_ended(900 * MS);
-        assert!(!lease.may_be_held());
-        lease.attempt_ended(1_500 * MS, WRITER, reason);
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+        assert!(start_release_when_due(&mut reservation, 0, AttemptInFlight).is_some());
+        reservation.on_release_completed(900 * MS);
+        assert!(!reservation.may_be_held());
+        reservation.on_attempt_ended(1_500 * MS, DECODE, reason);
         assert_eq!(
-            release(&mut lease, 1_500 * MS, false).map(|it| it.0),
+            start_release_when_due(&mut reservation, 1_500 * MS, RequestWaiting)
+                .map(|(delay, _)| delay),
             Some(400 * MS),
             "{reason:?}"
         );
@@ -121,79 +126,79 @@
         EndReason::ConnectFailed,
         EndReason::RequestNotWritten,
     ] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::PrefillDone);
-        assert!(release(&mut lease, 0, true).is_some());
-        lease.release_ended(900 * MS);
-        lease.attempt_ended(1_500 * MS, WRITER, reason);
-        assert!(!lease.may_be_held(), "{reason:?}");
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+        assert!(start_release_when_due(&mut reservation, 0, AttemptInFlight).is_some());
+        reservation.on_release_completed(900 * MS);
+        reservation.on_attempt_ended(1_500 * MS, DECODE, reason);
+        assert!(!reservation.may_be_held(), "{reason:?}");
     }
 }
 
 #[test]
-fn what_nobody_needs_is_released_at_once_when_nothing_is_out() {
-    let mut lease = Reservation::default();
-    lease.attempt_ended(0, READER, EndReason::PrefillDone);
+fn a_kv_cache_that_is_not_needed_is_released_at_once_when_no_attempt_is_in_flight() {
+    let mut reservation = Reservation::default();
+    reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
     assert_eq!(
-        lease.start_release(0, WITHIN, false, true),
+        reservation.start_release(0, TTL, AttemptInFlight),
         None,
         "its end comes soon"
     );
     assert_eq!(
-        lease.start_release(0, WITHIN, false, false),
+        reservation.start_release(0, TTL, NotNeeded),
         Some(ReleaseReason::NoLongerNeeded)
     );
-    // What comes to be held while that is under way is released after it.
-    lease.attempt_ended(10 * MS, READER, EndReason::PrefillDone);
-    assert_eq!(lease.start_release(10 * MS, WITHIN, false, false), None);
-    lease.release_ended(20 * MS);
+    // What is reserved while that is in progress is released after it.
+    reservation.on_attempt_ended(10 * MS, PREFILL, EndReason::PrefillDone);
+    assert_eq!(reservation.start_release(10 * MS, TTL, NotNeeded), None);
+    reservation.on_release_completed(20 * MS);
     assert_eq!(
-        lease.start_release(20 * MS, WITHIN, false, false),
+        reservation.start_release(20 * MS, TTL, NotNeeded),
         Some(ReleaseReason::NoLongerNeeded)
     );
 }
 
 #[test]
-fn a_stream_that_begins_leaves_nothing_to_release() {
-    let mut lease = Reservation::default();
-    lease.attempt_ended(0, READER, EndReason::PrefillDone);
-    lease.stream_began();
-    assert!(!lease.may_be_held());
+fn a_started_stream_leaves_nothing_to_release() {
+    let mut reservation = Reservation::default();
+    reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+    reservation.on_stream_started();
+    assert!(!reservation.may_be_held());
 }
 
-/// The close of an attempt that was given up and the release go to two servers: the release may be read first, while that
-/// attempt still waits there, and then it has let go of nothing.
+/// The close of an abandoned attempt and the release go to two endpoints: the release may be processed first, while that
+/// attempt still waits there, and then it has released nothing.
 #[test]
-fn a_release_right_after_an_attempt_was_given_up_is_repeated_once() {
+fn a_release_right_after_an_attempt_was_abandoned_is_repeated_once() {
     for reason in [
         EndReason::Cancelled,
         EndReason::Timeout,
         EndReason::ClientDisconnected,
     ] {
-        let mut lease = Reservation::default();
-        lease.attempt_ended(0, READER, EndReason::PrefillDone);
-        lease.attempt_ended(200 * MS, WRITER, reason);
-        assert!(lease
-            .start_release(201 * MS, WITHIN, false, false)
+        let mut reservation = Reservation::default();
+        reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+        reservation.on_attempt_ended(200 * MS, DECODE, reason);
+        assert!(reservation
+            .start_release(201 * MS, TTL, NotNeeded)
             .is_some());
-        lease.release_ended(205 * MS);
-        assert_eq!(lease.start_release(300 * MS, WITHIN, false, false), None);
+        reservation.on_release_completed(205 * MS);
+        assert_eq!(reservation.start_release(300 * MS, TTL, NotNeeded), None);
         assert!(
-            lease
-                .start_release(305 * MS, WITHIN, false, false)
+            reservation
+                .start_release(305 * MS, TTL, NotNeeded)
                 .is_some(),
             "{reason:?}"
         );
-        lease.release_ended(310 * MS);
-        assert!(!lease.may_be_held(), "{reason:?}");
+        reservation.on_release_completed(310 * MS);
+        assert!(!reservation.may_be_held(), "{reason:?}");
     }
-    // One that comes later finds the attempt over.
-    let mut lease = Reservation::default();
-    lease.attempt_ended(0, READER, EndReason::PrefillDone);
-    lease.attempt_ended(200 * MS, WRITER, EndReason::Cancelled);
-    assert!(lease
-        .start_release(300 * MS, WITHIN, false, false)
+    // A later release finds the attempt ended.
+    let mut reservation = Reservation::default();
+    reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
+    reservation.on_attempt_ended(200 * MS, DECODE, EndReason::Cancelled);
+    assert!(reservation
+        .start_release(300 * MS, TTL, NotNeeded)
         .is_some());
-    lease.release_ended(305 * MS);
-    assert!(!lease.may_be_held());
+    reservation.on_release_completed(305 * MS);
+    assert!(!reservation.may_be_held());
 }
--- /dev/null
+++ b/tests/unit/recording.rs
@@ -0,0 +1,45 @@
+use super::*;
+use crate::config::SettingsObject;
+use quartzhall_recording::RecordedStatus;
+
+fn recorder() -> TraceRecorder {
+    let settings: SettingsObject =
+        miniserde::json::from_str(r#"{"classes":[{"name":"chat","repeat":"free"}]}"#).unwrap();
+    let deployment = Deployment::new(&settings).unwrap();
+    TraceRecorder::new(Key::from_secret(b"test"), 0, "n1", &deployment)
+}
+
+/// The file has no status of its own for this: it is the stored form that readers of recordings know.
+#[test]
+fn a_missing_kv_cache_is_recorded_as_overloaded_with_one_cached_token() {
+    let mut recorder = recorder();
+    recorder.take_records();
+    for cached_tokens in [0.0, 1.0, 4096.0] {
+        recorder.record_attempt_end(7, 3, 1, AttemptStatus::KvStateMissing, cached_tokens, 0.0);
+        let records = recorder.take_records();
+        let [Record::Ended {
+            at: 7,
+            request: 3,
+            attempt: 1,
+            status,
+            kept,
+            written: 0,
+        }] = records[..]
+        else {
+            panic!("{records:?}");
+        };
+        assert_eq!((status, kept), (RecordedStatus::Overloaded, 1));
+    }
+}
+
+#[test]
+fn an_overloaded_attempt_is_recorded_with_its_own_cached_tokens() {
+    let mut recorder = recorder();
+    recorder.take_records();
+    recorder.record_attempt_end(7, 3, 1, AttemptStatus::Overloaded, 0.0, 0.0);
+    let records = recorder.take_records();
+    let [Record::Ended { status, kept, .. }] = records[..] else {
+        panic!("{records:?}");
+    };
+    assert_eq!((status, kept), (RecordedStatus::Overloaded, 0));
+}
