--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -31,7 +31,8 @@
     let site = Deployment::new(&config.settings)?;
     door.apply_settings(site)
         .await
-        .ok_or("the dispatcher ends")??;
+        .ok_or("the dispatcher ends")?
+        .map_err(|error| error.to_string())?;
     discovery.send_if_modified(|old| {
         let new = config.discovery != *old;
         *old = config.discovery;
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -196,7 +196,7 @@
             )
                 .into_response()
         }
-        Ok(Outcome::Shed(after)) => refused(after),
+        Ok(Outcome::Shed { retry_after }) => refused(retry_after),
         Ok(Outcome::Failed) => says(StatusCode::BAD_GATEWAY, "failed"),
         Ok(Outcome::InvalidRequest) => {
             says(StatusCode::BAD_REQUEST, "a node found the request bad")
--- a/src/frontend/websocket.rs
+++ b/src/frontend/websocket.rs
@@ -706,8 +706,8 @@
                 }
                 answer = &mut answered, if !begun => match answer {
                     Ok(Outcome::Stream(pieces)) => stream = Some(pieces),
-                    Ok(Outcome::Shed(after)) => {
-                        return Tried::Final(FinalOutcome::Shed(Instant::now() + after));
+                    Ok(Outcome::Shed { retry_after }) => {
+                        return Tried::Final(FinalOutcome::Shed(Instant::now() + retry_after));
                     }
                     Ok(Outcome::InvalidRequest) => {
                         return Tried::Final(FinalOutcome::Failed("a node found the request bad"));
--- a/tests/unit/upgrade/coordinator.rs
+++ b/tests/unit/upgrade/coordinator.rs
@@ -168,7 +168,7 @@
     let (_phase, phase) = watch::channel(ProcessState::Serving);
     let (view, _seen) = watch::channel(PeerProcesses::default());
     tokio::spawn(run(handover, Free, door, phase, view));
-    inbox.marks.send_replace(marks(5));
+    inbox.ban_records.send_replace(marks(5));
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert!(path.is_dir());
     fs::remove_dir_all(&path).unwrap();
