--- a/src/dispatcher/core/requests.rs
+++ b/src/dispatcher/core/requests.rs
@@ -13,6 +13,12 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
+/// Why a request does not enter the table, and its outcome.
+struct Rejection {
+    reason: CloseReason,
+    outcome: Outcome,
+}
+
 impl Core {
     pub(super) fn on_request_arrived(
         &mut self,
@@ -23,38 +29,11 @@
     ) {
         let client_request_id = &upstream.client_request_id;
         let idempotency = self.settings.idempotency_of(metadata.class);
-        // An id that is in flight is never a second request: endpoints know requests by it alone.
-        if self.requests.is_open(client_request_id) {
-            let reason = CloseReason::DuplicateId;
-            self.reject_request(
-                now,
-                client_request_id,
-                reason,
-                outcome,
-                Outcome::DuplicateId,
-            );
-            return;
-        }
-        // A client that submits an id again of which something may have run is never told that it may try again.
-        let is_idempotent = idempotency == Idempotency::Idempotent;
-        if !is_idempotent && self.requests.may_have_run(client_request_id) {
-            let reason = CloseReason::MayHaveRun;
-            self.reject_request(
-                now,
-                client_request_id,
-                reason,
-                outcome,
-                Outcome::DuplicateId,
-            );
-            return;
-        }
-        // A request beyond the limit never reaches the router. Nothing was sent, so it may be shed.
-        if self.requests.len() >= self.settings.max_requests() {
-            let shed = Outcome::Shed {
-                retry_after: self.settings.max_retry_after(),
-            };
-            let reason = CloseReason::TableFull;
-            self.reject_request(now, client_request_id, reason, outcome, shed);
+        if let Err(rejection) = self.check_arrival(client_request_id, idempotency) {
+            let open_requests = self.requests.len();
+            self.report
+                .request_rejected(now, client_request_id, rejection.reason, open_requests);
+            let _ = outcome.send(rejection.outcome);
             return;
         }
         if let Some(gossip) = &mut self.gossip {
@@ -69,19 +48,36 @@
         self.drive_router(now, api::Event::RequestArrived(metadata));
     }
 
-    /// Answers a request that does not enter the table.
-    fn reject_request(
-        &mut self,
-        now: Time,
+    /// Whether a request may enter the table.
+    fn check_arrival(
+        &self,
         client_request_id: &str,
-        reason: CloseReason,
-        sender: oneshot::Sender<Outcome>,
-        outcome: Outcome,
-    ) {
-        let open_requests = self.requests.len();
-        self.report
-            .request_rejected(now, client_request_id, reason, open_requests);
-        let _ = sender.send(outcome);
+        idempotency: Idempotency,
+    ) -> Result<(), Rejection> {
+        // An id that is in flight is never a second request: endpoints know requests by it alone.
+        if self.requests.is_open(client_request_id) {
+            return Err(Rejection {
+                reason: CloseReason::DuplicateId,
+                outcome: Outcome::DuplicateId,
+            });
+        }
+        // A client that submits an id again of which something may have run is never told that it may try again.
+        let is_idempotent = idempotency == Idempotency::Idempotent;
+        if !is_idempotent && self.requests.may_have_run(client_request_id) {
+            return Err(Rejection {
+                reason: CloseReason::MayHaveRun,
+                outcome: Outcome::DuplicateId,
+            });
+        }
+        // A request beyond the limit never reaches the router. Nothing was sent, so it may be shed.
+        if self.requests.len() >= self.settings.max_requests() {
+            let retry_after = self.settings.max_retry_after();
+            return Err(Rejection {
+                reason: CloseReason::TableFull,
+                outcome: Outcome::Shed { retry_after },
+            });
+        }
+        Ok(())
     }
 
     pub(super) fn on_client_disconnected(
--- /dev/null
+++ b/tests/dispatcher_harness/mod.rs
@@ -0,0 +1,288 @@
+//! The core by itself, for the tests of the dispatcher: no wire, and no clock but the times that a test passes.
+
+#![allow(dead_code)]
+
+use quartzhall::config::{Deployment, SettingsObject};
+use quartzhall::dispatcher::bans::BanError;
+use quartzhall::dispatcher::{
+    Command, Core, DiscoveredEndpoint, EndReason, Event, Outcome, Readiness, SettingsError,
+    StreamChunk, UpstreamRequest,
+};
+use quartzhall::routing::api::{
+    AttemptStatus, EndpointRecord, EndpointStatus, RequestMetadata, Role, Time,
+};
+use slog::{o, Discard, Logger};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use tokio::sync::{mpsc, oneshot};
+
+#[path = "../testbed/profile.rs"]
+pub mod profile;
+
+/// The time at which every core starts.
+pub const START: Time = 1_700_000_000_000_000;
+/// Microseconds in a millisecond.
+pub const MS: Time = 1000;
+
+/// The part of the profile that gives the first class its meaning, and one under which its requests must not run twice.
+pub const FREE_CLASS: &str = r#""aim":1500.0,"repeat":"free""#;
+pub const NON_IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"single_shot""#;
+
+/// A core with its time, and what it has commanded.
+pub struct CoreHarness {
+    pub core: Core,
+    pub now: Time,
+    pub commands: Vec<Command>,
+}
+
+pub fn endpoint(id: &str, role: Role, status: EndpointStatus) -> DiscoveredEndpoint {
+    let record = EndpointRecord {
+        key: id.len() as u64,
+        role,
+        status,
+        kv_capacity_tokens: 200_000.0,
+        ..EndpointRecord::default()
+    };
+    DiscoveredEndpoint {
+        id: id.into(),
+        address: format!("127.0.0.1:{}", 7000 + id.len()).into(),
+        record,
+        is_partial: false,
+    }
+}
+
+pub fn deployment(profile: &str) -> Deployment {
+    let settings: SettingsObject = miniserde::json::from_str(profile).unwrap();
+    Deployment::new(&settings).unwrap()
+}
+
+/// A request of the first class that has 2 s left.
+pub fn metadata(id: u64) -> RequestMetadata {
+    RequestMetadata {
+        id,
+        time_left: 2_000 * MS,
+        prompt_tokens: 500.0,
+        max_output_tokens: 9.0,
+        ..RequestMetadata::default()
+    }
+}
+
+pub fn request_arrived(
+    metadata: RequestMetadata,
+    client_request_id: &str,
+) -> (Event, oneshot::Receiver<Outcome>) {
+    let upstream = UpstreamRequest {
+        client_request_id: client_request_id.into(),
+        target: "/v1/chat/completions".into(),
+        body: "{}".into(),
+    };
+    let (sender, outcome) = oneshot::channel();
+    let event = Event::RequestArrived {
+        metadata,
+        upstream,
+        outcome: sender,
+    };
+    (event, outcome)
+}
+
+impl CoreHarness {
+    /// A core with one endpoint for prefill, `r`, and one for decode, `ww`.
+    pub fn new(max_requests: usize) -> CoreHarness {
+        CoreHarness::with_deployment(deployment(profile::PROFILE), max_requests)
+    }
+
+    pub fn with_deployment(deployment: Deployment, max_requests: usize) -> CoreHarness {
+        let log = Logger::root(Discard, o!());
+        let mut harness = CoreHarness {
+            core: Core::new(Arc::new(deployment), max_requests, 7, START, log),
+            now: START,
+            commands: Vec::new(),
+        };
+        assert_eq!(harness.core.readiness(), Readiness::Starting);
+        harness.replace_endpoints(vec![
+            endpoint("r", Role::Prefill, EndpointStatus::Ready),
+            endpoint("ww", Role::Decode, EndpointStatus::Ready),
+        ]);
+        assert_eq!(harness.core.readiness(), Readiness::Ready);
+        harness
+    }
+
+    pub fn handle(&mut self, event: Event) {
+        self.core.handle_event(self.now, event);
+        self.commands.extend(self.core.take_commands());
+    }
+
+    /// Lets time pass, and wakes the core whenever it is due.
+    pub fn advance(&mut self, time: Time) {
+        let until = self.now + time;
+        while let Some(due) = self.core.next_wakeup().filter(|due| *due <= until) {
+            self.now = due.max(self.now + 1);
+            self.core.on_timer(self.now);
+            self.commands.extend(self.core.take_commands());
+        }
+        self.now = until;
+    }
+}
+
+/// Requests and their attempts.
+impl CoreHarness {
+    pub fn submit(
+        &mut self,
+        id: u64,
+        class: usize,
+        client_request_id: &str,
+    ) -> oneshot::Receiver<Outcome> {
+        let metadata = RequestMetadata {
+            class,
+            max_output_tokens: 100.0,
+            ..metadata(id)
+        };
+        self.submit_request(metadata, client_request_id)
+    }
+
+    pub fn submit_request(
+        &mut self,
+        metadata: RequestMetadata,
+        client_request_id: &str,
+    ) -> oneshot::Receiver<Outcome> {
+        let (event, outcome) = request_arrived(metadata, client_request_id);
+        self.handle(event);
+        outcome
+    }
+
+    /// The client disconnects, and nobody waits for whether the request may have run.
+    pub fn disconnect(&mut self, id: u64) {
+        self.handle(Event::ClientDisconnected {
+            id,
+            may_have_run: None,
+        });
+    }
+
+    /// An attempt's first event; the stream breaks when the sender is dropped.
+    pub fn start_stream(&mut self, id: u64, attempt: u32) -> mpsc::Sender<StreamChunk> {
+        let (chunks, stream) = mpsc::channel(4);
+        self.handle(Event::FirstEvent {
+            id,
+            attempt,
+            stream,
+        });
+        chunks
+    }
+
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, status: AttemptStatus) {
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            reason: EndReason::of(status),
+            cached_tokens: 0.0,
+            completion_tokens: 0.0,
+            load: None,
+        });
+    }
+
+    /// How many attempts were started.
+    pub fn attempt_count(&self) -> usize {
+        self.commands
+            .iter()
+            .filter(|command| matches!(command, Command::StartAttempt { .. }))
+            .count()
+    }
+
+    pub fn cancelled_attempts(&self) -> Vec<(u64, u32)> {
+        let cancelled = |command: &Command| match command {
+            Command::CancelAttempt { id, attempt } => Some((*id, *attempt)),
+            _ => None,
+        };
+        self.commands.iter().filter_map(cancelled).collect()
+    }
+
+    /// How many releases were commanded.
+    pub fn release_count(&self) -> usize {
+        self.commands
+            .iter()
+            .filter(|command| matches!(command, Command::ReleaseReservation { .. }))
+            .count()
+    }
+
+    /// An endpoint confirms the release.
+    pub fn complete_release(&mut self, id: u64) {
+        self.handle(Event::ReleaseCompleted {
+            id,
+            confirmed: true,
+        });
+    }
+
+    /// The release of a request whose attempt was abandoned just now is confirmed; it is repeated when the close of that
+    /// attempt has arrived, and confirmed again.
+    pub fn complete_repeated_release(&mut self, id: u64) {
+        let before = self.release_count();
+        self.complete_release(id);
+        assert_eq!(self.release_count(), before, "the repeat comes later");
+        self.advance(120 * MS);
+        assert!(self.release_count() > before, "it is repeated");
+        self.complete_release(id);
+    }
+}
+
+/// Endpoints, bans and settings.
+impl CoreHarness {
+    /// A complete list of endpoints.
+    pub fn replace_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
+        self.handle(Event::EndpointsChanged {
+            is_full: true,
+            endpoints,
+        });
+    }
+
+    /// What has changed in the list of endpoints.
+    pub fn update_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
+        self.handle(Event::EndpointsChanged {
+            is_full: false,
+            endpoints,
+        });
+    }
+
+    pub fn set_ban(&mut self, endpoint_id: &str, banned: bool) -> Result<(), BanError> {
+        let (reply, mut result) = oneshot::channel();
+        self.handle(Event::BanRequested {
+            endpoint_id: endpoint_id.into(),
+            banned,
+            reply,
+        });
+        result.try_recv().unwrap()
+    }
+
+    /// Addresses that were blocked (true) and unblocked (false), in order.
+    pub fn block_commands(&self) -> Vec<(&str, bool)> {
+        let block = |command| match command {
+            &Command::BlockAddress {
+                ref address,
+                is_blocked,
+            } => Some((&**address, is_blocked)),
+            _ => None,
+        };
+        self.commands.iter().filter_map(block).collect()
+    }
+
+    /// Addresses that are blocked by all that was commanded, sorted.
+    pub fn blocked_addresses(&self) -> Vec<&str> {
+        let mut blocked = BTreeSet::new();
+        for (address, is_blocked) in self.block_commands() {
+            if is_blocked {
+                blocked.insert(address);
+            } else {
+                blocked.remove(address);
+            }
+        }
+        blocked.into_iter().collect()
+    }
+
+    pub fn apply_settings(&mut self, profile: &str) -> Result<(), SettingsError> {
+        let (reply, mut result) = oneshot::channel();
+        self.handle(Event::SettingsChanged {
+            deployment: Box::new(deployment(profile)),
+            reply,
+        });
+        result.try_recv().unwrap()
+    }
+}
--- /dev/null
+++ b/tests/dispatcher_lifecycle.rs
@@ -0,0 +1,107 @@
+//! Readiness, shutdown and the event queue.
+
+mod dispatcher_harness;
+
+use dispatcher_harness::{deployment, profile, CoreHarness, MS};
+use quartzhall::dispatcher::{self, Core, Event, Outcome, Readiness};
+use quartzhall::routing::api::AttemptStatus;
+use slog::{o, Discard, Logger};
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+#[test]
+fn readiness_is_draining_while_requests_are_still_served() {
+    let mut harness = CoreHarness::new(10);
+    harness.handle(Event::Drain(std::time::Duration::from_secs(3)));
+    assert_eq!(harness.core.readiness(), Readiness::Draining);
+    assert!(
+        harness.submit(1, 0, "a").try_recv().is_err(),
+        "a request that still arrives is served"
+    );
+    assert_eq!(harness.attempt_count(), 1);
+}
+
+/// A full queue loses nothing: a client that disconnects then is reported all the same.
+#[tokio::test]
+async fn a_full_event_queue_drops_nothing() {
+    let deployment = Arc::new(deployment(profile::PROFILE));
+    let (handle, receiver) = dispatcher::channel(deployment.clone());
+    for _ in 0..10_000 {
+        handle.send_detached(Event::EndpointListFailed);
+    }
+    let clock = dispatcher::Clock::start();
+    let core = Core::new(deployment, 10, 7, clock.now(), Logger::root(Discard, o!()));
+    handle.send_detached(Event::Drain(std::time::Duration::from_secs(3)));
+    let (commands, _command_receiver) = mpsc::channel(16);
+    tokio::spawn(dispatcher::run(core, clock, receiver, commands, None, None));
+    handle.wait_for_readiness(Readiness::Draining).await;
+}
+
+/// Half a second before the process is killed nothing is reserved any more, whatever the clients would have waited.
+#[test]
+fn every_request_but_streams_is_closed_when_the_process_ends() {
+    let mut harness = CoreHarness::new(10);
+    let (mut prefilled, mut in_prefill, mut streaming) = (
+        harness.submit(1, 0, "prefilled"),
+        harness.submit(2, 1, "in-prefill"),
+        harness.submit(3, 0, "streaming"),
+    );
+    harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
+    harness.end_attempt(3, 0, AttemptStatus::PrefillDone);
+    let _chunks = harness.start_stream(3, 1);
+    assert!(matches!(streaming.try_recv(), Ok(Outcome::Stream(_))));
+    harness.handle(Event::Drain(std::time::Duration::from_millis(700)));
+    let mut late = harness.submit(4, 0, "late");
+    harness.advance(600 * MS);
+    assert!(
+        prefilled.try_recv().is_err() && in_prefill.try_recv().is_err() && late.try_recv().is_err()
+    );
+    harness.advance(100 * MS);
+    assert!(matches!(
+        prefilled.try_recv(),
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
+    ));
+    // A prefill has had no effect.
+    assert!(matches!(
+        in_prefill.try_recv(),
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
+    ));
+    assert!(matches!(
+        late.try_recv(),
+        Ok(Outcome::Shed { .. } | Outcome::Failed)
+    ));
+    for (id, attempt) in harness.cancelled_attempts() {
+        harness.end_attempt(id, attempt, AttemptStatus::Cancelled);
+    }
+    assert_eq!(harness.release_count(), 3);
+    for id in [1, 2, 4] {
+        harness.complete_release(id);
+    }
+    harness.advance(120 * MS);
+    assert_eq!(
+        (harness.core.open_requests(), harness.release_count()),
+        (4, 6),
+        "each is repeated"
+    );
+    for id in [1, 2, 4] {
+        harness.complete_release(id);
+    }
+    assert_eq!(harness.core.open_requests(), 1, "the stream goes on");
+    harness.advance(5_000 * MS);
+    assert_eq!(harness.core.open_requests(), 1);
+}
+
+/// A process that takes over accepts clients late; one that shuts down never becomes ready again.
+#[test]
+fn accepting_clients_ends_the_standby_and_not_the_draining() {
+    let mut harness = CoreHarness::new(10);
+    harness.core.start_in_standby();
+    assert_eq!(harness.core.readiness(), Readiness::Standby);
+    harness.handle(Event::AcceptClients);
+    assert_eq!(harness.core.readiness(), Readiness::Ready);
+    harness.handle(Event::Drain(std::time::Duration::from_secs(3)));
+    harness.handle(Event::AcceptClients);
+    assert_eq!(harness.core.readiness(), Readiness::Draining);
+    harness.core.start_in_standby();
+    assert_eq!(harness.core.readiness(), Readiness::Draining);
+}
--- a/tests/unit/dispatcher/guard.rs
+++ b/tests/unit/dispatcher/guard.rs
@@ -159,90 +159,69 @@
     );
 }
 
+/// Whether a request that must not run twice may have a further attempt at `endpoint`, or be shed, after `previous`.
+fn assert_non_idempotent(
+    endpoint: EndpointId,
+    previous: (EndpointId, Option<EndReason>),
+    expected: Result<(), Rule>,
+) {
+    let idempotency = Idempotency::NonIdempotent;
+    assert_eq!(
+        check_attempt(idempotency, 0, endpoint, &[previous]),
+        expected,
+        "{previous:?}"
+    );
+    assert_eq!(
+        check_shed(idempotency, 0, &[previous]),
+        expected,
+        "{previous:?}"
+    );
+}
+
 #[test]
-fn a_non_idempotent_request_is_repeated_only_where_nothing_ran() {
-    for reason in [
+fn a_non_idempotent_request_is_repeated_after_any_end_of_a_prefill() {
+    for status in [
         AttemptStatus::PrefillDone,
         AttemptStatus::Reset,
         AttemptStatus::Timeout,
         AttemptStatus::Cancelled,
-    ]
-    .map(EndReason::of)
-    {
-        assert_eq!(
-            check_attempt(
-                Idempotency::NonIdempotent,
-                0,
-                DECODE,
-                &[(PREFILL, Some(reason))]
-            ),
-            Ok(()),
-            "{reason:?}"
-        );
-        assert_eq!(
-            check_shed(Idempotency::NonIdempotent, 0, &[(PREFILL, Some(reason))]),
-            Ok(()),
-            "{reason:?}"
-        );
+    ] {
+        let previous = (PREFILL, Some(EndReason::of(status)));
+        assert_non_idempotent(DECODE, previous, Ok(()));
     }
-    for reason in [
+}
+
+#[test]
+fn a_non_idempotent_request_is_not_repeated_after_a_decode_that_may_have_run() {
+    for status in [
         AttemptStatus::Reset,
         AttemptStatus::StaleConnection,
         AttemptStatus::Timeout,
         AttemptStatus::Cancelled,
         AttemptStatus::Error,
-    ]
-    .map(EndReason::of)
-    {
-        assert_eq!(
-            check_attempt(
-                Idempotency::NonIdempotent,
-                0,
-                PREFILL,
-                &[(DECODE, Some(reason))]
-            ),
-            Err(Rule::Duplicate),
-            "{reason:?}"
-        );
-        assert_eq!(
-            check_shed(Idempotency::NonIdempotent, 0, &[(DECODE, Some(reason))]),
-            Err(Rule::Duplicate),
-            "{reason:?}"
-        );
+    ] {
+        let previous = (DECODE, Some(EndReason::of(status)));
+        assert_non_idempotent(PREFILL, previous, Err(Rule::Duplicate));
     }
-    for reason in [
+}
+
+#[test]
+fn a_non_idempotent_request_is_repeated_after_a_decode_that_never_ran() {
+    for status in [
         AttemptStatus::Overloaded,
         AttemptStatus::ConnectFailed,
         AttemptStatus::NotSent,
         AttemptStatus::InvalidRequest,
-    ]
-    .map(EndReason::of)
-    {
-        assert_eq!(
-            check_attempt(
-                Idempotency::NonIdempotent,
-                0,
-                DECODE,
-                &[(DECODE, Some(reason))]
-            ),
-            Ok(()),
-            "{reason:?}"
-        );
-        assert_eq!(
-            check_shed(Idempotency::NonIdempotent, 0, &[(DECODE, Some(reason))]),
-            Ok(()),
-            "{reason:?}"
-        );
+    ] {
+        let previous = (DECODE, Some(EndReason::of(status)));
+        assert_non_idempotent(DECODE, previous, Ok(()));
     }
-    // While an attempt is in flight, also at a prefill endpoint, nothing proves that it had no effect.
-    assert_eq!(
-        check_shed(Idempotency::NonIdempotent, 0, &[(PREFILL, None)]),
-        Err(Rule::Duplicate)
-    );
-    assert_eq!(
-        check_attempt(Idempotency::NonIdempotent, 0, PREFILL, &[(PREFILL, None)]),
-        Err(Rule::Duplicate)
-    );
+}
+
+/// While an attempt is in flight, also at a prefill endpoint, nothing proves that it had no effect.
+#[test]
+fn a_non_idempotent_request_is_not_repeated_while_an_attempt_is_in_flight() {
+    assert_non_idempotent(PREFILL, (PREFILL, None), Err(Rule::Duplicate));
 }
 
 #[test]
