--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -16,13 +16,15 @@
 use self::lifecycle::Lifecycle;
 use self::settings::SettingsState;
 use super::endpoint_table::EndpointTable;
+use super::endpoint_target::EndpointTarget;
+use super::guard::Guard;
 use super::messages::{Command, Event};
 use super::report::Report;
 use super::request_table::RequestTable;
 use crate::config::Deployment;
 use crate::gossip::Gossip;
 use crate::recording::TraceRecorder;
-use crate::routing::api::{self, Time};
+use crate::routing::api::{self, EndpointId, Time};
 use crate::routing::Router;
 use quartzhall_recording::Record;
 use slog::Logger;
@@ -204,3 +206,16 @@
         self.endpoints.len()
     }
 }
+
+/// The guard that checks steps against the settings in force and the endpoints as they are now.
+fn guard<'a>(
+    settings: &'a SettingsState,
+    endpoints: &'a EndpointTable,
+    now: Time,
+) -> Guard<'a, impl Fn(EndpointId) -> Option<EndpointTarget> + 'a> {
+    Guard {
+        settings: settings.routing(),
+        target_of: |endpoint| endpoints.target(endpoint),
+        now,
+    }
+}
--- a/src/dispatcher/core/attempts.rs
+++ b/src/dispatcher/core/attempts.rs
@@ -1,7 +1,6 @@
 //! Attempts: their start, the first event of their stream, and their end.
 
-use super::Core;
-use crate::dispatcher::guard::Guard;
+use super::{guard, Core};
 use crate::dispatcher::messages::{Command, Outcome, StreamChunk};
 use crate::dispatcher::reasons::{CloseReason, EndReason};
 use crate::dispatcher::request::{Attempt, EndedAttempt, Request};
@@ -29,15 +28,10 @@
         endpoint: EndpointId,
         timeout: Time,
     ) {
-        let guard = Guard {
-            settings: self.settings.routing(),
-            target_of: |endpoint| self.endpoints.target(endpoint),
-            now,
-        };
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let checked = guard.check_attempt(request, endpoint);
+        let checked = guard(&self.settings, &self.endpoints, now).check_attempt(request, endpoint);
         let attempt = request.attempts.len() as u32;
         let previous_end = request.last_end_reason();
         let allowed_target = checked.as_ref().ok().copied();
@@ -53,12 +47,12 @@
                 return;
             }
         };
-        self.report.attempt_started(id, attempt, endpoint);
+        self.report.log_attempt_started(id, attempt, endpoint);
         // An attempt that follows a prefill is the second stage, and one beside another in flight is a hedged request.
         if let Some(previous_end) = previous_end {
             if previous_end != EndReason::PrefillDone {
                 self.report
-                    .attempt_retried(now, id, request, listed, previous_end);
+                    .log_retry(now, id, request, listed, previous_end);
             }
         }
         if let Some(recorder) = &mut self.recorder {
@@ -88,16 +82,12 @@
         attempt: u32,
         stream: mpsc::Receiver<StreamChunk>,
     ) {
-        let guard = Guard {
-            settings: self.settings.routing(),
-            target_of: |endpoint| self.endpoints.target(endpoint),
-            now,
-        };
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
+        let checked = guard(&self.settings, &self.endpoints, now).check_stream(request, attempt);
         // Dropping the stream of an attempt that came too late ends it at its endpoint.
-        if guard.check_stream(request, attempt).is_err() {
+        if checked.is_err() {
             return;
         }
         let Some(outcome) = request.outcome.take() else {
@@ -111,7 +101,7 @@
         if let Some(started) = request.attempts.get(attempt as usize) {
             self.endpoints.record_contact(now, started.endpoint);
         }
-        self.report.first_event(id, attempt);
+        self.report.log_first_event(id, attempt);
         if let Some(recorder) = &mut self.recorder {
             recorder.record_first_event(now, id, attempt);
         }
@@ -171,11 +161,11 @@
         }
         let request = self.requests.get(id);
         let request_closed = request.is_some_and(Request::is_closed);
-        let endpoint_id_of = |endpoint| Some(self.endpoints.get(endpoint)?.id.to_string());
+        let listed = self.endpoints.get(endpoint);
         self.report
-            .attempt_end_counted(now, id, attempt, reason, request, endpoint_id_of);
+            .log_attempt_failure(now, id, attempt, reason, request, listed);
         self.report
-            .attempt_ended(id, attempt, endpoint, status, cached_tokens, request_closed);
+            .log_attempt_ended(id, attempt, endpoint, status, cached_tokens, request_closed);
         if let Some(load) = &load {
             self.share_load(now, endpoint, load);
         }
@@ -211,7 +201,7 @@
         }
         self.record_outcome(now, id, RecordedOutcome::StreamBroken);
         if let Some(request) = self.requests.get(id) {
-            self.report.stream_broken(id, request, endpoint, status);
+            self.report.log_stream_broken(id, request, endpoint, status);
         }
     }
 }
--- a/src/dispatcher/core/endpoints.rs
+++ b/src/dispatcher/core/endpoints.rs
@@ -48,10 +48,17 @@
         banned: bool,
         reply: oneshot::Sender<Result<(), BanError>>,
     ) {
-        let result = self
+        let result = match self
             .endpoints
-            .set_ban(now, endpoint_id, banned, &self.report);
-        let _ = reply.send(result.map(|changes| self.apply_bans(now, changes)));
+            .set_ban(now, endpoint_id, banned, &self.report)
+        {
+            Ok(changes) => {
+                self.apply_bans(now, changes);
+                Ok(())
+            }
+            Err(error) => Err(error),
+        };
+        let _ = reply.send(result);
     }
 
     pub(super) fn on_ban_records_received(&mut self, now: Time, records: &BanRecords) {
@@ -90,7 +97,7 @@
 
     pub(super) fn probe_endpoint(&mut self, endpoint: EndpointId) {
         let Some(listed) = self.endpoints.get(endpoint) else {
-            self.report.unknown_endpoint_probed(endpoint);
+            self.report.log_unknown_probe(endpoint);
             return;
         };
         let address = listed.address.clone();
--- a/src/dispatcher/core/gossip.rs
+++ b/src/dispatcher/core/gossip.rs
@@ -20,7 +20,7 @@
         let observations = match gossip.receive(now, peer, message) {
             Ok(observations) => observations,
             Err(reason) => {
-                self.report.gossip_dropped(peer, &reason);
+                self.report.log_gossip_dropped(peer, &reason);
                 return;
             }
         };
--- a/src/dispatcher/core/lifecycle.rs
+++ b/src/dispatcher/core/lifecycle.rs
@@ -52,6 +52,6 @@
 
     /// Logs that the published readiness has changed.
     pub(in crate::dispatcher) fn log_readiness(&self, readiness: Readiness) {
-        self.report.readiness_changed(readiness);
+        self.report.log_readiness(readiness);
     }
 }
--- a/src/dispatcher/core/requests.rs
+++ b/src/dispatcher/core/requests.rs
@@ -1,7 +1,6 @@
 //! The life of a request: its arrival, its final outcome, its deadline, and the release of what is reserved for it.
 
-use super::Core;
-use crate::dispatcher::guard::Guard;
+use super::{guard, Core};
 use crate::dispatcher::messages::{Command, Outcome, UpstreamRequest};
 use crate::dispatcher::reasons::CloseReason;
 use crate::dispatcher::request::Request;
@@ -31,15 +30,20 @@
         let idempotency = self.settings.idempotency_of(metadata.class);
         if let Err(rejection) = self.check_arrival(client_request_id, idempotency) {
             let open_requests = self.requests.len();
-            self.report
-                .request_rejected(now, client_request_id, rejection.reason, open_requests);
+            self.report.log_request_rejected(
+                now,
+                client_request_id,
+                rejection.reason,
+                open_requests,
+            );
             let _ = outcome.send(rejection.outcome);
             return;
         }
         if let Some(gossip) = &mut self.gossip {
             gossip.on_request();
         }
-        self.report.request_arrived(&metadata, client_request_id);
+        self.report
+            .log_request_arrived(&metadata, client_request_id);
         if let Some(recorder) = &mut self.recorder {
             recorder.record_arrival(now, &metadata);
         }
@@ -96,7 +100,7 @@
         // A stream that has begun ends at its endpoint when its receiver is dropped, as the client's side does.
         if request.close() {
             request.outcome = None;
-            self.report.client_disconnected(now, id);
+            self.report.log_client_disconnected(now, id);
             self.record_outcome(now, id, RecordedOutcome::ClientDisconnected);
             self.drive_router(now, api::Event::ClientDisconnected { id });
         }
@@ -111,29 +115,23 @@
         reason: FailureReason,
         retry_after: Duration,
     ) {
-        let guard = Guard {
-            settings: self.settings.routing(),
-            target_of: |endpoint| self.endpoints.target(endpoint),
-            now,
+        let Some(request) = self.requests.get(id) else {
+            return;
         };
-        if let Some(request) = self.requests.get(id) {
-            match guard.check_shed(request) {
-                // A client that is shed may try again, here or elsewhere, before the close of that attempt has arrived.
-                Ok(())
-                    if !guard.is_idempotent(request) && guard.was_abandoned_recently(request) =>
-                {
-                    self.close_request(now, id, CloseReason::Failed(reason), Outcome::Failed);
-                }
-                Ok(()) => {
-                    let shed = Outcome::Shed { retry_after };
-                    self.close_request(now, id, CloseReason::Shed(reason), shed);
-                }
-                Err(rule) => {
-                    self.report_violation(now, rule, id);
-                    self.close_request(now, id, CloseReason::Failed(reason), Outcome::Failed);
-                }
+        let checked = guard(&self.settings, &self.endpoints, now).check_shed(request);
+        let may_still_run = guard(&self.settings, &self.endpoints, now).may_still_run(request);
+        let mut close_reason = CloseReason::Failed(reason);
+        let mut outcome = Outcome::Failed;
+        match checked {
+            Err(rule) => self.report_violation(now, rule, id),
+            // A client that is shed may try again, here or elsewhere, before that attempt has ended at its endpoint.
+            Ok(()) if may_still_run => {}
+            Ok(()) => {
+                close_reason = CloseReason::Shed(reason);
+                outcome = Outcome::Shed { retry_after };
             }
         }
+        self.close_request(now, id, close_reason, outcome);
         self.release_or_remove(now, id);
     }
 
@@ -152,8 +150,8 @@
             return;
         }
         request.close();
-        self.report.request_closed(now, id, request, reason);
-        self.report.outcome_ready(id, &outcome);
+        self.report.log_request_closed(now, id, request, reason);
+        self.report.log_outcome(id, &outcome);
         let recorded = match &outcome {
             Outcome::Shed { .. } => RecordedOutcome::Shed,
             _ => RecordedOutcome::Failed,
@@ -177,7 +175,7 @@
     /// Counts and logs that a rule was violated, or that a violation was prevented.
     pub(super) fn report_violation(&mut self, now: Time, rule: Rule, id: RequestId) {
         let request = self.requests.get(id);
-        self.report.violation(now, rule, id, request);
+        self.report.log_violation(now, rule, id, request);
     }
 
     /// Checks every request: its deadline, and for how long something has been reserved for it.
@@ -205,7 +203,7 @@
 
     pub(super) fn on_release_completed(&mut self, now: Time, id: RequestId, is_confirmed: bool) {
         if !is_confirmed {
-            self.report.release_failed(now);
+            self.report.count_release_failure(now);
             self.report_violation(now, Rule::HeldState, id);
         }
         if let Some(request) = self.requests.get_mut(id) {
@@ -225,7 +223,7 @@
         }
         let ttl = self.settings.reservation_ttl();
         if let Some(reason) = request.reservation.start_release(now, ttl, demand) {
-            self.report.release_started(now, id, request, reason);
+            self.report.log_release_started(now, id, request, reason);
             // Any endpoint forwards the release to the one that holds the KV cache.
             let addresses = self
                 .endpoints
--- a/src/dispatcher/core/settings.rs
+++ b/src/dispatcher/core/settings.rs
@@ -149,7 +149,8 @@
         let classes = &deployment.settings.classes;
         let active_classes = classes.iter().filter(|class| class.is_active).count();
         let max_attempts = deployment.settings.max_attempts;
-        self.report.settings_applied(active_classes, max_attempts);
+        self.report
+            .log_settings_applied(active_classes, max_attempts);
         if let Some(recorder) = &mut self.recorder {
             recorder.record_names(deployment);
         }
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -260,7 +260,7 @@
     fn apply_bans(&mut self, ids: &[Arc<str>], report: &Report) -> EndpointChanges {
         let mut changes = EndpointChanges::default();
         for id in ids {
-            report.ban_changed(id, self.bans.is_banned(id));
+            report.log_ban_changed(id, self.bans.is_banned(id));
             let Some(number) = self.numbers.get(id) else {
                 continue;
             };
--- a/src/dispatcher/endpoint_table/update.rs
+++ b/src/dispatcher/endpoint_table/update.rs
@@ -91,11 +91,11 @@
         let previous_address = previous.as_ref().map(|previous| &previous.address);
         let has_moved = previous_address.is_some_and(|previous| *previous != endpoint.address);
         if has_moved {
-            report.endpoint_moved(number, &endpoint.address);
+            report.log_endpoint_moved(number, &endpoint.address);
         }
         let record = endpoint.effective_record();
         if has_moved || previous_status != Some(endpoint.status) {
-            report.endpoint_updated(&endpoint);
+            report.log_endpoint_updated(&endpoint);
             changes.recorded.push((endpoint.id.clone(), record.clone()));
         }
         self.by_gossip_hash
--- a/src/dispatcher/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -2,6 +2,7 @@
 //! names the rule that forbids a step, whatever the router wants. Pure: no I/O, no clock, no state.
 
 use super::endpoint_target::EndpointTarget;
+use super::reasons::EndReason;
 use super::request::{Attempt, Request};
 use super::reservation::MAX_CLOSE_DELAY;
 use super::rules::Rule;
@@ -45,20 +46,15 @@
         self.check_repeat(request, None)
     }
 
-    /// Whether any number of copies of a request may run.
-    pub fn is_idempotent(&self, request: &Request) -> bool {
-        self.idempotency_of(request) == Idempotency::Idempotent
-    }
-
-    /// Whether an attempt was abandoned so recently that its endpoint may not have seen the close yet: to that endpoint it is
-    /// still in flight.
-    pub fn was_abandoned_recently(&self, request: &Request) -> bool {
-        request.attempts.iter().any(|attempt| {
-            let is_abandoned = attempt
-                .end_reason
-                .is_some_and(|reason| reason.is_abandoned());
+    /// Whether an attempt of a request that must not run twice was abandoned so recently that its endpoint may not have seen
+    /// the close yet: to that endpoint it is still in flight.
+    pub fn may_still_run(&self, request: &Request) -> bool {
+        let was_abandoned_recently = |attempt: &Attempt| {
+            let is_abandoned = attempt.end_reason.is_some_and(EndReason::is_abandoned);
             is_abandoned && self.now < attempt.ended_at.saturating_add(MAX_CLOSE_DELAY)
-        })
+        };
+        self.idempotency_of(request) != Idempotency::Idempotent
+            && request.attempts.iter().any(was_abandoned_recently)
     }
 
     /// Whether an attempt's stream may go to the client.
--- a/src/dispatcher/report/log_lines.rs
+++ b/src/dispatcher/report/log_lines.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::endpoint_table::Endpoint;
 use crate::dispatcher::messages::{Outcome, Readiness};
 use crate::dispatcher::reasons::{CloseReason, EndReason, ReleaseReason};
-use crate::dispatcher::request::{Attempt, Request};
+use crate::dispatcher::request::Request;
 use crate::dispatcher::rules::Rule;
 use crate::routing::api::{AttemptStatus, EndpointId, RequestId, RequestMetadata, Time};
 use slog::{debug, info, warn};
@@ -15,13 +15,13 @@
 
 /// Lines about requests.
 impl Report {
-    pub fn request_arrived(&self, metadata: &RequestMetadata, client_request_id: &str) {
+    pub fn log_request_arrived(&self, metadata: &RequestMetadata, client_request_id: &str) {
         debug!(self.log, "request arrived"; "id" => metadata.id, "client_request_id" => client_request_id,
             "class" => metadata.class, "time_left_us" => metadata.time_left, "prompt_tokens" => metadata.prompt_tokens,
             "prefix_tokens" => metadata.prefix_tokens);
     }
 
-    pub fn request_rejected(
+    pub fn log_request_rejected(
         &mut self,
         now: Time,
         client_request_id: &str,
@@ -34,7 +34,7 @@
         }
     }
 
-    pub fn request_closed(
+    pub fn log_request_closed(
         &mut self,
         now: Time,
         id: RequestId,
@@ -48,16 +48,16 @@
         }
     }
 
-    pub fn outcome_ready(&self, id: RequestId, outcome: &Outcome) {
+    pub fn log_outcome(&self, id: RequestId, outcome: &Outcome) {
         debug!(self.log, "request outcome"; "id" => id, "outcome" => ?outcome);
     }
 
-    pub fn client_disconnected(&mut self, now: Time, id: RequestId) {
+    pub fn log_client_disconnected(&mut self, now: Time, id: RequestId) {
         self.count(now, Counter::Close(CloseReason::ClientDisconnected));
         debug!(self.log, "client disconnected"; "id" => id);
     }
 
-    pub fn stream_broken(
+    pub fn log_stream_broken(
         &self,
         id: RequestId,
         request: &Request,
@@ -68,7 +68,7 @@
             "endpoint" => endpoint, "status" => ?status);
     }
 
-    pub fn release_started(
+    pub fn log_release_started(
         &mut self,
         now: Time,
         id: RequestId,
@@ -84,15 +84,20 @@
         }
     }
 
-    pub fn release_failed(&mut self, now: Time) {
+    pub fn count_release_failure(&mut self, now: Time) {
         self.count(now, Counter::ReleaseFailed);
     }
 
     /// A rule was violated, or a violation was prevented.
-    pub fn violation(&mut self, now: Time, rule: Rule, id: RequestId, request: Option<&Request>) {
+    pub fn log_violation(
+        &mut self,
+        now: Time,
+        rule: Rule,
+        id: RequestId,
+        request: Option<&Request>,
+    ) {
         if self.count(now, Counter::Violation(rule)) {
-            let client_request_id =
-                request.map(|request| request.upstream.client_request_id.to_string());
+            let client_request_id = request.map(|request| &*request.upstream.client_request_id);
             warn!(self.log, "violation"; "rule" => ?rule, "id" => id, "client_request_id" => client_request_id);
         }
     }
@@ -100,12 +105,12 @@
 
 /// Lines about attempts.
 impl Report {
-    pub fn attempt_started(&self, id: RequestId, attempt: u32, endpoint: EndpointId) {
+    pub fn log_attempt_started(&self, id: RequestId, attempt: u32, endpoint: EndpointId) {
         debug!(self.log, "attempt started"; "id" => id, "attempt" => attempt, "endpoint" => endpoint);
     }
 
     /// A further attempt follows one that ended for `previous_end`; `request` has the new one already.
-    pub fn attempt_retried(
+    pub fn log_retry(
         &mut self,
         now: Time,
         id: RequestId,
@@ -120,19 +125,19 @@
         }
     }
 
-    pub fn first_event(&self, id: RequestId, attempt: u32) {
+    pub fn log_first_event(&self, id: RequestId, attempt: u32) {
         debug!(self.log, "first event"; "id" => id, "attempt" => attempt);
     }
 
     /// Counts why an attempt ended, and logs it within the budget; the ordinary reasons are only counted.
-    pub fn attempt_end_counted(
+    pub fn log_attempt_failure(
         &mut self,
         now: Time,
         id: RequestId,
         attempt: u32,
         reason: EndReason,
         request: Option<&Request>,
-        endpoint_id: impl Fn(EndpointId) -> Option<String>,
+        endpoint: Option<&Endpoint>,
     ) {
         let may_log = self.count(now, Counter::End(reason));
         if !may_log || reason.is_ordinary() {
@@ -144,17 +149,13 @@
         let Some(ended) = request.attempts.get(attempt as usize) else {
             return;
         };
-        let Attempt {
-            endpoint,
-            started_at,
-            ..
-        } = ended;
+        let endpoint_id = endpoint.map(|endpoint| &*endpoint.id);
         info!(self.log, "attempt failed"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
-            "attempt" => attempt, "endpoint" => endpoint_id(*endpoint), "reason" => ?reason,
-            "duration_ms" => now.saturating_sub(*started_at) / MILLISECOND);
+            "attempt" => attempt, "endpoint" => endpoint_id, "reason" => ?reason,
+            "duration_ms" => now.saturating_sub(ended.started_at) / MILLISECOND);
     }
 
-    pub fn attempt_ended(
+    pub fn log_attempt_ended(
         &self,
         id: RequestId,
         attempt: u32,
@@ -170,33 +171,33 @@
 
 /// Lines about endpoints, gossip, settings and the process.
 impl Report {
-    pub fn endpoint_moved(&self, endpoint: EndpointId, address: &str) {
+    pub fn log_endpoint_moved(&self, endpoint: EndpointId, address: &str) {
         debug!(self.log, "endpoint moved"; "endpoint" => endpoint, "address" => address);
     }
 
-    pub fn endpoint_updated(&self, endpoint: &Endpoint) {
+    pub fn log_endpoint_updated(&self, endpoint: &Endpoint) {
         debug!(self.log, "endpoint updated"; "endpoint" => endpoint.listed.endpoint, "endpoint_id" => %endpoint.id,
             "address" => %endpoint.address, "role" => ?endpoint.role, "status" => ?endpoint.status,
             "started_at" => ?endpoint.listed.started_at);
     }
 
-    pub fn ban_changed(&self, endpoint_id: &str, is_banned: bool) {
+    pub fn log_ban_changed(&self, endpoint_id: &str, is_banned: bool) {
         info!(self.log, "ban changed"; "endpoint_id" => endpoint_id, "banned" => is_banned);
     }
 
-    pub fn unknown_endpoint_probed(&self, endpoint: EndpointId) {
+    pub fn log_unknown_probe(&self, endpoint: EndpointId) {
         warn!(self.log, "probe of unknown endpoint"; "endpoint" => endpoint);
     }
 
-    pub fn gossip_dropped(&self, peer: usize, reason: &impl Debug) {
+    pub fn log_gossip_dropped(&self, peer: usize, reason: &impl Debug) {
         debug!(self.log, "gossip message dropped"; "peer" => peer, "reason" => ?reason);
     }
 
-    pub fn settings_applied(&self, classes: usize, max_attempts: u32) {
+    pub fn log_settings_applied(&self, classes: usize, max_attempts: u32) {
         info!(self.log, "settings applied"; "classes" => classes, "max_attempts" => max_attempts);
     }
 
-    pub fn readiness_changed(&self, readiness: Readiness) {
+    pub fn log_readiness(&self, readiness: Readiness) {
         info!(self.log, "readiness"; "state" => ?readiness);
     }
 }
--- a/src/dispatcher/settings_error.rs
+++ b/src/dispatcher/settings_error.rs
@@ -1,10 +1,9 @@
 //! Errors of a change of settings.
 
 use std::error::Error;
-use thiserror::Error as DeriveError;
 
 /// Why new settings were not applied. The settings in force stay as they were.
-#[derive(Debug, DeriveError)]
+#[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The new deployment cannot follow the one in force.
     #[error(transparent)]
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -47,10 +47,10 @@
 }
 
 impl TraceRecorder {
-    /// A recorder for a dispatcher, from `at` on. `key` keeps sessions and prefixes secret.
-    pub fn new(key: Key, at: Time, dispatcher: &str, deployment: &Deployment) -> TraceRecorder {
+    /// A recorder for a dispatcher, from `now` on. `key` keeps sessions and prefixes secret.
+    pub fn new(key: Key, now: Time, dispatcher: &str, deployment: &Deployment) -> TraceRecorder {
         let start = Record::Start {
-            at,
+            at: now,
             dispatcher: dispatcher.into(),
             dispatchers: deployment.settings.dispatchers,
         };
@@ -80,7 +80,7 @@
     }
 
     /// Records an endpoint's status, and its name when it is recorded for the first time.
-    pub fn record_endpoint(&mut self, at: Time, endpoint_id: &Arc<str>, record: &EndpointRecord) {
+    pub fn record_endpoint(&mut self, now: Time, endpoint_id: &Arc<str>, record: &EndpointRecord) {
         let endpoint = record.endpoint;
         if self.named_endpoints.insert(endpoint) {
             self.records.push(Record::Name {
@@ -90,7 +90,7 @@
             });
         }
         self.records.push(Record::Node {
-            at,
+            at: now,
             node: endpoint,
             role: recorded_role(record.role),
             cell: record.cell,
@@ -105,13 +105,13 @@
     }
 
     /// Records that a request has arrived.
-    pub fn record_arrival(&mut self, at: Time, metadata: &RequestMetadata) {
+    pub fn record_arrival(&mut self, now: Time, metadata: &RequestMetadata) {
         let digest = |kind, hash: Option<u64>| {
             let hash = hash?;
             Some(self.key.digest(kind, &hash.to_le_bytes()))
         };
         self.records.push(Record::Arrival {
-            at,
+            at: now,
             request: metadata.id,
             class: metadata.class as u32,
             tenant: metadata.tenant.map(|tenant| tenant as u32),
@@ -125,9 +125,9 @@
     }
 
     /// Records that an attempt has started.
-    pub fn record_attempt(&mut self, at: Time, request: u64, attempt: u32, endpoint: EndpointId) {
+    pub fn record_attempt(&mut self, now: Time, request: u64, attempt: u32, endpoint: EndpointId) {
         self.records.push(Record::Sent {
-            at,
+            at: now,
             request,
             attempt,
             node: endpoint,
@@ -135,9 +135,9 @@
     }
 
     /// Records that an attempt's first event has been received.
-    pub fn record_first_event(&mut self, at: Time, request: u64, attempt: u32) {
+    pub fn record_first_event(&mut self, now: Time, request: u64, attempt: u32) {
         self.records.push(Record::First {
-            at,
+            at: now,
             request,
             attempt,
         });
@@ -146,7 +146,7 @@
     /// Records that an attempt has ended.
     pub fn record_attempt_end(
         &mut self,
-        at: Time,
+        now: Time,
         request: u64,
         attempt: u32,
         status: AttemptStatus,
@@ -160,7 +160,7 @@
             _ => token_count(cached_tokens),
         };
         self.records.push(Record::Ended {
-            at,
+            at: now,
             request,
             attempt,
             status: recorded_status(status),
@@ -170,9 +170,9 @@
     }
 
     /// Records a request's outcome.
-    pub fn record_outcome(&mut self, at: Time, request: u64, outcome: RecordedOutcome) {
+    pub fn record_outcome(&mut self, now: Time, request: u64, outcome: RecordedOutcome) {
         self.records.push(Record::Final {
-            at,
+            at: now,
             request,
             answer: outcome,
         });
--- a/tests/dispatcher_endpoints.rs
+++ b/tests/dispatcher_endpoints.rs
@@ -278,38 +278,45 @@
     );
 }
 
+fn gossiping_core() -> CoreHarness {
+    let mut harness = CoreHarness::new(1_000);
+    harness.core.set_gossip(Gossip::new(100, 0.0028));
+    harness
+}
+
+/// Reports a load of the first endpoint.
+fn report_load(harness: &mut CoreHarness, in_flight: f64) {
+    let load = LoadReport {
+        in_flight: Some(in_flight),
+        ..LoadReport::default()
+    };
+    harness.handle(Event::ProbeCompleted {
+        endpoint: 0,
+        is_healthy: true,
+        load: Some(load),
+    });
+}
+
+/// The message that follows a report of this load, after requests that earn the budget for it.
+fn share_load(harness: &mut CoreHarness, in_flight: f64) -> Option<bytes::Bytes> {
+    for id in 100..110 {
+        let _outcome = harness.submit(id, 0, &format!("{in_flight}-{id}"));
+    }
+    report_load(harness, in_flight);
+    harness.core.next_gossip_message(harness.now)
+}
+
 /// What one dispatcher has observed of an endpoint, another accepts; malformed messages and unknown endpoints change
 /// nothing.
 #[test]
 fn gossip_shares_observations_of_known_endpoints() {
-    let load = |in_flight| {
-        Some(LoadReport {
-            in_flight: Some(in_flight),
-            ..LoadReport::default()
-        })
-    };
-    let probe_and_share = |harness: &mut CoreHarness, in_flight| {
-        for id in 100..110 {
-            let _outcome = harness.submit(id, 0, &format!("{in_flight}-{id}"));
-        }
-        harness.handle(Event::ProbeCompleted {
-            endpoint: 0,
-            is_healthy: true,
-            load: load(in_flight),
-        });
-        harness.core.next_gossip_message(harness.now)
-    };
-    let gossiping_core = || {
-        let mut harness = CoreHarness::new(1_000);
-        harness.core.set_gossip(Gossip::new(100, 0.0028));
-        harness
-    };
-    let (mut one, mut other) = (gossiping_core(), gossiping_core());
-    let message = probe_and_share(&mut one, 40.0).expect("forty requests are a surprise");
-    for cut in 0..message.len() {
+    let mut one = gossiping_core();
+    let mut other = gossiping_core();
+    let message = share_load(&mut one, 40.0).expect("forty requests are a surprise");
+    for length in 0..message.len() {
         other.handle(Event::GossipReceived {
             from: 3,
-            message: message.slice(..cut),
+            message: message.slice(..length),
         });
     }
     let unknown = [&message[..3], &[9, 9, 9, 40, 0]].concat().into();
@@ -318,7 +325,7 @@
         message: unknown,
     });
     assert!(
-        probe_and_share(&mut other, 40.0).is_some(),
+        share_load(&mut other, 40.0).is_some(),
         "those messages were dropped: the load is not known there yet"
     );
     let mut third = gossiping_core();
@@ -328,19 +335,14 @@
     });
     third.handle(Event::GossipReceived { from: 3, message });
     assert_eq!(
-        probe_and_share(&mut third, 40.0),
+        share_load(&mut third, 40.0),
         None,
         "all dispatchers know that by now"
     );
-    // Requests earn the budget for messages.
     for id in 200..210 {
         drop(one.submit(id, 0, &format!("later-{id}")));
     }
-    one.handle(Event::ProbeCompleted {
-        endpoint: 0,
-        is_healthy: true,
-        load: load(2.0),
-    });
+    report_load(&mut one, 2.0);
     assert!(
         one.core.next_gossip_message(one.now).is_some(),
         "a changed load is shared again"
--- a/tests/dispatcher_recording.rs
+++ b/tests/dispatcher_recording.rs
@@ -8,24 +8,24 @@
 use quartzhall::routing::api::{AttemptStatus, EndpointStatus, RequestMetadata, Role};
 use quartzhall_recording::{Key, Record, Table};
 
-/// A recording has each request's arrival, attempts and outcome once; and names no session.
-#[test]
-fn a_recording_has_each_request_once_and_no_session() {
+const SECRET_SESSION: u64 = 0x7f3a_9c21_e0b4_d655;
+
+/// What is recorded of four requests: one is served, one breaks after its client has disconnected, one's client disconnects,
+/// one is shed.
+fn record_four_requests() -> Vec<Record> {
     let mut harness = CoreHarness::new(10);
-    let deployment = deployment(profile::PROFILE);
     harness.core.set_trace_recorder(TraceRecorder::new(
         Key::from_secret(b"test"),
         START,
         "n1",
-        &deployment,
+        &deployment(profile::PROFILE),
     ));
     harness.update_endpoints(vec![endpoint("ww", Role::Decode, EndpointStatus::Draining)]);
     harness.update_endpoints(vec![endpoint("ww", Role::Decode, EndpointStatus::Ready)]);
-    let secret = 0x7f3a_9c21_e0b4_d655;
     let mut outcomes = Vec::new();
     for (id, session) in [
-        (1, Some(secret)),
-        (2, Some(secret)),
+        (1, Some(SECRET_SESSION)),
+        (2, Some(SECRET_SESSION)),
         (3, Some(5)),
         (4, None),
     ] {
@@ -36,8 +36,7 @@
         outcomes.push(harness.submit_request(request, &format!("r{id}")));
         harness.end_attempt(id, 0, AttemptStatus::PrefillDone);
     }
-    // One is served, one breaks after its client has disconnected, one's client disconnects, one is shed.
-    let _chunks = harness.start_stream(1, 1);
+    let _served_chunks = harness.start_stream(1, 1);
     harness.handle(Event::AttemptEnded {
         id: 1,
         attempt: 1,
@@ -46,13 +45,19 @@
         completion_tokens: 200.0,
         load: None,
     });
-    let _chunks = harness.start_stream(2, 1);
+    let _broken_chunks = harness.start_stream(2, 1);
     harness.disconnect(2);
     harness.end_attempt(2, 1, AttemptStatus::Reset);
     harness.disconnect(3);
     harness.advance(3_000 * MS);
-    let mut records = harness.core.take_records();
+    let records = harness.core.take_records();
     assert!(harness.core.take_records().is_empty());
+    records
+}
+
+#[test]
+fn a_recording_names_classes_tenants_and_endpoints_once() {
+    let records = record_four_requests();
     let names = |wanted| {
         let name = |record: &Record| match record {
             Record::Name {
@@ -74,15 +79,25 @@
         1,
         "once, however often it is reported"
     );
-    let sessions = |record: &Record| match record {
+}
+
+#[test]
+fn a_recording_has_digests_of_sessions_and_no_session() {
+    let records = record_four_requests();
+    let session = |record: &Record| match record {
         Record::Arrival { session, .. } => Some(*session),
         _ => None,
     };
-    let sessions: Vec<_> = records.iter().filter_map(sessions).collect();
+    let sessions: Vec<_> = records.iter().filter_map(session).collect();
     assert!(sessions[0] == sessions[1] && sessions[0] != sessions[2] && sessions[3].is_none());
-    assert!(!format!("{records:?}").contains(&secret.to_string()));
-    let ended = Record::Ended {
-        at: harness.now,
+    assert!(!format!("{records:?}").contains(&SECRET_SESSION.to_string()));
+}
+
+#[test]
+fn a_recording_has_the_end_of_an_attempt_with_its_tokens() {
+    let records = record_four_requests();
+    let expected = Record::Ended {
+        at: START,
         request: 1,
         attempt: 1,
         status: quartzhall_recording::RecordedStatus::Served,
@@ -97,21 +112,26 @@
     assert!(
         records
             .iter()
-            .any(|record| without_time(record) == without_time(&ended)),
+            .any(|record| without_time(record) == without_time(&expected)),
         "{records:?}"
     );
+}
+
+#[test]
+fn a_recording_has_the_outcome_of_each_request_once() {
+    let mut records = record_four_requests();
     records.retain(|record| matches!(record, Record::Final { .. }));
-    let finals = records.iter().map(|record| match record {
+    let outcomes = records.iter().map(|record| match record {
         Record::Final {
             request, answer, ..
         } => (*request, *answer),
         _ => unreachable!(),
     });
-    let mut finals: Vec<_> = finals.collect();
-    finals.sort_by_key(|(request, _)| *request);
+    let mut outcomes: Vec<_> = outcomes.collect();
+    outcomes.sort_by_key(|(request, _)| *request);
     use quartzhall_recording::RecordedOutcome::{ClientDisconnected, Served, Shed};
     assert_eq!(
-        finals,
+        outcomes,
         [
             (1, Served),
             (2, ClientDisconnected),
--- a/tests/dispatcher_settings.rs
+++ b/tests/dispatcher_settings.rs
@@ -88,6 +88,12 @@
         applied += 1;
     }
     assert!((200..260).contains(&applied), "{applied}");
+    let rejected =
+        harness.apply_settings(&profile::PROFILE.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS));
+    assert_eq!(
+        rejected.unwrap_err().to_string(),
+        "too many classes have come and gone while requests of theirs are open"
+    );
     let deployment = harness.core.take_changed_deployment().unwrap();
     let number = deployment.classes.known("status-query").unwrap() as usize;
     assert_eq!(
--- a/tests/unit/dispatcher/bans.rs
+++ b/tests/unit/dispatcher/bans.rs
@@ -63,9 +63,9 @@
     let mut bans = BanList::default();
     for number in 0..100 {
         let name = id(&format!("r{number}"));
-        let at = number * BAN_END_RETENTION;
-        bans.set(at, &name, true, true).unwrap();
-        bans.set(at + 1, &name, false, true).unwrap();
+        let now = number * BAN_END_RETENTION;
+        bans.set(now, &name, true, true).unwrap();
+        bans.set(now + 1, &name, false, true).unwrap();
     }
     assert!(bans.records().len() <= 2);
 }
