--- a/src/dispatcher/clock.rs
+++ b/src/dispatcher/clock.rs
@@ -7,8 +7,8 @@
 /// Unix time in microseconds, from one reading of the system's clock and a clock that never jumps.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started_at: Time,
-    start: Instant,
+    start_unix_time: Time,
+    start_instant: Instant,
 }
 
 impl Clock {
@@ -16,18 +16,18 @@
     pub fn start() -> Self {
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Clock {
-            started_at: since_epoch.map_or(0, |elapsed| elapsed.as_micros() as Time),
-            start: Instant::now(),
+            start_unix_time: since_epoch.map_or(0, |elapsed| elapsed.as_micros() as Time),
+            start_instant: Instant::now(),
         }
     }
 
     /// The current Unix time in microseconds.
     pub fn now(&self) -> Time {
-        self.started_at + self.start.elapsed().as_micros() as Time
+        self.start_unix_time + self.start_instant.elapsed().as_micros() as Time
     }
 
     /// The moment of a Unix time; the clock's start for times before that.
     pub(super) fn instant(&self, time: Time) -> Instant {
-        self.start + Duration::from_micros(time.saturating_sub(self.started_at))
+        self.start_instant + Duration::from_micros(time.saturating_sub(self.start_unix_time))
     }
 }
