--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -267,7 +267,7 @@
             migration_slot,
             _pending_request: pending_request,
         }),
-        Ok(Outcome::Shed(retry_after)) => shed_response(retry_after),
+        Ok(Outcome::Shed { retry_after }) => shed_response(retry_after),
         Ok(Outcome::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed"),
         Ok(Outcome::InvalidRequest) => {
             text_response(StatusCode::BAD_REQUEST, "a node found the request bad")
--- a/src/frontend/websocket/request_task.rs
+++ b/src/frontend/websocket/request_task.rs
@@ -335,7 +335,7 @@
 /// The final outcome for one that is no stream. `None`: the dispatcher has ended without an outcome.
 fn final_outcome(outcome: Option<Outcome>) -> FinalOutcome {
     match outcome {
-        Some(Outcome::Shed(retry_after)) => FinalOutcome::Shed {
+        Some(Outcome::Shed { retry_after }) => FinalOutcome::Shed {
             retry_at: Instant::now() + retry_after,
         },
         Some(Outcome::InvalidRequest) => FinalOutcome::Failed("a node found the request bad"),
--- a/tests/unit/upgrade/coordinator.rs
+++ b/tests/unit/upgrade/coordinator.rs
@@ -70,7 +70,7 @@
     // A folder with something in it can't be replaced by a file.
     fs::create_dir_all(path.join("full")).unwrap();
     let running = spawn_coordinator(coordinator, ProcessState::Serving);
-    running.events.marks.send_replace(one_ban(5));
+    running.events.ban_records.send_replace(one_ban(5));
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert!(path.is_dir());
     fs::remove_dir_all(&path).unwrap();
