--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -862,7 +862,7 @@
         };
         let written = async {
             while std::fs::read_to_string(&bans).is_ok_and(|text| !text.contains("\"d\""))
-                || !files().contains(" 15")
+                || !files().contains("serving  15")
             {
                 tokio::task::yield_now().await;
             }
