--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -223,8 +223,8 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// A kept connection broke before anything came back: as like as not it was closed while it stood idle, which
-    /// tells nothing of the server; it may have run.
+    /// A kept connection broke before anything came back: as like as not it was closed while it stood idle,
+    /// which tells nothing of the server; it may have run.
     StaleConnection,
     /// Cancelled; it may have run.
     Cancelled,
--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -1,50 +1,51 @@
-//! Which servers are looked at for a choice. Pure: no I/O, no clock, and all draws are hashes of what the caller gives.
+//! The index of candidates: which endpoints are scored for a placement. Pure: no I/O and no clock, and all
+//! random draws are hashes of what the caller gives. The router owns it.
 //!
-//! A choice that judges every server costs as much as the fleet is large. In a fleet of up to [`WHOLE`] servers all are
-//! looked at. In a larger one a choice looks at a bounded number of candidates: the servers that are likely to be best
-//! by what they keep or where they are, and some that are drawn at random, so that load is evened out by the best of
-//! several. Where none of them will do the caller asks for a wider look, up to all servers.
+//! A placement that scores every endpoint costs as much as the fleet is large. In a fleet of up to
+//! [`MAX_FULLY_SCORED_ENDPOINTS`] all are candidates. In a larger one a query has a bounded number of them:
+//! the endpoints that are likely to be best by what they have cached or where they are, and some that are
+//! drawn at random, so that load is balanced by the best of several. Where none of them fits, the caller
+//! widens the query, up to all endpoints.
 //!
-//! The index follows each change of the list of servers. `docs/candidates.md` has the reasons and the figures.
+//! The index follows each change of the list of endpoints. `docs/candidates.md` has the reasons and the
+//! measurements.
+
+mod hash_ring;
+mod prefix_affinity;
+
+pub use hash_ring::mix;
 
 use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
-use std::cmp::Reverse;
+use hash_ring::HashRing;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to so many servers that take work, all are looked at.
-pub const WHOLE: usize = 128;
-/// A wider look has so many times as many candidates.
-const WIDEN: usize = 4;
-/// Readers drawn from the dispatcher's own zone, and from all zones.
-const READERS_NEAR: usize = 4;
-const READERS_ANYWHERE: usize = 2;
-/// Writers of the rack that holds a state, drawn from the own zone, and from all zones.
-const WRITERS_IN_CELL: usize = 8;
-const WRITERS_NEAR: usize = 8;
-const WRITERS_ANYWHERE: usize = 4;
-/// Cold servers of which one request may draw a lot.
-const COLD: usize = 8;
-/// Readers of a zone that are homes of a shared text ...
-const HOMES_LEAST: f64 = 2.0;
-/// ... and this many times its part of the traffic, of all readers.
-const HOMES_SPREAD: f64 = 2.0;
-/// A reader's rank falls with this power of the part of it that is warm.
-const COLD_HOME: f64 = 1.5;
-/// Readers that are ranked for the homes of a text: the more, the more evenly texts are spread over readers.
-const HOME_WINDOW: usize = 16;
-/// Homes of a shared text that one conversation looks at: one with very many homes has others for each conversation.
-const HOMES_MOST: usize = 4;
-
-/// The side of a server that a request needs.
+/// With up to this many ready endpoints, all of them are candidates.
+pub const MAX_FULLY_SCORED_ENDPOINTS: usize = 128;
+/// Each widening of a query multiplies its number of candidates by this.
+const WIDENING_FACTOR: usize = 4;
+/// Prefill endpoints drawn from the dispatcher's own zone ...
+const PREFILL_CANDIDATES_IN_ZONE: usize = 4;
+/// ... and from all zones.
+const PREFILL_CANDIDATES_ANYWHERE: usize = 2;
+/// Decode endpoints drawn from a cell that holds the KV cache, ...
+const DECODE_CANDIDATES_IN_CELL: usize = 8;
+/// ... from the dispatcher's own zone ...
+const DECODE_CANDIDATES_IN_ZONE: usize = 8;
+/// ... and from all zones.
+const DECODE_CANDIDATES_ANYWHERE: usize = 4;
+/// Endpoints in slow start at which one request draws a lot.
+const SLOW_START_CANDIDATES: usize = 8;
+
+/// The pool that an attempt draws its candidates from. An endpoint of mixed role is in both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// Reads prompts.
-    Read,
-    /// Writes answers.
-    Write,
+pub enum PoolKind {
+    /// Endpoints that take prompts.
+    Prefill,
+    /// Endpoints that take KV caches and stream responses.
+    Decode,
 }
 
-/// A server that takes work, as the index knows it.
+/// A ready endpoint, as the index knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IndexedEndpoint {
     /// What it does.
@@ -53,436 +54,325 @@
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// The same number for this server at every dispatcher.
+    /// The same number for this endpoint at every dispatcher.
     pub key: u64,
-    /// It is cold before this moment.
+    /// It is in slow start before this instant, in microseconds.
     pub warm_at: Time,
 }
 
-impl Side {
-    /// The side that writes, or the one that reads.
-    pub fn of(writes: bool) -> Side {
-        match writes {
-            true => Side::Write,
-            false => Side::Read,
-        }
-    }
-}
-
 impl IndexedEndpoint {
-    fn is_of(&self, side: Side) -> bool {
-        self.role
-            != if side == Side::Read {
-                Role::Decode
-            } else {
-                Role::Prefill
-            }
+    fn is_in(&self, pool: PoolKind) -> bool {
+        match pool {
+            PoolKind::Prefill => self.role != Role::Decode,
+            PoolKind::Decode => self.role != Role::Prefill,
+        }
     }
 }
 
-/// Servers in an order that is the same at every dispatcher: by a hash of their keys.
+/// The endpoints of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Ring(Vec<(u64, EndpointId)>);
-
-impl Ring {
-    fn set(&mut self, key: u64, server: EndpointId, listed: bool) {
-        let place = (point(key), server);
-        match (self.0.binary_search(&place), listed) {
-            (Err(at), true) => self.0.insert(at, place),
-            (Ok(at), false) => drop(self.0.remove(at)),
-            _ => {}
-        }
-    }
-
-    fn len(&self) -> usize {
-        self.0.len()
-    }
+struct RolePool {
+    all: HashRing,
+    in_slow_start: HashRing,
+    zones: BTreeMap<u32, HashRing>,
+    cells: BTreeMap<u32, HashRing>,
+}
 
-    /// So many servers in a row, from the first one behind a point on.
-    fn window(&self, from: u64, count: usize) -> impl Iterator<Item = EndpointId> + '_ {
-        let first = self.0.partition_point(|(at, _)| *at < from);
-        self.run(first, count)
+impl RolePool {
+    fn insert(&mut self, id: EndpointId, endpoint: &IndexedEndpoint) {
+        let key = endpoint.key;
+        self.all.insert(key, id);
+        self.zones.entry(endpoint.zone).or_default().insert(key, id);
+        self.cells.entry(endpoint.cell).or_default().insert(key, id);
     }
 
-    fn run(&self, first: usize, count: usize) -> impl Iterator<Item = EndpointId> + '_ {
-        let count = count.min(self.len());
-        (first..first + count).map(|at| self.0[at % self.len()].1)
+    fn remove(&mut self, id: EndpointId, endpoint: &IndexedEndpoint) {
+        self.all.remove(endpoint.key, id);
+        remove_from_group(&mut self.zones, endpoint.zone, endpoint.key, id);
+        remove_from_group(&mut self.cells, endpoint.cell, endpoint.key, id);
     }
 
-    /// About so many servers, drawn evenly; a larger sample of the same seed holds the smaller ones.
-    fn sample(&self, seed: u64, count: usize) -> Vec<EndpointId> {
-        if count >= self.len() {
-            return self.run(0, count).collect();
-        }
-        let draw = |number: u64| (mix(seed, number) % self.len() as u64) as usize;
-        (1..=count as u64)
-            .map(|number| self.0[draw(number)].1)
-            .collect()
+    /// The index in the slow-start ring at which a request's lots begin.
+    fn first_slow_start_lot(&self, seed: u64) -> usize {
+        (mix(seed, u64::MAX) % self.in_slow_start.len().max(1) as u64) as usize
     }
 }
 
-/// The servers of one side.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct RolePool {
-    all: Ring,
-    cold: Ring,
-    zones: BTreeMap<u32, Ring>,
-    cells: BTreeMap<u32, Ring>,
-}
-
-impl RolePool {
-    fn set(&mut self, server: EndpointId, listing: &IndexedEndpoint, listed: bool) {
-        self.all.set(listing.key, server, listed);
-        for (rings, at) in [
-            (&mut self.zones, listing.zone),
-            (&mut self.cells, listing.cell),
-        ] {
-            let ring = rings.entry(at).or_default();
-            ring.set(listing.key, server, listed);
-            if ring.len() == 0 {
-                rings.remove(&at);
-            }
-        }
+fn remove_from_group(groups: &mut BTreeMap<u32, HashRing>, group: u32, key: u64, id: EndpointId) {
+    let Some(ring) = groups.get_mut(&group) else {
+        return;
+    };
+    ring.remove(key, id);
+    if ring.is_empty() {
+        groups.remove(&group);
     }
 }
 
-/// What a look is for.
+/// What candidates are looked for.
 #[derive(Clone, Copy, Debug)]
 pub struct CandidateQuery {
     /// The dispatcher's zone.
     pub zone: u32,
-    /// Settles the draws: one number for each request.
+    /// Determines the random draws: one number for each request.
     pub seed: u64,
-    /// How often the look was widened.
-    pub widened: u32,
+    /// How often the query was widened.
+    pub widenings: u32,
 }
 
 impl CandidateQuery {
-    fn of(&self, count: usize) -> usize {
-        count.saturating_mul(WIDEN.saturating_pow(self.widened))
+    fn widen(&self, count: usize) -> usize {
+        count.saturating_mul(WIDENING_FACTOR.saturating_pow(self.widenings))
     }
 }
 
-/// The index. Two that were told the same list are equal, whatever came before.
+/// The index. Two that were given the same list are equal, whatever came before.
 #[derive(Clone, Debug)]
 pub struct CandidateIndex {
     now: Time,
-    whole: usize,
-    listings: BTreeMap<EndpointId, IndexedEndpoint>,
-    read: RolePool,
-    write: RolePool,
-    warming: BTreeSet<(Time, EndpointId)>,
+    max_fully_scored: usize,
+    endpoints: BTreeMap<EndpointId, IndexedEndpoint>,
+    prefill: RolePool,
+    decode: RolePool,
+    /// Endpoints in slow start, by the instant at which they are warm.
+    warming_up: BTreeSet<(Time, EndpointId)>,
 }
 
 impl Default for CandidateIndex {
     fn default() -> Self {
         CandidateIndex {
             now: 0,
-            whole: WHOLE,
-            listings: BTreeMap::new(),
-            read: RolePool::default(),
-            write: RolePool::default(),
-            warming: BTreeSet::new(),
+            max_fully_scored: MAX_FULLY_SCORED_ENDPOINTS,
+            endpoints: BTreeMap::new(),
+            prefill: RolePool::default(),
+            decode: RolePool::default(),
+            warming_up: BTreeSet::new(),
         }
     }
 }
 
 impl CandidateIndex {
-    /// From now on all are looked at in fleets of up to so many servers.
-    pub fn look_at_all_up_to(&mut self, servers: usize) {
-        self.whole = servers;
+    /// From now on all endpoints are candidates in fleets of up to this many.
+    pub fn look_at_all_up_to(&mut self, endpoints: usize) {
+        self.max_fully_scored = endpoints;
     }
 
-    fn group(&self, side: Side) -> &RolePool {
-        match side {
-            Side::Read => &self.read,
-            Side::Write => &self.write,
+    /// Whether the fleet is small enough for all endpoints to be candidates.
+    fn considers_all(&self) -> bool {
+        self.endpoints.len() <= self.max_fully_scored
+    }
+
+    fn pool(&self, kind: PoolKind) -> &RolePool {
+        match kind {
+            PoolKind::Prefill => &self.prefill,
+            PoolKind::Decode => &self.decode,
         }
     }
 
-    /// A server is as this line of the list says; it is warm so long after its start.
-    pub fn update(&mut self, now: Time, entry: &EndpointRecord, warm_within: Time) {
-        let EndpointRecord {
-            endpoint: server,
-            role,
-            zone,
-            cell,
-            key,
-            started_at: started,
-            ..
-        } = *entry;
-        let warm_at = started.map_or(0, |it| it.saturating_add(warm_within.max(1)));
-        let listing = IndexedEndpoint {
-            role,
-            zone,
-            cell,
-            key,
+    /// Records a line of the list of endpoints. An endpoint is warm `slow_start_duration` microseconds after
+    /// its start.
+    pub fn update(&mut self, now: Time, record: &EndpointRecord, slow_start_duration: Time) {
+        if record.status != EndpointStatus::Ready {
+            self.set(now, record.endpoint, None);
+            return;
+        }
+        let warm_at = match record.started_at {
+            Some(started_at) => started_at.saturating_add(slow_start_duration.max(1)),
+            None => 0,
+        };
+        let endpoint = IndexedEndpoint {
+            role: record.role,
+            zone: record.zone,
+            cell: record.cell,
+            key: record.key,
             warm_at,
         };
-        self.set(
-            now,
-            server,
-            (entry.status == EndpointStatus::Ready).then_some(listing),
-        );
+        self.set(now, record.endpoint, Some(endpoint));
     }
 
-    /// A server takes work and is as listed, or takes none.
-    fn set(&mut self, now: Time, server: EndpointId, listing: Option<IndexedEndpoint>) {
-        if self.listings.get(&server) == listing.as_ref() {
+    /// Replaces what is known of an endpoint; `None`: it isn't ready.
+    fn set(&mut self, now: Time, id: EndpointId, endpoint: Option<IndexedEndpoint>) {
+        if self.endpoints.get(&id) == endpoint.as_ref() {
             return;
         }
-        if let Some(old) = self.listings.remove(&server) {
-            self.warming.remove(&(old.warm_at, server));
-            self.set_in_groups(server, &old, false);
-            self.set_cold(server, &old, false);
-        }
-        let Some(new) = listing else { return };
-        self.set_in_groups(server, &new, true);
-        if now < new.warm_at {
-            self.warming.insert((new.warm_at, server));
-            self.set_cold(server, &new, true);
+        if let Some(previous) = self.endpoints.remove(&id) {
+            self.warming_up.remove(&(previous.warm_at, id));
+            for pool in self.pools_of(&previous) {
+                pool.remove(id, &previous);
+                pool.in_slow_start.remove(previous.key, id);
+            }
         }
-        self.listings.insert(server, new);
-    }
-
-    fn set_in_groups(&mut self, server: EndpointId, listing: &IndexedEndpoint, listed: bool) {
-        for (side, group) in [(Side::Read, &mut self.read), (Side::Write, &mut self.write)] {
-            if listing.is_of(side) {
-                group.set(server, listing, listed);
+        let Some(endpoint) = endpoint else {
+            return;
+        };
+        let is_in_slow_start = now < endpoint.warm_at;
+        for pool in self.pools_of(&endpoint) {
+            pool.insert(id, &endpoint);
+            if is_in_slow_start {
+                pool.in_slow_start.insert(endpoint.key, id);
             }
         }
+        if is_in_slow_start {
+            self.warming_up.insert((endpoint.warm_at, id));
+        }
+        self.endpoints.insert(id, endpoint);
     }
 
-    fn set_cold(&mut self, server: EndpointId, listing: &IndexedEndpoint, cold: bool) {
-        for (side, group) in [(Side::Read, &mut self.read), (Side::Write, &mut self.write)] {
-            if listing.is_of(side) {
-                group.cold.set(listing.key, server, cold);
-            }
-        }
+    fn pools_of<'a>(
+        &'a mut self,
+        endpoint: &'a IndexedEndpoint,
+    ) -> impl Iterator<Item = &'a mut RolePool> {
+        let pools = [
+            (PoolKind::Prefill, &mut self.prefill),
+            (PoolKind::Decode, &mut self.decode),
+        ];
+        pools
+            .into_iter()
+            .filter(|(kind, _)| endpoint.is_in(*kind))
+            .map(|(_, pool)| pool)
     }
 
-    /// Time has passed: servers have become warm.
+    /// Advances the clock: endpoints that are warm by `now` leave slow start.
     pub fn advance_to(&mut self, now: Time) {
         self.now = now;
-        while let Some((warm_at, server)) =
-            self.warming.first().copied().filter(|(at, _)| *at <= now)
-        {
-            self.warming.remove(&(warm_at, server));
-            if let Some(listing) = self.listings.get(&server).cloned() {
-                self.set_cold(server, &listing, false);
+        while let Some((warm_at, id)) = self.warming_up.first().copied() {
+            if warm_at > now {
+                break;
+            }
+            self.warming_up.remove(&(warm_at, id));
+            if let Some(endpoint) = self.endpoints.get(&id).cloned() {
+                for pool in self.pools_of(&endpoint) {
+                    pool.in_slow_start.remove(endpoint.key, id);
+                }
             }
         }
     }
 
-    /// How many servers bear the load of a side: the warm ones, or where there are none all; and whether any is warm.
-    pub fn bearing(&self, side: Side) -> (f64, bool) {
-        let group = self.group(side);
-        let warm = group.all.len() - group.cold.len();
-        (
-            if warm > 0 {
-                warm
-            } else {
-                group.all.len().max(1)
-            } as f64,
-            warm > 0,
-        )
-    }
-
-    /// Whether a look of this kind has all servers.
-    pub fn covers_all(&self, side: Side, look: &CandidateQuery) -> bool {
-        let drawn = look.of(READERS_NEAR.min(WRITERS_NEAR));
-        self.listings.len() <= self.whole || drawn >= self.group(side).all.len()
-    }
-
-    /// Readers that are homes of a shared text, and the one that is home of a conversation: all dispatchers rank readers
-    /// alike by a hash of the text, so that it comes back to the same ones. `share` is the text's part of the traffic,
-    /// `warm` the part of a server's capacity that it has: a cold reader is home to what it can take. A zone with too few
-    /// readers has further homes in the others.
-    pub fn prefix_affinity(
-        &self,
-        look: &CandidateQuery,
-        prefix: Option<u64>,
-        session: Option<u64>,
-        share: f64,
-        warm: impl Fn(EndpointId) -> f64,
-    ) -> (Vec<EndpointId>, Option<EndpointId>) {
-        let rank = |text, server: &EndpointId| {
-            let Some(listing) = self.listings.get(server) else {
-                return 0;
-            };
-            let even = (mix(text, listing.key) >> 12) as f64 + 0.5;
-            let warm = if listing.warm_at <= self.now {
-                1.0
-            } else {
-                warm(*server)
-            };
-            let rank = warm.powf(COLD_HOME) / (((1u64 << 52) as f64).ln() - even.ln());
-            rank.to_bits() // as a number it is in the same order, for it is never negative
-        };
-        let readers = self.read.zones.get(&look.zone).map_or(0, Ring::len);
-        let wanted = (HOMES_LEAST + HOMES_SPREAD * share * readers as f64) as usize;
-        let mut homes = self.home_pool(look, prefix.or(session), session, wanted);
-        let mut far = Vec::new();
-        if readers < HOMES_LEAST as usize {
-            far = self.far_home_pool(look, prefix.or(session));
-        }
-        if let Some(prefix) = prefix {
-            let best_first = |pool: &mut Vec<EndpointId>| {
-                pool.sort_by_cached_key(|server| Reverse(rank(prefix, server)));
-            };
-            [&mut homes, &mut far].into_iter().for_each(best_first);
-            homes.truncate(wanted);
-            far.truncate((HOMES_LEAST as usize).saturating_sub(homes.len()));
-        }
-        let own = if homes.is_empty() { &far } else { &homes };
-        let home =
-            session.and_then(|session| own.iter().max_by_key(|it| rank(session, it)).copied());
-        homes.extend(far);
-        (homes, home)
-    }
-
-    /// Readers of the own zone among which homes are ranked, where `wanted` of them are to be homes. All dispatchers have
-    /// the same ones, but for a text with very many homes: each conversation has its own part of those.
-    fn home_pool(
-        &self,
-        look: &CandidateQuery,
-        text: Option<u64>,
-        session: Option<u64>,
-        wanted: usize,
-    ) -> Vec<EndpointId> {
-        if self.listings.len() <= self.whole {
-            return self.all(Side::Read, |it| it.zone == look.zone);
-        }
-        let (Some(ring), Some(text)) = (self.read.zones.get(&look.zone), text) else {
-            return Vec::new();
-        };
-        if wanted <= HOMES_MOST {
-            return ring.window(point(text), HOME_WINDOW).collect();
+    /// How many endpoints serve the load of a pool, at least 1: the warm ones, or where there are none all;
+    /// and whether any is warm.
+    pub fn serving_endpoints(&self, kind: PoolKind) -> (f64, bool) {
+        let pool = self.pool(kind);
+        let warm = pool.all.len() - pool.in_slow_start.len();
+        if warm > 0 {
+            (warm as f64, true)
+        } else {
+            (pool.all.len().max(1) as f64, false)
         }
-        let homes: Vec<EndpointId> = ring.window(point(text), wanted).collect();
-        let draw = |number| mix(session.unwrap_or(look.seed), number) % homes.len().max(1) as u64;
-        let drawn: BTreeSet<u64> = (0..HOMES_MOST as u64).map(draw).collect();
-        drawn
-            .into_iter()
-            .filter_map(|at| homes.get(at as usize).copied())
-            .collect()
     }
 
-    /// The same among readers of other zones.
-    fn far_home_pool(&self, look: &CandidateQuery, text: Option<u64>) -> Vec<EndpointId> {
-        if self.listings.len() <= self.whole {
-            return self.all(Side::Read, |it| it.zone != look.zone);
-        }
-        let Some(text) = text else { return Vec::new() };
-        let is_far = |server: &EndpointId| {
-            self.listings
-                .get(server)
-                .is_some_and(|it| it.zone != look.zone)
-        };
-        self.read
-            .all
-            .window(point(text), HOME_WINDOW)
-            .filter(is_far)
-            .collect()
+    /// Whether the candidates of a query are all endpoints of the pool.
+    pub fn covers_all(&self, kind: PoolKind, query: &CandidateQuery) -> bool {
+        let min_drawn = PREFILL_CANDIDATES_IN_ZONE.min(DECODE_CANDIDATES_IN_ZONE);
+        self.considers_all() || query.widen(min_drawn) >= self.pool(kind).all.len()
     }
 
-    /// What a lot of a request at a cold server is to be multiplied by, so that each cold server is sent as much as if
-    /// every request drew a lot at every one: a request draws lots only at a few of them.
+    /// The factor for a request's lot at an endpoint in slow start. A request draws lots at a few such
+    /// endpoints only; with the factor, each is sent as much as if every request drew a lot at every one.
     pub fn slow_start_sampling_factor(
         &self,
-        side: Side,
-        look: &CandidateQuery,
-        server: EndpointId,
+        kind: PoolKind,
+        query: &CandidateQuery,
+        id: EndpointId,
     ) -> f64 {
-        let group = self.group(side);
-        let count = group.cold.len();
-        if self.listings.len() <= self.whole || count <= COLD {
+        let pool = self.pool(kind);
+        let count = pool.in_slow_start.len();
+        if self.considers_all() || count <= SLOW_START_CANDIDATES {
             return 1.0;
         }
-        let Some(listing) = self.listings.get(&server) else {
+        let Some(endpoint) = self.endpoints.get(&id) else {
             return f64::MAX;
         };
-        let Ok(at) = group.cold.0.binary_search(&(point(listing.key), server)) else {
+        let Some(index) = pool.in_slow_start.index_of(endpoint.key, id) else {
             return f64::MAX;
         };
-        let behind = (at + count - cold_start(group, look.seed)) % count;
-        if behind < COLD {
-            COLD as f64 / count as f64
+        let distance = (index + count - pool.first_slow_start_lot(query.seed)) % count;
+        if distance < SLOW_START_CANDIDATES {
+            SLOW_START_CANDIDATES as f64 / count as f64
         } else {
             f64::MAX
         }
     }
 
-    /// CandidateIndex for a read: those that are likely to keep its texts, and some that are drawn. In order, each once.
-    pub fn readers(
+    /// Candidates for a prefill: those that are likely to have the prompt cached, and some that are drawn. In
+    /// order of their ids, each once.
+    pub fn prefill_endpoints(
         &self,
-        look: &CandidateQuery,
+        query: &CandidateQuery,
         mut likely: BTreeSet<EndpointId>,
     ) -> Vec<EndpointId> {
-        if self.covers_all(Side::Read, look) {
-            return self.all(Side::Read, |_| true);
+        if self.covers_all(PoolKind::Prefill, query) {
+            return self.all_endpoints(PoolKind::Prefill, |_| true);
         }
-        likely.extend(self.drawn(Side::Read, look, READERS_NEAR, READERS_ANYWHERE));
+        likely.extend(self.draw(
+            PoolKind::Prefill,
+            query,
+            PREFILL_CANDIDATES_IN_ZONE,
+            PREFILL_CANDIDATES_ANYWHERE,
+        ));
         likely.into_iter().collect()
     }
 
-    /// CandidateIndex for a write where the state is in one of these cells. In order, each once.
-    pub fn writers(&self, look: &CandidateQuery, cells: &BTreeSet<u32>) -> Vec<EndpointId> {
-        if self.covers_all(Side::Write, look) {
-            return self.all(Side::Write, |_| true);
+    /// Candidates for a decode attempt whose KV cache is in one of these cells. In order of their ids, each
+    /// once.
+    pub fn decode_endpoints(
+        &self,
+        query: &CandidateQuery,
+        cells: &BTreeSet<u32>,
+    ) -> Vec<EndpointId> {
+        if self.covers_all(PoolKind::Decode, query) {
+            return self.all_endpoints(PoolKind::Decode, |_| true);
+        }
+        let mut found = self.draw(
+            PoolKind::Decode,
+            query,
+            DECODE_CANDIDATES_IN_ZONE,
+            DECODE_CANDIDATES_ANYWHERE,
+        );
+        for cell in cells {
+            if let Some(ring) = self.decode.cells.get(cell) {
+                found.extend(ring.sample(query.seed, query.widen(DECODE_CANDIDATES_IN_CELL)));
+            }
         }
-        let mut found = self.drawn(Side::Write, look, WRITERS_NEAR, WRITERS_ANYWHERE);
-        let rings = cells.iter().filter_map(|cell| self.write.cells.get(cell));
-        found.extend(rings.flat_map(|ring| ring.sample(look.seed, look.of(WRITERS_IN_CELL))));
         found.into_iter().collect()
     }
 
-    /// Servers that are drawn: from the own zone, from all, and cold ones at which a lot may be drawn.
-    fn drawn(
+    /// Endpoints that are drawn: from the query's zone, from all, and those in slow start at which a lot may
+    /// be drawn.
+    fn draw(
         &self,
-        side: Side,
-        look: &CandidateQuery,
-        near: usize,
-        anywhere: usize,
+        kind: PoolKind,
+        query: &CandidateQuery,
+        count_in_zone: usize,
+        count_anywhere: usize,
     ) -> BTreeSet<EndpointId> {
-        let group = self.group(side);
-        let near = group
-            .zones
-            .get(&look.zone)
-            .map(|ring| ring.sample(look.seed, look.of(near)));
-        let mut found: BTreeSet<EndpointId> = near.into_iter().flatten().collect();
-        found.extend(group.all.sample(mix(look.seed, 0), look.of(anywhere)));
-        found.extend(group.cold.run(cold_start(group, look.seed), COLD));
+        let pool = self.pool(kind);
+        let mut found = BTreeSet::new();
+        if let Some(ring) = pool.zones.get(&query.zone) {
+            found.extend(ring.sample(query.seed, query.widen(count_in_zone)));
+        }
+        found.extend(
+            pool.all
+                .sample(mix(query.seed, 0), query.widen(count_anywhere)),
+        );
+        let first_lot = pool.first_slow_start_lot(query.seed);
+        found.extend(
+            pool.in_slow_start
+                .window_from(first_lot, SLOW_START_CANDIDATES),
+        );
         found
     }
 
-    /// All servers of a side of which this holds, in order.
-    fn all(&self, side: Side, holds: impl Fn(&IndexedEndpoint) -> bool) -> Vec<EndpointId> {
-        let all = self
-            .listings
+    /// All endpoints of a pool that match, in order of their ids.
+    fn all_endpoints(
+        &self,
+        kind: PoolKind,
+        matches: impl Fn(&IndexedEndpoint) -> bool,
+    ) -> Vec<EndpointId> {
+        self.endpoints
             .iter()
-            .filter(|(_, it)| it.is_of(side) && holds(it));
-        all.map(|(server, _)| *server).collect()
-    }
-}
-
-/// The place in the order of cold servers at which a request's lots begin.
-fn cold_start(group: &RolePool, seed: u64) -> usize {
-    (mix(seed, u64::MAX) % group.cold.len().max(1) as u64) as usize
-}
-
-/// A point on the ring.
-fn point(key: u64) -> u64 {
-    mix(key, 0)
-}
-
-/// Scatters a pair of numbers evenly, such as a text's key and a server's.
-pub fn mix(text: u64, server: u64) -> u64 {
-    let mut mixed = text ^ server.rotate_left(32);
-    for _ in 0..2 {
-        mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+            .filter(|(_, endpoint)| endpoint.is_in(kind) && matches(endpoint))
+            .map(|(id, _)| *id)
+            .collect()
     }
-    mixed ^ (mixed >> 29)
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/routing/candidate_index/hash_ring.rs
@@ -0,0 +1,85 @@
+//! Endpoints in the order of a hash of their keys, which is the same at every dispatcher.
+
+use crate::routing::api::EndpointId;
+
+/// A ring of endpoints. Its owner is a [`RolePool`](super::RolePool).
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(super) struct HashRing {
+    slots: Vec<(u64, EndpointId)>,
+}
+
+impl HashRing {
+    pub(super) fn insert(&mut self, key: u64, endpoint: EndpointId) {
+        let slot = (ring_position(key), endpoint);
+        if let Err(index) = self.slots.binary_search(&slot) {
+            self.slots.insert(index, slot);
+        }
+    }
+
+    pub(super) fn remove(&mut self, key: u64, endpoint: EndpointId) {
+        if let Some(index) = self.index_of(key, endpoint) {
+            self.slots.remove(index);
+        }
+    }
+
+    pub(super) fn index_of(&self, key: u64, endpoint: EndpointId) -> Option<usize> {
+        self.slots
+            .binary_search(&(ring_position(key), endpoint))
+            .ok()
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.slots.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.slots.is_empty()
+    }
+
+    /// At most `count` successive endpoints, from the first one at or after a position on.
+    pub(super) fn window_at(
+        &self,
+        position: u64,
+        count: usize,
+    ) -> impl Iterator<Item = EndpointId> + '_ {
+        let first = self.slots.partition_point(|(slot, _)| *slot < position);
+        self.window_from(first, count)
+    }
+
+    /// At most `count` successive endpoints, from an index on.
+    pub(super) fn window_from(
+        &self,
+        first: usize,
+        count: usize,
+    ) -> impl Iterator<Item = EndpointId> + '_ {
+        let count = count.min(self.len());
+        (first..first + count).map(|index| self.slots[index % self.len()].1)
+    }
+
+    /// About `count` endpoints, drawn evenly; a larger sample of the same seed contains the smaller ones.
+    pub(super) fn sample(&self, seed: u64, count: usize) -> Vec<EndpointId> {
+        if count >= self.len() {
+            return self.window_from(0, count).collect();
+        }
+        (1..=count as u64)
+            .map(|number| {
+                let index = mix(seed, number) % self.len() as u64;
+                self.slots[index as usize].1
+            })
+            .collect()
+    }
+}
+
+/// The position of a key on the ring.
+pub(super) fn ring_position(key: u64) -> u64 {
+    mix(key, 0)
+}
+
+/// Hashes a pair of numbers evenly, such as the keys of a prefix and of an endpoint.
+pub fn mix(first: u64, second: u64) -> u64 {
+    let mut mixed = first ^ second.rotate_left(32);
+    for _ in 0..2 {
+        mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    }
+    mixed ^ (mixed >> 29)
+}
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! The decision module: which endpoint serves a request, and what is retried, hedged or shed. Pure: no I/O, no clock.
+//! The decision module: which endpoint serves a request, and what is retried, hedged or shed. Pure: no I/O,
+//! no clock.
 
 pub mod api;
 mod candidate_index;
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -1,7 +1,7 @@
 //! The prefix table: which texts servers are known to keep, by what was read there. Pure: no I/O, no clock.
 //!
-//! Entries age, and each server has a bounded number of them. The table is held both ways, by server and by text, so that
-//! the servers that keep a text are found without looking at all.
+//! Entries age, and each server has a bounded number of them. The table is held both ways, by server and by
+//! text, so that the servers that keep a text are found without looking at all.
 
 use crate::routing::api::{EndpointId, RequestMetadata, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -79,8 +79,8 @@
         found
     }
 
-    /// A server has read a request. No more tokens that are in no shared text are noted than `room`, where that is told:
-    /// a full server lets the oldest go.
+    /// A server has read a request. No more tokens that are in no shared text are noted than `room`, where
+    /// that is told: a full server lets the oldest go.
     pub fn record_prefill(
         &mut self,
         now: Time,
--- a/src/routing/router/decode.rs
+++ b/src/routing/router/decode.rs
@@ -1,92 +1,122 @@
-//! Placing a write: which writers may take a read state, and how long its first token takes there.
+//! Scores decode endpoints: which may take over a KV cache, and how long the first token takes there.
 
-use super::latency_model::{odds, Inputs, ENOUGH};
-use super::selection::{Choice, LEAST_SPREAD};
-use super::tracked_endpoint::{TrackedEndpoint, MEMORY, REQUESTS, TO_READ};
-use super::{seconds, Request, Stage, ANSWER_PART, EASY, PACE, WRITE};
+use super::latency_model::{logistic, Inputs, MIN_SAMPLES};
+use super::selection::{ScoredEndpoint, MIN_SPREAD_SHARE};
+use super::tracked_endpoint::{TrackedEndpoint, MEMORY_SHARE, PENDING_KILOTOKENS, REQUESTS};
+use super::{seconds, Request, Router, Stage, HIGH_SUCCESS_PROBABILITY};
 use crate::routing::api::*;
+use crate::routing::candidate_index::PoolKind;
 use std::collections::BTreeSet;
 
-const MEMORY_SPREAD: f64 = 0.1; // what is known of a writer's memory is off by about this part of it
+/// Standard error of what is known of a decode endpoint's memory, as a share of it.
+const MEMORY_SPREAD_SHARE: f64 = 0.1;
+/// Expected output tokens as a share of the most allowed, where the request has no hint.
+const DEFAULT_OUTPUT_SHARE: f64 = 0.33;
 
-impl super::Router {
-    pub(super) fn writers(
+/// Whether the KV cache leaves its cell on the way to a decode endpoint.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum KvTransfer {
+    WithinCell,
+    AcrossCells,
+}
+
+impl Router {
+    /// Scores the decode endpoints for a KV cache; its holder is `None` where that endpoint is no longer
+    /// known.
+    pub(super) fn score_decode_endpoints(
         &self,
         request: &Request,
-        reader: Option<&TrackedEndpoint>,
-    ) -> Vec<Choice> {
-        let cell = reader.map(|reader| reader.entry.cell);
-        let far = |it: &TrackedEndpoint| cell.is_some_and(|cell| cell != it.entry.cell);
-        let open = self
-            .open_writers(request, &cell.into_iter().collect())
-            .into_iter();
-        open.map(|server| self.writer_choice(request, server, far(server)))
-            .collect()
+        kv_holder: Option<&TrackedEndpoint>,
+    ) -> Vec<ScoredEndpoint> {
+        let cell = kv_holder.map(|holder| holder.record.cell);
+        let cells: BTreeSet<u32> = cell.into_iter().collect();
+        let mut candidates = Vec::new();
+        for endpoint in self.available_decode_endpoints(request, &cells) {
+            let transfer = if cell.is_some_and(|cell| cell != endpoint.record.cell) {
+                KvTransfer::AcrossCells
+            } else {
+                KvTransfer::WithinCell
+            };
+            candidates.push(self.score_decode_endpoint(request, endpoint, transfer));
+        }
+        candidates
     }
 
-    pub(super) fn open_writers(
+    pub(super) fn available_decode_endpoints(
         &self,
         request: &Request,
         cells: &BTreeSet<u32>,
     ) -> Vec<&TrackedEndpoint> {
-        self.open(
-            request,
-            Stage::Write,
-            self.candidates.writers(&self.look(request), cells),
-        )
+        let ids = self
+            .candidates
+            .decode_endpoints(&self.candidate_query(request), cells);
+        self.available_endpoints(request, Stage::Decode, &ids)
     }
 
-    pub(super) fn writer_choice(
+    pub(super) fn score_decode_endpoint(
         &self,
         request: &Request,
-        server: &TrackedEndpoint,
-        far: bool,
-    ) -> Choice {
-        let [running, to_fetch, memory] =
-            [REQUESTS, TO_READ, MEMORY].map(|of| self.level(server, of));
-        let prompt = request.ask.prompt_tokens / 1000.0;
+        endpoint: &TrackedEndpoint,
+        transfer: KvTransfer,
+    ) -> ScoredEndpoint {
+        let running = self.estimate_load(endpoint, REQUESTS);
+        let pending_kilotokens = self.estimate_load(endpoint, PENDING_KILOTOKENS);
+        let memory_share = self.estimate_load(endpoint, MEMORY_SHARE);
+        let prompt_kilotokens = request.metadata.prompt_tokens / 1000.0;
+        let leaves_cell = transfer == KvTransfer::AcrossCells;
         let inputs = Inputs::new(
             1.0,
             running / 10.0,
-            memory,
-            prompt * f64::from(far),
-            prompt + to_fetch,
+            memory_share,
+            prompt_kilotokens * f64::from(leaves_cell),
+            prompt_kilotokens + pending_kilotokens,
         );
-        // What its memory can't take waits until running answers end; how full it is, is known in part.
-        let (tokens, pace) = (
-            self.tokens(&request.ask),
-            self.models[PACE].predict(&inputs),
-        );
-        let over = (memory + server.part_of_memory(request.ask.prompt_tokens + tokens) - 1.0)
-            / MEMORY_SPREAD;
-        let over = MEMORY_SPREAD * (over.max(0.0) + (-over.abs()).exp().ln_1p());
-        let mut choice = self.judge(request, server, WRITE, inputs, over * tokens * pace);
-        choice.kept = request.ask.prompt_tokens;
-        choice.price += if far {
-            self.settings.kv_transfer_cost
-        } else {
-            0.0
-        };
-        let aim = seconds(self.settings.classes[request.ask.class].inter_token_objective);
-        if aim > 0.0 {
-            let warm = server.warm_share(&self.settings, self.now).max(0.05);
-            let room = 1.0 - pace / warm / aim;
-            choice.headroom = choice.headroom.min(room);
-            choice.chance *= odds(room / (2.0 * LEAST_SPREAD));
+        // What its memory can't take waits until running responses end; how full it is, is known in part.
+        let output_tokens = self.expected_output_tokens(&request.metadata);
+        let seconds_per_token = self.models.inter_token.predict(&inputs);
+        let tokens = request.metadata.prompt_tokens + output_tokens;
+        let excess = (memory_share + endpoint.memory_share_of(tokens) - 1.0) / MEMORY_SPREAD_SHARE;
+        let expected_excess =
+            MEMORY_SPREAD_SHARE * (excess.max(0.0) + (-excess.abs()).exp().ln_1p());
+        let wait_for_memory = expected_excess * output_tokens * seconds_per_token;
+        let mut scored =
+            self.score_endpoint(request, endpoint, PoolKind::Decode, inputs, wait_for_memory);
+        scored.cached_tokens = request.metadata.prompt_tokens;
+        if leaves_cell {
+            scored.cost += self.settings.kv_transfer_cost;
+        }
+        self.apply_inter_token_objective(request, endpoint, seconds_per_token, &mut scored);
+        // What is late is lost.
+        scored.cost -= scored.success_probability.min(HIGH_SUCCESS_PROBABILITY);
+        if self.models.decode.samples < MIN_SAMPLES {
+            scored.headroom = 1.0 - memory_share - running / 100.0;
         }
-        choice.price -= choice.chance.min(EASY); // what is late is lost
-        if self.models[WRITE].samples < ENOUGH {
-            choice.headroom = 1.0 - memory - running / 100.0;
+        scored
+    }
+
+    fn apply_inter_token_objective(
+        &self,
+        request: &Request,
+        endpoint: &TrackedEndpoint,
+        seconds_per_token: f64,
+        scored: &mut ScoredEndpoint,
+    ) {
+        let class = &self.settings.classes[request.metadata.class];
+        let objective = seconds(class.inter_token_objective);
+        if objective > 0.0 {
+            let warm_share = endpoint.warm_share(&self.settings, self.now).max(0.05);
+            let headroom = 1.0 - seconds_per_token / warm_share / objective;
+            scored.headroom = scored.headroom.min(headroom);
+            scored.success_probability *= logistic(headroom / (2.0 * MIN_SPREAD_SHARE));
         }
-        choice
     }
 
-    pub(super) fn tokens(&self, ask: &RequestMetadata) -> f64 {
-        let aim = self.settings.classes[ask.class].inter_token_objective;
-        let hint = ask
-            .output_time_hint
-            .filter(|hint| *hint > 0 && aim > 0)
-            .map(|hint| hint as f64 / aim as f64);
-        hint.unwrap_or(ask.max_output_tokens * ANSWER_PART)
+    /// Tokens that the response is expected to have, by the request's hint or by its limit.
+    pub(super) fn expected_output_tokens(&self, metadata: &RequestMetadata) -> f64 {
+        let objective = self.settings.classes[metadata.class].inter_token_objective;
+        match metadata.output_time_hint {
+            Some(hint) if hint > 0 && objective > 0 => hint as f64 / objective as f64,
+            _ => metadata.max_output_tokens * DEFAULT_OUTPUT_SHARE,
+        }
     }
 }
--- a/src/routing/router/load_shedding.rs
+++ b/src/routing/router/load_shedding.rs
@@ -1,106 +1,125 @@
-//! Refusals: what is given up unread under load, and what may still be refused or repeated after an attempt.
+//! Load shedding: what is shed before its prefill under overload, and what may still be shed or repeated
+//! after an attempt.
 
-use super::latency_model::{ENOUGH, FORGET};
-use super::selection::Choice;
+use super::latency_model::{FORGETTING_FACTOR, MIN_SAMPLES, PENDING_PROMPT};
+use super::selection::ScoredEndpoint;
 use super::tracked_endpoint::TrackedEndpoint;
-use super::{Attempt, Request, Stage, FIT, READ, TOKENS, WRITE};
+use super::{Attempt, Request, Router, Stage, MIN_SUCCESS_PROBABILITY};
 use crate::routing::api::*;
 
-const ABOVE_USUAL: f64 = 0.1; // load is above usual when the least wait is by this part of the aim
-const HOPELESS: f64 = 0.4; // in overload nothing with a lower chance is worth reading
+/// Load is above usual when the least wait exceeds the usual one by this share of the TTFT objective.
+const OVERLOAD_WAIT_SHARE: f64 = 0.1;
+/// In overload, no request with a lower success probability, 0 to 1, is worth its prefill.
+const MIN_OVERLOAD_SUCCESS_PROBABILITY: f64 = 0.4;
 
-impl super::Router {
-    /// Nothing fits and load is above usual, by the best reader's time: the lowest worth is refused unread,
-    /// and all that is hopeless.
-    pub(super) fn refuses(&mut self, request: &Request, choices: &[Choice]) -> bool {
-        let chance = choices
+impl Router {
+    /// Whether to shed a request before its prefill: no endpoint fits and the load is above usual, by the
+    /// fastest endpoint's time. The lowest priority weight is shed then, and all that is hopeless.
+    pub(super) fn should_shed(&mut self, request: &Request, candidates: &[ScoredEndpoint]) -> bool {
+        let has_decode_model = self.models.decode.samples >= MIN_SAMPLES;
+        if !has_decode_model || !request.attempts.is_empty() || candidates.is_empty() {
+            return false;
+        }
+        let success_probability = candidates
             .iter()
-            .map(|choice| choice.chance)
+            .map(|candidate| candidate.success_probability)
             .fold(0.0, f64::max);
-        let reading = self.models[READ].weights[TOKENS].max(0.0);
-        let waits = choices
+        let seconds_per_kilotoken = self.models.prefill.weights[PENDING_PROMPT].max(0.0);
+        let wait = candidates
             .iter()
-            .map(|choice| choice.predicted - reading * choice.inputs[TOKENS]);
-        let wait = waits.fold(f64::MAX, f64::min);
-        if self.models[WRITE].samples < ENOUGH || !request.attempts.is_empty() || choices.is_empty()
-        {
-            return false;
-        }
-        if chance >= FIT {
-            self.usual += (1.0 - FORGET) * (wait - self.usual);
+            .map(|candidate| {
+                candidate.predicted_seconds
+                    - seconds_per_kilotoken * candidate.inputs[PENDING_PROMPT]
+            })
+            .fold(f64::MAX, f64::min);
+        if success_probability >= MIN_SUCCESS_PROBABILITY {
+            self.usual_wait += (1.0 - FORGETTING_FACTOR) * (wait - self.usual_wait);
             return false;
         }
-        let open = self.settings.classes.iter().filter(|class| class.is_active);
-        let lowest = open
+        let lowest_weight = self
+            .settings
+            .classes
+            .iter()
+            .filter(|class| class.is_active)
             .map(|class| class.priority_weight)
             .fold(f64::MAX, f64::min);
-        wait > self.usual + ABOVE_USUAL * request.aim
-            && (request.worth <= lowest || chance < HOPELESS)
+        wait > self.usual_wait + OVERLOAD_WAIT_SHARE * request.ttft_objective
+            && (request.priority_weight <= lowest_weight
+                || success_probability < MIN_OVERLOAD_SUCCESS_PROBABILITY)
     }
 
-    pub(super) fn over_share(&mut self, tenant: Option<usize>) -> bool {
-        let quota = tenant.and_then(|tenant| self.quotas.get_mut(tenant));
-        quota.is_some_and(|quota| quota.is_exceeded(self.now))
+    /// Takes a token of a tenant's quota; whether none was left.
+    pub(super) fn exceeds_quota(&mut self, tenant: Option<usize>) -> bool {
+        let Some(tenant) = tenant else {
+            return false;
+        };
+        match self.tenant_buckets.get_mut(tenant) {
+            Some(bucket) => bucket.is_exceeded(self.now),
+            None => false,
+        }
     }
 
-    /// The final answer, where none was given: a refusal where that is true, else a failure.
-    pub(super) fn end(&mut self, request: &mut Request, why: FailureReason) {
-        self.cancel_all(request, |_| true);
-        let (id, retry_after) = (
-            request.ask.id,
-            self.pause.min(self.settings.max_retry_after),
-        );
-        let refuse = Action::Shed {
+    /// Gives the final response, where none was given: the request is shed where that is true, else failed.
+    pub(super) fn finish_unserved(&mut self, request: &mut Request, reason: FailureReason) {
+        self.cancel_attempts(request, |_| true);
+        let id = request.metadata.id;
+        let shed = Action::Shed {
             id,
-            retry_after,
-            reason: why,
+            retry_after: self.base_ejection_time.min(self.settings.max_retry_after),
+            reason,
         };
-        let _ = self.act(request, refuse) || self.act(request, Action::Fail { id, reason: why });
+        if !self.emit(request, shed) {
+            self.emit(request, Action::Fail { id, reason });
+        }
     }
 
-    /// Unsafe: only when nothing ran. Keyed: only where and as long as repeats are dropped.
-    pub(super) fn effect_allows(
+    /// Whether idempotency allows an attempt: a prefill of all but non-idempotent requests, and else a
+    /// repeat.
+    pub(super) fn idempotency_allows(
         &self,
         request: &Request,
-        server: &TrackedEndpoint,
+        endpoint: &TrackedEndpoint,
         stage: Stage,
     ) -> bool {
-        let safe =
-            self.settings.classes[request.ask.class].idempotency != Idempotency::NonIdempotent;
-        stage == Stage::Read && safe || self.may_repeat(request, Some(&server.entry))
+        let idempotency = self.settings.classes[request.metadata.class].idempotency;
+        let is_harmless = stage == Stage::Prefill && idempotency != Idempotency::NonIdempotent;
+        is_harmless || self.may_repeat(request, Some(&endpoint.record))
     }
 
-    /// Whether the request may run once more at a server, or anywhere, whatever has run by now.
-    pub(super) fn may_repeat(&self, request: &Request, here: Option<&EndpointRecord>) -> bool {
-        let effect = self.settings.classes[request.ask.class].idempotency;
-        let may = |it: &Attempt| match (effect, self.servers.get(&it.choice.server).zip(here)) {
-            (Idempotency::Idempotent, _) => true,
-            (Idempotency::IdempotencyKey { window, .. }, _) if self.now >= it.sent + window => {
-                false
-            }
-            (
-                Idempotency::IdempotencyKey {
-                    scope: DeduplicationScope::AllEndpoints,
-                    ..
-                },
-                _,
-            ) => true,
-            (
-                Idempotency::IdempotencyKey {
-                    scope: DeduplicationScope::Zone,
-                    ..
-                },
-                Some((it, here)),
-            ) => it.entry.zone == here.zone,
-            (
-                Idempotency::IdempotencyKey {
-                    scope: DeduplicationScope::Cell,
-                    ..
-                },
-                Some((it, here)),
-            ) => it.entry.cell == here.cell,
-            _ => false,
+    /// Whether the request may run once more at `target`, or anywhere where it is `None`, whatever has run by
+    /// now.
+    pub(super) fn may_repeat(&self, request: &Request, target: Option<&EndpointRecord>) -> bool {
+        let idempotency = self.settings.classes[request.metadata.class].idempotency;
+        request.attempts.iter().all(|attempt| {
+            attempt.had_no_effect || self.is_repeat_harmless(idempotency, attempt, target)
+        })
+    }
+
+    fn is_repeat_harmless(
+        &self,
+        idempotency: Idempotency,
+        attempt: &Attempt,
+        target: Option<&EndpointRecord>,
+    ) -> bool {
+        let (scope, window) = match idempotency {
+            Idempotency::Idempotent => return true,
+            Idempotency::NonIdempotent => return false,
+            Idempotency::IdempotencyKey { scope, window } => (scope, window),
+        };
+        if self.now >= attempt.sent_at + window {
+            return false;
+        }
+        if scope == DeduplicationScope::AllEndpoints {
+            return true;
+        }
+        let previous = self.endpoints.get(&attempt.target.endpoint);
+        let (Some(previous), Some(target)) = (previous, target) else {
+            return false;
         };
-        request.attempts.iter().all(|it| it.harmless || may(it))
+        match scope {
+            DeduplicationScope::AllEndpoints => true,
+            DeduplicationScope::Zone => previous.record.zone == target.zone,
+            DeduplicationScope::Cell => previous.record.cell == target.cell,
+        }
     }
 }
--- a/src/routing/router/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -1,44 +1,71 @@
-//! Slow start: how much a server that has started of late is sent by this router.
+//! Slow start: how much this router sends to an endpoint that has started of late.
 
 use super::tracked_endpoint::TrackedEndpoint;
-use super::{side, Request, Stage, BORNE, FINISHED, NEWEST, REFIT, STARTED};
+use super::{Request, Router, Stage, DECAY_INTERVAL, SMOOTHING_FACTOR};
+use crate::routing::api::{EndpointId, Time};
 use crate::routing::candidate_index::mix;
 
-const COLD_PART: f64 = 0.8; // part of a cold server's budget that is used, reckoned as if it stayed as cold
+/// Share of a slow-start budget that is used. The budget is computed as if the endpoint's capacity stayed the
+/// initial one.
+const SLOW_START_BUDGET_SHARE: f64 = 0.8;
 
-impl super::Router {
-    /// A cold server gets this router's part of what it can take in any span of the rule's length, by what
-    /// the warm ones bear for this router; a part of one send is drawn by lot (docs/candidates.md).
-    pub(super) fn cold_allows(
+impl Router {
+    /// Whether slow start allows an attempt. In any overload window an endpoint that warms up gets this
+    /// router's share of what it can take, by what warm ones serve for this router; a fraction of one send is
+    /// drawn by lot (docs/candidates.md).
+    pub(super) fn slow_start_allows(
         &self,
         request: &Request,
-        server: &TrackedEndpoint,
+        endpoint: &TrackedEndpoint,
         stage: Stage,
     ) -> bool {
-        if server.age(&self.settings, self.now) >= 1.0 {
+        if endpoint.warmup_progress(&self.settings, self.now) >= 1.0 {
             return true;
         }
-        let since = self.now.saturating_sub(self.settings.overload_window);
-        let sent = server.sent.iter().filter(|at| **at >= since).count() as f64;
-        let span = NEWEST * self.settings.overload_window as f64 / REFIT as f64;
-        let able = self.settings.overload_threshold * self.settings.slow_start_initial_share * span;
-        let (side, to) = (side(stage), server.entry.endpoint);
-        let bearing = self.candidates.bearing(side).0;
-        // One that waits draws again after each span. Texts draw none: a cold reader is home to its part.
-        let times = request.end_at.saturating_sub(self.now) / self.settings.overload_window.max(1);
-        let drawn = mix(mix(request.ask.id ^ self.salt, times), to.into());
-        let home = u64::from(!request.homes.contains_key(&to)) * u64::MAX;
-        let lot = if stage == Stage::Write || request.homes.is_empty() {
-            drawn
-        } else {
-            home
-        };
-        let factor = self
-            .candidates
-            .slow_start_sampling_factor(side, &self.look(request), to);
-        let flow = self.flow.map(|it| it[side as usize]);
-        let lot = lot as f64 / u64::MAX as f64 * factor * span * (flow[STARTED] + 1.0);
-        let part = COLD_PART * able * (flow[BORNE] + 1.0 / bearing);
-        sent + 1.0 <= able * flow[FINISHED] / bearing || lot < part - sent
+        let window = self.settings.overload_window;
+        let window_start = self.now.saturating_sub(window);
+        let sent = endpoint
+            .recent_sends
+            .iter()
+            .filter(|sent_at| **sent_at >= window_start)
+            .count() as f64;
+        // Turns a decaying counter into the count of one overload window.
+        let counter_scale = SMOOTHING_FACTOR * window as f64 / DECAY_INTERVAL as f64;
+        let capacity = self.settings.overload_threshold
+            * self.settings.slow_start_initial_share
+            * counter_scale;
+        let pool = stage.pool();
+        let endpoint_id = endpoint.record.endpoint;
+        let serving_endpoints = self.candidates.serving_endpoints(pool).0;
+        let sampling_factor = self.candidates.slow_start_sampling_factor(
+            pool,
+            &self.candidate_query(request),
+            endpoint_id,
+        );
+        let flow = &self.flow[pool as usize];
+        let lot = self.slow_start_lot(request, endpoint_id, stage) as f64 / u64::MAX as f64
+            * sampling_factor
+            * counter_scale
+            * (flow.started + 1.0);
+        let budget = SLOW_START_BUDGET_SHARE
+            * capacity
+            * (flow.finished_per_warm_endpoint + 1.0 / serving_endpoints);
+        sent + 1.0 <= capacity * flow.finished / serving_endpoints || lot < budget - sent
+    }
+
+    /// A request's lot at an endpoint, of all `u64`. One that waits draws again after each overload window. A
+    /// prefill with affinity endpoints draws none: an endpoint that warms up has affinity for as many
+    /// prefixes as it can take.
+    fn slow_start_lot(&self, request: &Request, endpoint: EndpointId, stage: Stage) -> u64 {
+        if stage != Stage::Decode && !request.affinity.is_empty() {
+            let has_affinity = request.affinity.contains_key(&endpoint);
+            return if has_affinity { 0 } else { u64::MAX };
+        }
+        let time_left: Time = request.response_deadline.saturating_sub(self.now);
+        let windows_left = time_left / self.settings.overload_window.max(1);
+        mix(
+            mix(request.metadata.id ^ self.hash_salt, windows_left),
+            endpoint.into(),
+        )
     }
 }
--- a/src/routing/router/tracked_endpoint.rs
+++ b/src/routing/router/tracked_endpoint.rs
@@ -1,108 +1,162 @@
-//! What a router knows of one server: its load, what waits there, how attempts fared, and how warm it is.
+//! What a router knows of one endpoint: its load, its pending attempts, its outlier detection and its
+//! warm-up. `Router::endpoints` owns each [`TrackedEndpoint`].
 
-use super::{blend, seconds};
+use super::{seconds, update_mean, Router};
 use crate::routing::api::*;
 use std::collections::{BTreeMap, VecDeque};
 
-const SICK: f64 = 0.4; // a server is set aside for a class when it failed so much of it of late
-const PAUSE_DOUBLINGS: u32 = 3; // its pause is the shortest aim, doubled up to so many times
+/// Failure rate, 0 to 1, above which an endpoint is ejected for a class.
+const EJECTION_FAILURE_RATE: f64 = 0.4;
+/// An ejection lasts for the base ejection time, doubled at most so often.
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
-/// Requests, thousands of tokens to read or fetch, share of the memory: a server's load.
-pub(super) type Counts = [f64; 3];
+/// An endpoint's load: by [`REQUESTS`], [`PENDING_KILOTOKENS`] and [`MEMORY_SHARE`].
+pub(super) type LoadVector = [f64; 3];
+/// Index of the requests in flight.
 pub(super) const REQUESTS: usize = 0;
-pub(super) const TO_READ: usize = 1;
-pub(super) const MEMORY: usize = 2;
+/// Index of the prompt tokens to prefill or to fetch, in thousands.
+pub(super) const PENDING_KILOTOKENS: usize = 1;
+/// Index of the share of the KV memory that is reserved, 0 to 1.
+pub(super) const MEMORY_SHARE: usize = 2;
 
-pub(super) fn add(to: &mut Counts, other: &Counts, sign: f64) {
-    to.iter_mut()
-        .zip(other)
-        .for_each(|(to, other)| *to = (*to + sign * other).max(0.0));
+pub(super) fn add_load(total: &mut LoadVector, load: &LoadVector) {
+    for (total, value) in total.iter_mut().zip(load) {
+        *total = (*total + value).max(0.0);
+    }
+}
+
+pub(super) fn subtract_load(total: &mut LoadVector, load: &LoadVector) {
+    for (total, value) in total.iter_mut().zip(load) {
+        *total = (*total - value).max(0.0);
+    }
 }
 
-/// How attempts of a class fared at a server.
+/// Outlier detection of one endpoint for one class.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Health {
-    pub(super) failing: f64, // share of recent ones that failed
-    pub(super) paused_until: Time,
-    pub(super) pauses: u32,
+pub(super) struct EndpointHealth {
+    /// Share of recent attempts that failed, 0 to 1.
+    pub(super) failure_rate: f64,
+    pub(super) ejected_until: Time,
+    /// Ejections since the last success.
+    pub(super) ejections: u32,
+}
+
+/// An attempt that has neither finished its prefill nor had a first token.
+pub(super) struct PendingAttempt {
+    pub(super) sent_at: Time,
+    pub(super) predicted_seconds: f64,
+    pub(super) class: usize,
+}
+
+impl PendingAttempt {
+    /// Seconds by which it is later than predicted and a tolerance; negative while it isn't.
+    fn overdue_seconds(&self, now: Time, tolerance: f64) -> f64 {
+        seconds(now.saturating_sub(self.sent_at)) - self.predicted_seconds - tolerance
+    }
 }
 
 #[derive(Default)]
 pub(super) struct TrackedEndpoint {
-    pub(super) entry: EndpointRecord,
-    pub(super) told: [Option<f64>; 3],
-    pub(super) told_at: Option<Time>,
-    pub(super) own: Counts,
-    pub(super) own_then: Counts,
-    /// Attempts with neither 'read' nor first token yet: when sent, seconds predicted, class.
-    pub(super) waiting: BTreeMap<(RequestId, usize), (Time, f64, usize)>,
-    pub(super) begun: Time, // when the last of those was sent that are over
-    pub(super) slower: f64, // by what part waits take longer than by the shared model
-    pub(super) health: BTreeMap<usize, Health>, // by class
-    pub(super) asked_at: Option<Time>, // a probe is out
-    pub(super) sent: VecDeque<Time>, // what was sent to it lately, while cold
+    pub(super) record: EndpointRecord,
+    /// The last load report.
+    pub(super) reported: [Option<f64>; 3],
+    pub(super) reported_at: Option<Time>,
+    /// The load of this router's own attempts in flight.
+    pub(super) own_load: LoadVector,
+    pub(super) own_load_at_report: LoadVector,
+    /// By request and index of the attempt.
+    pub(super) pending: BTreeMap<(RequestId, usize), PendingAttempt>,
+    /// When the latest of the attempts was sent that are no longer pending because they succeeded.
+    pub(super) last_answered_send: Time,
+    /// By what share times are longer than by the shared model.
+    pub(super) slowdown: f64,
+    /// By class.
+    pub(super) health: BTreeMap<usize, EndpointHealth>,
+    /// When a probe was sent that has no answer yet.
+    pub(super) probe_sent_at: Option<Time>,
+    /// When attempts were sent to it during slow start.
+    pub(super) recent_sends: VecDeque<Time>,
 }
 
 impl TrackedEndpoint {
-    /// A server may turn away a class and serve the rest; one not tried fares like the best that was.
-    pub(super) fn health(&self, class: usize) -> Health {
-        let best = || {
-            self.health
-                .values()
-                .min_by(|a, b| a.failing.total_cmp(&b.failing))
-        };
+    /// Its health for a class. An endpoint may refuse one class and serve the rest; a class that was not
+    /// tried there is presumed to fare like the best that was.
+    pub(super) fn health(&self, class: usize) -> EndpointHealth {
+        if let Some(health) = self.health.get(&class) {
+            return *health;
+        }
         self.health
-            .get(&class)
-            .or_else(best)
+            .values()
+            .min_by(|a, b| a.failure_rate.total_cmp(&b.failure_rate))
             .copied()
             .unwrap_or_default()
     }
 
-    pub(super) fn health_mut(&mut self, class: usize) -> &mut Health {
+    pub(super) fn health_mut(&mut self, class: usize) -> &mut EndpointHealth {
         let presumed = self.health(class);
         self.health.entry(class).or_insert(presumed)
     }
 
-    /// Seconds by which its oldest attempt is late: a stalled server shows before it answers.
-    pub(super) fn overdue(&self, now: Time, spread: f64) -> f64 {
-        let late = |it: &(Time, f64, usize)| seconds(now.saturating_sub(it.0)) - it.1 - spread;
-        self.waiting.values().map(late).fold(0.0, f64::max)
+    /// Seconds by which its latest pending attempt is overdue: a stalled endpoint shows before it answers.
+    pub(super) fn overdue_seconds(&self, now: Time, tolerance: f64) -> f64 {
+        self.pending
+            .values()
+            .map(|attempt| attempt.overdue_seconds(now, tolerance))
+            .fold(0.0, f64::max)
     }
 
-    pub(super) fn part_of_memory(&self, tokens: f64) -> f64 {
-        Some(self.entry.kv_capacity_tokens)
-            .filter(|told| *told > 0.0)
-            .map_or(0.0, |memory| tokens / memory)
+    /// The share of its KV memory that some tokens take; 0 where its capacity is not known.
+    pub(super) fn memory_share_of(&self, tokens: f64) -> f64 {
+        let capacity = self.record.kv_capacity_tokens;
+        if capacity > 0.0 {
+            tokens / capacity
+        } else {
+            0.0
+        }
     }
 
+    /// The share of its full capacity that it has now, up to 1.
     pub(super) fn warm_share(&self, settings: &RoutingSettings, now: Time) -> f64 {
-        1.0 - (1.0 - settings.slow_start_initial_share) * (1.0 - self.age(settings, now))
+        1.0 - (1.0 - settings.slow_start_initial_share)
+            * (1.0 - self.warmup_progress(settings, now))
     }
 
-    /// Time since its start as part of that in which it is warm, up to 1.
-    pub(super) fn age(&self, settings: &RoutingSettings, now: Time) -> f64 {
+    /// Time since its start as a share of the slow-start duration, up to 1.
+    pub(super) fn warmup_progress(&self, settings: &RoutingSettings, now: Time) -> f64 {
         let age = self
-            .entry
+            .record
             .started_at
-            .map_or(Time::MAX, |started| now.saturating_sub(started));
+            .map_or(Time::MAX, |started_at| now.saturating_sub(started_at));
         (age as f64 / settings.slow_start_duration.max(1) as f64).min(1.0)
     }
 }
 
-impl super::Router {
-    /// Too many failures, one in a trial, or one of a dead server set it aside: for a class, or else for all.
-    pub(super) fn blame(&mut self, id: EndpointId, class: Option<usize>, at_once: bool) {
-        let (now, pause) = (self.now, self.pause);
-        for class in class.map_or(0..self.settings.classes.len(), |class| class..class + 1) {
-            let Some(server) = self.servers.get_mut(&id) else {
-                return;
-            };
-            let health = server.health_mut(class);
-            blend(&mut health.failing, 1.0);
-            if (at_once || health.failing > SICK || health.pauses > 0) && now >= health.paused_until
-            {
-                health.paused_until = now + (pause << health.pauses.min(PAUSE_DOUBLINGS));
-                health.pauses += 1;
+impl Router {
+    /// Records a failure for a class, or for all where it is `None`. The endpoint is ejected for a high
+    /// failure rate, for a failure in the trial after an ejection, or at once.
+    pub(super) fn record_failure(
+        &mut self,
+        id: EndpointId,
+        class: Option<usize>,
+        must_eject_now: bool,
+    ) {
+        let classes = match class {
+            Some(class) => class..class + 1,
+            None => 0..self.settings.classes.len(),
+        };
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
+        for class in classes {
+            let health = endpoint.health_mut(class);
+            update_mean(&mut health.failure_rate, 1.0);
+            let should_eject = must_eject_now
+                || health.failure_rate > EJECTION_FAILURE_RATE
+                || health.ejections > 0;
+            if should_eject && self.now >= health.ejected_until {
+                let doublings = health.ejections.min(MAX_EJECTION_DOUBLINGS);
+                health.ejected_until = self.now + (self.base_ejection_time << doublings);
+                health.ejections += 1;
             }
         }
     }
--- a/tests/routing_limits.rs
+++ b/tests/routing_limits.rs
@@ -67,8 +67,11 @@
             "{name}: no doc comment on the module"
         );
     }
-    let names_interface =
-        |(_, text): &(String, String)| text.lines().take(3).any(|it| it.contains("src/api.rs"));
+    let names_interface = |(_, text): &(String, String)| {
+        text.lines()
+            .take(3)
+            .any(|line| line.contains("src/routing/api.rs"))
+    };
     assert!(
         files.iter().any(names_interface),
         "the entry names the interface file"
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -1,4 +1,4 @@
-//! The index of candidates against a plain list, over random changes of it.
+//! The index of candidates against a reference list, over random changes of it.
 
 use super::*;
 use rand::{Rng, SeedableRng};
@@ -6,28 +6,28 @@
 
 const ZONES: u32 = 4;
 
-/// What the index was told, as a plain list.
+/// What the index was told, as a reference list.
 #[derive(Default)]
-struct Plain {
-    listings: BTreeMap<EndpointId, IndexedEndpoint>,
+struct ReferenceList {
+    endpoints: BTreeMap<EndpointId, IndexedEndpoint>,
 }
 
-impl Plain {
-    fn of(&self, side: Side) -> Vec<(EndpointId, &IndexedEndpoint)> {
-        self.listings
+impl ReferenceList {
+    fn of(&self, kind: PoolKind) -> Vec<(EndpointId, &IndexedEndpoint)> {
+        self.endpoints
             .iter()
-            .filter(|(_, it)| it.is_of(side))
-            .map(|(server, it)| (*server, it))
+            .filter(|(_, it)| it.is_in(kind))
+            .map(|(id, it)| (*id, it))
             .collect()
     }
 }
 
-fn listing(rng: &mut Pcg32, now: Time, server: EndpointId) -> IndexedEndpoint {
+fn endpoint(rng: &mut Pcg32, now: Time, id: EndpointId) -> IndexedEndpoint {
     IndexedEndpoint {
         role: [Role::Prefill, Role::Decode, Role::Mixed][rng.gen_range(0..3)],
         zone: rng.gen_range(0..ZONES),
         cell: rng.gen_range(0..40),
-        key: u64::from(server) * 7919,
+        key: u64::from(id) * 7919,
         warm_at: if rng.gen_bool(0.3) {
             now + rng.gen_range(0..50)
         } else {
@@ -36,110 +36,114 @@
     }
 }
 
-fn index_of(plain: &Plain, now: Time) -> CandidateIndex {
+fn index_of(reference: &ReferenceList, now: Time) -> CandidateIndex {
     let mut index = CandidateIndex::default();
-    for (server, listing) in &plain.listings {
-        index.set(now, *server, Some(listing.clone()));
+    for (id, endpoint) in &reference.endpoints {
+        index.set(now, *id, Some(endpoint.clone()));
     }
     index
 }
 
-/// After any changes the index is the one that a new process would make from the list: nothing of it is stale.
+/// After any changes the index is the one that a new process would make from the list: nothing of it is
+/// stale.
 #[test]
-fn the_index_is_that_of_its_list() {
+fn the_index_equals_one_built_from_its_list() {
     for seed in 0..8 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let (mut index, mut plain) = (CandidateIndex::default(), Plain::default());
+        let (mut index, mut reference) = (CandidateIndex::default(), ReferenceList::default());
         for step in 0..3000_u64 {
             let now = step;
             index.advance_to(now);
-            let server = rng.gen_range(0..400);
+            let id = rng.gen_range(0..400);
             // Joins, restarts and moves, then leaves, drains and bans: to the index the latter are one.
-            let listing = rng.gen_bool(0.7).then(|| listing(&mut rng, now, server));
-            index.set(now, server, listing.clone());
-            match listing {
-                Some(listing) => drop(plain.listings.insert(server, listing)),
-                None => drop(plain.listings.remove(&server)),
+            let endpoint = rng.gen_bool(0.7).then(|| endpoint(&mut rng, now, id));
+            index.set(now, id, endpoint.clone());
+            match endpoint {
+                Some(endpoint) => drop(reference.endpoints.insert(id, endpoint)),
+                None => drop(reference.endpoints.remove(&id)),
             }
             if step % 50 == 0 {
-                let new = index_of(&plain, now);
-                assert_eq!(index.read, new.read, "seed {seed}, step {step}");
-                assert_eq!(index.write, new.write, "seed {seed}, step {step}");
-                assert_eq!(index.warming, new.warming, "seed {seed}, step {step}");
+                let new = index_of(&reference, now);
+                assert_eq!(index.prefill, new.prefill, "seed {seed}, step {step}");
+                assert_eq!(index.decode, new.decode, "seed {seed}, step {step}");
+                assert_eq!(index.warming_up, new.warming_up, "seed {seed}, step {step}");
             }
         }
     }
 }
 
-/// Counts of those that bear a side's load, and all that is looked at, agree with the plain list.
+/// Counts of those that bear a kind's load, and all that is looked at, agree with the reference list.
 #[test]
-fn looks_hold_listed_servers_of_their_side_only() {
+fn queries_return_only_listed_endpoints_of_their_pool() {
     let mut rng = Pcg32::seed_from_u64(3);
-    let (mut index, mut plain) = (CandidateIndex::default(), Plain::default());
-    for server in 0..500 {
-        let listing = listing(&mut rng, 0, server);
-        index.set(0, server, Some(listing.clone()));
-        plain.listings.insert(server, listing);
+    let (mut index, mut reference) = (CandidateIndex::default(), ReferenceList::default());
+    for id in 0..500 {
+        let endpoint = endpoint(&mut rng, 0, id);
+        index.set(0, id, Some(endpoint.clone()));
+        reference.endpoints.insert(id, endpoint);
     }
     for now in 0..60 {
         index.advance_to(now);
-        for server in 0..20 {
-            let gone = rng.gen_range(0..500) + server;
-            index.set(now, gone, None);
-            plain.listings.remove(&gone);
+        for id in 0..20 {
+            let removed = rng.gen_range(0..500) + id;
+            index.set(now, removed, None);
+            reference.endpoints.remove(&removed);
         }
-        for side in [Side::Read, Side::Write] {
-            let listed = plain.of(side);
+        for kind in [PoolKind::Prefill, PoolKind::Decode] {
+            let listed = reference.of(kind);
             let warm = listed.iter().filter(|(_, it)| it.warm_at <= now).count();
             let bears = if warm > 0 { warm } else { listed.len().max(1) };
-            assert_eq!(index.bearing(side), (bears as f64, warm > 0));
+            assert_eq!(index.serving_endpoints(kind), (bears as f64, warm > 0));
         }
         for seed in 0..20 {
-            let look = CandidateQuery {
+            let query = CandidateQuery {
                 zone: 1,
                 seed,
-                widened: seed as u32 % 4,
+                widenings: seed as u32 % 4,
             };
-            for server in index.writers(&look, &BTreeSet::from([1, 2, 77])) {
-                assert!(plain
-                    .listings
-                    .get(&server)
-                    .is_some_and(|it| it.is_of(Side::Write)));
+            for id in index.decode_endpoints(&query, &BTreeSet::from([1, 2, 77])) {
+                assert!(reference
+                    .endpoints
+                    .get(&id)
+                    .is_some_and(|it| it.is_in(PoolKind::Decode)));
             }
-            let (homes, home) = index.prefix_affinity(&look, Some(seed), Some(7), 0.1, |_| 1.0);
-            for server in homes.iter().chain(&home) {
-                assert!(plain
-                    .listings
-                    .get(server)
-                    .is_some_and(|it| it.is_of(Side::Read)));
+            let affinity = index.prefix_affinity(&query, Some(seed), Some(7), 0.1, |_| 1.0);
+            for id in affinity.for_prefix.iter().chain(&affinity.for_session) {
+                assert!(reference
+                    .endpoints
+                    .get(id)
+                    .is_some_and(|it| it.is_in(PoolKind::Prefill)));
             }
-            // Likely ones that have left are the caller's to find out: it has the list. All others are listed.
+            // Likely ones that have left are the caller's to find out: it has the list. All others are
+            // listed.
             let likely = BTreeSet::from([1, 2, 1_000]);
-            let found: BTreeSet<EndpointId> =
-                index.readers(&look, likely.clone()).into_iter().collect();
-            for server in found.difference(&likely) {
-                assert!(plain
-                    .listings
-                    .get(server)
-                    .is_some_and(|it| it.is_of(Side::Read)));
+            let found: BTreeSet<EndpointId> = index
+                .prefill_endpoints(&query, likely.clone())
+                .into_iter()
+                .collect();
+            for id in found.difference(&likely) {
+                assert!(reference
+                    .endpoints
+                    .get(id)
+                    .is_some_and(|it| it.is_in(PoolKind::Prefill)));
             }
         }
     }
 }
 
-fn large(servers: EndpointId, cold: bool) -> CandidateIndex {
+fn large(endpoint_count: EndpointId, cold: bool) -> CandidateIndex {
     let mut index = CandidateIndex::default();
-    for server in 0..servers {
-        let role = if server % 4 == 0 {
+    for id in 0..endpoint_count {
+        let role = if id % 4 == 0 {
             Role::Prefill
         } else {
             Role::Decode
         };
-        let (zone, cell, key) = (server / 8 % ZONES, server / 8, u64::from(server) * 7919);
+        let (zone, cell, key) = (id / 8 % ZONES, id / 8, u64::from(id) * 7919);
         let warm_at = if cold { 100 } else { 0 };
         index.set(
             0,
-            server,
+            id,
             Some(IndexedEndpoint {
                 role,
                 zone,
@@ -152,71 +156,77 @@
     index
 }
 
-/// However large the fleet, a first look has a bounded number of servers; widened by steps it has all.
+/// However large the fleet, a first query has a bounded number of endpoint_count; widenings by steps it has
+/// all.
 #[test]
-fn looks_are_bounded_and_widen_to_all() {
-    for servers in [300, 3_000, 11_000] {
-        let index = large(servers, false);
-        let mut widened = 0;
+fn queries_are_bounded_and_widen_to_all_endpoints() {
+    for endpoint_count in [300, 3_000, 11_000] {
+        let index = large(endpoint_count, false);
+        let mut widenings = 0;
         let mut most = 0;
         loop {
-            let look = CandidateQuery {
+            let query = CandidateQuery {
                 zone: 2,
                 seed: 99,
-                widened,
+                widenings,
             };
-            let found = index.writers(&look, &BTreeSet::from([2]));
-            assert!(found.len() >= most, "a wider look holds no fewer");
+            let found = index.decode_endpoints(&query, &BTreeSet::from([2]));
+            assert!(found.len() >= most, "a wider query holds no fewer");
             most = found.len();
-            if widened == 0 {
+            if widenings == 0 {
                 assert!(
-                    most <= WRITERS_IN_CELL + WRITERS_NEAR + WRITERS_ANYWHERE,
-                    "{most} of {servers}"
+                    most <= DECODE_CANDIDATES_IN_CELL
+                        + DECODE_CANDIDATES_IN_ZONE
+                        + DECODE_CANDIDATES_ANYWHERE,
+                    "{most} of {endpoint_count}"
                 );
             }
-            if index.covers_all(Side::Write, &look) {
+            if index.covers_all(PoolKind::Decode, &query) {
                 break;
             }
-            widened += 1;
+            widenings += 1;
         }
-        assert!(widened <= 6, "{widened} steps for {servers}");
+        assert!(widenings <= 6, "{widenings} steps for {endpoint_count}");
         assert!(index.covers_all(
-            Side::Read,
+            PoolKind::Prefill,
             &CandidateQuery {
                 zone: 2,
                 seed: 99,
-                widened: u32::MAX
+                widenings: u32::MAX
             }
         ));
     }
 }
 
-/// Dispatchers agree on the homes of a text, in whatever order they were told of the servers; and when one server of
-/// many goes, few texts change their homes.
+/// Dispatchers agree on the homes of a text, in whatever order they were told of the endpoint_count; and when
+/// one id of many goes, few texts change their homes.
 #[test]
-fn homes_agree_and_move_little() {
+fn affinity_endpoints_agree_and_few_prefixes_move_when_one_is_removed() {
     let index = large(3_000, false);
     let mut other = CandidateIndex::default();
-    for (server, listing) in index.listings.iter().rev() {
-        other.set(0, *server, Some(listing.clone()));
+    for (id, endpoint) in index.endpoints.iter().rev() {
+        other.set(0, *id, Some(endpoint.clone()));
     }
-    let look = |seed| CandidateQuery {
+    let query = |seed| CandidateQuery {
         zone: 1,
         seed,
-        widened: 0,
+        widenings: 0,
     };
     let home = |index: &CandidateIndex, text, seed| {
-        index.prefix_affinity(&look(seed), Some(text), Some(text), 0.0, |_| 1.0)
+        index.prefix_affinity(&query(seed), Some(text), Some(text), 0.0, |_| 1.0)
     };
     let texts = 0..1_000_u64;
     for text in texts.clone() {
         assert_eq!(home(&index, text, 1), home(&other, text, 2));
     }
-    let gone = home(&index, 5, 1).0[0];
-    other.set(0, gone, None);
+    let removed = home(&index, 5, 1).for_prefix[0];
+    other.set(0, removed, None);
     let changed = |text: &u64| {
-        let (before, after) = (home(&index, *text, 1).0, home(&other, *text, 1).0);
-        !before.contains(&gone) && before != after
+        let (before, after) = (
+            home(&index, *text, 1).for_prefix,
+            home(&other, *text, 1).for_prefix,
+        );
+        !before.contains(&removed) && before != after
     };
     let moved = texts.filter(changed).count();
     assert!(
@@ -227,25 +237,25 @@
 
 /// Texts are spread evenly: no reader is home to many times as much as the others.
 #[test]
-fn homes_are_spread_evenly() {
+fn prefixes_are_spread_evenly_over_affinity_endpoints() {
     let index = large(11_000, false);
     let mut homes: BTreeMap<EndpointId, usize> = BTreeMap::new();
     let texts = 50_000_u64;
     for text in 0..texts {
-        let look = CandidateQuery {
+        let query = CandidateQuery {
             zone: 3,
             seed: text,
-            widened: 0,
+            widenings: 0,
         };
-        for server in index
-            .prefix_affinity(&look, Some(mix(text, 1)), None, 0.0, |_| 1.0)
-            .0
+        for id in index
+            .prefix_affinity(&query, Some(mix(text, 1)), None, 0.0, |_| 1.0)
+            .for_prefix
         {
-            *homes.entry(server).or_default() += 1;
+            *homes.entry(id).or_default() += 1;
         }
     }
-    let readers = index.read.zones[&3].len();
-    let mean = HOMES_LEAST * texts as f64 / readers as f64;
+    let readers = index.prefill.zones[&3].len();
+    let mean = prefix_affinity::MIN_AFFINITY_ENDPOINTS * texts as f64 / readers as f64;
     let most = homes.values().copied().max().unwrap_or(0);
     assert!(
         homes.len() * 100 >= readers * 99 && (most as f64) < 2.0 * mean,
@@ -253,28 +263,28 @@
     );
 }
 
-/// Over many requests each cold server gets the lots that it would get if every request drew one at every server.
+/// Over many requests each cold id gets the lots that it would get if every request drew one at every id.
 #[test]
-fn lots_are_as_many_as_if_all_were_looked_at() {
+fn sampled_slow_start_lots_equal_lots_drawn_at_every_endpoint() {
     let index = large(3_000, true);
     let chance = 0.002; // of one lot
     let mut won: BTreeMap<EndpointId, f64> = BTreeMap::new();
     let requests = 200_000_u64;
     for seed in 0..requests {
-        let look = CandidateQuery {
+        let query = CandidateQuery {
             zone: 0,
             seed: mix(seed, 5),
-            widened: 0,
+            widenings: 0,
         };
-        for server in index.drawn(Side::Write, &look, 0, 0) {
-            let lot = mix(mix(seed, 6), server.into()) as f64 / u64::MAX as f64;
-            if lot * index.slow_start_sampling_factor(Side::Write, &look, server) < chance {
-                *won.entry(server).or_default() += 1.0;
+        for id in index.draw(PoolKind::Decode, &query, 0, 0) {
+            let lot = mix(mix(seed, 6), id.into()) as f64 / u64::MAX as f64;
+            if lot * index.slow_start_sampling_factor(PoolKind::Decode, &query, id) < chance {
+                *won.entry(id).or_default() += 1.0;
             }
         }
     }
     let mean = requests as f64 * chance;
-    let writers = index.write.all.len() as f64;
+    let writers = index.decode.all.len() as f64;
     let sum: f64 = won.values().sum();
     assert!(
         (sum / writers / mean - 1.0).abs() < 0.02,
