--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -1,35 +1,37 @@
-//! The interface of the decision module: what a router is told at its start, what it hears, what it does.
+//! The interface of the decision module: the settings that a router is given, the events that it handles, and
+//! the actions that it returns.
 //!
-//! Nothing here decides anything. Times are `u64` microseconds on the caller's clock; ids are the caller's
-//! numbers and mean nothing beyond equality.
+//! Nothing here decides anything and nothing fails: input that makes no sense is ordinary input. Every [`Time`]
+//! is in microseconds on the caller's clock. Ids are the caller's numbers and mean nothing beyond equality. The
+//! caller owns all values; a [`Router`](crate::routing::Router) keeps copies of what it needs.
 
-/// A moment or a span, in microseconds.
+/// An instant or a duration, in microseconds.
 pub type Time = u64;
-/// The caller's number for one try of a client.
+/// The caller's number for one client request. Unique among the requests that are open.
 pub type RequestId = u64;
-/// The caller's number for a server.
+/// The caller's number for an endpoint.
 pub type EndpointId = u32;
 
-/// What a kind of server does.
+/// What an endpoint does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts and keeps the read state until a writer takes it.
+    /// Prefills prompts and reserves the KV cache until a decode endpoint takes it over.
     #[default]
     Prefill,
-    /// Takes a read state and streams the answer.
+    /// Takes over a KV cache and streams the response.
     Decode,
     /// Does either, or both for the same request.
     Mixed,
 }
 
-/// The servers that drop repeats of one keyed request.
+/// The endpoints that together drop repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All servers together.
+    /// All endpoints.
     AllEndpoints,
-    /// Those of the zone where it was sent first.
+    /// Those of the zone to which the request was sent first.
     Zone,
-    /// Those of the cell where it was sent first.
+    /// Those of the cell to which the request was sent first.
     Cell,
 }
 
@@ -38,212 +40,213 @@
 pub enum Idempotency {
     /// A repeat is harmless.
     Idempotent,
-    /// Repeats are dropped inside `group` for `window` after the first send.
+    /// Repeats are dropped within `scope` for `window` after the first send.
     IdempotencyKey {
-        /// Who drops repeats.
+        /// The endpoints that drop repeats.
         scope: DeduplicationScope,
-        /// For how long.
+        /// For how long, in microseconds.
         window: Time,
     },
     /// A repeat does harm.
     NonIdempotent,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The first token is wanted within this time.
+    /// Objective for the time to first token (TTFT), in microseconds.
     pub ttft_objective: Time,
-    /// Added to the aim for each 1,000 prompt tokens.
+    /// Added to the TTFT objective for each 1,000 prompt tokens, in microseconds.
     pub ttft_objective_per_1000_tokens: Time,
-    /// Tokens are wanted this far apart on average; 0 where it is not told.
+    /// Objective for the mean time between tokens, in microseconds; 0 where there is none.
     pub inter_token_objective: Time,
-    /// Worth of a request answered in time.
+    /// Value of a request that is answered within its objective, relative to other classes.
     pub priority_weight: f64,
     /// What a repeat would do.
     pub idempotency: Idempotency,
-    /// New requests may be of it; else only some that are under way are.
+    /// New requests may have this class; else only requests that are already open have it.
     pub is_active: bool,
 }
 
-/// One tenant: what it may ask of all routers together.
+/// A tenant and its quota at all dispatchers together.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second, over all routers; 0 where it is not told.
+    /// Requests a second at all dispatchers together; 0: no limit.
     pub requests_per_second: f64,
 }
 
-/// How servers tell their load.
+/// How endpoints report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With outcomes and with answers to probes.
+    /// With the ends of attempts and with the answers to probes.
     WithResponses,
-    /// With answers to probes only.
+    /// With the answers to probes only.
     WithProbes,
     /// Never.
     Never,
 }
 
-/// What a router is told when it starts.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Routers that share the servers.
+    /// Dispatchers that share the endpoints; 0 counts as 1.
     pub dispatchers: u32,
-    /// This router's zone.
+    /// This dispatcher's zone.
     pub zone: u32,
-    /// Classes, by number.
+    /// Classes, by index.
     pub classes: Vec<RequestClass>,
-    /// Tenants, by number; may be empty.
+    /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of traffic over a tenant's share, as a part of its class's worth.
+    /// Factor on the priority weight of requests that exceed their tenant's quota.
     pub over_quota_weight: f64,
-    /// How load is reported.
+    /// How endpoints report their load.
     pub load_reporting: LoadReporting,
-    /// The list of servers has to be asked for.
+    /// The list of endpoints must be subscribed to with [`Action::WatchEndpoints`].
     pub must_poll_endpoints: bool,
-    /// Probes are allowed.
+    /// [`Action::Probe`] is allowed.
     pub probes_allowed: bool,
-    /// Attempts may be cancelled.
+    /// [`Action::CancelAttempt`] is allowed.
     pub cancellation_allowed: bool,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub hedging_allowed: bool,
-    /// Clients heed advice on when to come back, up to this long; 0 where they do not.
+    /// The longest retry advice that clients follow, in microseconds; 0 where they follow none.
     pub max_retry_after: Time,
-    /// Attempts allowed for a request.
+    /// Attempts allowed for a request; 0 counts as 1.
     pub max_attempts: u32,
-    /// The least time between two calls of the module.
+    /// The least time between two calls of the module, in microseconds.
     pub tick: Time,
-    /// A final answer counts until this long after the client's time.
+    /// A final response counts until this long after the client's deadline, in microseconds.
     pub response_slack: Time,
-    /// Sends to a leaving server end this long after it was told.
+    /// Nothing is sent to an endpoint later than this after it began to drain, in microseconds.
     pub drain_grace: Time,
-    /// A held state is taken or let go within this time.
+    /// Time to live of a reserved KV cache, in microseconds: it is taken over or released within it.
     pub reservation_ttl: Time,
-    /// Share of its capacity that a server has when it starts.
+    /// Share of its capacity that an endpoint has when it starts, 0 to 1.
     pub slow_start_initial_share: f64,
-    /// It is warm after this time at most.
+    /// An endpoint is warm this long after its start, in microseconds.
     pub slow_start_duration: Time,
-    /// A cold server sent this multiple of what it can do ...
+    /// An endpoint in slow start fails when it is sent this multiple of its capacity ...
     pub overload_threshold: f64,
-    /// ... for this time falls over.
+    /// ... for this time, in microseconds.
     pub overload_window: Time,
-    /// Price of an attempt that crosses zones, in parts of a request's worth.
+    /// Cost of an attempt in another zone, as a share of the request's priority weight.
     pub cross_zone_cost: f64,
-    /// Price of moving a state out of its cell, in parts of a request's worth.
+    /// Cost of moving a KV cache out of its cell, as a share of the request's priority weight.
     pub kv_transfer_cost: f64,
 }
 
-/// Whether a server of the list takes work.
+/// Whether a listed endpoint takes requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes work.
+    /// Takes requests.
     #[default]
     Ready,
-    /// Ends what it has.
+    /// Completes what it has and takes nothing new.
     Draining,
-    /// Removed.
+    /// No longer in the list.
     Removed,
 }
 
-/// One line of the list of servers.
+/// One line of the list of endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRecord {
-    /// The server.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// The same number for this server at every router, and for no other.
+    /// The same number for this endpoint at every dispatcher, and for no other: affinity is hashed from it.
     pub key: u64,
     /// What it does.
     pub role: Role,
-    /// Its memory in tokens; 0 where it is not told.
+    /// Capacity of its KV memory, in tokens; 0 where it is not known.
     pub kv_capacity_tokens: f64,
     /// Its zone.
     pub zone: u32,
-    /// Its cell.
+    /// Its cell, within which a KV cache moves at no cost.
     pub cell: u32,
-    /// Whether it takes work.
+    /// Whether it takes requests.
     pub status: EndpointStatus,
     /// When it last started; `None`: long ago.
     pub started_at: Option<Time>,
 }
 
-/// A load report; every value may be missing.
+/// A load report; each value may be missing. Values that are negative, not finite or 1,000,000 and more are
+/// ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub queued: Option<f64>,
-    /// Share of its memory that is held.
+    /// Share of the KV memory that is reserved, 0 to 1.
     pub kv_memory_share: Option<f64>,
-    /// Prompt tokens to read or to fetch, in thousands.
+    /// Prompt tokens to prefill or to fetch, in thousands.
     pub pending_prefill_kilotokens: Option<f64>,
 }
 
 /// A request as it arrives.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
-    /// Its number.
+    /// Its id.
     pub id: RequestId,
-    /// Its class.
+    /// Index of its class. A request of an unknown class fails with [`FailureReason::UnknownClass`].
     pub class: usize,
-    /// Its tenant, where there are any.
+    /// Index of its tenant, where there are tenants.
     pub tenant: Option<usize>,
-    /// Its session.
+    /// Key of its session.
     pub session: Option<u64>,
-    /// The shared text with which it begins.
+    /// Key of the shared prefix with which its prompt begins.
     pub prefix: Option<u64>,
-    /// The client's remaining time.
+    /// Time left until the client's deadline, in microseconds.
     pub time_left: Time,
     /// Tokens of its prompt.
     pub prompt_tokens: f64,
-    /// Tokens of the shared text.
+    /// Tokens of the shared prefix.
     pub prefix_tokens: f64,
-    /// The most tokens that the answer may have.
+    /// The most tokens that the response may have.
     pub max_output_tokens: f64,
-    /// A rough guess of the answer's time at the token aim, where there is one.
+    /// A rough estimate of the response's time at the inter-token objective, in microseconds.
     pub output_time_hint: Option<Time>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// Served.
+    /// The response was complete.
     Served,
-    /// The prompt is read; its state waits at the reader.
+    /// The prefill is done; the KV cache is reserved at the endpoint.
     PrefillDone,
-    /// An error answer; it may have run.
+    /// An error response; it may have run.
     Error,
-    /// Turned away; it did not run.
+    /// Refused by an overloaded endpoint; it did not run.
     Overloaded,
     /// The endpoint held no KV cache for the request; it did not run.
     KvStateMissing,
-    /// No answer in time; it may have run.
+    /// No response in time; it may have run.
     Timeout,
     /// No connection; it did not run.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// A kept connection broke before anything came back: as like as not it was closed while it stood idle,
-    /// which tells nothing of the server; it may have run.
+    /// A pooled connection broke before anything came back: it was probably closed while it was idle, which says
+    /// nothing of the endpoint; it may have run.
     StaleConnection,
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Turned away because the request itself is bad, as it would be anywhere; it did not run.
+    /// Refused because the request itself is invalid, as it would be anywhere; it did not run.
     InvalidRequest,
 }
 
-/// Why a router gives a request up.
+/// Why a router sheds or fails a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// Nothing is likely to serve it in time, and load is above usual.
+    /// Nothing is likely to serve it within its objective, and load is above usual.
     Overload,
-    /// Its read state may be held no longer.
+    /// Its KV cache may be reserved no longer.
     KvStateExpired,
     /// No further attempt is allowed.
     AttemptsExhausted,
-    /// Its time, or the router's own, is up.
+    /// Its deadline or the router's shutdown deadline has passed.
     DeadlineExceeded,
     /// It may have run and must not run twice.
     NotRepeatable,
@@ -251,123 +254,123 @@
     UnknownClass,
 }
 
-/// What a router hears.
+/// What a router handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of servers, whole or what changed in it.
+    /// The list of endpoints, in full or what changed in it.
     EndpointsChanged {
-        /// Servers that are absent are gone.
+        /// The list is complete: endpoints that are absent from it are removed.
         is_full: bool,
         /// Its lines.
         endpoints: Vec<EndpointRecord>,
     },
-    /// What it was told at its start has changed. A class's number means what it meant while it is in use.
+    /// New settings. A class's index keeps its meaning while requests of the class are open.
     SettingsChanged(RoutingSettings),
-    /// This router ends soon: every request needs its final answer by then.
+    /// This router ends at this instant: every request needs its final response by then.
     ShutdownDeadline(Time),
-    /// A call for the list failed, or the subscription broke.
+    /// A request for the list of endpoints failed, or the subscription broke.
     EndpointListFailed,
-    /// A client's request.
+    /// A client's request has arrived.
     RequestArrived(RequestMetadata),
-    /// The answer of an attempt has begun.
+    /// The response of an attempt has begun.
     FirstEvent {
-        /// The request.
+        /// The request. Unknown ids are ignored.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// Index of the attempt, from 0. Unknown ones are ignored.
         attempt: u32,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request. For unknown ids only the load is used.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// Index of the attempt, from 0.
         attempt: u32,
-        /// The server.
+        /// The endpoint that it was sent to.
         endpoint: EndpointId,
         /// How it ended.
         status: AttemptStatus,
-        /// The request is over, by this or before it.
+        /// The client has its final response, by this attempt or before it.
         request_closed: bool,
-        /// Prompt tokens found in the prefix cache, where that was reported.
+        /// Prompt tokens found in the prefix cache; 0 where that was not reported.
         cached_tokens: f64,
-        /// The server's load, where it was told.
+        /// The endpoint's load, where it was reported.
         load: Option<LoadReport>,
     },
-    /// The client has left.
+    /// The client has disconnected.
     ClientDisconnected {
-        /// The request.
+        /// The request. Unknown ids are ignored.
         id: RequestId,
     },
-    /// A time that was asked for by [`Action::SetTimer`] has come.
+    /// The instant of an [`Action::SetTimer`] has come.
     TimerFired,
-    /// What another router has told of a server.
+    /// A report of another dispatcher on an endpoint.
     PeerLoadReport {
-        /// The server.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Its load; without one, an attempt there has failed.
+        /// Its load; `None`: an attempt there has failed.
         load: Option<LoadReport>,
     },
-    /// A probe's answer.
+    /// A probe has been answered or has failed.
     ProbeCompleted {
-        /// The server.
+        /// The endpoint.
         endpoint: EndpointId,
         /// It answered.
         is_healthy: bool,
-        /// Its load, where it was told.
+        /// Its load, where it was reported.
         load: Option<LoadReport>,
     },
 }
 
-/// What a router does.
+/// What a router wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; a request's attempts count from 0.
+    /// Start an attempt. A request's attempts count from 0 in the order of their starts.
     StartAttempt {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// The attempt's time-out.
+        /// The attempt's timeout, in microseconds.
         timeout: Time,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt; its end is reported as usual.
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// Final answer: nothing was done, and trying again is harmless.
+    /// Final response: nothing was done, and a retry is harmless.
     Shed {
         /// The request.
         id: RequestId,
-        /// Advice on when to come back; 0: none.
+        /// Advice on when to retry, in microseconds from now; 0: none.
         retry_after: Time,
         /// Why.
         reason: FailureReason,
     },
-    /// Final answer that promises nothing.
+    /// Final response that promises nothing: the request may have run, and a retry may do harm.
     Fail {
         /// The request.
         id: RequestId,
         /// Why.
         reason: FailureReason,
     },
-    /// Let go of every state that is held for the request.
+    /// Release every KV cache that is reserved for the request.
     ReleaseReservation {
         /// The request.
         id: RequestId,
     },
-    /// RequestMetadata for [`Event::TimerFired`] at this time.
+    /// Send [`Event::TimerFired`] at this instant. Replaces an earlier timer.
     SetTimer {
-        /// When.
+        /// When, in microseconds on the caller's clock.
         at: Time,
     },
-    /// RequestMetadata a server for its load.
+    /// Ask an endpoint for its load.
     Probe {
-        /// The server.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to changes of the list of servers.
+    /// Subscribe to changes of the list of endpoints.
     WatchEndpoints,
 }
