--- /dev/null
+++ b/src/bin/quartzhall-simhost/host.rs
@@ -0,0 +1,246 @@
+//! The instances of this process: each message becomes an event of one instance's router, and the actions that
+//! follow become replies. [`Host`] owns the instances, the lists of endpoints and the current batch.
+
+use crate::error::HostError;
+use crate::messages::{
+    format_action, format_batch_end, parse_key, required, EndpointLine, Message, MessageKind,
+};
+use miniserde::json;
+use quartzhall::config::{micros, Deployment, NameTable, SettingsObject};
+use quartzhall::routing::api::*;
+use quartzhall::routing::Router;
+use std::collections::HashMap;
+use std::io::Write;
+
+/// The wire's `form` of a list of endpoints: changes only.
+const FORM_CHANGES: u32 = 0;
+/// Both forms of a complete list.
+const FORMS_FULL: std::ops::RangeInclusive<u32> = 1..=2;
+/// The list could not be had.
+const FORM_FAILED: u32 = 3;
+
+/// One instance: its router and its names.
+struct Instance {
+    router: Router,
+    endpoint_names: NameTable,
+    deployment: Deployment,
+}
+
+impl Instance {
+    fn new(seed: u64, settings: &SettingsObject, now: Time) -> Result<Self, HostError> {
+        let deployment = Deployment::new(settings).map_err(settings_error)?;
+        Ok(Instance {
+            router: Router::new(deployment.settings.clone(), seed, now),
+            endpoint_names: NameTable::default(),
+            deployment,
+        })
+    }
+
+    fn endpoint_record(&mut self, line: &EndpointLine) -> Result<EndpointRecord, HostError> {
+        let endpoint = self.endpoint_names.number(&line.name);
+        let record = self
+            .deployment
+            .entry(endpoint, &line.name, line.machine_type.as_deref())
+            .map_err(settings_error)?;
+        Ok(EndpointRecord {
+            zone: self.deployment.zone(line.zone.as_deref()),
+            cell: line.cell.unwrap_or(u32::MAX),
+            status: line.status()?,
+            started_at: line.started_at(),
+            ..record
+        })
+    }
+
+    fn request_arrived(&self, message: &Message) -> Result<Event, HostError> {
+        let tenant = self.tenant(message)?;
+        let class_name = required(message.class.as_ref(), "kind")?;
+        let id = message.request()?;
+        let class = self
+            .deployment
+            .classes
+            .known(class_name)
+            .ok_or_else(|| HostError::UnknownClass(class_name.clone()))?;
+        Ok(Event::RequestArrived(RequestMetadata {
+            id,
+            class: class as usize,
+            tenant,
+            session: parse_key(message.session.as_deref(), "session")?,
+            prefix: parse_key(message.prefix.as_deref(), "system_prompt")?,
+            time_left: micros(required(message.time_left_ms, "expires_in")?),
+            prompt_tokens: message.prompt_tokens.unwrap_or(0.0),
+            prefix_tokens: message.prefix_tokens.unwrap_or(0.0),
+            max_output_tokens: message.max_output_tokens.unwrap_or(0.0),
+            output_time_hint: message.output_time_hint_ms.map(micros),
+        }))
+    }
+
+    fn tenant(&self, message: &Message) -> Result<Option<usize>, HostError> {
+        let Some(json::Value::String(name)) = &message.tenant else {
+            return Ok(None);
+        };
+        match self.deployment.tenants.known(name) {
+            Some(tenant) => Ok(Some(tenant as usize)),
+            None => Err(HostError::UnknownTenant(name.clone())),
+        }
+    }
+
+    fn attempt_ended(&mut self, message: &Message) -> Result<Event, HostError> {
+        Ok(Event::AttemptEnded {
+            id: message.request()?,
+            attempt: message.attempt()?,
+            endpoint: self.endpoint_names.number(message.endpoint()?),
+            status: message.attempt_status()?,
+            request_closed: message.request_closed.unwrap_or(false),
+            cached_tokens: message.cached_tokens.unwrap_or(0.0),
+            load: message.load(),
+        })
+    }
+
+    fn probe_completed(&mut self, message: &Message) -> Result<Event, HostError> {
+        let is_healthy = message.is_probe_healthy()?;
+        Ok(Event::ProbeCompleted {
+            endpoint: self.endpoint_names.number(message.endpoint()?),
+            is_healthy,
+            load: message.load(),
+        })
+    }
+}
+
+fn settings_error(error: impl std::fmt::Display) -> HostError {
+    HostError::Settings(error.to_string())
+}
+
+/// All instances of this process, and the batch that is being read.
+#[derive(Default)]
+pub struct Host {
+    instances: HashMap<String, Instance>,
+    endpoint_sheets: HashMap<u32, Vec<EndpointLine>>,
+    now: Time,
+    batch: u64,
+    replies: String,
+}
+
+impl Host {
+    /// Handles one line of input; the line that ends a batch writes its replies to `output`.
+    pub fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<(), HostError> {
+        let message = Message::parse(text)?;
+        match message.kind()? {
+            MessageKind::BatchStart => self.start_batch(&message),
+            MessageKind::BatchEnd => self.end_batch(output),
+            MessageKind::EndpointSheet => self.store_sheet(message),
+            MessageKind::InstanceStart => self.start_instance(&message),
+            MessageKind::InstanceStop => {
+                self.instances.remove(message.instance()?);
+                Ok(())
+            }
+            MessageKind::Ignored => {
+                self.instance(message.instance()?)?;
+                Ok(())
+            }
+            MessageKind::EndpointList => self.on_endpoint_list(&message),
+            MessageKind::Request => {
+                self.handle_event(&message, |instance| instance.request_arrived(&message))
+            }
+            MessageKind::FirstEvent => {
+                let id = message.request()?;
+                let attempt = message.attempt()?;
+                self.handle_event(&message, |_| Ok(Event::FirstEvent { id, attempt }))
+            }
+            MessageKind::AttemptEnd => {
+                self.handle_event(&message, |instance| instance.attempt_ended(&message))
+            }
+            MessageKind::ClientDisconnect => {
+                let id = message.request()?;
+                self.handle_event(&message, |_| Ok(Event::ClientDisconnected { id }))
+            }
+            MessageKind::Timer => self.handle_event(&message, |_| Ok(Event::TimerFired)),
+            MessageKind::ProbeEnd => {
+                self.handle_event(&message, |instance| instance.probe_completed(&message))
+            }
+        }
+    }
+
+    fn start_batch(&mut self, message: &Message) -> Result<(), HostError> {
+        let time_ms = message.time_ms.filter(|time_ms| time_ms.is_finite());
+        self.now = micros(required(time_ms, "t")?);
+        self.batch = required(message.batch, "n")?;
+        Ok(())
+    }
+
+    fn end_batch(&mut self, output: &mut impl Write) -> Result<(), HostError> {
+        self.replies.push_str(&format_batch_end(self.batch));
+        let written = output
+            .write_all(self.replies.as_bytes())
+            .and_then(|()| output.flush());
+        self.replies.clear();
+        written.map_err(HostError::Write)
+    }
+
+    fn store_sheet(&mut self, message: Message) -> Result<(), HostError> {
+        let sheet = required(message.sheet, "sheet")?;
+        let endpoints = required(message.endpoints, "lines")?;
+        self.endpoint_sheets.insert(sheet, endpoints);
+        Ok(())
+    }
+
+    fn start_instance(&mut self, message: &Message) -> Result<(), HostError> {
+        let settings = required(message.settings.as_ref(), "profile_data")?;
+        let seed = required(message.seed, "init_seed")?;
+        let instance = Instance::new(seed, settings, self.now)?;
+        self.instances
+            .insert(message.instance()?.to_owned(), instance);
+        self.handle_event(message, |_| Ok(Event::TimerFired))
+    }
+
+    fn on_endpoint_list(&mut self, message: &Message) -> Result<(), HostError> {
+        let is_full = match required(message.form, "form")? {
+            FORM_CHANGES => false,
+            form if FORMS_FULL.contains(&form) => true,
+            FORM_FAILED => {
+                return self.handle_event(message, |_| Ok(Event::EndpointListFailed));
+            }
+            other => return Err(HostError::UnknownForm(other)),
+        };
+        let sheet = required(message.sheet, "sheet")?;
+        let lines = self
+            .endpoint_sheets
+            .get(&sheet)
+            .ok_or(HostError::UnknownSheet(sheet))?
+            .clone();
+        self.handle_event(message, |instance| {
+            let mut endpoints = Vec::with_capacity(lines.len());
+            for line in &lines {
+                endpoints.push(instance.endpoint_record(line)?);
+            }
+            Ok(Event::EndpointsChanged { is_full, endpoints })
+        })
+    }
+
+    fn instance(&mut self, name: &str) -> Result<&mut Instance, HostError> {
+        self.instances
+            .get_mut(name)
+            .ok_or_else(|| HostError::UnknownInstance(name.to_owned()))
+    }
+
+    /// Hands an event to the message's instance and appends the replies that follow.
+    fn handle_event(
+        &mut self,
+        message: &Message,
+        event: impl FnOnce(&mut Instance) -> Result<Event, HostError>,
+    ) -> Result<(), HostError> {
+        let name = message.instance()?;
+        let now = self.now;
+        let instance = self.instance(name)?;
+        let event = event(instance)?;
+        let mut actions = Vec::new();
+        instance.router.handle(now, event, &mut actions);
+        let mut replies = String::new();
+        for action in &actions {
+            replies.push_str(&format_action(name, action, |endpoint| {
+                instance.endpoint_names.name(endpoint)
+            }));
+        }
+        self.replies.push_str(&replies);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/bin/quartzhall-simhost/main.rs
@@ -0,0 +1,37 @@
+//! Speaks the simulator's wire on standard input and output and hosts one
+//! [`Router`](quartzhall::routing::Router) for each instance.
+//!
+//! It translates and decides nothing. Invalid input ends it with one line on standard error. `messages` has the
+//! names of the wire; `host` owns the instances.
+
+mod error;
+mod host;
+mod messages;
+
+use error::{HostError, LineError};
+use host::Host;
+use std::io::BufRead;
+
+fn run() -> Result<(), LineError> {
+    let mut host = Host::default();
+    let mut output = std::io::stdout().lock();
+    for (index, line) in std::io::stdin().lock().lines().enumerate() {
+        let number = index + 1;
+        let at_line = |source| LineError { number, source };
+        let line = line.map_err(HostError::Read).map_err(at_line)?;
+        if !line.trim().is_empty() {
+            host.handle_line(&line, &mut output).map_err(at_line)?;
+        }
+    }
+    Ok(())
+}
+
+fn main() -> std::process::ExitCode {
+    match run() {
+        Ok(()) => std::process::ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("quartzhall-simhost: {error}");
+            std::process::ExitCode::FAILURE
+        }
+    }
+}
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -1,164 +1,170 @@
-//! The prefix table: which texts servers are known to keep, by what was read there. Pure: no I/O, no clock.
+//! The prefix cache index: which prompts endpoints are known to have cached, by what was prefilled there. Pure: no
+//! I/O and no clock. The router owns it.
 //!
-//! Entries age, and each server has a bounded number of them. The table is held both ways, by server and by
-//! text, so that the servers that keep a text are found without looking at all.
+//! A key is that of a shared prefix or of a session. Entries age, and each endpoint has a bounded number of them.
+//! The index is kept by endpoint and by key, so that the holders of a key are found without a scan.
 
 use crate::routing::api::{EndpointId, RequestMetadata, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Servers that are told of for one text.
-const HOLDERS: usize = 4;
+/// Holders that are returned for one key.
+const MAX_HOLDERS_PER_KEY: usize = 4;
+/// Recent requests by which a prefix's share of the traffic is measured.
+const TRAFFIC_SAMPLE_REQUESTS: usize = 30;
 
-/// Requests from which a text's part of the traffic is told.
-const RECENT: usize = 30;
-
-/// A text at a server.
-struct Kept {
+/// What an endpoint has cached for a key.
+struct CachedPrefix {
     tokens: f64,
-    own: f64, // those of them that are in no shared text
-    at: Time,
+    /// Those of them that count against the memory of the endpoint: a session leaves out its shared prefix, which
+    /// has an entry of its own.
+    charged_tokens: f64,
+    recorded_at: Time,
 }
 
-/// The table.
+/// The index.
 #[derive(Default)]
 pub struct PrefixCacheIndex {
-    by_server: BTreeMap<EndpointId, BTreeMap<u64, Kept>>,
-    by_text: HashMap<u64, BTreeSet<EndpointId>>,
-    recent: VecDeque<u64>, // shared texts of the last requests
+    by_endpoint: BTreeMap<EndpointId, BTreeMap<u64, CachedPrefix>>,
+    by_key: HashMap<u64, BTreeSet<EndpointId>>,
+    /// Shared prefixes of recent requests; 0 for a request without one.
+    recent_prefixes: VecDeque<u64>,
 }
 
 impl PrefixCacheIndex {
-    /// A request has arrived.
-    pub fn on_arrival(&mut self, ask: &RequestMetadata) {
-        self.recent.push_back(ask.prefix.unwrap_or(0));
-        self.recent
-            .drain(..self.recent.len().saturating_sub(RECENT));
+    /// Counts an arrived request in the traffic sample.
+    pub fn on_arrival(&mut self, request: &RequestMetadata) {
+        self.recent_prefixes.push_back(request.prefix.unwrap_or(0));
+        while self.recent_prefixes.len() > TRAFFIC_SAMPLE_REQUESTS {
+            self.recent_prefixes.pop_front();
+        }
     }
 
-    /// The part of recent requests that begin with the same shared text.
-    pub fn traffic_share(&self, ask: &RequestMetadata) -> f64 {
-        let same = |prefix| {
-            self.recent
-                .iter()
-                .filter(|recent| **recent == prefix)
-                .count()
+    /// The share of recent requests that begin with the same shared prefix, 0 to 1.
+    pub fn traffic_share(&self, request: &RequestMetadata) -> f64 {
+        let Some(prefix) = request.prefix else {
+            return 0.0;
         };
-        ask.prefix.map_or(0, same) as f64 / RECENT as f64
+        let count = self
+            .recent_prefixes
+            .iter()
+            .filter(|recent| **recent == prefix)
+            .count();
+        count as f64 / TRAFFIC_SAMPLE_REQUESTS as f64
     }
 
-    fn tokens(&self, text: Option<u64>, server: EndpointId) -> f64 {
-        let kept = text.and_then(|text| self.by_server.get(&server)?.get(&text));
-        kept.map_or(0.0, |kept| kept.tokens)
+    fn tokens_for_key(&self, key: Option<u64>, endpoint: EndpointId) -> f64 {
+        let entries = self.by_endpoint.get(&endpoint);
+        match (key, entries) {
+            (Some(key), Some(entries)) => entries.get(&key).map_or(0.0, |entry| entry.tokens),
+            _ => 0.0,
+        }
     }
 
-    /// Tokens of a request's prompt that a server is known to keep.
-    pub fn cached_tokens(&self, ask: &RequestMetadata, server: EndpointId) -> f64 {
-        let shared = self.tokens(ask.prefix, server).min(ask.prefix_tokens);
-        self.tokens(ask.session, server)
+    /// Tokens of a request's prompt that an endpoint is known to have cached.
+    pub fn cached_tokens(&self, request: &RequestMetadata, endpoint: EndpointId) -> f64 {
+        let shared = self
+            .tokens_for_key(request.prefix, endpoint)
+            .min(request.prefix_tokens);
+        self.tokens_for_key(request.session, endpoint)
             .max(shared)
-            .min(ask.prompt_tokens)
+            .min(request.prompt_tokens)
     }
 
-    /// Some servers that keep a request's texts; of a text that many keep, others for each seed.
-    pub fn holders(&self, ask: &RequestMetadata, seed: u64) -> BTreeSet<EndpointId> {
+    /// Some endpoints that have a request's session or shared prefix cached; of many, others for each seed.
+    pub fn holders(&self, request: &RequestMetadata, seed: u64) -> BTreeSet<EndpointId> {
         let mut found = BTreeSet::new();
-        for holders in [ask.session, ask.prefix]
-            .iter()
-            .flatten()
-            .filter_map(|text| self.by_text.get(text))
-        {
+        for key in [request.session, request.prefix].iter().flatten() {
+            let Some(holders) = self.by_key.get(key) else {
+                continue;
+            };
             let first = (seed % holders.len().max(1) as u64) as usize;
-            found.extend(
-                holders
-                    .iter()
-                    .cycle()
-                    .skip(first)
-                    .take(HOLDERS.min(holders.len())),
-            );
+            let count = MAX_HOLDERS_PER_KEY.min(holders.len());
+            found.extend(holders.iter().cycle().skip(first).take(count));
         }
         found
     }
 
-    /// A server has read a request. No more tokens that are in no shared text are noted than `room`, where
-    /// that is told: a full server lets the oldest go.
+    /// Records that an endpoint has prefilled a request. At most `max_tokens` are
+    /// recorded for it, where that is over 0: an endpoint whose memory is full evicts the oldest.
     pub fn record_prefill(
         &mut self,
         now: Time,
-        server: EndpointId,
-        room: f64,
-        ask: &RequestMetadata,
+        endpoint: EndpointId,
+        max_tokens: f64,
+        request: &RequestMetadata,
     ) {
-        let shared = if ask.prefix.is_some() {
-            ask.prefix_tokens
+        let prefix_tokens = if request.prefix.is_some() {
+            request.prefix_tokens
         } else {
             0.0
         };
-        let own = (ask.prompt_tokens - shared).max(0.0);
-        let texts = [
-            (ask.prefix, shared, shared),
-            (ask.session, ask.prompt_tokens, own),
-        ];
-        let table = self.by_server.entry(server).or_default();
-        for (text, tokens, own) in texts {
-            let Some(text) = text else { continue };
-            table.insert(
-                text,
-                Kept {
-                    tokens,
-                    own,
-                    at: now,
-                },
-            );
-            self.by_text.entry(text).or_default().insert(server);
+        let prefix_entry = CachedPrefix {
+            tokens: prefix_tokens,
+            charged_tokens: prefix_tokens,
+            recorded_at: now,
+        };
+        let session_entry = CachedPrefix {
+            tokens: request.prompt_tokens,
+            charged_tokens: (request.prompt_tokens - prefix_tokens).max(0.0),
+            recorded_at: now,
+        };
+        let entries = self.by_endpoint.entry(endpoint).or_default();
+        for (key, entry) in [
+            (request.prefix, prefix_entry),
+            (request.session, session_entry),
+        ] {
+            if let Some(key) = key {
+                entries.insert(key, entry);
+                self.by_key.entry(key).or_default().insert(endpoint);
+            }
         }
-        let mut over = table.values().map(|kept| kept.own).sum::<f64>() - room;
-        while over > 0.0 && room > 0.0 {
-            let oldest = table
+        let recorded_tokens: f64 = entries.values().map(|entry| entry.charged_tokens).sum();
+        let mut excess = recorded_tokens - max_tokens;
+        while excess > 0.0 && max_tokens > 0.0 {
+            let oldest = entries
                 .iter()
-                .min_by_key(|(_, kept)| kept.at)
-                .map(|(text, _)| *text);
-            let Some((text, kept)) = oldest.and_then(|text| table.remove_entry(&text)) else {
+                .min_by_key(|(_, entry)| entry.recorded_at)
+                .map(|(key, _)| *key);
+            let Some((key, entry)) = oldest.and_then(|key| entries.remove_entry(&key)) else {
                 break;
             };
-            over -= kept.own;
-            forget_holder(&mut self.by_text, text, server);
+            excess -= entry.charged_tokens;
+            remove_holder(&mut self.by_key, key, endpoint);
         }
     }
 
-    /// What was noted at this moment or before is forgotten.
-    pub fn expire(&mut self, before: Time) {
-        for (server, table) in &mut self.by_server {
-            table.retain(|text, kept| {
-                let keeps = kept.at > before;
-                if !keeps {
-                    forget_holder(&mut self.by_text, *text, *server);
+    /// Forgets what was recorded at this instant or before, in microseconds.
+    pub fn expire(&mut self, until: Time) {
+        for (endpoint, entries) in &mut self.by_endpoint {
+            entries.retain(|key, entry| {
+                let is_fresh = entry.recorded_at > until;
+                if !is_fresh {
+                    remove_holder(&mut self.by_key, *key, *endpoint);
                 }
-                keeps
+                is_fresh
             });
         }
-        self.by_server.retain(|_, table| !table.is_empty());
+        self.by_endpoint.retain(|_, entries| !entries.is_empty());
     }
 
-    /// A server has gone, or has started anew.
-    pub fn forget_endpoint(&mut self, server: EndpointId) {
-        for text in self
-            .by_server
-            .remove(&server)
-            .unwrap_or_default()
-            .into_keys()
-        {
-            forget_holder(&mut self.by_text, text, server);
+    /// Forgets an endpoint that was removed or has restarted.
+    pub fn forget_endpoint(&mut self, endpoint: EndpointId) {
+        let Some(entries) = self.by_endpoint.remove(&endpoint) else {
+            return;
+        };
+        for key in entries.into_keys() {
+            remove_holder(&mut self.by_key, key, endpoint);
         }
     }
 }
 
-fn forget_holder(by_text: &mut HashMap<u64, BTreeSet<EndpointId>>, text: u64, server: EndpointId) {
-    let Some(holders) = by_text.get_mut(&text) else {
+fn remove_holder(by_key: &mut HashMap<u64, BTreeSet<EndpointId>>, key: u64, endpoint: EndpointId) {
+    let Some(holders) = by_key.get_mut(&key) else {
         return;
     };
-    holders.remove(&server);
+    holders.remove(&endpoint);
     if holders.is_empty() {
-        by_text.remove(&text);
+        by_key.remove(&key);
     }
 }
 
--- a/src/routing/token_bucket.rs
+++ b/src/routing/token_bucket.rs
@@ -1,41 +1,45 @@
-//! A tenant's quota, as a token bucket. Pure: no I/O, no clock.
+//! A tenant's quota as a token bucket. Pure: no I/O and no clock. The router owns one for each tenant.
 
 use crate::routing::api::Time;
 
-/// Seconds of a quota that may come at once.
-const BURST: f64 = 5.0;
+/// Seconds of the rate that a full bucket holds.
+const BURST_SECONDS: f64 = 5.0;
 
-/// One tenant's bucket.
+/// One tenant's bucket, at one dispatcher.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    rate: f64, // tokens a second; 0: no limit
-    left: f64,
-    at: Time, // when `left` was reckoned
+    /// Tokens a second; 0: no limit.
+    rate: f64,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// A bucket for so many requests a second; 0: no limit.
+    /// A bucket with a rate in requests a second; 0: no limit. `now` is in microseconds.
     pub fn new(rate: f64, now: Time) -> TokenBucket {
         TokenBucket {
             rate,
-            left: BURST,
-            at: now,
+            tokens: BURST_SECONDS,
+            refilled_at: now,
         }
     }
 
-    /// From now on it fills at this rate.
+    /// Changes the rate, in requests a second; 0: no limit.
     pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 
-    /// Takes a token for a request; true where none is left.
+    /// Takes a token for a request; true where none is left. `now` is in microseconds and never goes back.
     pub fn is_exceeded(&mut self, now: Time) -> bool {
-        let passed = (now - self.at) as f64 / 1e6;
-        self.left = (self.left + self.rate * passed).min(self.rate * BURST + 1.0);
-        self.at = now;
-        let exceeded = self.rate > 0.0 && self.left < 1.0;
-        self.left -= f64::from(u8::from(!exceeded));
-        exceeded
+        let elapsed_seconds = (now - self.refilled_at) as f64 / 1e6;
+        self.tokens =
+            (self.tokens + self.rate * elapsed_seconds).min(self.rate * BURST_SECONDS + 1.0);
+        self.refilled_at = now;
+        let is_exceeded = self.rate > 0.0 && self.tokens < 1.0;
+        if !is_exceeded {
+            self.tokens -= 1.0;
+        }
+        is_exceeded
     }
 }
 
--- a/tests/unit/routing/prefix_cache_index.rs
+++ b/tests/unit/routing/prefix_cache_index.rs
@@ -1,8 +1,8 @@
-//! The prefix table, both ways.
+//! The prefix index, both ways.
 
 use super::*;
 
-fn ask(session: u64, prefix: u64) -> RequestMetadata {
+fn request(session: u64, prefix: u64) -> RequestMetadata {
     RequestMetadata {
         session: Some(session),
         prefix: Some(prefix),
@@ -12,64 +12,73 @@
     }
 }
 
-/// What a server keeps is found by server and by text, and goes by age, by room, and with the server.
+/// X
 #[test]
-fn both_ways_agree() {
-    let mut table = PrefixCacheIndex::default();
-    for server in 0..8_u32 {
-        table.record_prefill(u64::from(server), server, 1e9, &ask(u64::from(server), 77));
+fn cached_prefixes_are_found_by_endpoint_and_key_until_they_expire() {
+    let mut index = PrefixCacheIndex::default();
+    for endpoint in 0..8_u32 {
+        index.record_prefill(
+            u64::from(endpoint),
+            endpoint,
+            1e9,
+            &request(u64::from(endpoint), 77),
+        );
     }
-    assert_eq!(table.cached_tokens(&ask(3, 77), 3), 1_000.0);
-    assert_eq!(table.cached_tokens(&ask(3, 77), 4), 400.0);
-    assert_eq!(table.cached_tokens(&ask(3, 78), 4), 0.0);
-    // All that keep the conversation, and some that keep the shared text: others for another seed.
-    let holders = |table: &PrefixCacheIndex, seed| table.holders(&ask(3, 77), seed);
-    assert!(holders(&table, 0).contains(&3) && holders(&table, 0).len() <= 1 + HOLDERS);
-    let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&table, seed)).collect();
+    assert_eq!(index.cached_tokens(&request(3, 77), 3), 1_000.0);
+    assert_eq!(index.cached_tokens(&request(3, 77), 4), 400.0);
+    assert_eq!(index.cached_tokens(&request(3, 78), 4), 0.0);
+    // All that have the session cached, and some that have the shared prefix: others for another seed.
+    let holders = |index: &PrefixCacheIndex, seed| index.holders(&request(3, 77), seed);
+    assert!(holders(&index, 0).contains(&3) && holders(&index, 0).len() <= 1 + MAX_HOLDERS_PER_KEY);
+    let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&index, seed)).collect();
     assert_eq!(all, (0..8).collect());
 
-    table.expire(2);
-    assert_eq!(table.cached_tokens(&ask(2, 77), 2), 0.0);
-    table.forget_endpoint(5);
-    let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&table, seed)).collect();
+    index.expire(2);
+    assert_eq!(index.cached_tokens(&request(2, 77), 2), 0.0);
+    index.forget_endpoint(5);
+    let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&index, seed)).collect();
     assert_eq!(all, BTreeSet::from([3, 4, 6, 7]));
 
-    // There is room for the tokens of one conversation that are in no shared text, and the oldest goes.
-    table.record_prefill(20, 9, 1_100.0, &ask(30, 77));
-    table.record_prefill(21, 9, 1_100.0, &ask(31, 77));
+    // There is memory for the tokens of one session that are in no shared prefix, and the oldest is evicted.
+    index.record_prefill(20, 9, 1_100.0, &request(30, 77));
+    index.record_prefill(21, 9, 1_100.0, &request(31, 77));
     assert_eq!(
         (
-            table.cached_tokens(&ask(30, 0), 9),
-            table.cached_tokens(&ask(31, 0), 9)
+            index.cached_tokens(&request(30, 0), 9),
+            index.cached_tokens(&request(31, 0), 9)
         ),
         (0.0, 1_000.0)
     );
-    assert!(table.holders(&ask(30, 0), 0).is_empty());
+    assert!(index.holders(&request(30, 0), 0).is_empty());
 
-    table.expire(100);
+    index.expire(100);
     assert!(
-        table.by_server.is_empty() && table.by_text.is_empty(),
-        "nothing is left behind"
+        index.by_endpoint.is_empty() && index.by_key.is_empty(),
+        "an entry was left behind"
     );
 }
 
-/// A shared text's part of the traffic is told from the last requests only.
+/// A shared prefix's share of the traffic is measured by the last requests only.
 #[test]
-fn the_part_of_the_traffic_is_that_of_recent_requests() {
-    let mut table = PrefixCacheIndex::default();
-    (0..100).for_each(|_| table.on_arrival(&ask(1, 7)));
+fn traffic_share_counts_recent_requests_only() {
+    let mut index = PrefixCacheIndex::default();
+    for _ in 0..100 {
+        index.on_arrival(&request(1, 7));
+    }
     assert_eq!(
         (
-            table.traffic_share(&ask(2, 7)),
-            table.traffic_share(&ask(2, 8))
+            index.traffic_share(&request(2, 7)),
+            index.traffic_share(&request(2, 8))
         ),
         (1.0, 0.0)
     );
-    (0..15).for_each(|_| table.on_arrival(&ask(1, 8)));
+    for _ in 0..15 {
+        index.on_arrival(&request(1, 8));
+    }
     assert_eq!(
         (
-            table.traffic_share(&ask(2, 7)),
-            table.traffic_share(&ask(2, 8))
+            index.traffic_share(&request(2, 7)),
+            index.traffic_share(&request(2, 8))
         ),
         (0.5, 0.5)
     );
