--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -7,10 +7,10 @@
 
 #[test]
 fn prefills_stay_in_their_zone_by_the_cross_zone_cost() {
-    let zone = |it: EndpointRecord| EndpointRecord {
-        zone: it.endpoint % 2,
-        cell: it.endpoint % 2,
-        ..it
+    let zone = |record: EndpointRecord| EndpointRecord {
+        zone: record.endpoint % 2,
+        cell: record.endpoint % 2,
+        ..record
     };
     let prefill_endpoints = (1..=4).map(|id| endpoint(id, Role::Prefill));
     let fleet: Vec<_> = prefill_endpoints
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -6,7 +6,8 @@
 
 #[test]
 fn a_kv_cache_leaves_its_cell_before_a_stalled_decode_endpoint_there_is_hopeless() {
-    // Guards against the transfer cost keeping KV caches at decode endpoints with full memory until all were late.
+    // Guards against the transfer cost keeping KV caches at decode endpoints with full memory until all were
+    // late.
     let cell = |id, role, cell| EndpointRecord {
         cell,
         ..endpoint(id, role)
@@ -80,14 +81,14 @@
         harness.handle(Event::FirstEvent { id, attempt: 1 });
         decode_endpoints.push(decode);
     }
-    let in_own_cell = decode_endpoints.iter().filter(|it| **it == 11).count();
+    let in_own_cell = decode_endpoints.iter().filter(|id| **id == 11).count();
     assert!(
         (20..=32).contains(&in_own_cell),
         "{in_own_cell} of 40 in the prefill endpoint's cell, where 24 find room"
     );
     let early = decode_endpoints[..14]
         .iter()
-        .filter(|it| **it == 11)
+        .filter(|id| **id == 11)
         .count();
     assert!(
         early >= 12,
@@ -118,9 +119,9 @@
     }
     actions.extend(harness.advance(SECOND));
     actions.extend(harness.end_attempt(1_000, 0, prefill, AttemptStatus::Cancelled));
-    let is_for_it = |it: &Action| {
+    let is_for_it = |action: &Action| {
         matches!(
-            it,
+            action,
             Action::CancelAttempt { id: 1_000, .. } | Action::StartAttempt { id: 1_000, .. }
         )
     };
@@ -130,8 +131,8 @@
 
 #[test]
 fn a_prefill_whose_response_is_lost_is_cancelled_where_hedging_is_not_allowed() {
-    // Guards against a silent connection holding its request until the client's deadline: no hedge may be sent, and
-    // nothing ended the first attempt.
+    // Guards against a silent connection holding its request until the client's deadline: no hedge may be
+    // sent, and nothing ended the first attempt.
     let lost = actions_after_silence(false, true);
     assert!(
         matches!(
--- a/tests/routing_affinity.rs
+++ b/tests/routing_affinity.rs
@@ -52,7 +52,8 @@
 
 #[test]
 fn partly_cached_sessions_keep_to_their_affinity_endpoint() {
-    // Guards against overload after a flush: with no match over the threshold all prefill endpoints counted as equal.
+    // Guards against overload after a flush: with no match over the threshold all prefill endpoints counted
+    // as equal.
     let mut harness = harness();
     for id in 0..80 {
         harness.serve_with(request(id, id), |_| 40 * MS, 1_000.0, 30 * MS, 50 * MS);
@@ -92,7 +93,8 @@
             )
         })
         .collect();
-    // 75 prompts of 2,000 tokens for each prefill endpoint, of 200,000 tokens that both routers together can cache there.
+    // 75 prompts of 2,000 tokens for each prefill endpoint, of 200,000 tokens that both routers together can
+    // cache there.
     for id in 2_000..2_300 {
         harness.serve(request(id, id), 40 * MS, 30 * MS, 50 * MS);
     }
--- a/tests/routing_fleet_sizes.rs
+++ b/tests/routing_fleet_sizes.rs
@@ -80,10 +80,10 @@
     let affinity_endpoints: Vec<_> = affinity_endpoints.collect();
     let max = affinity_endpoints
         .iter()
-        .map(|it| {
+        .map(|endpoint| {
             affinity_endpoints
                 .iter()
-                .filter(|other| *other == it)
+                .filter(|other| *other == endpoint)
                 .count()
         })
         .max();
@@ -92,9 +92,9 @@
 
 #[test]
 fn affinity_endpoints_are_in_the_own_zone_while_it_has_prefill_endpoints() {
-    let entries = fleet(40).into_iter().map(|it| EndpointRecord {
-        zone: it.endpoint % 2,
-        ..it
+    let entries = fleet(40).into_iter().map(|record| EndpointRecord {
+        zone: record.endpoint % 2,
+        ..record
     });
     let entries: Vec<_> = entries.collect();
     let own = (0..50).filter(|seed| {
@@ -115,10 +115,10 @@
     let probes = |actions: &[Action]| {
         actions
             .iter()
-            .filter_map(|it| {
+            .filter_map(|action| {
                 if let Action::Probe {
                     endpoint: endpoint_id,
-                } = it
+                } = action
                 {
                     Some(*endpoint_id)
                 } else {
@@ -133,13 +133,13 @@
         "few, however many endpoints there are: {probed:?}"
     );
     // One is idle, the others are busy: the placement waits for the answers and follows them.
-    for (at, endpoint_id) in probed.iter().enumerate() {
-        let to_read = if at == 0 { 0.0 } else { 60.0 };
+    for (index, endpoint_id) in probed.iter().enumerate() {
+        let pending = if index == 0 { 0.0 } else { 60.0 };
         let load = LoadReport {
-            in_flight: Some(to_read),
+            in_flight: Some(pending),
             queued: None,
             kv_memory_share: Some(0.3),
-            pending_prefill_kilotokens: Some(to_read),
+            pending_prefill_kilotokens: Some(pending),
         };
         harness.handle(Event::ProbeCompleted {
             endpoint: *endpoint_id,
@@ -169,10 +169,10 @@
     for seed in 0..30 {
         let mut harness = harness(&rules, fleet(6), seed);
         let actions = harness.submit(request(1, seed));
-        let probed = actions.iter().find_map(|it| {
+        let probed = actions.iter().find_map(|action| {
             if let Action::Probe {
                 endpoint: endpoint_id,
-            } = it
+            } = action
             {
                 Some(*endpoint_id)
             } else {
--- a/tests/routing_large_fleets.rs
+++ b/tests/routing_large_fleets.rs
@@ -14,9 +14,9 @@
         cell: id,
         ..endpoint(id, Role::Prefill)
     });
-    let decode_endpoints = (0..DECODE_ENDPOINTS).map(|at| EndpointRecord {
-        cell: cell_of(at),
-        ..endpoint(FIRST_DECODE_ENDPOINT + at, Role::Decode)
+    let decode_endpoints = (0..DECODE_ENDPOINTS).map(|index| EndpointRecord {
+        cell: cell_of(index),
+        ..endpoint(FIRST_DECODE_ENDPOINT + index, Role::Decode)
     });
     prefill_endpoints.chain(decode_endpoints).collect()
 }
@@ -109,13 +109,13 @@
     let mut unavailable = std::collections::BTreeSet::new();
     for step in 0..300_u32 {
         let changes = (0..12).map(|number| {
-            let at = (step * 37 + number * 61) % (PREFILL_ENDPOINTS + DECODE_ENDPOINTS);
-            let id = if at < PREFILL_ENDPOINTS {
-                at
+            let index = (step * 37 + number * 61) % (PREFILL_ENDPOINTS + DECODE_ENDPOINTS);
+            let id = if index < PREFILL_ENDPOINTS {
+                index
             } else {
-                FIRST_DECODE_ENDPOINT + at - PREFILL_ENDPOINTS
+                FIRST_DECODE_ENDPOINT + index - PREFILL_ENDPOINTS
             };
-            let role = if at < PREFILL_ENDPOINTS {
+            let role = if index < PREFILL_ENDPOINTS {
                 Role::Prefill
             } else {
                 Role::Decode
--- a/tests/routing_limits.rs
+++ b/tests/routing_limits.rs
@@ -1,4 +1,5 @@
-//! The decision code is read during outages: its modules and lines stay short, and its entry names the interface.
+//! The decision code is read during outages: its modules and lines stay short, and its entry names the
+//! interface.
 
 use std::path::Path;
 
--- a/tests/routing_rules.rs
+++ b/tests/routing_rules.rs
@@ -193,7 +193,7 @@
         actions.extend(harness.advance(time_to_shutdown + 10 * MS));
         let sheds = actions
             .iter()
-            .filter(|it| matches!(it, Action::Shed { .. }))
+            .filter(|action| matches!(action, Action::Shed { .. }))
             .count();
         assert_eq!(
             (count_final_responses(&actions, 1), sheds == 1),
--- a/tests/routing_slow_start.rs
+++ b/tests/routing_slow_start.rs
@@ -22,7 +22,8 @@
     let sends = (100..150)
         .filter(|id| started_endpoint(&harness.submit(request(*id, *id)), *id).is_some())
         .count();
-    // The warm endpoint had about 16 prefills a second; one in slow start may get 0.3 x 2.5 of that in a second.
+    // The warm endpoint had about 16 prefills a second; one in slow start may get 0.3 x 2.5 of that in a
+    // second.
     assert!(
         (1..=12).contains(&sends),
         "{sends} sent to an endpoint in slow start at once"
@@ -137,7 +138,8 @@
 fn routers_together_use_slow_start_budgets_and_no_more() {
     for dispatchers in [2, 20, 200] {
         let sent = sends_in_slow_start(dispatchers);
-        // A warm endpoint had 12 to 13 prefills a second; one in slow start may get 0.3 x 2.5 of its warm capacity.
+        // A warm endpoint had 12 to 13 prefills a second; one in slow start may get 0.3 x 2.5 of its warm
+        // capacity.
         let max = sent.iter().flatten().max();
         assert!(
             max <= Some(&16),
@@ -151,100 +153,139 @@
     }
 }
 
-/// A fleet's sends to prefill endpoints that restart after 20 s, a hundred requests a second. A quarter of
-/// the routers has two thirds of the traffic, a third of them is notified of the restart a second late, and
-/// seven in ten restart at the same instant as the endpoints. Returns the most by which sends of the notified
-/// routers exceeded `N + 2 sqrt(N) + 2` in any overload window, where `N` is the overload threshold times the
-/// capacity of the endpoint then.
-fn max_excess_in_slow_start(dispatchers: u32, seed: u64) -> f64 {
-    let rules = RoutingSettings {
-        dispatchers,
-        ..settings(vec![class(1.0, Idempotency::Idempotent)])
-    };
-    let mixed = |number: u64| quartzhall::config::fnv1a_hash(&format!("{seed}, {number}"));
-    let fleet: Vec<_> = (1..=8)
-        .map(|id| endpoint(id, Role::Prefill))
-        .chain([endpoint(12, Role::Decode)])
-        .collect();
-    let start = 20 * SECOND;
-    let in_slow_start: Vec<_> = (1..=4)
-        .map(|id| EndpointRecord {
-            started_at: Some(start),
+/// When the fleet's first four prefill endpoints restart.
+const RESTART_AT: Time = 20 * SECOND;
+
+/// A fleet of routers, eight prefill endpoints and one decode endpoint. The first four prefill endpoints
+/// restart.
+struct RestartedFleet {
+    rules: RoutingSettings,
+    seed: u64,
+    before: Vec<EndpointRecord>,
+    restarted: Vec<EndpointRecord>,
+}
+
+impl RestartedFleet {
+    fn new(dispatchers: u32, seed: u64) -> RestartedFleet {
+        let prefill_endpoints = (1..=8).map(|id| endpoint(id, Role::Prefill));
+        let restarted = (1..=4).map(|id| EndpointRecord {
+            started_at: Some(RESTART_AT),
             ..endpoint(id, Role::Prefill)
-        })
-        .collect();
-    let router = |now: Time, number: u32| {
-        let mut harness = RouterHarness::new(rules.clone(), Vec::new());
+        });
+        RestartedFleet {
+            rules: RoutingSettings {
+                dispatchers,
+                ..settings(vec![class(1.0, Idempotency::Idempotent)])
+            },
+            seed,
+            before: prefill_endpoints
+                .chain([endpoint(12, Role::Decode)])
+                .collect(),
+            restarted: restarted.collect(),
+        }
+    }
+
+    fn hash(&self, number: u64) -> u64 {
+        quartzhall::config::fnv1a_hash(&format!("{}, {number}", self.seed))
+    }
+
+    fn router(&self, now: Time, number: u32) -> RouterHarness {
+        let mut harness = RouterHarness::new(self.rules.clone(), Vec::new());
         harness.now = now;
-        harness.router = Router::new(rules.clone(), mixed(u64::from(number) + now), now);
+        let seed = self.hash(u64::from(number) + now);
+        harness.router = Router::new(self.rules.clone(), seed, now);
         harness.handle(Event::TimerFired);
         harness.handle(Event::EndpointsChanged {
             is_full: true,
-            endpoints: fleet.clone(),
+            endpoints: self.before.clone(),
         });
         harness
-    };
-    let mut harnesses: Vec<(RouterHarness, bool)> = (0..dispatchers)
-        .map(|number| (router(0, number), false))
-        .collect();
-    let mut sent: Vec<Vec<Time>> = vec![Vec::new(); 4];
-    for id in 0..3_000 {
-        let now = id * 10 * MS;
-        if now == start {
-            for number in (0..dispatchers).filter(|number| mixed(u64::from(*number)) % 10 < 7) {
-                harnesses[number as usize] = (router(now, number), false);
-            }
+    }
+
+    /// The router of a request: a quarter of them has two thirds of the traffic.
+    fn router_of(&self, id: RequestId) -> usize {
+        let draw = self.hash(1_000_000 + id);
+        let all = u64::from(self.rules.dispatchers);
+        if draw % 3 < 2 {
+            (draw / 3 % all.div_ceil(4)) as usize
+        } else {
+            (draw / 3 % all) as usize
         }
-        let draw = mixed(1_000_000 + id);
-        let all = u64::from(dispatchers);
-        let turn = if draw % 3 < 2 {
-            draw / 3 % all.div_ceil(4)
+    }
+
+    /// When a router is notified of the restart: a third of them a second late.
+    fn notified_at(&self, router: usize) -> Time {
+        if self.hash(2_000_000 + router as u64).is_multiple_of(3) {
+            RESTART_AT + SECOND
         } else {
-            draw / 3 % all
-        } as usize;
-        let (harness, is_notified) = &mut harnesses[turn];
-        harness.advance(now.saturating_sub(harness.now));
-        let notified_at = start
-            + if mixed(2_000_000 + turn as u64).is_multiple_of(3) {
-                SECOND
-            } else {
-                0
-            };
-        if now >= notified_at && !*is_notified {
-            *is_notified = true;
-            harness.handle(Event::EndpointsChanged {
-                is_full: false,
-                endpoints: in_slow_start.clone(),
-            });
+            RESTART_AT
         }
-        let is_notified = *is_notified;
-        let prefill = harness.serve(
-            RequestMetadata {
+    }
+
+    /// When notified routers sent requests to each restarted endpoint, a hundred requests a second in all.
+    /// Seven in ten routers restart at the same instant as the endpoints.
+    fn sends_after_restart(&self) -> Vec<Vec<Time>> {
+        let dispatchers = self.rules.dispatchers;
+        let mut harnesses: Vec<(RouterHarness, bool)> = (0..dispatchers)
+            .map(|number| (self.router(0, number), false))
+            .collect();
+        let mut sent: Vec<Vec<Time>> = vec![Vec::new(); 4];
+        for id in 0..3_000 {
+            let now = id * 10 * MS;
+            if now == RESTART_AT {
+                for number in 0..dispatchers {
+                    if self.hash(u64::from(number)) % 10 < 7 {
+                        harnesses[number as usize] = (self.router(now, number), false);
+                    }
+                }
+            }
+            let router = self.router_of(id);
+            let (harness, is_notified) = &mut harnesses[router];
+            harness.advance(now.saturating_sub(harness.now));
+            if now >= self.notified_at(router) && !*is_notified {
+                *is_notified = true;
+                harness.handle(Event::EndpointsChanged {
+                    is_full: false,
+                    endpoints: self.restarted.clone(),
+                });
+            }
+            let without_session = RequestMetadata {
                 session: None,
                 ..request(id, id)
-            },
-            4 * MS,
-            4 * MS,
-            4 * MS,
-        )[0];
-        if is_notified && prefill <= 4 {
-            sent[prefill as usize - 1].push(now);
+            };
+            let prefill = harness.serve(without_session, 4 * MS, 4 * MS, 4 * MS)[0];
+            if *is_notified && prefill <= 4 {
+                sent[prefill as usize - 1].push(now);
+            }
         }
+        sent
+    }
+
+    /// The overload threshold times the capacity that a restarted endpoint has in the overload window from
+    /// `start`.
+    fn budget(&self, start: Time) -> f64 {
+        let rules = &self.rules;
+        let age = ((start - RESTART_AT) as f64 / rules.slow_start_duration as f64).min(1.0);
+        // Eight warm prefill endpoints serve a hundred requests a second between them.
+        let capacity = 100.0 / 8.0
+            * (rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age);
+        rules.overload_threshold * capacity * rules.overload_window as f64 / SECOND as f64
     }
+}
+
+/// The most by which sends of notified routers to a restarted endpoint exceeded `N + 2 sqrt(N) + 2` in any
+/// overload window, where `N` is the budget of the endpoint then.
+fn max_excess_in_slow_start(dispatchers: u32, seed: u64) -> f64 {
+    let fleet = RestartedFleet::new(dispatchers, seed);
     let mut worst = f64::MIN;
-    for times in sent {
-        for (at, from) in times.iter().enumerate() {
-            let in_span = times[at..]
+    for times in fleet.sends_after_restart() {
+        for (index, start) in times.iter().enumerate() {
+            let sent = times[index..]
                 .iter()
-                .take_while(|time| **time < from + rules.overload_window)
+                .take_while(|time| **time < start + fleet.rules.overload_window)
                 .count() as f64;
-            let age = ((from - start) as f64 / rules.slow_start_duration as f64).min(1.0);
-            // Eight warm prefill endpoints serve a hundred requests a second between them.
-            let capacity = 100.0 / 8.0
-                * (rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age);
-            let budget =
-                rules.overload_threshold * capacity * rules.overload_window as f64 / SECOND as f64;
-            worst = worst.max(in_span - budget - 2.0 * budget.sqrt() - 2.0);
+            let budget = fleet.budget(*start);
+            worst = worst.max(sent - budget - 2.0 * budget.sqrt() - 2.0);
         }
     }
     worst
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -3,19 +3,19 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const BORN: &str = r#"{"type":"frame","t":1000.0,"n":1}
+const INSTANCE_STARTED: &str = r#"{"type":"frame","t":1000.0,"n":1}
 {"type":"born","who":"router_0","init_seed":7,"profile_data":{"balancers":1,"classes":[{"name":"chat","aim":1200.0,"repeat":"free","group":"all","key_ttl":0.0,"worth":3.0,"news":1}],"dcs":["east"],"family_info":{"role_by_kind":["read","write"],"tokens_by_kind":[200000,100000],"release_within":500.0,"token_aim":[60.0]},"limits":{"most_tries":5,"cancel":true},"machine_types":["prefill","decode"],"reporting":{"via":"answers"},"rules":{"fall":1000.0},"tick":2.0,"zone":"east"}}
 {"type":"catalog","sheet":0,"lines":[{"rating":1,"born":null,"zone":"east","pack":0,"sku":"prefill","readiness":0,"worker":"10.0.0.1:9000"},{"rating":1,"born":500.0,"zone":"east","pack":0,"sku":"decode","readiness":0,"worker":"10.0.0.2:9000"}]}
 {"type":"view","who":"router_0","form":2,"revision":1,"sheet":0}
 {"type":"commit"}
 "#;
 
-const REQUEST: &str = r#"{"type":"frame","t":1002.0,"n":2}
+const REQUEST_ARRIVED: &str = r#"{"type":"frame","t":1002.0,"n":2}
 {"type":"request","who":"router_0","rid":41,"kind":"chat","user_group":null,"session":"91f03b7c55d20a64","expires_in":4000.0,"cost":null,"system_prompt":null,"prompt_len":1800,"prefix_len":0,"max_out":256,"is_retry":false,"reconnect":false}
 {"type":"commit"}
 "#;
 
-const READ: &str = r#"{"type":"frame","t":1050.0,"n":3}
+const PREFILL_DONE: &str = r#"{"type":"frame","t":1050.0,"n":3}
 {"type":"answer","who":"router_0","rid":41,"trial":0,"worker":"10.0.0.1:9000","status":"handover","rtt":48.0,"final":false,"remark":0,"metrics":{"inflight":1,"x0":0.1}}
 {"type":"commit"}
 "#;
@@ -48,33 +48,40 @@
 
 #[test]
 fn a_request_goes_to_a_prefill_and_then_a_decode_endpoint() {
-    let text = replies(&format!("{BORN}{REQUEST}{READ}"));
+    let text = replies(&format!(
+        "{INSTANCE_STARTED}{REQUEST_ARRIVED}{PREFILL_DONE}"
+    ));
     let batches: Vec<&str> = text.split_inclusive("}\n").collect();
-    let at = |needle: &str| {
+    let line_of = |needle: &str| {
         batches
             .iter()
             .position(|line| line.contains(needle))
             .unwrap_or_else(|| panic!("{needle} in {text}"))
     };
-    let read = at(r#""worker":"10.0.0.1:9000""#);
-    let write = at(r#""worker":"10.0.0.2:9000""#);
+    let prefill = line_of(r#""worker":"10.0.0.1:9000""#);
+    let decode = line_of(r#""worker":"10.0.0.2:9000""#);
     assert!(
-        batches[read].starts_with(r#"{"type":"relay","who":"router_0","rid":41,"limit":"#),
+        batches[prefill].starts_with(r#"{"type":"relay","who":"router_0","rid":41,"limit":"#),
         "{text}"
     );
-    assert!(at(r#"{"type":"ok","n":1}"#) < read && read < at(r#"{"type":"ok","n":2}"#));
-    assert!(at(r#"{"type":"ok","n":2}"#) < write && write < at(r#"{"type":"ok","n":3}"#));
+    assert!(
+        line_of(r#"{"type":"ok","n":1}"#) < prefill && prefill < line_of(r#"{"type":"ok","n":2}"#)
+    );
+    assert!(
+        line_of(r#"{"type":"ok","n":2}"#) < decode && decode < line_of(r#"{"type":"ok","n":3}"#)
+    );
 }
 
 #[test]
 fn instances_share_nothing() {
     let two = format!(
-        "{BORN}{}",
-        BORN.replace("router_0", "router_1")
+        "{INSTANCE_STARTED}{}",
+        INSTANCE_STARTED
+            .replace("router_0", "router_1")
             .replace("\"n\":1", "\"n\":9")
     );
-    let alone = replies(&format!("{BORN}{REQUEST}"));
-    let both = replies(&format!("{two}{REQUEST}"));
+    let alone = replies(&format!("{INSTANCE_STARTED}{REQUEST_ARRIVED}"));
+    let both = replies(&format!("{two}{REQUEST_ARRIVED}"));
     let of = |text: &str| {
         text.lines()
             .filter(|line| line.contains("router_0"))
@@ -108,18 +115,19 @@
         ),
         ("{\"type\":\"frame\",\"t\":1e999,\"n\":4}", "line 1"),
     ];
-    for (line, says) in cases {
+    for (line, expected) in cases {
         let output = run(&format!("{line}\n"));
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}");
         assert!(
-            error.contains(says) && error.contains("line 1") && error.lines().count() == 1,
+            error.contains(expected) && error.contains("line 1") && error.lines().count() == 1,
             "{line}: {error}"
         );
         assert!(!error.contains("panicked"), "{error}");
     }
-    let bad = REQUEST.replace("\"kind\":\"chat\"", "\"kind\":\"other\"");
-    let error = String::from_utf8_lossy(&run(&format!("{BORN}{bad}")).stderr).into_owned();
+    let bad = REQUEST_ARRIVED.replace("\"kind\":\"chat\"", "\"kind\":\"other\"");
+    let error =
+        String::from_utf8_lossy(&run(&format!("{INSTANCE_STARTED}{bad}")).stderr).into_owned();
     assert!(
         error.contains("line 7") && error.contains("unknown kind"),
         "{error}"
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -6,7 +6,7 @@
 
 const ZONES: u32 = 4;
 
-/// What the index was told, as a reference list.
+/// What the index was given, as a plain list.
 #[derive(Default)]
 struct ReferenceList {
     endpoints: BTreeMap<EndpointId, IndexedEndpoint>,
@@ -16,8 +16,8 @@
     fn of(&self, kind: PoolKind) -> Vec<(EndpointId, &IndexedEndpoint)> {
         self.endpoints
             .iter()
-            .filter(|(_, it)| it.is_in(kind))
-            .map(|(id, it)| (*id, it))
+            .filter(|(_, endpoint)| endpoint.is_in(kind))
+            .map(|(id, endpoint)| (*id, endpoint))
             .collect()
     }
 }
@@ -44,8 +44,7 @@
     index
 }
 
-/// After any changes the index is the one that a new process would make from the list: nothing of it is
-/// stale.
+/// After any changes the index equals the one that a new process would build from the list: nothing is stale.
 #[test]
 fn the_index_equals_one_built_from_its_list() {
     for seed in 0..8 {
@@ -55,7 +54,7 @@
             let now = step;
             index.advance_to(now);
             let id = rng.gen_range(0..400);
-            // Joins, restarts and moves, then leaves, drains and bans: to the index the latter are one.
+            // Joins, restarts and moves, or leaves, drains and bans: the index treats the latter alike.
             let endpoint = rng.gen_bool(0.7).then(|| endpoint(&mut rng, now, id));
             index.set(now, id, endpoint.clone());
             match endpoint {
@@ -72,7 +71,7 @@
     }
 }
 
-/// Counts of those that bear a kind's load, and all that is looked at, agree with the reference list.
+/// The counts of serving endpoints and the candidates agree with the reference list.
 #[test]
 fn queries_return_only_listed_endpoints_of_their_pool() {
     let mut rng = Pcg32::seed_from_u64(3);
@@ -91,7 +90,10 @@
         }
         for kind in [PoolKind::Prefill, PoolKind::Decode] {
             let listed = reference.of(kind);
-            let warm = listed.iter().filter(|(_, it)| it.warm_at <= now).count();
+            let warm = listed
+                .iter()
+                .filter(|(_, endpoint)| endpoint.warm_at <= now)
+                .count();
             let bears = if warm > 0 { warm } else { listed.len().max(1) };
             assert_eq!(index.serving_endpoints(kind), (bears as f64, warm > 0));
         }
@@ -105,17 +107,16 @@
                 assert!(reference
                     .endpoints
                     .get(&id)
-                    .is_some_and(|it| it.is_in(PoolKind::Decode)));
+                    .is_some_and(|endpoint| endpoint.is_in(PoolKind::Decode)));
             }
             let affinity = index.prefix_affinity(&query, Some(seed), Some(7), 0.1, |_| 1.0);
             for id in affinity.for_prefix.iter().chain(&affinity.for_session) {
                 assert!(reference
                     .endpoints
                     .get(id)
-                    .is_some_and(|it| it.is_in(PoolKind::Prefill)));
+                    .is_some_and(|endpoint| endpoint.is_in(PoolKind::Prefill)));
             }
-            // Likely ones that have left are the caller's to find out: it has the list. All others are
-            // listed.
+            // The caller checks whether the likely ones are still listed. All others are.
             let likely = BTreeSet::from([1, 2, 1_000]);
             let found: BTreeSet<EndpointId> = index
                 .prefill_endpoints(&query, likely.clone())
@@ -125,13 +126,13 @@
                 assert!(reference
                     .endpoints
                     .get(id)
-                    .is_some_and(|it| it.is_in(PoolKind::Prefill)));
+                    .is_some_and(|endpoint| endpoint.is_in(PoolKind::Prefill)));
             }
         }
     }
 }
 
-fn large(endpoint_count: EndpointId, cold: bool) -> CandidateIndex {
+fn large(endpoint_count: EndpointId, in_slow_start: bool) -> CandidateIndex {
     let mut index = CandidateIndex::default();
     for id in 0..endpoint_count {
         let role = if id % 4 == 0 {
@@ -140,7 +141,7 @@
             Role::Decode
         };
         let (zone, cell, key) = (id / 8 % ZONES, id / 8, u64::from(id) * 7919);
-        let warm_at = if cold { 100 } else { 0 };
+        let warm_at = if in_slow_start { 100 } else { 0 };
         index.set(
             0,
             id,
@@ -156,8 +157,7 @@
     index
 }
 
-/// However large the fleet, a first query has a bounded number of endpoint_count; widenings by steps it has
-/// all.
+/// However large the fleet, a first query has a bounded number of candidates; widened by steps it has all.
 #[test]
 fn queries_are_bounded_and_widen_to_all_endpoints() {
     for endpoint_count in [300, 3_000, 11_000] {
@@ -171,7 +171,7 @@
                 widenings,
             };
             let found = index.decode_endpoints(&query, &BTreeSet::from([2]));
-            assert!(found.len() >= most, "a wider query holds no fewer");
+            assert!(found.len() >= most, "a wider query has no fewer");
             most = found.len();
             if widenings == 0 {
                 assert!(
@@ -198,8 +198,8 @@
     }
 }
 
-/// Dispatchers agree on the homes of a text, in whatever order they were told of the endpoint_count; and when
-/// one id of many goes, few texts change their homes.
+/// Dispatchers agree on the affinity endpoints of a prefix, in whatever order they learned of the endpoints;
+/// and when one endpoint of many is removed, few prefixes move.
 #[test]
 fn affinity_endpoints_agree_and_few_prefixes_move_when_one_is_removed() {
     let index = large(3_000, false);
@@ -212,62 +212,62 @@
         seed,
         widenings: 0,
     };
-    let home = |index: &CandidateIndex, text, seed| {
-        index.prefix_affinity(&query(seed), Some(text), Some(text), 0.0, |_| 1.0)
+    let affinity = |index: &CandidateIndex, prefix, seed| {
+        index.prefix_affinity(&query(seed), Some(prefix), Some(prefix), 0.0, |_| 1.0)
     };
-    let texts = 0..1_000_u64;
-    for text in texts.clone() {
-        assert_eq!(home(&index, text, 1), home(&other, text, 2));
+    let prefixes = 0..1_000_u64;
+    for prefix in prefixes.clone() {
+        assert_eq!(affinity(&index, prefix, 1), affinity(&other, prefix, 2));
     }
-    let removed = home(&index, 5, 1).for_prefix[0];
+    let removed = affinity(&index, 5, 1).for_prefix[0];
     other.set(0, removed, None);
-    let changed = |text: &u64| {
+    let changed = |prefix: &u64| {
         let (before, after) = (
-            home(&index, *text, 1).for_prefix,
-            home(&other, *text, 1).for_prefix,
+            affinity(&index, *prefix, 1).for_prefix,
+            affinity(&other, *prefix, 1).for_prefix,
         );
         !before.contains(&removed) && before != after
     };
-    let moved = texts.filter(changed).count();
+    let moved = prefixes.filter(changed).count();
     assert!(
         moved <= 20,
-        "{moved} of 1,000 texts moved that had no home there"
+        "{moved} of 1,000 prefixes moved that had no home there"
     );
 }
 
-/// Texts are spread evenly: no reader is home to many times as much as the others.
+/// Prefixes are spread evenly: no endpoint has affinity for many times as many as the others.
 #[test]
 fn prefixes_are_spread_evenly_over_affinity_endpoints() {
     let index = large(11_000, false);
-    let mut homes: BTreeMap<EndpointId, usize> = BTreeMap::new();
-    let texts = 50_000_u64;
-    for text in 0..texts {
+    let mut affinity_counts: BTreeMap<EndpointId, usize> = BTreeMap::new();
+    let prefixes = 50_000_u64;
+    for prefix in 0..prefixes {
         let query = CandidateQuery {
             zone: 3,
-            seed: text,
+            seed: prefix,
             widenings: 0,
         };
         for id in index
-            .prefix_affinity(&query, Some(mix(text, 1)), None, 0.0, |_| 1.0)
+            .prefix_affinity(&query, Some(mix(prefix, 1)), None, 0.0, |_| 1.0)
             .for_prefix
         {
-            *homes.entry(id).or_default() += 1;
+            *affinity_counts.entry(id).or_default() += 1;
         }
     }
-    let readers = index.prefill.zones[&3].len();
-    let mean = prefix_affinity::MIN_AFFINITY_ENDPOINTS * texts as f64 / readers as f64;
-    let most = homes.values().copied().max().unwrap_or(0);
+    let prefill_endpoints = index.prefill.zones[&3].len();
+    let mean = prefix_affinity::MIN_AFFINITY_ENDPOINTS * prefixes as f64 / prefill_endpoints as f64;
+    let most = affinity_counts.values().copied().max().unwrap_or(0);
     assert!(
-        homes.len() * 100 >= readers * 99 && (most as f64) < 2.0 * mean,
+        affinity_counts.len() * 100 >= prefill_endpoints * 99 && (most as f64) < 2.0 * mean,
         "{most} where the mean is {mean}"
     );
 }
 
-/// Over many requests each cold id gets the lots that it would get if every request drew one at every id.
+/// Over many requests each endpoint in slow start wins as many lots as if every request drew one at each.
 #[test]
 fn sampled_slow_start_lots_equal_lots_drawn_at_every_endpoint() {
     let index = large(3_000, true);
-    let chance = 0.002; // of one lot
+    let chance = 0.002; // that one lot wins
     let mut won: BTreeMap<EndpointId, f64> = BTreeMap::new();
     let requests = 200_000_u64;
     for seed in 0..requests {
@@ -284,12 +284,12 @@
         }
     }
     let mean = requests as f64 * chance;
-    let writers = index.decode.all.len() as f64;
+    let decode_endpoints = index.decode.all.len() as f64;
     let sum: f64 = won.values().sum();
     assert!(
-        (sum / writers / mean - 1.0).abs() < 0.02,
+        (sum / decode_endpoints / mean - 1.0).abs() < 0.02,
         "{} where {mean} are due",
-        sum / writers
+        sum / decode_endpoints
     );
     // Six standard deviations of a count.
     let most = won.values().copied().fold(0.0, f64::max);
