--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -33,7 +33,7 @@
 const DECODE_CANDIDATES_IN_ZONE: usize = 8;
 /// ... and from all zones.
 const DECODE_CANDIDATES_ANYWHERE: usize = 4;
-/// Endpoints in slow start at which one request draws a lot.
+/// Endpoints in slow start at which one request makes a draw.
 const SLOW_START_CANDIDATES: usize = 8;
 
 /// The pool that an attempt draws its candidates from. An endpoint of mixed role is in both.
@@ -92,8 +92,8 @@
         remove_from_group(&mut self.cells, endpoint.cell, endpoint.key, id);
     }
 
-    /// The index in the slow-start ring at which a request's lots begin.
-    fn first_slow_start_lot(&self, seed: u64) -> usize {
+    /// The index in the slow-start ring at which a request's draws begin.
+    fn first_slow_start_draw(&self, seed: u64) -> usize {
         (mix(seed, u64::MAX) % self.in_slow_start.len().max(1) as u64) as usize
     }
 }
@@ -265,8 +265,8 @@
         self.considers_all() || query.widen(min_drawn) >= self.pool(kind).all.len()
     }
 
-    /// The factor for a request's lot at an endpoint in slow start. A request draws lots at a few such
-    /// endpoints only; with the factor, each is sent as much as if every request drew a lot at every one.
+    /// The factor for a request's draw at an endpoint in slow start. A request draws at a few such
+    /// endpoints only; with the factor, each is sent as much as if every request drew at every one.
     pub fn slow_start_sampling_factor(
         &self,
         kind: PoolKind,
@@ -284,7 +284,7 @@
         let Some(index) = pool.in_slow_start.index_of(endpoint.key, id) else {
             return f64::MAX;
         };
-        let distance = (index + count - pool.first_slow_start_lot(query.seed)) % count;
+        let distance = (index + count - pool.first_slow_start_draw(query.seed)) % count;
         if distance < SLOW_START_CANDIDATES {
             SLOW_START_CANDIDATES as f64 / count as f64
         } else {
@@ -335,8 +335,8 @@
         found.into_iter().collect()
     }
 
-    /// Endpoints that are drawn: from the query's zone, from all, and those in slow start at which a lot may
-    /// be drawn.
+    /// Endpoints that are drawn: from the query's zone, from all, and those in slow start at which a request
+    /// may draw.
     fn draw(
         &self,
         kind: PoolKind,
@@ -353,10 +353,10 @@
             pool.all
                 .sample(mix(query.seed, 0), query.widen(count_anywhere)),
         );
-        let first_lot = pool.first_slow_start_lot(query.seed);
+        let first_draw = pool.first_slow_start_draw(query.seed);
         found.extend(
             pool.in_slow_start
-                .window_from(first_lot, SLOW_START_CANDIDATES),
+                .window_from(first_draw, SLOW_START_CANDIDATES),
         );
         found
     }
--- a/src/routing/router/placement.rs
+++ b/src/routing/router/placement.rs
@@ -6,8 +6,8 @@
 use crate::routing::api::*;
 use rand::Rng;
 
-/// Dispatchers from which on each one's share of a slow-start budget is less than one send, which is drawn by
-/// lot.
+/// Dispatchers from which on each one's share of a slow-start budget is less than one send, which is drawn
+/// at random.
 const MIN_DISPATCHERS_FOR_SAMPLED_SLOW_START: f64 = 10.0;
 /// Microseconds for which a load report makes a probe needless.
 const REPORT_FRESHNESS: Time = 1_000_000;
@@ -76,7 +76,7 @@
         request.retry_at = self.now + self.probe_wait(request);
         let is_exhausted = candidates.is_empty() && request.widenings > 0;
         if is_exhausted && self.covers_all_endpoints(request) {
-            // A query of all endpoints is expensive: slow-start lots are drawn again soon.
+            // A query of all endpoints is expensive: slow-start draws are repeated soon.
             request.retry_at = self.now + self.settings.overload_window / EMPTY_QUERY_RETRY_DIVISOR;
             request.widenings = 0;
         }
--- a/src/routing/router/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -12,7 +12,7 @@
 impl Router {
     /// Whether slow start allows an attempt. In any overload window an endpoint that warms up gets this
     /// router's share of what it can take, by what warm ones serve for this router; a fraction of one send is
-    /// drawn by lot (docs/candidates.md).
+    /// drawn at random (docs/candidates.md).
     pub(super) fn slow_start_allows(
         &self,
         request: &Request,
@@ -43,20 +43,20 @@
             endpoint_id,
         );
         let flow = &self.flow[pool as usize];
-        let lot = self.slow_start_lot(request, endpoint_id, stage) as f64 / u64::MAX as f64
+        let draw = self.slow_start_draw(request, endpoint_id, stage) as f64 / u64::MAX as f64
             * sampling_factor
             * counter_scale
             * (flow.started + 1.0);
         let budget = SLOW_START_BUDGET_SHARE
             * capacity
             * (flow.finished_per_warm_endpoint + 1.0 / serving_endpoints);
-        sent + 1.0 <= capacity * flow.finished / serving_endpoints || lot < budget - sent
+        sent + 1.0 <= capacity * flow.finished / serving_endpoints || draw < budget - sent
     }
 
-    /// A request's lot at an endpoint, of all `u64`. One that waits draws again after each overload window. A
-    /// prefill with affinity endpoints draws none: an endpoint that warms up has affinity for as many
+    /// A request's draw at an endpoint, of all `u64`. One that waits draws again after each overload window.
+    /// A prefill with affinity endpoints draws none: an endpoint that warms up has affinity for as many
     /// prefixes as it can take.
-    fn slow_start_lot(&self, request: &Request, endpoint: EndpointId, stage: Stage) -> u64 {
+    fn slow_start_draw(&self, request: &Request, endpoint: EndpointId, stage: Stage) -> u64 {
         if stage != Stage::Decode && !request.affinity.is_empty() {
             let has_affinity = request.affinity.contains_key(&endpoint);
             return if has_affinity { 0 } else { u64::MAX };
--- a/tests/routing_affinity.rs
+++ b/tests/routing_affinity.rs
@@ -221,7 +221,7 @@
     (0..400).map(prefix).collect()
 }
 
-/// Guards against slow-start lots that ignore prefixes: nineteen in twenty requests with affinity for an
+/// Guards against slow-start draws that ignore prefixes: nineteen in twenty requests with affinity for an
 /// endpoint in slow start were prefilled wherever there was room, and cached prefixes were evicted
 /// everywhere.
 #[test]
--- a/tests/routing_slow_start.rs
+++ b/tests/routing_slow_start.rs
@@ -131,9 +131,9 @@
     sent
 }
 
-/// A fraction of one send is drawn by lot, so that a hundred routers neither all send nor all hold back. When
-/// a lot was valid for an overload window, it mostly lapsed where requests are few, and endpoints in slow
-/// start were idle while the warm ones were overloaded.
+/// A fraction of one send is drawn at random, so that a hundred routers neither all send nor all hold back.
+/// When a draw was valid for an overload window, it mostly lapsed where requests are few, and endpoints in
+/// slow start were idle while the warm ones were overloaded.
 #[test]
 fn routers_together_use_slow_start_budgets_and_no_more() {
     for dispatchers in [2, 20, 200] {
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -263,11 +263,11 @@
     );
 }
 
-/// Over many requests each endpoint in slow start wins as many lots as if every request drew one at each.
+/// Over many requests each endpoint in slow start wins as many draws as if every request drew at each.
 #[test]
-fn sampled_slow_start_lots_equal_lots_drawn_at_every_endpoint() {
+fn sampled_slow_start_draws_equal_lots_drawn_at_every_endpoint() {
     let index = large(3_000, true);
-    let chance = 0.002; // that one lot wins
+    let chance = 0.002; // that one draw wins
     let mut won: BTreeMap<EndpointId, f64> = BTreeMap::new();
     let requests = 200_000_u64;
     for seed in 0..requests {
@@ -277,8 +277,8 @@
             widenings: 0,
         };
         for id in index.draw(PoolKind::Decode, &query, 0, 0) {
-            let lot = mix(mix(seed, 6), id.into()) as f64 / u64::MAX as f64;
-            if lot * index.slow_start_sampling_factor(PoolKind::Decode, &query, id) < chance {
+            let draw = mix(mix(seed, 6), id.into()) as f64 / u64::MAX as f64;
+            if draw * index.slow_start_sampling_factor(PoolKind::Decode, &query, id) < chance {
                 *won.entry(id).or_default() += 1.0;
             }
         }
