--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -1,13 +1,13 @@
-//! The cost of the core's steps against the size of the fleet: lists, messages of other dispatchers, leases, sweeps.
+//! The cost of the core's steps against the size of the fleet: endpoint lists, gossip, reservations, deadline checks.
 
 use crate::config::{self, Addresses};
-use crate::fleet::{self, Shape};
-use crate::results::{Cost, StepCosts};
-use crate::scenario::Scenario;
-use crate::world::UNITS_PER_MICROSECOND;
+use crate::fleet::{self, replica_id, replica_key, FleetShape};
+use crate::results::{StepCost, StepCosts};
+use crate::scenario::{Scenario, ScenarioError};
+use crate::simulation::UNITS_PER_MICROSECOND;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use quartzhall::config::{fnv1a_hash, Config, Deployment};
+use quartzhall::config::{Config, Deployment};
 use quartzhall::dispatcher::{
     Command, Core, DiscoveredEndpoint, EndReason, Event, Outcome, UpstreamRequest,
 };
@@ -20,164 +20,215 @@
 use rand_pcg::Pcg32;
 use slog::{o, Discard, Logger};
 use std::collections::BTreeMap;
+use std::error::Error;
+use std::fmt;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
 const MS: Time = 1_000;
-/// Each step is measured so often.
-const TURNS: usize = 200;
-/// Streams that are open at one dispatcher at the target's peak: 58.5 requests a second of 10 s.
+/// The simulated time at the start, in Unix microseconds.
+const START_TIME: Time = 1_700_000_000_000_000;
+/// Each step is measured this many times.
+const REPETITIONS: usize = 200;
+/// Full lists are measured this many times.
+const LIST_REPETITIONS: usize = REPETITIONS / 20;
+/// Streams that are open at one dispatcher at the target's peak: 58.5 requests per second of 10 s.
 const OPEN_STREAMS: u64 = 585;
-/// Requests that a dispatcher without load reports earns its talk by, before each message.
-const EARNED_BY: usize = 50;
+/// Requests by which a dispatcher earns the budget for each gossip message.
+const REQUESTS_PER_MESSAGE: usize = 50;
+/// The core's limit of requests.
+const MAX_REQUESTS: usize = 4_096;
 
-type Costs = BTreeMap<String, Histogram<u64>>;
+type StepHistograms = BTreeMap<String, Histogram<u64>>;
 
-/// A core before a fleet, with what its steps have cost.
-pub struct Bench {
+/// Why the core could not be configured.
+#[derive(Debug)]
+pub enum MeasureError {
+    /// The scenario of the measurement is not valid.
+    Scenario(ScenarioError),
+    /// The program does not accept the configuration.
+    Config(String),
+}
+
+impl fmt::Display for MeasureError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            MeasureError::Scenario(error) => error.fmt(formatter),
+            MeasureError::Config(reason) => formatter.write_str(reason),
+        }
+    }
+}
+
+impl Error for MeasureError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            MeasureError::Scenario(error) => Some(error),
+            MeasureError::Config(_) => None,
+        }
+    }
+}
+
+impl From<ScenarioError> for MeasureError {
+    fn from(error: ScenarioError) -> MeasureError {
+        MeasureError::Scenario(error)
+    }
+}
+
+/// A core in front of a fleet, and the cost of its steps.
+pub struct CoreBench {
     core: Core,
     now: Time,
-    costs: Costs,
-    entries: Vec<EndpointRecord>,
-    answers: Vec<oneshot::Receiver<Outcome>>, // clients wait for them, and take streams
+    costs: StepHistograms,
+    records: Vec<EndpointRecord>,
+    outcomes: Vec<oneshot::Receiver<Outcome>>, // open, as clients wait for them and receive streams
 }
 
-/// The settings of a dispatcher in a fleet of so many.
-fn site(dispatchers: u32) -> Result<Deployment, String> {
+/// The deployment of a dispatcher in a fleet with this many dispatchers.
+fn deployment(dispatchers: u32) -> Result<Deployment, MeasureError> {
     let scenario = Scenario::parse(&format!(
         "name = \"steps\"\nseconds = 1\n[fleet]\nreplicas = 100\nzones = 15\nrack = [4, 8]\nreaders = 0.25\n[dispatchers]\nreal = 1\ntold = {dispatchers}\nsockets = 1024\n[load]\nper_dispatcher = 1.0\nprompt = [1, 2]\nanswer = [1, 2]\n"
     ))?;
-    let nowhere = || "127.0.0.1:1".to_owned();
+    let unused_address = || "127.0.0.1:1".to_owned();
     let addresses = Addresses {
-        listen: nowhere(),
-        discovery: nowhere(),
-        peer_listen: nowhere(),
-        peers_all: nowhere(),
+        listen: unused_address(),
+        discovery: unused_address(),
+        peer_listen: unused_address(),
+        peers_all: unused_address(),
     };
-    let config = Config::parse(&config::text(&scenario, 0, 1, &addresses, &[]))?;
-    Deployment::new(&config.settings)
-}
-
-fn name(entry: &EndpointRecord) -> String {
-    format!("replica-{}", entry.endpoint)
+    let text = config::config_text(&scenario, 0, 1, &addresses, &[]);
+    let config = Config::parse(&text).map_err(|error| MeasureError::Config(error.to_string()))?;
+    Deployment::new(&config.settings).map_err(|error| MeasureError::Config(error.to_string()))
 }
 
-fn member(entry: &EndpointRecord) -> DiscoveredEndpoint {
-    let [_, _, high, low] = (entry.cell + 1).to_be_bytes();
-    let address = format!("127.1.{high}.{low}:{}", 10_000 + entry.endpoint);
+fn discovered(record: &EndpointRecord) -> DiscoveredEndpoint {
+    let [_, _, high, low] = (record.cell + 1).to_be_bytes();
+    let address = format!("127.1.{high}.{low}:{}", 10_000 + record.endpoint);
     DiscoveredEndpoint {
-        id: name(entry).into(),
+        id: replica_id(record.endpoint as usize).into(),
         address: address.into(),
-        record: entry.clone(),
+        record: record.clone(),
         is_partial: false,
     }
 }
 
-impl Bench {
-    fn time(&mut self, step: &str, event: Event) -> Vec<Command> {
-        let began = Instant::now();
+impl CoreBench {
+    /// Creates a core that knows no replica yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the core cannot be configured.
+    pub fn new(replicas: usize, dispatchers: u32, seed: u64) -> Result<CoreBench, MeasureError> {
+        let now = START_TIME;
+        let shape = FleetShape::with_replicas(replicas);
+        let records = fleet::draw(&shape, now, &mut Pcg32::seed_from_u64(seed));
+        let deployment = Arc::new(deployment(dispatchers)?);
+        let log = Logger::root(Discard, o!());
+        let core = Core::new(deployment, MAX_REQUESTS, seed, now, log);
+        Ok(CoreBench {
+            core,
+            now,
+            costs: StepHistograms::new(),
+            records,
+            outcomes: Vec::new(),
+        })
+    }
+
+    /// Measures an event, and returns the core's commands.
+    fn measure_event(&mut self, step: &str, event: Event) -> Vec<Command> {
+        let started = Instant::now();
         self.core.handle_event(self.now, event);
         let commands = self.core.take_commands();
-        self.record(step, began);
+        self.record(step, started);
+        commands
+    }
+
+    /// Measures the core's timer, and returns its commands.
+    fn measure_timer(&mut self, step: &str) -> Vec<Command> {
+        let started = Instant::now();
+        self.core.on_timer(self.now);
+        let commands = self.core.take_commands();
+        self.record(step, started);
         commands
     }
 
-    fn record(&mut self, step: &str, began: Instant) {
-        let took = began.elapsed().as_nanos() as f64 / 1e3 * UNITS_PER_MICROSECOND;
+    fn record(&mut self, step: &str, started: Instant) {
+        let duration = started.elapsed().as_nanos() as f64 / 1e3 * UNITS_PER_MICROSECOND;
         let Ok(empty) = Histogram::new(3) else { return };
-        let _ = self
-            .costs
-            .entry(step.to_owned())
-            .or_insert(empty)
-            .record(took as u64);
+        let histogram = self.costs.entry(step.to_owned()).or_insert(empty);
+        let _ = histogram.record(duration as u64);
     }
 
-    fn members(&self, complete: bool, which: &[usize]) -> Event {
+    fn full_list(&self) -> Event {
         Event::EndpointsChanged {
-            is_full: complete,
-            endpoints: which.iter().map(|at| member(&self.entries[*at])).collect(),
+            is_full: true,
+            endpoints: self.records.iter().map(discovered).collect(),
         }
     }
 
-    /// A core that has heard of no replica yet.
-    pub fn new(replicas: usize, dispatchers: u32, seed: u64) -> Result<Bench, String> {
-        let now = 1_700_000_000_000_000;
-        let entries = fleet::draw(&Shape::of(replicas), now, &mut Pcg32::seed_from_u64(seed));
-        let site = Arc::new(site(dispatchers)?);
-        let core = Core::new(site, 4_096, seed, now, Logger::root(Discard, o!()));
-        Ok(Bench {
-            core,
-            now,
-            costs: Costs::new(),
-            entries,
-            answers: Vec::new(),
-        })
+    fn change_of(&self, number: usize) -> Event {
+        Event::EndpointsChanged {
+            is_full: false,
+            endpoints: vec![discovered(&self.records[number])],
+        }
     }
 
-    /// It hears of all replicas.
-    pub fn first_list(&mut self) {
-        let all: Vec<usize> = (0..self.entries.len()).collect();
-        let first = self.members(true, &all);
-        self.time("core: first list", first);
+    /// Sends the first full list.
+    pub fn send_first_list(&mut self) {
+        let first_list = self.full_list();
+        self.measure_event("core: first list", first_list);
     }
 
-    /// The whole list, and changes of one replica.
-    fn lists(&mut self, rng: &mut Pcg32) {
-        let all: Vec<usize> = (0..self.entries.len()).collect();
-        self.first_list();
-        for _ in 0..TURNS / 20 {
+    /// Measures full lists, and changes of one replica.
+    fn measure_lists(&mut self, rng: &mut Pcg32) {
+        self.send_first_list();
+        for _ in 0..LIST_REPETITIONS {
             self.now += 100 * MS;
-            let list = self.members(true, &all);
-            self.time("core: whole list, unchanged", list);
+            let list = self.full_list();
+            self.measure_event("core: whole list, unchanged", list);
         }
-        for turn in 0..TURNS {
+        for repetition in 0..REPETITIONS {
             self.now += 100 * MS;
-            let at = rng.gen_range(0..self.entries.len());
-            for state in [EndpointStatus::Draining, EndpointStatus::Ready] {
-                self.entries[at].status = state;
-                let change = self.members(false, &[at]);
-                self.time("core: change of one replica", change);
+            let number = rng.gen_range(0..self.records.len());
+            for status in [EndpointStatus::Draining, EndpointStatus::Ready] {
+                self.records[number].status = status;
+                let change = self.change_of(number);
+                self.measure_event("core: change of one replica", change);
             }
-            self.now += turn as Time;
+            self.now += repetition as Time;
         }
     }
 
-    /// Messages that each tell of one replica's load.
-    fn messages(&mut self, dispatchers: u32, rng: &mut Pcg32) {
-        self.core
-            .set_gossip(Gossip::new(dispatchers as usize, config::PEER_PRICE));
-        let mut other = Gossip::new(dispatchers as usize, config::PEER_PRICE);
-        for turn in 0..TURNS {
+    /// Measures gossip messages, each with the load of one replica.
+    fn measure_gossip(&mut self, dispatchers: u32, rng: &mut Pcg32) {
+        let new_gossip = || Gossip::new(dispatchers as usize, config::GOSSIP_COST);
+        self.core.set_gossip(new_gossip());
+        let mut sender = new_gossip();
+        for repetition in 0..REPETITIONS {
             self.now += 20 * MS;
-            (0..EARNED_BY).for_each(|_| other.on_request());
-            let at = rng.gen_range(0..self.entries.len());
+            for _ in 0..REQUESTS_PER_MESSAGE {
+                sender.on_request();
+            }
+            let number = rng.gen_range(0..self.records.len());
             let load = LoadReport {
-                in_flight: Some(50.0 + turn as f64),
+                in_flight: Some(50.0 + repetition as f64),
                 ..LoadReport::default()
             };
-            other.record_load(
-                self.now,
-                at as u32,
-                fnv1a_hash(&name(&self.entries[at])),
-                &load,
-            );
-            let Some(message) = other.next_message(self.now) else {
+            sender.record_load(self.now, number as u32, replica_key(number), &load);
+            let Some(message) = sender.next_message(self.now) else {
                 continue;
             };
-            self.time(
-                "core: message heard",
-                Event::GossipReceived {
-                    from: 1,
-                    message: Bytes::from(message),
-                },
-            );
+            let received = Event::GossipReceived {
+                from: 1,
+                message: Bytes::from(message),
+            };
+            self.measure_event("core: message heard", received);
         }
     }
 
-    /// A request; true when it was sent to a reader, if need be after the answers of servers that were asked first.
-    fn request(&mut self, id: u64) -> bool {
-        let ask = RequestMetadata {
+    /// Sends a request; returns whether its prefill attempt was started, if need be after probes.
+    fn start_request(&mut self, id: u64) -> bool {
+        let metadata = RequestMetadata {
             id,
             session: Some(id),
             time_left: 4_000 * MS,
@@ -185,163 +236,147 @@
             max_output_tokens: 300.0,
             ..RequestMetadata::default()
         };
-        let work = UpstreamRequest {
+        let upstream = UpstreamRequest {
             client_request_id: format!("r{id}").into(),
             target: "/v1/chat/completions".into(),
             body: Bytes::new(),
         };
-        let (answer, answered) = oneshot::channel();
-        self.answers.push(answered);
-        let commands = self.time(
-            "core: request",
-            Event::RequestArrived {
-                metadata: ask,
-                upstream: work,
-                outcome: answer,
-            },
-        );
-        let commands = self.ask_servers(commands);
-        is_sent(&commands, id, 0)
+        let (outcome, receiver) = oneshot::channel();
+        self.outcomes.push(receiver);
+        let arrived = Event::RequestArrived {
+            metadata,
+            upstream,
+            outcome,
+        };
+        let commands = self.measure_event("core: request", arrived);
+        let commands = self.answer_probes(commands);
+        has_started(&commands, id, 0)
     }
 
-    /// Servers that are asked for their load before a choice answer, and the choice is made.
-    fn ask_servers(&mut self, mut commands: Vec<Command>) -> Vec<Command> {
-        let probed: Vec<_> = commands.iter().filter_map(probed).collect();
-        for server in probed {
-            let load = Some(LoadReport {
+    /// Answers the probes among the commands, and fires the timer, by which a choice that waits for them is made.
+    fn answer_probes(&mut self, mut commands: Vec<Command>) -> Vec<Command> {
+        let probed: Vec<EndpointId> = commands.iter().filter_map(probed_endpoint).collect();
+        for endpoint in probed {
+            let load = LoadReport {
                 in_flight: Some(1.0),
                 kv_memory_share: Some(0.1),
                 ..LoadReport::default()
-            });
-            commands.extend(self.time(
-                "core: probe's answer",
-                Event::ProbeCompleted {
-                    endpoint: server,
-                    is_healthy: true,
-                    load,
-                },
-            ));
+            };
+            let completed = Event::ProbeCompleted {
+                endpoint,
+                is_healthy: true,
+                load: Some(load),
+            };
+            commands.extend(self.measure_event("core: probe's answer", completed));
         }
-        let began = Instant::now();
-        self.now += 10 * MS; // by then answers are due
-        self.core.on_timer(self.now);
-        commands.extend(self.core.take_commands());
-        self.record("core: wake, a request is sent", began);
+        self.now += 10 * MS; // by then responses are due
+        commands.extend(self.measure_timer("core: wake, a request is sent"));
         commands
     }
 
-    /// Requests of which the client leaves when they are read: the state is let go.
-    pub fn read_and_leave(&mut self, first: u64, count: u64) {
+    /// Measures requests whose client disconnects after prefill: the KV cache is released.
+    fn measure_releases(&mut self, first: u64, count: u64) {
         for id in first..first + count {
             self.now += MS;
-            if !self.request(id) {
+            if !self.start_request(id) {
                 continue;
             }
-            let ended = Event::AttemptEnded {
+            self.measure_event("core: read's end", prefill_done(id, EndReason::PrefillDone));
+            let disconnected = Event::ClientDisconnected {
+                id,
+                may_have_run: None,
+            };
+            self.measure_event("core: client left, lease let go", disconnected);
+            let released = Event::ReleaseCompleted {
                 id,
-                attempt: 0,
-                reason: EndReason::PrefillDone,
-                cached_tokens: 0.0,
-                completion_tokens: 0.0,
-                load: None,
+                confirmed: true,
             };
-            self.time("core: read's end", ended);
-            self.time(
-                "core: client left, lease let go",
-                Event::ClientDisconnected {
-                    id,
-                    may_have_run: None,
-                },
-            );
-            self.core.handle_event(
-                self.now,
-                Event::ReleaseCompleted {
-                    id,
-                    confirmed: true,
-                },
-            );
+            self.core.handle_event(self.now, released);
         }
     }
 
-    /// Looks over a table of open requests.
-    fn sweeps(&mut self) {
-        for _ in 0..TURNS {
+    /// Measures the timer with the open streams.
+    fn measure_deadline_checks(&mut self) {
+        for _ in 0..REPETITIONS {
             self.now += 20 * MS;
-            let began = Instant::now();
-            self.core.on_timer(self.now);
-            self.core.take_commands();
-            self.record("core: wake with 585 streams", began);
+            self.measure_timer("core: wake with 585 streams");
         }
     }
 
-    /// Requests that are read, written, and stream on.
+    /// Sends requests up to their first event; their streams stay open.
     pub fn open_streams(&mut self, first: u64, count: u64) {
         for id in first..first + count {
             self.now += MS;
-            if !self.request(id) {
+            if !self.start_request(id) {
                 continue;
             }
-            let (status, note, written, load) = (AttemptStatus::PrefillDone, 0.0, 0.0, None);
-            self.core.handle_event(
-                self.now,
-                Event::AttemptEnded {
-                    id,
-                    attempt: 0,
-                    reason: EndReason::of(status),
-                    cached_tokens: note,
-                    completion_tokens: written,
-                    load,
-                },
-            );
+            let reason = EndReason::of(AttemptStatus::PrefillDone);
+            self.core.handle_event(self.now, prefill_done(id, reason));
             let commands = self.core.take_commands();
-            if !is_sent(&self.ask_servers(commands), id, 1) {
+            let commands = self.answer_probes(commands);
+            if !has_started(&commands, id, 1) {
                 continue;
             }
-            let stream = mpsc::channel(1).1;
-            self.core.handle_event(
-                self.now,
-                Event::FirstEvent {
-                    id,
-                    attempt: 1,
-                    stream,
-                },
-            );
+            let first_event = Event::FirstEvent {
+                id,
+                attempt: 1,
+                stream: mpsc::channel(1).1,
+            };
+            self.core.handle_event(self.now, first_event);
             self.core.take_commands();
         }
     }
 }
 
-fn is_sent(commands: &[Command], of: RequestId, number: u32) -> bool {
-    let sends = |it: &Command| matches!(it, Command::StartAttempt { id, attempt, .. } if (*id, *attempt) == (of, number));
-    commands.iter().any(sends)
+/// The end of a request's first attempt.
+fn prefill_done(id: RequestId, reason: EndReason) -> Event {
+    Event::AttemptEnded {
+        id,
+        attempt: 0,
+        reason,
+        cached_tokens: 0.0,
+        completion_tokens: 0.0,
+        load: None,
+    }
+}
+
+fn has_started(commands: &[Command], request: RequestId, number: u32) -> bool {
+    commands.iter().any(|command| {
+        matches!(command, Command::StartAttempt { id, attempt, .. } if *id == request && *attempt == number)
+    })
 }
 
-fn probed(command: &Command) -> Option<EndpointId> {
+fn probed_endpoint(command: &Command) -> Option<EndpointId> {
     match command {
-        Command::Probe {
-            endpoint: server, ..
-        } => Some(*server),
+        Command::Probe { endpoint, .. } => Some(*endpoint),
         _ => None,
     }
 }
 
-/// Measures the core's steps before so many replicas.
-pub fn measure(replicas: usize, dispatchers: u32, seed: u64) -> Result<StepCosts, String> {
+/// Measures the core's steps with this many replicas.
+///
+/// # Errors
+///
+/// Fails if the core cannot be configured.
+pub fn measure(replicas: usize, dispatchers: u32, seed: u64) -> Result<StepCosts, MeasureError> {
     let mut rng = Pcg32::seed_from_u64(seed ^ 1);
-    let mut bench = Bench::new(replicas, dispatchers, seed)?;
-    bench.lists(&mut rng);
-    bench.messages(dispatchers, &mut rng);
-    bench.read_and_leave(1, TURNS as u64);
+    let mut bench = CoreBench::new(replicas, dispatchers, seed)?;
+    bench.measure_lists(&mut rng);
+    bench.measure_gossip(dispatchers, &mut rng);
+    bench.measure_releases(1, REPETITIONS as u64);
     bench.open_streams(10_000, OPEN_STREAMS);
-    bench.sweeps();
-    let cost = |(step, histogram): (&String, &Histogram<u64>)| (step.clone(), Cost::of(histogram));
+    bench.measure_deadline_checks();
+    let steps = bench
+        .costs
+        .iter()
+        .map(|(step, histogram)| (step.clone(), StepCost::from_histogram(histogram)));
     Ok(StepCosts {
         replicas,
         dispatchers,
-        cold: 0.0,
+        warming_up_share: 0.0,
         seed,
-        arrivals: TURNS,
-        finished: true,
-        steps: bench.costs.iter().map(cost).collect(),
+        arrivals: REPETITIONS,
+        is_finished: true,
+        steps: steps.collect(),
     })
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,75 +1,82 @@
-//! A fleet of replicas as it is drawn for a measurement: roles, zones, racks.
+//! Randomly drawn fleets of replicas: roles, zones and racks.
 
 use quartzhall::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use rand::Rng;
 use rand_pcg::Pcg32;
 
-/// Tokens that a reader's memory holds.
-pub const READER_MEMORY: f64 = 600_000.0;
-/// Tokens that a writer's memory holds.
-pub const WRITER_MEMORY: f64 = 400_000.0;
+/// KV memory of a prefill replica, in tokens.
+pub const PREFILL_KV_TOKENS: f64 = 600_000.0;
+/// KV memory of a decode replica, in tokens.
+pub const DECODE_KV_TOKENS: f64 = 400_000.0;
 
 /// What a fleet is drawn by.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Replicas, readers and writers together.
+pub struct FleetShape {
+    /// Replicas, prefill and decode together.
     pub replicas: usize,
     /// Zones, numbered from 0, of about equal size.
     pub zones: u32,
-    /// The fewest and the most replicas in a rack. A rack is in one zone and has both roles where it can.
-    pub rack: (usize, usize),
-    /// Part of the replicas that read prompts.
-    pub readers: f64,
-    /// Part of the replicas that start cold.
-    pub cold: f64,
+    /// The smallest and the largest number of replicas in a rack. A rack is in one zone and has both roles where it can.
+    pub rack_size: (usize, usize),
+    /// Share of the replicas that prefill.
+    pub prefill_share: f64,
+    /// Share of the replicas that are warming up at the start.
+    pub warming_up_share: f64,
 }
 
-impl Shape {
+impl FleetShape {
     /// The shape of the target fleet at another number of replicas.
-    pub fn of(replicas: usize) -> Shape {
-        Shape {
+    pub fn with_replicas(replicas: usize) -> FleetShape {
+        FleetShape {
             replicas,
             zones: 15,
-            rack: (4, 8),
-            readers: 0.25,
-            cold: 0.0,
+            rack_size: (4, 8),
+            prefill_share: 0.25,
+            warming_up_share: 0.0,
         }
     }
 }
 
-/// Draws the list of replicas. Each rack has its share of readers, one at least, so that states can stay in it.
-pub fn draw(shape: &Shape, now: Time, rng: &mut Pcg32) -> Vec<EndpointRecord> {
-    let mut entries = Vec::with_capacity(shape.replicas);
+/// The id of a replica, as discovery lists it.
+pub fn replica_id(number: usize) -> String {
+    format!("replica-{number}")
+}
+
+/// The key by which dispatchers name a replica to each other.
+pub fn replica_key(number: usize) -> u64 {
+    quartzhall::config::fnv1a_hash(&replica_id(number))
+}
+
+/// Draws the list of replicas. Each rack has its share of prefill replicas, one at least, so that KV caches can stay in it.
+pub fn draw(shape: &FleetShape, now: Time, rng: &mut Pcg32) -> Vec<EndpointRecord> {
+    let mut records = Vec::with_capacity(shape.replicas);
     let mut cell = 0;
-    while entries.len() < shape.replicas {
+    while records.len() < shape.replicas {
+        let (min_size, max_size) = shape.rack_size;
         let size = rng
-            .gen_range(shape.rack.0..=shape.rack.1)
-            .min(shape.replicas - entries.len());
-        let readers = ((size as f64 * shape.readers).round() as usize).max(1);
-        for place in 0..size {
-            let role = if place < readers {
-                Role::Prefill
+            .gen_range(min_size..=max_size)
+            .min(shape.replicas - records.len());
+        let prefill_replicas = ((size as f64 * shape.prefill_share).round() as usize).max(1);
+        for slot in 0..size {
+            let (role, kv_capacity_tokens) = if slot < prefill_replicas {
+                (Role::Prefill, PREFILL_KV_TOKENS)
             } else {
-                Role::Decode
+                (Role::Decode, DECODE_KV_TOKENS)
             };
-            let server = entries.len() as EndpointId;
-            let cold = rng.gen_bool(shape.cold);
-            entries.push(EndpointRecord {
-                endpoint: server,
-                key: quartzhall::config::fnv1a_hash(&format!("replica-{server}")),
+            let number = records.len();
+            let is_warming_up = rng.gen_bool(shape.warming_up_share);
+            records.push(EndpointRecord {
+                endpoint: number as EndpointId,
+                key: replica_key(number),
                 role,
-                kv_capacity_tokens: if role == Role::Prefill {
-                    READER_MEMORY
-                } else {
-                    WRITER_MEMORY
-                },
+                kv_capacity_tokens,
                 zone: cell % shape.zones.max(1),
                 cell,
                 status: EndpointStatus::Ready,
-                started_at: cold.then_some(now),
+                started_at: is_warming_up.then_some(now),
             });
         }
         cell += 1;
     }
-    entries
+    records
 }
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -1,9 +1,9 @@
-//! An open-loop load: requests are sent at their times, whatever has become of those before, and their times count from
-//! when they were due. So a dispatcher that stands still is seen to.
+//! An open-loop load on one dispatcher: requests are sent when they are due, whatever has become of earlier ones, and times
+//! count from when a request was due, so that a dispatcher that stalls cannot hide it.
 
-use crate::hollow::replica::{Ledger, TOKENS_PER_BYTE};
-use crate::results::Answers;
-use crate::scenario::Load;
+use crate::results::ResponseCounts;
+use crate::scenario::LoadConfig;
+use crate::simulated::replica::{ReplicaMetrics, TOKENS_PER_BYTE};
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -11,30 +11,33 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::task::JoinSet;
+use tokio::task::{JoinError, JoinSet};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 /// How long a client waits for the first token.
-pub const PATIENCE: Duration = Duration::from_millis(4_000);
-/// A request is lost that has no whole answer so long after its time was up; streams have as much for each event.
+pub const CLIENT_DEADLINE: Duration = Duration::from_millis(4_000);
+/// A request is lost that has no first token this long after its deadline, or no event for this long in its stream.
 const LOST_AFTER: Duration = Duration::from_millis(5_000);
-/// Conversations and shared texts of one dispatcher's clients.
+/// Conversations of one dispatcher's clients.
 const CONVERSATIONS: u64 = 2_000;
-const TEXTS: u64 = 300;
+/// Shared prefixes of one dispatcher's clients.
+const SHARED_PREFIXES: u64 = 300;
+/// Bytes that are read of a response at once.
+const READ_CHUNK: usize = 16 * 1024;
 
-/// What came of the requests to one dispatcher.
-pub struct Outcomes {
-    /// Counts of answers.
-    pub answers: Answers,
-    /// Microseconds from when a request was due to its first token.
-    pub first_token: Histogram<u64>,
-    /// Microseconds by which requests were sent later than they were due: the rig's own delay.
-    pub sent_late: Histogram<u64>,
+/// The responses of one dispatcher.
+pub struct LoadResult {
+    /// Requests by the kind of their response.
+    pub responses: ResponseCounts,
+    /// From when a request was due to its first token, in microseconds.
+    pub time_to_first_token: Histogram<u64>,
+    /// How much later than due requests were sent, in microseconds: the bench's own delay.
+    pub send_delay: Histogram<u64>,
 }
 
 enum ClientOutcome {
-    Served(Duration),
-    Refused,
+    Served { time_to_first_token: Duration },
+    Shed,
     Failed,
     Lost,
 }
@@ -42,115 +45,159 @@
 /// One dispatcher, as its clients see it.
 struct Target {
     address: String,
-    number: usize,
-    idle: Mutex<Vec<TcpStream>>,
-    ledger: Arc<Ledger>,
+    idle_connections: Mutex<Vec<TcpStream>>,
+    metrics: Arc<ReplicaMetrics>,
+}
+
+/// A request as it is sent.
+struct ClientRequest {
+    id: String,
+    text: String,
+    due: Instant,
 }
 
 impl Target {
-    fn idle(&self) -> MutexGuard<'_, Vec<TcpStream>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle_connections(&self) -> MutexGuard<'_, Vec<TcpStream>> {
+        self.idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn histogram() -> Result<Histogram<u64>, String> {
-    Histogram::new(3).map_err(|error| error.to_string())
+impl LoadResult {
+    /// Creates an empty result.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a histogram cannot be created.
+    pub fn new() -> Result<LoadResult, hdrhistogram::CreationError> {
+        Ok(LoadResult {
+            responses: ResponseCounts::default(),
+            time_to_first_token: Histogram::new(3)?,
+            send_delay: Histogram::new(3)?,
+        })
+    }
+
+    /// Adds the result of another dispatcher.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the histograms do not fit together.
+    pub fn add(&mut self, other: &LoadResult) -> Result<(), hdrhistogram::AdditionError> {
+        self.responses.add(other.responses);
+        self.time_to_first_token.add(&other.time_to_first_token)?;
+        self.send_delay.add(&other.send_delay)
+    }
+
+    fn count(&mut self, outcome: Result<ClientOutcome, JoinError>) {
+        let responses = &mut self.responses;
+        responses.sent += 1;
+        match outcome {
+            Ok(ClientOutcome::Served {
+                time_to_first_token,
+            }) => {
+                responses.served += 1;
+                let micros = time_to_first_token.as_micros() as u64;
+                let _ = self.time_to_first_token.record(micros);
+            }
+            Ok(ClientOutcome::Shed) => responses.shed += 1,
+            Ok(ClientOutcome::Failed) => responses.failed += 1,
+            Ok(ClientOutcome::Lost) | Err(_) => responses.lost += 1,
+        }
+    }
 }
 
-/// Sends requests to a dispatcher until this moment, and waits for their answers.
+/// Sends requests to the dispatcher `number` until `end`, and waits for their responses.
+///
+/// # Errors
+///
+/// Fails if a histogram cannot be created.
 pub async fn run(
     address: String,
     number: usize,
-    load: Load,
+    load: LoadConfig,
     seed: u64,
-    until: Instant,
-    ledger: Arc<Ledger>,
-) -> Result<Outcomes, String> {
+    end: Instant,
+    metrics: Arc<ReplicaMetrics>,
+) -> Result<LoadResult, hdrhistogram::CreationError> {
     let target = Arc::new(Target {
         address,
-        number,
-        idle: Mutex::default(),
-        ledger,
+        idle_connections: Mutex::default(),
+        metrics,
     });
     let mut rng = Pcg32::seed_from_u64(seed);
-    let mut outcomes = Outcomes {
-        answers: Answers::default(),
-        first_token: histogram()?,
-        sent_late: histogram()?,
-    };
-    let mut requests = JoinSet::new();
+    let mut result = LoadResult::new()?;
+    let mut in_flight = JoinSet::new();
     let mut due = Instant::now();
     let mut count = 0_u64;
     loop {
-        let even: f64 = rng.gen_range(1e-9..1.0);
-        due += Duration::from_secs_f64(-even.ln() / load.per_dispatcher);
-        if due >= until {
+        let uniform: f64 = rng.gen_range(1e-9..1.0);
+        due += Duration::from_secs_f64(-uniform.ln() / load.rate_per_dispatcher);
+        if due >= end {
             break;
         }
         sleep_until(due).await;
-        let _ = outcomes.sent_late.record(due.elapsed().as_micros() as u64);
+        let _ = result.send_delay.record(due.elapsed().as_micros() as u64);
         count += 1;
-        let text = request(&target, count, &load, &mut rng);
-        requests.spawn(ask(target.clone(), text, due));
-        while let Some(answer) = requests.try_join_next() {
-            outcomes.count(answer);
+        let request = draw_request(number, count, due, &load, &mut rng);
+        in_flight.spawn(send_request(target.clone(), request));
+        while let Some(outcome) = in_flight.try_join_next() {
+            result.count(outcome);
         }
     }
-    while let Some(answer) = requests.join_next().await {
-        outcomes.count(answer);
-    }
-    Ok(outcomes)
-}
-
-impl Outcomes {
-    fn count(&mut self, answer: Result<ClientOutcome, tokio::task::JoinError>) {
-        let answers = &mut self.answers;
-        answers.sent += 1;
-        match answer {
-            Ok(ClientOutcome::Served(first)) => {
-                answers.served += 1;
-                let _ = self.first_token.record(first.as_micros() as u64);
-            }
-            Ok(ClientOutcome::Refused) => answers.refused += 1,
-            Ok(ClientOutcome::Failed) => answers.failed += 1,
-            Ok(ClientOutcome::Lost) | Err(_) => answers.lost += 1,
-        }
+    while let Some(outcome) = in_flight.join_next().await {
+        result.count(outcome);
     }
+    Ok(result)
 }
 
-/// A request's name: its dispatcher can be read from it.
-pub fn name(dispatcher: usize, number: u64) -> String {
+/// A request's id, which names its dispatcher.
+pub fn request_id(dispatcher: usize, number: u64) -> String {
     format!("d{dispatcher}-{number:08x}")
 }
 
-/// The dispatcher that a request of this name was sent to.
-pub fn dispatcher_of(name: &str) -> Option<usize> {
-    name.strip_prefix('d')?.split('-').next()?.parse().ok()
+/// The dispatcher that the request with this id was sent to.
+pub fn dispatcher_of(id: &str) -> Option<usize> {
+    id.strip_prefix('d')?.split('-').next()?.parse().ok()
 }
 
-fn request(target: &Target, number: u64, load: &Load, rng: &mut Pcg32) -> (String, String) {
-    let name = name(target.number, number);
-    let prompt = rng.gen_range(load.prompt.0..=load.prompt.1);
-    let tokens = rng.gen_range(load.answer.0..=load.answer.1);
-    let (object, text) = (rng.gen_range(0..CONVERSATIONS), rng.gen_range(0..TEXTS));
-    let shared = prompt / 2;
-    let filler = "x".repeat((f64::from(prompt) / TOKENS_PER_BYTE) as usize);
-    let body =
-        format!(r#"{{"model":"chat","stream":true,"max_tokens":{tokens},"messages":"{filler}"}}"#);
-    let (expires, length) = (PATIENCE.as_millis(), body.len());
+fn draw_request(
+    dispatcher: usize,
+    number: u64,
+    due: Instant,
+    load: &LoadConfig,
+    rng: &mut Pcg32,
+) -> ClientRequest {
+    let id = request_id(dispatcher, number);
+    let (min_prompt, max_prompt) = load.prompt_tokens;
+    let (min_output, max_output) = load.output_tokens;
+    let prompt_tokens = rng.gen_range(min_prompt..=max_prompt);
+    let output_tokens = rng.gen_range(min_output..=max_output);
+    let conversation = rng.gen_range(0..CONVERSATIONS) + CONVERSATIONS * dispatcher as u64;
+    let prefix = rng.gen_range(0..SHARED_PREFIXES);
+    let prefix_tokens = prompt_tokens / 2;
+    let filler = "x".repeat((f64::from(prompt_tokens) / TOKENS_PER_BYTE) as usize);
+    let body = format!(
+        r#"{{"model":"chat","stream":true,"max_tokens":{output_tokens},"messages":"{filler}"}}"#
+    );
+    let expires = CLIENT_DEADLINE.as_millis();
+    let length = body.len();
     let head = format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nHost: scale\r\nX-Trace-Id: {name}\r\nX-Qos: chat\r\nX-Customer: acme\r\nX-Object: {:x}\r\nX-Expires-In-Ms: {expires}\r\nX-Props: prefix={text:x},prompt_len={prompt},prefix_len={shared},max_out={tokens}\r\nContent-Length: {length}\r\n\r\n",
-        object + CONVERSATIONS * target.number as u64
+        "POST /v1/chat/completions HTTP/1.1\r\nHost: scale\r\nX-Trace-Id: {id}\r\nX-Qos: chat\r\nX-Customer: acme\r\nX-Object: {conversation:x}\r\nX-Expires-In-Ms: {expires}\r\nX-Props: prefix={prefix:x},prompt_len={prompt_tokens},prefix_len={prefix_tokens},max_out={output_tokens}\r\nContent-Length: {length}\r\n\r\n"
     );
-    (name, head + &body)
+    ClientRequest {
+        id,
+        text: head + &body,
+        due,
+    }
 }
 
-async fn ask(target: Arc<Target>, (name, text): (String, String), due: Instant) -> ClientOutcome {
-    let mut again = true;
+async fn send_request(target: Arc<Target>, request: ClientRequest) -> ClientOutcome {
+    let mut has_retried = false;
     loop {
-        let kept = target.idle().pop();
-        let was_kept = kept.is_some();
-        let stream = match kept {
+        let idle = target.idle_connections().pop();
+        let is_reused = idle.is_some();
+        let stream = match idle {
             Some(stream) => Ok(stream),
             None => TcpStream::connect(&target.address).await,
         };
@@ -158,94 +205,120 @@
             return ClientOutcome::Lost;
         };
         let _ = stream.set_nodelay(true);
-        let waiting = |add: bool| {
-            let mut waiting = target
-                .ledger
-                .waiting
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner);
-            match add {
-                true => drop(waiting.insert(name.clone(), due)),
-                false => drop(waiting.remove(&name)),
-            }
-        };
-        waiting(true);
-        let exchange = exchange(&mut stream, &text, due).await;
-        waiting(false);
+        target.metrics.expect_request(&request.id, request.due);
+        let exchange = exchange(&mut stream, &request).await;
+        target.metrics.forget_request(&request.id);
         match exchange {
-            // The dispatcher may close a connection between requests: the client sends once more on a new one.
-            Err(Unanswered) if was_kept && again => again = false,
-            Err(Unanswered) => return ClientOutcome::Lost,
-            Ok((answer, keeps)) => {
-                if keeps {
-                    target.idle().push(stream);
+            // The dispatcher may close a connection between requests: the client retries once on a new one.
+            Err(ClosedWithoutResponse) if is_reused && !has_retried => has_retried = true,
+            Err(ClosedWithoutResponse) => return ClientOutcome::Lost,
+            Ok(Exchange {
+                outcome,
+                is_reusable,
+            }) => {
+                if is_reusable {
+                    target.idle_connections().push(stream);
                 }
-                return answer;
+                return outcome;
             }
         }
     }
 }
 
-/// The connection ended before anything came.
-struct Unanswered;
+/// The connection ended before any byte of a response came.
+struct ClosedWithoutResponse;
+
+/// A request and its response.
+struct Exchange {
+    outcome: ClientOutcome,
+    /// The connection may be used again.
+    is_reusable: bool,
+}
+
+/// What was read of a response so far.
+#[derive(Default)]
+struct PartialResponse {
+    bytes: Vec<u8>,
+    time_to_first_token: Option<Duration>,
+}
+
+impl PartialResponse {
+    /// Evaluates the response after a read; `None` while it is incomplete.
+    fn evaluate(&mut self, due: Instant) -> Option<Exchange> {
+        let head_end = find(&self.bytes, b"\r\n\r\n")?;
+        let body_start = head_end + 4;
+        let head = String::from_utf8_lossy(&self.bytes[..head_end]).to_ascii_lowercase();
+        let is_reusable = !head.contains("connection: close");
+        let status = head.split(' ').nth(1).unwrap_or_default();
+        if status == "200" {
+            if self.time_to_first_token.is_none() && self.bytes.len() > body_start {
+                self.time_to_first_token = Some(due.elapsed());
+            }
+            if !self.bytes.ends_with(b"\r\n0\r\n\r\n") {
+                return None;
+            }
+            let time_to_first_token = self.time_to_first_token.unwrap_or_default();
+            let outcome = ClientOutcome::Served {
+                time_to_first_token,
+            };
+            return Some(Exchange {
+                outcome,
+                is_reusable,
+            });
+        }
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length: ")?.parse::<usize>().ok());
+        if self.bytes.len() < body_start + length.unwrap_or(0) {
+            return None;
+        }
+        let outcome = if status == "503" || status == "429" {
+            ClientOutcome::Shed
+        } else {
+            ClientOutcome::Failed
+        };
+        Some(Exchange {
+            outcome,
+            is_reusable,
+        })
+    }
+}
 
-/// One request and its answer; and whether the connection may be used again.
 async fn exchange(
     stream: &mut TcpStream,
-    text: &str,
-    due: Instant,
-) -> Result<(ClientOutcome, bool), Unanswered> {
+    request: &ClientRequest,
+) -> Result<Exchange, ClosedWithoutResponse> {
     stream
-        .write_all(text.as_bytes())
+        .write_all(request.text.as_bytes())
         .await
-        .map_err(|_| Unanswered)?;
-    let mut answer: Vec<u8> = Vec::new();
-    let mut some = vec![0; 16 * 1024];
-    let mut first = None;
+        .map_err(|_| ClosedWithoutResponse)?;
+    let mut response = PartialResponse::default();
+    let mut chunk = vec![0; READ_CHUNK];
     loop {
-        let patience = if first.is_some() {
+        let deadline = if response.time_to_first_token.is_some() {
             Instant::now() + LOST_AFTER
         } else {
-            due + PATIENCE + LOST_AFTER
+            request.due + CLIENT_DEADLINE + LOST_AFTER
         };
-        let read = match timeout_at(patience, stream.read(&mut some)).await {
-            Ok(Ok(read)) if read > 0 => read,
-            Ok(_) if answer.is_empty() => return Err(Unanswered),
-            _ => return Ok((ClientOutcome::Lost, false)),
-        };
-        answer.extend_from_slice(&some[..read]);
-        let Some(head_end) = position(&answer, b"\r\n\r\n") else {
-            continue;
-        };
-        let head = String::from_utf8_lossy(&answer[..head_end]).to_ascii_lowercase();
-        let keeps = !head.contains("connection: close");
-        let status = head.split(' ').nth(1).unwrap_or_default().to_owned();
-        if status == "200" {
-            if first.is_none() && answer.len() > head_end + 4 {
-                first = Some(due.elapsed());
+        let count = match timeout_at(deadline, stream.read(&mut chunk)).await {
+            Ok(Ok(count)) if count > 0 => count,
+            Ok(_) if response.bytes.is_empty() => return Err(ClosedWithoutResponse),
+            _ => {
+                return Ok(Exchange {
+                    outcome: ClientOutcome::Lost,
+                    is_reusable: false,
+                })
             }
-            if answer.ends_with(b"\r\n0\r\n\r\n") {
-                return Ok((ClientOutcome::Served(first.unwrap_or_default()), keeps));
-            }
-            continue;
-        }
-        let length = head
-            .lines()
-            .find_map(|line| line.strip_prefix("content-length: ")?.parse::<usize>().ok());
-        if answer.len() >= head_end + 4 + length.unwrap_or(0) {
-            let refused = status == "503" || status == "429";
-            return Ok((
-                if refused {
-                    ClientOutcome::Refused
-                } else {
-                    ClientOutcome::Failed
-                },
-                keeps,
-            ));
+        };
+        response.bytes.extend_from_slice(&chunk[..count]);
+        if let Some(exchange) = response.evaluate(request.due) {
+            return Ok(exchange);
         }
     }
 }
 
-fn position(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
-    bytes.windows(wanted.len()).position(|it| it == wanted)
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes
+        .windows(pattern.len())
+        .position(|window| window == pattern)
 }
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,73 +1,177 @@
-//! Real dispatchers: started, sampled, and ended.
+//! Real dispatchers as child processes: start, sample, terminate.
+//!
+//! A [`Dispatcher`] owns its child process.
 
+use std::error::Error;
+use std::fmt;
 use std::path::{Path, PathBuf};
-use std::process::Stdio;
+use std::process::{ExitStatus, Stdio};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A dispatcher has to be ready within this.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// Between two looks whether it is.
-const READY_LOOK: Duration = Duration::from_millis(10);
-/// It ends within this after SIGTERM.
-const ENDS_WITHIN: Duration = Duration::from_secs(15);
-/// Units of processor time in `/proc`, in a second.
+/// A dispatcher has to be ready within this after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Between two readiness probes.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// A dispatcher has to exit within this after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Units of processor time in `/proc` per second.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Processor seconds and resident bytes of a process.
+/// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sample {
-    /// Processor time since its start, in seconds.
+pub struct ResourceSample {
+    /// Processor time since the process started, in seconds.
     pub core_s: f64,
     /// Resident memory, in MB.
     pub resident_mb: f64,
 }
 
-/// Reads what the system tells of a process; `None` where it is gone.
-pub fn sample(id: u32) -> Option<Sample> {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
+/// Reads the resource usage of a process from `/proc`; `None` if it does not exist.
+pub fn sample(process_id: u32) -> Option<ResourceSample> {
+    let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|it| it.parse::<f64>().ok());
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+    let ticks = |index: usize| fields.get(index)?.parse::<f64>().ok();
+    let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
     let resident = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))?;
-    let resident: f64 = resident.split_whitespace().next()?.parse().ok()?;
+    let resident_kb: f64 = resident.split_whitespace().next()?.parse().ok()?;
     // The 14th and 15th fields of the file are the times in user and kernel mode.
-    Some(Sample {
+    Some(ResourceSample {
         core_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND,
-        resident_mb: resident / 1024.0,
+        resident_mb: resident_kb / 1024.0,
     })
 }
 
-/// A real dispatcher, killed when it is let go.
+/// Why a dispatcher could not be started, did not become ready, or did not shut down cleanly.
+#[derive(Debug)]
+pub enum ProcessError {
+    /// Its configuration or log file could not be written.
+    File {
+        /// The dispatcher's name.
+        name: String,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The program could not be started.
+    Spawn {
+        /// The program.
+        program: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The process exited right after its start.
+    ExitedAtStart {
+        /// The dispatcher's name.
+        name: String,
+    },
+    /// It was not ready in time.
+    NotReady {
+        /// Its configuration file.
+        config: PathBuf,
+    },
+    /// SIGTERM could not be sent.
+    Terminate(std::io::Error),
+    /// It exited with an error.
+    ExitStatus {
+        /// Its configuration file.
+        config: PathBuf,
+        /// What it exited with.
+        status: ExitStatus,
+    },
+    /// Its exit could not be awaited.
+    Wait {
+        /// Its configuration file.
+        config: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// It did not exit in time after SIGTERM.
+    NotExited {
+        /// Its configuration file.
+        config: PathBuf,
+    },
+}
+
+impl fmt::Display for ProcessError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ProcessError::File { name, source } => write!(formatter, "{name}: {source}"),
+            ProcessError::Spawn { program, source } => {
+                write!(formatter, "{}: {source}", program.display())
+            }
+            ProcessError::ExitedAtStart { name } => write!(formatter, "{name} has ended at once"),
+            ProcessError::NotReady { config } => write!(
+                formatter,
+                "{}: not ready within {READY_TIMEOUT:?}",
+                config.display()
+            ),
+            ProcessError::Terminate(source) => source.fmt(formatter),
+            ProcessError::ExitStatus { config, status } => {
+                write!(formatter, "{}: ended with {status}", config.display())
+            }
+            ProcessError::Wait { config, source } => {
+                write!(formatter, "{}: {source}", config.display())
+            }
+            ProcessError::NotExited { config } => write!(
+                formatter,
+                "{}: has not ended within {EXIT_TIMEOUT:?}",
+                config.display()
+            ),
+        }
+    }
+}
+
+impl Error for ProcessError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            ProcessError::File { source, .. }
+            | ProcessError::Spawn { source, .. }
+            | ProcessError::Terminate(source)
+            | ProcessError::Wait { source, .. } => Some(source),
+            ProcessError::ExitedAtStart { .. }
+            | ProcessError::NotReady { .. }
+            | ProcessError::ExitStatus { .. }
+            | ProcessError::NotExited { .. } => None,
+        }
+    }
+}
+
+/// A real dispatcher, killed on drop.
 pub struct Dispatcher {
     child: Child,
     /// Where clients connect.
     pub address: String,
-    /// Its process.
-    pub id: u32,
+    /// Its process id.
+    pub process_id: u32,
     config: PathBuf,
-    began: Instant,
+    started: Instant,
 }
 
 impl Dispatcher {
-    /// Starts the program with a configuration, which is written to a file in this folder.
+    /// Starts the program with a configuration. The configuration and the log are files `name.json` and `name.log` in `folder`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file cannot be written, or the program cannot be started.
     pub fn start(
         program: &Path,
         folder: &Path,
         name: &str,
         address: String,
         config: &str,
-    ) -> Result<Dispatcher, String> {
+    ) -> Result<Dispatcher, ProcessError> {
+        let file_error = |source| ProcessError::File {
+            name: name.to_owned(),
+            source,
+        };
         let path = folder.join(format!("{name}.json"));
-        let wrong = |error: &dyn std::fmt::Display| format!("{name}: {error}");
-        std::fs::write(&path, config).map_err(|error| wrong(&error))?;
-        let log = std::fs::File::create(folder.join(format!("{name}.log")))
-            .map_err(|error| wrong(&error))?;
+        std::fs::write(&path, config).map_err(file_error)?;
+        let log = std::fs::File::create(folder.join(format!("{name}.log"))).map_err(file_error)?;
         let child = Command::new(program)
             .args(["serve", "--config"])
             .arg(&path)
@@ -76,60 +180,73 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()
-            .map_err(|error| format!("{}: {error}", program.display()))?;
-        let id = child
-            .id()
-            .ok_or_else(|| format!("{name} has ended at once"))?;
+            .map_err(|source| ProcessError::Spawn {
+                program: program.to_owned(),
+                source,
+            })?;
+        let Some(process_id) = child.id() else {
+            return Err(ProcessError::ExitedAtStart {
+                name: name.to_owned(),
+            });
+        };
         Ok(Dispatcher {
             child,
             address,
-            id,
+            process_id,
             config: path,
-            began: Instant::now(),
+            started: Instant::now(),
         })
     }
 
-    /// Waits until it is ready; how long that took.
-    pub async fn ready(&self) -> Result<Duration, String> {
-        let asks = async {
+    /// Waits until the dispatcher is ready, and returns the time from its start until then.
+    ///
+    /// # Errors
+    ///
+    /// Fails if it is not ready within 30 s.
+    pub async fn wait_until_ready(&self) -> Result<Duration, ProcessError> {
+        let poll = async {
             while !self.is_ready().await {
-                sleep(READY_LOOK).await;
+                sleep(READY_POLL_INTERVAL).await;
             }
         };
-        let name = self.config.display();
-        timeout(READY_WITHIN, asks)
-            .await
-            .map_err(|_| format!("{name}: not ready within {READY_WITHIN:?}"))?;
-        Ok(self.began.elapsed())
+        if timeout(READY_TIMEOUT, poll).await.is_err() {
+            return Err(ProcessError::NotReady {
+                config: self.config.clone(),
+            });
+        }
+        Ok(self.started.elapsed())
     }
 
     async fn is_ready(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(&self.address).await else {
             return false;
         };
-        let asked = stream
+        let sent = stream
             .write_all(b"GET /ready HTTP/1.1\r\nHost: scale\r\nConnection: close\r\n\r\n")
             .await;
-        let mut answer = String::new();
-        asked.is_ok()
-            && stream.read_to_string(&mut answer).await.is_ok()
-            && answer.starts_with("HTTP/1.1 200")
+        let mut response = String::new();
+        sent.is_ok()
+            && stream.read_to_string(&mut response).await.is_ok()
+            && response.starts_with("HTTP/1.1 200")
     }
 
-    /// Tells it to end, as the platform does; an error where it does not end well.
-    pub async fn end(mut self) -> Result<(), String> {
-        let id = self.id;
-        let told = Command::new("sh")
-            .args(["-c", &format!("kill -TERM {id}")])
+    /// Sends SIGTERM, as the platform does, and waits for the exit.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the dispatcher exits with an error, or not within 15 s.
+    pub async fn terminate(mut self) -> Result<(), ProcessError> {
+        Command::new("sh")
+            .args(["-c", &format!("kill -TERM {}", self.process_id)])
             .status()
-            .await;
-        told.map_err(|error| error.to_string())?;
-        let name = self.config.display().to_string();
-        match timeout(ENDS_WITHIN, self.child.wait()).await {
+            .await
+            .map_err(ProcessError::Terminate)?;
+        let config = self.config.clone();
+        match timeout(EXIT_TIMEOUT, self.child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(Ok(status)) => Err(format!("{name}: ended with {status}")),
-            Ok(Err(error)) => Err(format!("{name}: {error}")),
-            Err(_) => Err(format!("{name}: has not ended within {ENDS_WITHIN:?}")),
+            Ok(Ok(status)) => Err(ProcessError::ExitStatus { config, status }),
+            Ok(Err(source)) => Err(ProcessError::Wait { config, source }),
+            Err(_) => Err(ProcessError::NotExited { config }),
         }
     }
 }
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,15 +1,22 @@
-//! What was measured, as it is kept: JSON files below `crates/scale/results`.
+//! Measured results and their form as JSON files below `crates/scale/results`.
+//!
+//! The files keep the names that fields had when the committed results were written; where the code's name differs, a
+//! `serde` rename stands beside it.
 
+use crate::simulation::UNITS_PER_MICROSECOND;
+use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::path::Path;
+use std::error::Error;
+use std::fmt;
+use std::path::{Path, PathBuf};
 
-/// What one kind of step cost.
+/// The cost of one kind of step.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Cost {
+pub struct StepCost {
     /// Steps that were measured.
     pub count: u64,
-    /// The middle one, in microseconds.
+    /// The median, in microseconds.
     pub median_us: f64,
     /// The 99th percentile, in microseconds.
     pub p99_us: f64,
@@ -17,92 +24,161 @@
     pub mean_us: f64,
 }
 
-impl Cost {
-    /// Of a histogram in the unit of [`crate::world::UNITS_PER_MICROSECOND`].
-    pub fn of(histogram: &hdrhistogram::Histogram<u64>) -> Cost {
-        let us = |value: f64| value / crate::world::UNITS_PER_MICROSECOND;
-        Cost {
+impl StepCost {
+    /// Summarizes a histogram in the unit of [`UNITS_PER_MICROSECOND`].
+    pub fn from_histogram(histogram: &Histogram<u64>) -> StepCost {
+        let to_us = |value: f64| value / UNITS_PER_MICROSECOND;
+        StepCost {
             count: histogram.len(),
-            median_us: us(histogram.value_at_quantile(0.5) as f64),
-            p99_us: us(histogram.value_at_quantile(0.99) as f64),
-            mean_us: us(histogram.mean()),
+            median_us: to_us(histogram.value_at_quantile(0.5) as f64),
+            p99_us: to_us(histogram.value_at_quantile(0.99) as f64),
+            mean_us: to_us(histogram.mean()),
         }
     }
 }
 
-/// What the steps of the module cost at one size, in one play.
+/// The cost of the routing module's steps at one size, in one simulation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StepCosts {
     /// Replicas of the fleet.
     pub replicas: usize,
-    /// Dispatchers that the settings told of.
+    /// Dispatchers of the fleet, as configured.
     pub dispatchers: u32,
-    /// Part of the replicas that was cold.
-    pub cold: f64,
-    /// The play's seed.
+    /// Share of the replicas that was warming up.
+    #[serde(rename = "cold")]
+    pub warming_up_share: f64,
+    /// The simulation's seed.
     pub seed: u64,
-    /// Requests that were played.
+    /// Requests that were simulated.
     pub arrivals: usize,
-    /// All that were asked for were played; else the time was up before.
-    pub finished: bool,
+    /// All requested arrivals were simulated; otherwise the time limit came before.
+    #[serde(rename = "finished")]
+    pub is_finished: bool,
     /// By the step's name.
-    pub steps: BTreeMap<String, Cost>,
+    pub steps: BTreeMap<String, StepCost>,
 }
 
-/// One run of a command of measurement, with all that is needed to repeat it.
+/// A run of a measuring command, with all that is needed to repeat it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Run<T> {
+pub struct MeasurementRun<T> {
     /// The command line, without the program's path.
     pub command: String,
     /// The commit that was measured, and whether the tree differed from it.
     pub commit: String,
-    /// Unix time of its end, in seconds.
-    pub at: u64,
+    /// When it ended, in Unix seconds.
+    #[serde(rename = "at")]
+    pub ended_at: u64,
     /// Cores of the machine.
     pub cores: usize,
-    /// What it gave.
+    /// What was measured.
     pub results: T,
 }
 
-/// Reads a file of results; the error is one line.
-pub fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, String> {
-    let text =
-        std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))
+/// Why a file of results could not be read or written.
+#[derive(Debug)]
+pub enum ResultsError {
+    /// The file cannot be read or written.
+    File {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The file's JSON is not of the expected kind.
+    Parse {
+        /// The file.
+        path: PathBuf,
+        /// The parser's error.
+        source: serde_json::Error,
+    },
+    /// The results have no form in JSON.
+    Serialize(serde_json::Error),
 }
 
-/// Writes a file of results; the error is one line.
-pub fn write<T: Serialize>(path: &Path, results: &T) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(results).map_err(|error| error.to_string())?;
-    std::fs::write(path, text + "\n").map_err(|error| format!("{}: {error}", path.display()))
+impl fmt::Display for ResultsError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ResultsError::File { path, source } => {
+                write!(formatter, "{}: {source}", path.display())
+            }
+            ResultsError::Parse { path, source } => {
+                write!(formatter, "{}: {source}", path.display())
+            }
+            ResultsError::Serialize(source) => source.fmt(formatter),
+        }
+    }
+}
+
+impl Error for ResultsError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            ResultsError::File { source, .. } => Some(source),
+            ResultsError::Parse { source, .. } | ResultsError::Serialize(source) => Some(source),
+        }
+    }
+}
+
+/// Reads a file of results.
+///
+/// # Errors
+///
+/// Fails if the file cannot be read or is of another kind; the error is one line.
+pub fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, ResultsError> {
+    let text = std::fs::read_to_string(path).map_err(|source| ResultsError::File {
+        path: path.to_owned(),
+        source,
+    })?;
+    serde_json::from_str(&text).map_err(|source| ResultsError::Parse {
+        path: path.to_owned(),
+        source,
+    })
 }
 
-/// What a choice among candidates was worth, and one among all servers.
+/// Writes a file of results.
+///
+/// # Errors
+///
+/// Fails if the file cannot be written; the error is one line.
+pub fn write<T: Serialize>(path: &Path, results: &T) -> Result<(), ResultsError> {
+    let text = serde_json::to_string_pretty(results).map_err(ResultsError::Serialize)?;
+    std::fs::write(path, text + "\n").map_err(|source| ResultsError::File {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+/// Selection among candidates, compared with selection among all endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ChoiceWorth {
+pub struct SelectionComparison {
     /// Replicas of the fleet.
     pub replicas: usize,
-    /// Routers that were played, which is all of them.
+    /// Routers that were simulated, which is all of them.
     pub routers: usize,
-    /// Part of the replicas that was cold.
-    pub cold: f64,
-    /// The seed of both plays.
+    /// Share of the replicas that was warming up.
+    #[serde(rename = "cold")]
+    pub warming_up_share: f64,
+    /// The seed of both simulations.
     pub seed: u64,
-    /// Requests of each play.
+    /// Requests of each simulation.
     pub arrivals: usize,
-    /// Worth served in time with candidates, as part of what came.
-    pub worth_candidates: f64,
-    /// The same with all servers looked at.
-    pub worth_full: f64,
-    /// Requests that were refused or failed with candidates.
-    pub given_up_candidates: usize,
-    /// The same with all servers looked at.
-    pub given_up_full: usize,
-    /// Both did the same, draw for draw.
-    pub same: bool,
-}
-
-/// Resident memory that things of one kind take.
+    /// Priority weight served in time with candidates, as a share of all that arrived.
+    #[serde(rename = "worth_candidates")]
+    pub served_weight_share: f64,
+    /// The same with all endpoints scored.
+    #[serde(rename = "worth_full")]
+    pub served_weight_share_full: f64,
+    /// Requests that were shed or failed with candidates.
+    #[serde(rename = "given_up_candidates")]
+    pub shed_or_failed: usize,
+    /// The same with all endpoints scored.
+    #[serde(rename = "given_up_full")]
+    pub shed_or_failed_full: usize,
+    /// Both made the same decisions, draw for draw.
+    #[serde(rename = "same")]
+    pub is_identical: bool,
+}
+
+/// Resident memory of items of one kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemoryUse {
     /// What they are.
@@ -113,95 +189,107 @@
     pub bytes_each: f64,
 }
 
-/// Rules that were counted at the replicas.
+/// Violations of the protocol's rules that the replicas counted.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct RuleCounts {
-    /// Requests that came to a replica over 0.3 s after their dispatcher was told that it drains.
+pub struct RuleViolations {
+    /// Requests that reached a replica over 0.3 s after their dispatcher was notified that it is draining.
     pub sends_after_drain: u64,
-    /// Cold replicas that were sent more than the rule allows, by all dispatchers together.
-    pub cold_falls: u64,
-    /// Read states that were held for longer than the settings allow.
-    pub states_held_too_long: u64,
+    /// Replicas in slow start that were sent more than the rule allows, by all dispatchers together.
+    #[serde(rename = "cold_falls")]
+    pub slow_start_overloads: u64,
+    /// KV caches that were reserved for longer than the settings allow.
+    #[serde(rename = "states_held_too_long")]
+    pub late_kv_releases: u64,
 }
 
-/// What clients were answered.
+impl RuleViolations {
+    /// All violations.
+    pub fn total(&self) -> u64 {
+        self.sends_after_drain + self.slow_start_overloads + self.late_kv_releases
+    }
+}
+
+/// Requests by the kind of their response.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Answers {
+pub struct ResponseCounts {
     /// Requests that were sent.
     pub sent: u64,
     /// Served to the end of the stream.
     pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Answered as failed.
+    /// Shed, with status 429 or 503.
+    #[serde(rename = "refused")]
+    pub shed: u64,
+    /// Answered with another status.
     pub failed: u64,
     /// Not answered, or not to the end.
     pub lost: u64,
 }
 
-impl Answers {
-    /// The sum of both.
-    pub fn and(self, other: Answers) -> Answers {
-        Answers {
-            sent: self.sent + other.sent,
-            served: self.served + other.served,
-            refused: self.refused + other.refused,
-            failed: self.failed + other.failed,
-            lost: self.lost + other.lost,
-        }
+impl ResponseCounts {
+    /// Adds the counts of another dispatcher.
+    pub fn add(&mut self, other: ResponseCounts) {
+        self.sent += other.sent;
+        self.served += other.served;
+        self.shed += other.shed;
+        self.failed += other.failed;
+        self.lost += other.lost;
     }
 }
 
-/// Quantiles of times, in milliseconds.
+/// Quantiles of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Times {
+pub struct DurationSummary {
     /// How many there were.
     pub count: u64,
-    /// The middle one.
+    /// The median.
     pub median_ms: f64,
     /// The 99th percentile.
     pub p99_ms: f64,
     /// The longest.
-    pub longest_ms: f64,
+    #[serde(rename = "longest_ms")]
+    pub max_ms: f64,
 }
 
-impl Times {
-    /// Of a histogram in microseconds.
-    pub fn of(histogram: &hdrhistogram::Histogram<u64>) -> Times {
-        let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-        Times {
+impl DurationSummary {
+    /// Summarizes a histogram in microseconds.
+    pub fn from_histogram(histogram: &Histogram<u64>) -> DurationSummary {
+        let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+        DurationSummary {
             count: histogram.len(),
-            median_ms: at(0.5),
-            p99_ms: at(0.99),
-            longest_ms: at(1.0),
+            median_ms: quantile_ms(0.5),
+            p99_ms: quantile_ms(0.99),
+            max_ms: quantile_ms(1.0),
         }
     }
 }
 
 /// What one real dispatcher used while it was under load.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Usage {
-    /// Processor time, as part of one core.
-    pub core: f64,
+pub struct DispatcherUsage {
+    /// Processor time, as a share of one core.
+    #[serde(rename = "core")]
+    pub core_share: f64,
     /// Resident memory at the end, in MB.
     pub resident_mb: f64,
     /// Seconds from its start until it was ready.
     pub ready_s: f64,
-    /// Processor time up to then, in seconds.
+    /// Processor time until then, in seconds.
     pub ready_core_s: f64,
-    /// Bytes a second of lists that it was sent.
+    /// Endpoint lists that it was sent, in bytes per second.
     pub list_bytes_per_s: f64,
-    /// Lists that it was sent, whole ones among them.
+    /// Endpoint lists that it was sent, full ones included.
     pub lists: u64,
-    /// Whole lists that it was sent.
-    pub whole_lists: u64,
-    /// Bytes a second that it was told by other dispatchers.
-    pub heard_bytes_per_s: f64,
+    /// Full lists that it was sent.
+    #[serde(rename = "whole_lists")]
+    pub full_lists: u64,
+    /// Gossip from other dispatchers, in bytes per second.
+    #[serde(rename = "heard_bytes_per_s")]
+    pub gossip_bytes_per_s: f64,
 }
 
-/// One scale run.
+/// The result of one scale run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ScaleRun {
+pub struct ScaleRunResult {
     /// The scenario's name.
     pub scenario: String,
     /// The seed of the load.
@@ -209,33 +297,42 @@
     /// Replicas.
     pub replicas: usize,
     /// Real dispatchers.
-    pub real: usize,
-    /// Hollow dispatchers.
-    pub hollow: usize,
-    /// Requests a second of each real dispatcher.
+    #[serde(rename = "real")]
+    pub real_dispatchers: usize,
+    /// Simulated dispatchers.
+    #[serde(rename = "hollow")]
+    pub simulated_dispatchers: usize,
+    /// Requests per second of each real dispatcher.
     pub rate: f64,
-    /// What clients were answered, by all real dispatchers.
-    pub answers: Answers,
-    /// Rules.
-    pub rules: RuleCounts,
+    /// The clients' responses, of all real dispatchers.
+    #[serde(rename = "answers")]
+    pub responses: ResponseCounts,
+    /// Violations that the replicas counted.
+    pub rules: RuleViolations,
     /// By real dispatcher.
-    pub usage: Vec<Usage>,
+    pub usage: Vec<DispatcherUsage>,
     /// From when a request was due to its first token.
-    pub first_token: Times,
+    #[serde(rename = "first_token")]
+    pub time_to_first_token: DurationSummary,
     /// From when a request was due to its arrival at the first replica.
-    pub to_replica: Times,
-    /// From discovery's write of a drain to a send against it.
-    pub after_drain: Times,
+    #[serde(rename = "to_replica")]
+    pub time_to_replica: DurationSummary,
+    /// From the notification of a drain to a request that was sent against it.
+    #[serde(rename = "after_drain")]
+    pub time_after_drain: DurationSummary,
     /// Probes for each request.
     pub probes_per_request: f64,
     /// Connections to replicas for each request.
     pub connections_per_request: f64,
-    /// Bytes a second of probes, all real dispatchers together.
+    /// Probes of all real dispatchers, in bytes per second.
     pub probe_bytes_per_s: f64,
-    /// How late the rig sent requests.
-    pub sent_late: Times,
-    /// Cores that the rig used, on the mean.
-    pub rig_cores: f64,
-    /// The rig was the bottleneck: the times are no figures of the dispatcher.
-    pub rig_limited: bool,
+    /// How late the bench sent requests.
+    #[serde(rename = "sent_late")]
+    pub send_delay: DurationSummary,
+    /// Cores that the bench used on average.
+    #[serde(rename = "rig_cores")]
+    pub bench_cores: f64,
+    /// The bench was the bottleneck: the times are not those of the dispatcher.
+    #[serde(rename = "rig_limited")]
+    pub is_bench_limited: bool,
 }
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -1,10 +1,12 @@
-//! Scenario files: the fleet, the load, events on a time line, and what must hold.
+//! Scenario files: the fleet, the load, scheduled events, and what must hold at the end.
 
-use crate::fleet::Shape;
+use crate::fleet::FleetShape;
 use serde::Deserialize;
-use std::path::Path;
+use std::error::Error;
+use std::fmt;
+use std::path::{Path, PathBuf};
 
-/// A scenario, as its file says.
+/// A scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -12,46 +14,48 @@
     pub name: String,
     /// Seconds of load.
     pub seconds: u64,
-    /// The fleet.
-    pub fleet: Fleet,
+    /// The replicas.
+    pub fleet: FleetConfig,
     /// The dispatchers.
-    pub dispatchers: Dispatchers,
+    pub dispatchers: DispatcherConfig,
     /// The load.
-    pub load: Load,
-    /// What happens, and when.
+    pub load: LoadConfig,
+    /// What happens during the load.
     #[serde(default, rename = "event")]
-    pub events: Vec<Event>,
-    /// What must hold.
-    #[serde(default)]
-    pub must: Must,
+    pub events: Vec<ScenarioEvent>,
+    /// What must hold at the end.
+    #[serde(default, rename = "must")]
+    pub expectations: Expectations,
 }
 
 /// The replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
-    /// Readers and writers together.
+pub struct FleetConfig {
+    /// Replicas, prefill and decode together.
     pub replicas: usize,
     /// Zones.
     pub zones: u32,
-    /// The fewest and the most in a rack.
-    pub rack: (usize, usize),
-    /// Part of them that reads.
-    pub readers: f64,
-    /// Part of them that starts cold with the run.
-    #[serde(default)]
-    pub cold: f64,
+    /// The smallest and the largest number of replicas in a rack.
+    #[serde(rename = "rack")]
+    pub rack_size: (usize, usize),
+    /// Share of the replicas that prefill.
+    #[serde(rename = "readers")]
+    pub prefill_share: f64,
+    /// Share of the replicas that are warming up at the start of the run.
+    #[serde(default, rename = "cold")]
+    pub warming_up_share: f64,
 }
 
-impl Fleet {
-    /// The shape that it is drawn by.
-    pub fn shape(&self) -> Shape {
-        Shape {
+impl FleetConfig {
+    /// The shape that the fleet is drawn by.
+    pub fn shape(&self) -> FleetShape {
+        FleetShape {
             replicas: self.replicas,
             zones: self.zones,
-            rack: self.rack,
-            readers: self.readers,
-            cold: self.cold,
+            rack_size: self.rack_size,
+            prefill_share: self.prefill_share,
+            warming_up_share: self.warming_up_share,
         }
     }
 }
@@ -59,39 +63,45 @@
 /// The dispatchers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Dispatchers {
+pub struct DispatcherConfig {
     /// Processes of the program, each with its share of the load.
     pub real: usize,
-    /// Dispatchers without a process, that call discovery and speak to the real ones.
-    #[serde(default)]
-    pub hollow: usize,
-    /// As many as the settings tell of.
-    pub told: u32,
-    /// Descriptors that a real one may use.
-    pub sockets: u64,
+    /// Dispatchers without a process, which poll discovery and send gossip to the real ones.
+    #[serde(default, rename = "hollow")]
+    pub simulated: usize,
+    /// Dispatchers of the fleet, as configured at each of them.
+    #[serde(rename = "told")]
+    pub configured: u32,
+    /// Sockets that a real dispatcher may use.
+    #[serde(rename = "sockets")]
+    pub max_sockets: u64,
 }
 
 /// The load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Load {
-    /// Requests a second for each real dispatcher.
-    pub per_dispatcher: f64,
-    /// The fewest and the most tokens of a prompt.
-    pub prompt: (u32, u32),
-    /// The fewest and the most tokens of an answer.
-    pub answer: (u32, u32),
+pub struct LoadConfig {
+    /// Requests per second for each real dispatcher.
+    #[serde(rename = "per_dispatcher")]
+    pub rate_per_dispatcher: f64,
+    /// The smallest and the largest number of tokens of a prompt.
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: (u32, u32),
+    /// The smallest and the largest number of tokens of an output.
+    #[serde(rename = "answer")]
+    pub output_tokens: (u32, u32),
 }
 
 /// Something that happens once.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Event {
-    /// Seconds from the load's start.
-    pub at: f64,
+pub struct ScenarioEvent {
+    /// Seconds from the start of the load.
+    #[serde(rename = "at")]
+    pub at_seconds: f64,
     /// What happens.
     pub kind: EventKind,
-    /// The number of a rack or a zone, or replicas a second of a rolling deploy.
+    /// The number of a rack or a zone, or the replicas per second of a rolling restart.
     pub number: u32,
 }
 
@@ -99,68 +109,152 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// All replicas of a rack begin to drain.
+    /// All replicas of a rack start draining.
     DrainRack,
-    /// All replicas of a zone begin to drain.
+    /// All replicas of a zone start draining.
     DrainZone,
-    /// All replicas of a zone are back, cold.
-    ReturnZone,
-    /// From now on so many replicas a second drain for a second and come back cold.
-    Roll,
-    /// Discovery sends the whole list.
-    WholeList,
+    /// All replicas of a zone are back, warming up.
+    #[serde(rename = "return_zone")]
+    RestartZone,
+    /// From now on, so many replicas per second drain for a second and come back warming up.
+    #[serde(rename = "roll")]
+    RollingRestart,
+    /// Discovery sends the full list.
+    #[serde(rename = "whole_list")]
+    FullList,
 }
 
 /// What must hold at the end; counts and rules only, never times.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Must {
-    /// At least so much of all requests is served to its end, as a part.
-    #[serde(default)]
-    pub served: f64,
+pub struct Expectations {
+    /// At least this share of all requests is served to its end.
+    #[serde(default, rename = "served")]
+    pub min_served_share: f64,
+}
+
+/// Why a scenario cannot be used.
+#[derive(Debug)]
+pub enum ScenarioError {
+    /// The file cannot be read.
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The file is not a valid scenario.
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong in it.
+        source: Box<ScenarioError>,
+    },
+    /// The text is not TOML, or has other fields than a scenario.
+    Syntax {
+        /// The line, counted from 1.
+        line: usize,
+        /// The column in bytes, counted from 1.
+        column: usize,
+        /// The parser's error.
+        source: toml::de::Error,
+    },
+    /// A share is not from 0 to 1.
+    Share {
+        /// The setting.
+        name: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// Another value is out of its range.
+    Range(&'static str),
+}
+
+impl fmt::Display for ScenarioError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ScenarioError::Read { path, source } => {
+                write!(formatter, "{}: {source}", path.display())
+            }
+            ScenarioError::File { path, source } => {
+                write!(formatter, "{}:{source}", path.display())
+            }
+            ScenarioError::Syntax {
+                line,
+                column,
+                source,
+            } => write!(
+                formatter,
+                "{line}:{column}: {}",
+                source.message().replace('\n', " ")
+            ),
+            ScenarioError::Share { name, value } => {
+                write!(formatter, "1:1: {name} is a part from 0 to 1, not {value}")
+            }
+            ScenarioError::Range(reason) => write!(formatter, "1:1: {reason}"),
+        }
+    }
+}
+
+impl Error for ScenarioError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            ScenarioError::Read { source, .. } => Some(source),
+            ScenarioError::File { source, .. } => Some(source.as_ref()),
+            ScenarioError::Syntax { source, .. } => Some(source),
+            ScenarioError::Share { .. } | ScenarioError::Range(_) => None,
+        }
+    }
 }
 
 impl Scenario {
-    /// Reads a file; the error is one line with the file, the place and the reason.
-    pub fn read(path: &Path) -> Result<Scenario, String> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| format!("{}: {error}", path.display()))?;
-        Scenario::parse(&text).map_err(|reason| format!("{}:{reason}", path.display()))
+    /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if it cannot be read or is not valid; the error is one line with the file, the place and the reason.
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
+        let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Read {
+            path: path.to_owned(),
+            source,
+        })?;
+        Scenario::parse(&text).map_err(|error| ScenarioError::File {
+            path: path.to_owned(),
+            source: Box::new(error),
+        })
     }
 
-    /// Reads a scenario; the error is the place and the reason, on one line.
-    pub fn parse(text: &str) -> Result<Scenario, String> {
-        let wrong = |error: toml::de::Error| {
-            let start = error.span().map_or(0, |span| span.start).min(text.len());
-            let line = text[..start].matches('\n').count() + 1;
-            let column = start - text[..start].rfind('\n').map_or(0, |at| at + 1) + 1;
-            format!("{line}:{column}: {}", error.message().replace('\n', " "))
-        };
-        let scenario: Scenario = toml::from_str(text).map_err(wrong)?;
-        scenario
-            .check()
-            .map_err(|reason| format!("1:1: {reason}"))?;
+    /// Parses a scenario.
+    ///
+    /// # Errors
+    ///
+    /// Fails if it is not valid; the error is one line with the place and the reason.
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
+        let scenario: Scenario = toml::from_str(text).map_err(|error| syntax_error(text, error))?;
+        scenario.check()?;
         Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), String> {
-        let parts = [
-            ("fleet.readers", self.fleet.readers),
-            ("fleet.cold", self.fleet.cold),
-            ("must.served", self.must.served),
+    fn check(&self) -> Result<(), ScenarioError> {
+        let shares = [
+            ("fleet.readers", self.fleet.prefill_share),
+            ("fleet.cold", self.fleet.warming_up_share),
+            ("must.served", self.expectations.min_served_share),
         ];
-        if let Some((name, value)) = parts
-            .into_iter()
-            .find(|(_, value)| !(0.0..=1.0).contains(value))
-        {
-            return Err(format!("{name} is a part from 0 to 1, not {value}"));
+        for (name, value) in shares {
+            if !(0.0..=1.0).contains(&value) {
+                return Err(ScenarioError::Share { name, value });
+            }
         }
-        let wrong = [
+        let (min_rack, max_rack) = self.fleet.rack_size;
+        let (min_prompt, max_prompt) = self.load.prompt_tokens;
+        let (min_output, max_output) = self.load.output_tokens;
+        let invalid_ranges = [
             (self.seconds == 0, "seconds must be over 0"),
             (self.fleet.replicas < 2, "fleet.replicas must be over 1"),
             (self.fleet.zones == 0, "fleet.zones must be over 0"),
             (
-                self.fleet.rack.0 == 0 || self.fleet.rack.0 > self.fleet.rack.1,
+                min_rack == 0 || min_rack > max_rack,
                 "fleet.rack is the fewest and the most",
             ),
             (
@@ -168,21 +262,34 @@
                 "dispatchers.real must be over 0",
             ),
             (
-                self.load.per_dispatcher <= 0.0,
+                self.load.rate_per_dispatcher <= 0.0,
                 "load.per_dispatcher must be over 0",
             ),
             (
-                self.load.prompt.0 == 0 || self.load.prompt.0 > self.load.prompt.1,
+                min_prompt == 0 || min_prompt > max_prompt,
                 "load.prompt is the fewest and the most",
             ),
             (
-                self.load.answer.0 == 0 || self.load.answer.0 > self.load.answer.1,
+                min_output == 0 || min_output > max_output,
                 "load.answer is the fewest and the most",
             ),
         ];
-        match wrong.into_iter().find(|(is_wrong, _)| *is_wrong) {
-            Some((_, reason)) => Err(reason.to_owned()),
-            None => Ok(()),
+        for (is_invalid, reason) in invalid_ranges {
+            if is_invalid {
+                return Err(ScenarioError::Range(reason));
+            }
         }
+        Ok(())
+    }
+}
+
+fn syntax_error(text: &str, source: toml::de::Error) -> ScenarioError {
+    let start = source.span().map_or(0, |span| span.start).min(text.len());
+    let before = &text[..start];
+    let line_start = before.rfind('\n').map_or(0, |index| index + 1);
+    ScenarioError::Syntax {
+        line: before.matches('\n').count() + 1,
+        column: start - line_start + 1,
+        source,
     }
 }
--- /dev/null
+++ b/crates/scale/src/simulated/peers.rs
@@ -0,0 +1,126 @@
+//! Simulated dispatchers, as the real ones meet them: each sends gossip from an address of its own, and polls discovery. They
+//! have no clients and select no endpoints.
+
+use crate::simulated::discovery::FIRST_REVISION;
+use quartzhall::discovery::backoff::Backoff;
+use quartzhall::discovery::watch_state::WatchState;
+use quartzhall::gossip::Gossip;
+use quartzhall::routing::api::{LoadReport, Time};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg32;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpStream, UdpSocket};
+use tokio::time::{sleep, timeout, Instant};
+
+/// Between two batches of requests that a simulated dispatcher is taken to have served.
+const BATCH_INTERVAL: Duration = Duration::from_millis(500);
+/// The largest number of requests in flight in a load report; a report that high differs from what the others expect.
+const MAX_IN_FLIGHT: f64 = 60.0;
+/// Bytes that are read from discovery at once.
+const READ_CHUNK: usize = 16 * 1024;
+
+/// What all simulated dispatchers of a run share.
+#[derive(Clone)]
+pub struct SimulatedPeers {
+    /// Dispatchers of the fleet, as configured.
+    pub dispatchers: u32,
+    /// The cost of a full gossip message for each receiver and request.
+    pub gossip_cost: f64,
+    /// Requests per second of each.
+    pub rate: f64,
+    /// Keys of the replicas, by number.
+    pub replica_keys: Arc<Vec<u64>>,
+    /// Where the real dispatchers receive gossip.
+    pub real_dispatchers: Arc<Vec<SocketAddr>>,
+    /// Bytes that were sent to each real dispatcher.
+    pub sent_bytes: Arc<AtomicU64>,
+}
+
+fn unix_time() -> Time {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |elapsed| elapsed.as_micros() as Time)
+}
+
+/// Sends gossip to the real dispatchers as one dispatcher of this rate would, until the task is aborted. The program's own
+/// gossip budget limits the messages; their load reports are random.
+pub async fn send_gossip(peers: SimulatedPeers, socket: UdpSocket, seed: u64) {
+    let mut gossip = Gossip::new(peers.dispatchers as usize, peers.gossip_cost);
+    let mut rng = Pcg32::seed_from_u64(seed);
+    let requests_per_batch = (peers.rate * BATCH_INTERVAL.as_secs_f64()) as usize;
+    sleep(BATCH_INTERVAL.mul_f64(rng.gen())).await;
+    loop {
+        for _ in 0..requests_per_batch {
+            gossip.on_request();
+            let number = rng.gen_range(0..peers.replica_keys.len());
+            let load = LoadReport {
+                in_flight: Some(rng.gen_range(0.0..MAX_IN_FLIGHT)),
+                ..LoadReport::default()
+            };
+            let key = peers.replica_keys[number];
+            gossip.record_load(unix_time(), number as u32, key, &load);
+        }
+        if let Some(message) = gossip.next_message(unix_time()) {
+            peers
+                .sent_bytes
+                .fetch_add(message.len() as u64, Ordering::Relaxed);
+            for address in peers.real_dispatchers.iter() {
+                let _ = socket.send_to(&message, address).await;
+            }
+        }
+        sleep(BATCH_INTERVAL).await;
+    }
+}
+
+/// Polls discovery with the program's own watch and backoff until the task is aborted, and discards the lists. The simulated
+/// dispatcher has been running for long and knows the first list.
+pub async fn poll_discovery(address: String, dispatchers: u32, seed: u64) {
+    let mut watch = WatchState::starting_at(Some(FIRST_REVISION), false);
+    let mut backoff = Backoff::new(dispatchers, seed);
+    sleep(backoff.initial_delay()).await;
+    loop {
+        let poll = watch.next_poll();
+        let started = Instant::now();
+        let response = timeout(poll.patience, fetch_revision(&address, &poll.target)).await;
+        if let Ok(Some(revision)) = response {
+            backoff.reset();
+            watch.on_response(revision);
+        } else {
+            let max_backoff = watch.max_backoff(started.elapsed());
+            sleep(backoff.next_delay_within(max_backoff)).await;
+        }
+    }
+}
+
+/// Sends one poll, and returns the revision of the list in the response.
+async fn fetch_revision(address: &str, target: &str) -> Option<u64> {
+    let mut stream = TcpStream::connect(address).await.ok()?;
+    stream
+        .write_all(format!("GET {target} HTTP/1.1\r\nHost: scale\r\n\r\n").as_bytes())
+        .await
+        .ok()?;
+    let mut response = Vec::new();
+    let mut chunk = [0; READ_CHUNK];
+    loop {
+        let count = stream.read(&mut chunk).await.ok()?;
+        if count == 0 {
+            return None;
+        }
+        response.extend_from_slice(&chunk[..count]);
+        let text = String::from_utf8_lossy(&response);
+        let Some((head, body)) = text.split_once("\r\n\r\n") else {
+            continue;
+        };
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("Content-Length: ")?.parse::<usize>().ok())?;
+        if body.len() >= length {
+            let number = body.strip_prefix("{\"revision\":")?;
+            return number.split(',').next()?.parse().ok();
+        }
+    }
+}
--- /dev/null
+++ b/crates/scale/src/simulated/replica.rs
@@ -0,0 +1,419 @@
+//! Simulated replicas: prefill, decode, releases, probes and load reports, by a model of time only.
+//!
+//! Each [`Replica`] owns its load; what it observes for all replicas of a run is collected in [`ReplicaMetrics`].
+
+use crate::results::RuleViolations;
+use bytes::Bytes;
+use hdrhistogram::Histogram;
+use http_body_util::combinators::BoxBody;
+use http_body_util::{BodyExt, Full, StreamBody};
+use hyper::body::{Frame, Incoming};
+use hyper::header::{HeaderValue, CONTENT_TYPE};
+use hyper::service::service_fn;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use quartzhall::routing::api::Role;
+use std::collections::{HashMap, VecDeque};
+use std::convert::Infallible;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, sleep_until, Instant};
+
+/// Tokens per second that a prefill replica processes.
+const PREFILL_RATE: f64 = 40_000.0;
+/// Share of each prompt that is found in the prefix cache.
+const CACHED_SHARE: f64 = 0.5;
+/// From the start of a decode attempt to its first token.
+const FIRST_TOKEN_TIME: Duration = Duration::from_millis(15);
+/// Between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(200);
+const TOKENS_PER_EVENT: u32 = 8;
+/// Tokens that one byte of a body stands for: the bodies of the load are shorter than real ones.
+pub const TOKENS_PER_BYTE: f64 = 4.0;
+/// No attempt may arrive this long after the dispatcher was notified that the replica is draining.
+const DRAIN_GRACE: Duration = Duration::from_millis(300);
+/// A reserved KV cache has to be consumed or released within this.
+const RESERVATION_TTL: Duration = Duration::from_millis(1_300);
+/// Requests in flight at which a replica reports its KV memory as full.
+const IN_FLIGHT_AT_FULL_MEMORY: f64 = 200.0;
+/// Approximate bytes of the heads of a probe and of its response.
+const PROBE_OVERHEAD_BYTES: u64 = 180;
+/// The header with the request's id.
+const TRACE_HEADER: &str = "x-trace-id";
+/// The path of reservations; the request's id follows.
+const LEASES_PATH: &str = "/kv/leases/";
+
+type Body = BoxBody<Bytes, Infallible>;
+type EventStream = std::pin::Pin<
+    Box<dyn futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync>,
+>;
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// What all replicas of a run observe together.
+pub struct ReplicaMetrics {
+    /// When the requests that no replica has seen yet were due, by id.
+    unseen_requests: Mutex<HashMap<String, Instant>>,
+    /// From when a request was due to its first arrival at a replica, in microseconds.
+    pub time_to_replica: Mutex<Histogram<u64>>,
+    /// From the notification of a drain to an attempt that was sent against it, in microseconds.
+    pub time_after_drain: Mutex<Histogram<u64>>,
+    /// When KV caches were reserved, by the request's id.
+    reservations: Mutex<HashMap<String, Instant>>,
+    sends_after_drain: AtomicU64,
+    slow_start_overloads: AtomicU64,
+    late_kv_releases: AtomicU64,
+    /// Bytes of probes and their responses.
+    pub probe_bytes: AtomicU64,
+    /// Connections that dispatchers have opened.
+    pub connections: AtomicU64,
+    /// Probes that were answered.
+    pub probes: AtomicU64,
+}
+
+impl ReplicaMetrics {
+    /// Creates empty metrics.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a histogram cannot be created.
+    pub fn new() -> Result<ReplicaMetrics, hdrhistogram::CreationError> {
+        Ok(ReplicaMetrics {
+            unseen_requests: Mutex::default(),
+            time_to_replica: Mutex::new(Histogram::new(3)?),
+            time_after_drain: Mutex::new(Histogram::new(3)?),
+            reservations: Mutex::default(),
+            sends_after_drain: AtomicU64::new(0),
+            slow_start_overloads: AtomicU64::new(0),
+            late_kv_releases: AtomicU64::new(0),
+            probe_bytes: AtomicU64::new(0),
+            connections: AtomicU64::new(0),
+            probes: AtomicU64::new(0),
+        })
+    }
+
+    /// A client is about to send a request.
+    pub fn expect_request(&self, id: &str, due: Instant) {
+        lock(&self.unseen_requests).insert(id.to_owned(), due);
+    }
+
+    /// A client is no longer waiting for the response to a request.
+    pub fn forget_request(&self, id: &str) {
+        lock(&self.unseen_requests).remove(id);
+    }
+
+    /// All violations so far, KV caches that are still reserved too long included.
+    pub fn violations(&self) -> RuleViolations {
+        let now = Instant::now();
+        let overdue = lock(&self.reservations)
+            .values()
+            .filter(|reserved_at| now - **reserved_at > RESERVATION_TTL)
+            .count() as u64;
+        RuleViolations {
+            sends_after_drain: self.sends_after_drain.load(Ordering::Relaxed),
+            slow_start_overloads: self.slow_start_overloads.load(Ordering::Relaxed),
+            late_kv_releases: overdue + self.late_kv_releases.load(Ordering::Relaxed),
+        }
+    }
+
+    /// Ends a reservation; false if there is none.
+    fn end_reservation(&self, id: &str) -> bool {
+        let Some(reserved_at) = lock(&self.reservations).remove(id) else {
+            return false;
+        };
+        if reserved_at.elapsed() > RESERVATION_TTL {
+            self.late_kv_releases.fetch_add(1, Ordering::Relaxed);
+        }
+        true
+    }
+}
+
+/// When the dispatcher that has sent a request (by its id) was notified that a replica is draining.
+pub type DrainNotifications = Arc<dyn Fn(&str, usize) -> Option<Instant> + Send + Sync>;
+
+/// What a replica in slow start can serve, by the settings of all dispatchers.
+#[derive(Clone, Copy, Debug)]
+pub struct SlowStartRule {
+    /// In this time ...
+    pub window: Duration,
+    /// ... the replica can take this many requests before it is overloaded.
+    pub max_requests: f64,
+    /// It is warm after this.
+    pub duration: Duration,
+}
+
+/// One simulated replica.
+pub struct Replica {
+    number: usize,
+    role: Role,
+    metrics: Arc<ReplicaMetrics>,
+    drain_notifications: DrainNotifications,
+    slow_start: SlowStartRule,
+    in_flight: AtomicU64,
+    busy_until: Mutex<Instant>,
+    started_at: Mutex<Option<Instant>>,
+    recent_arrivals: Mutex<VecDeque<Instant>>, // in slow start
+    is_overloaded: AtomicBool,
+}
+
+impl Replica {
+    /// Creates a replica that serves. `started_at`: it is in slow start since then.
+    pub fn new(
+        number: usize,
+        role: Role,
+        metrics: Arc<ReplicaMetrics>,
+        drain_notifications: DrainNotifications,
+        slow_start: SlowStartRule,
+        started_at: Option<Instant>,
+    ) -> Arc<Replica> {
+        Arc::new(Replica {
+            number,
+            role,
+            metrics,
+            drain_notifications,
+            slow_start,
+            in_flight: AtomicU64::new(0),
+            busy_until: Mutex::new(Instant::now()),
+            started_at: Mutex::new(started_at),
+            recent_arrivals: Mutex::default(),
+            is_overloaded: AtomicBool::new(false),
+        })
+    }
+
+    /// Begins a new slow start.
+    pub fn restart(&self) {
+        *lock(&self.started_at) = Some(Instant::now());
+        lock(&self.recent_arrivals).clear();
+        self.is_overloaded.store(false, Ordering::Relaxed);
+    }
+
+    /// Accepts connections until the task is aborted.
+    pub async fn serve(self: Arc<Self>, listener: TcpListener) {
+        while let Ok((stream, _)) = listener.accept().await {
+            self.metrics.connections.fetch_add(1, Ordering::Relaxed);
+            tokio::spawn(self.clone().serve_connection(stream));
+        }
+    }
+
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let service = service_fn(|request| {
+            let replica = self.clone();
+            async move { Ok::<_, Infallible>(replica.respond(request).await) }
+        });
+        let http = hyper::server::conn::http1::Builder::new();
+        let _ = http.serve_connection(TokioIo::new(stream), service).await;
+    }
+
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+        match (request.method(), request.uri().path()) {
+            (&Method::POST, "/v1/chat/completions") => self.execute(request).await,
+            (&Method::DELETE, path) if path.starts_with(LEASES_PATH) => {
+                self.metrics
+                    .end_reservation(path.trim_start_matches(LEASES_PATH));
+                text_response(StatusCode::NO_CONTENT, "")
+            }
+            (&Method::GET, "/status/load" | "/health") => self.respond_to_probe(),
+            _ => text_response(StatusCode::NOT_FOUND, ""),
+        }
+    }
+
+    fn respond_to_probe(&self) -> Response<Body> {
+        let report = self.load_report();
+        self.metrics.probes.fetch_add(1, Ordering::Relaxed);
+        self.metrics.probe_bytes.fetch_add(
+            report.len() as u64 + PROBE_OVERHEAD_BYTES,
+            Ordering::Relaxed,
+        );
+        text_response(StatusCode::OK, &report)
+    }
+
+    fn load_report(&self) -> String {
+        let in_flight = self.in_flight.load(Ordering::Relaxed);
+        let wait = lock(&self.busy_until).saturating_duration_since(Instant::now());
+        let queued_kilotokens = wait.as_secs_f64() * PREFILL_RATE / 1000.0;
+        let memory_share = (in_flight as f64 / IN_FLIGHT_AT_FULL_MEMORY).min(1.0);
+        format!("TEXT inflight={in_flight}, x0={memory_share:.3}, x1={queued_kilotokens:.2}")
+    }
+
+    async fn execute(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+        let id = request
+            .headers()
+            .get(TRACE_HEADER)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default()
+            .to_owned();
+        if let Some(due) = lock(&self.metrics.unseen_requests).remove(&id) {
+            let _ = lock(&self.metrics.time_to_replica).record(due.elapsed().as_micros() as u64);
+        }
+        self.check_drain(&id);
+        self.check_slow_start();
+        let Ok(body) = request.into_body().collect().await else {
+            return text_response(StatusCode::BAD_REQUEST, "");
+        };
+        let body = body.to_bytes();
+        let in_flight = InFlightGuard::new(self.clone());
+        if self.role == Role::Prefill {
+            return self.prefill(id, body.len(), in_flight).await;
+        }
+        if self.metrics.end_reservation(&id) {
+            return self.decode(&body, in_flight).await;
+        }
+        let mut response = text_response(StatusCode::GONE, "");
+        response
+            .headers_mut()
+            .insert("x-never-ran", HeaderValue::from_static("1"));
+        response
+    }
+
+    /// Records an attempt that was sent although the replica is draining.
+    fn check_drain(&self, id: &str) {
+        let Some(notified_at) = (self.drain_notifications)(id, self.number) else {
+            return;
+        };
+        let micros = notified_at.elapsed().as_micros() as u64;
+        let _ = lock(&self.metrics.time_after_drain).record(micros);
+        if notified_at.elapsed() > DRAIN_GRACE {
+            self.metrics
+                .sends_after_drain
+                .fetch_add(1, Ordering::Relaxed);
+        }
+    }
+
+    /// Records that all dispatchers together overload a replica in slow start.
+    fn check_slow_start(&self) {
+        let rule = &self.slow_start;
+        let is_warming_up =
+            lock(&self.started_at).is_some_and(|started_at| started_at.elapsed() < rule.duration);
+        if !is_warming_up {
+            return;
+        }
+        let now = Instant::now();
+        let mut arrivals = lock(&self.recent_arrivals);
+        arrivals.push_back(now);
+        while arrivals
+            .front()
+            .is_some_and(|arrival| now - *arrival > rule.window)
+        {
+            arrivals.pop_front();
+        }
+        // Two standard deviations of the number of random arrivals are tolerated.
+        let max_arrivals = rule.max_requests + 2.0 * rule.max_requests.sqrt() + 2.0;
+        if arrivals.len() as f64 > max_arrivals && !self.is_overloaded.swap(true, Ordering::Relaxed)
+        {
+            self.metrics
+                .slow_start_overloads
+                .fetch_add(1, Ordering::Relaxed);
+        }
+    }
+
+    async fn prefill(
+        &self,
+        id: String,
+        body_bytes: usize,
+        in_flight: InFlightGuard,
+    ) -> Response<Body> {
+        let tokens = body_bytes as f64 * TOKENS_PER_BYTE;
+        let cached_tokens = (tokens * CACHED_SHARE) as u64;
+        let duration = Duration::from_secs_f64((tokens - cached_tokens as f64) / PREFILL_RATE);
+        let end = {
+            let mut busy_until = lock(&self.busy_until);
+            *busy_until = (*busy_until).max(Instant::now()) + duration;
+            *busy_until
+        };
+        sleep_until(end).await;
+        lock(&self.metrics.reservations).insert(id, Instant::now());
+        drop(in_flight);
+        let text = format!(r#"{{"cached_tokens":{cached_tokens}}}"#);
+        let mut response = text_response(StatusCode::ACCEPTED, &text);
+        if let Ok(report) = HeaderValue::from_str(&self.load_report()) {
+            response
+                .headers_mut()
+                .insert("endpoint-load-metrics", report);
+        }
+        response
+    }
+
+    async fn decode(self: &Arc<Self>, body: &[u8], in_flight: InFlightGuard) -> Response<Body> {
+        let tokens = max_tokens_of(body);
+        sleep(FIRST_TOKEN_TIME).await;
+        let events = tokens.div_ceil(TOKENS_PER_EVENT).max(1);
+        let replica = self.clone();
+        let start = (0, in_flight);
+        let stream = futures_util::stream::unfold(start, move |(number, in_flight)| {
+            let replica = replica.clone();
+            async move {
+                if number > events {
+                    return None;
+                }
+                if number > 0 && number < events {
+                    sleep(EVENT_INTERVAL).await;
+                }
+                let data = if number < events {
+                    token_event(number)
+                } else {
+                    replica.final_events(tokens)
+                };
+                let frame = Ok::<_, Infallible>(Frame::data(data));
+                Some((frame, (number + 1, in_flight)))
+            }
+        });
+        let stream: EventStream = Box::pin(stream);
+        let mut response = Response::new(BodyExt::boxed(StreamBody::new(stream)));
+        response
+            .headers_mut()
+            .insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
+        response
+    }
+
+    /// The usage chunk, the load report and the end of a stream.
+    fn final_events(&self, tokens: u32) -> Bytes {
+        let usage = format!(
+            r#"{{"choices":[],"usage":{{"prompt_tokens":1,"completion_tokens":{tokens},"prompt_tokens_details":{{"cached_tokens":0}}}}}}"#
+        );
+        let report = self.load_report();
+        format!("data: {usage}\n\n: Endpoint-Load-Metrics: {report}\n\ndata: [DONE]\n\n").into()
+    }
+}
+
+fn token_event(number: u32) -> Bytes {
+    let data = format!(
+        r#"{{"choices":[{{"index":0,"delta":{{"content":"token {number} and some more of the answer"}},"finish_reason":null}}]}}"#
+    );
+    format!("data: {data}\n\n").into()
+}
+
+/// The number after `"max_tokens":` in a body.
+fn max_tokens_of(body: &[u8]) -> u32 {
+    let text = String::from_utf8_lossy(body);
+    let rest = text.split("\"max_tokens\":").nth(1).unwrap_or_default();
+    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
+    digits.parse().unwrap_or(1)
+}
+
+fn text_response(status: StatusCode, text: &str) -> Response<Body> {
+    let bytes = Bytes::copy_from_slice(text.as_bytes());
+    let mut response = Response::new(BodyExt::boxed(Full::new(bytes)));
+    *response.status_mut() = status;
+    response
+}
+
+/// Counts a request in flight at a replica until it is dropped.
+struct InFlightGuard(Arc<Replica>);
+
+impl InFlightGuard {
+    fn new(replica: Arc<Replica>) -> InFlightGuard {
+        replica.in_flight.fetch_add(1, Ordering::Relaxed);
+        InFlightGuard(replica)
+    }
+}
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
+    }
+}
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -1,62 +1,61 @@
-//! The cost of the module's steps against the size of the fleet.
+//! The cost of the routing module's steps against the size of the fleet.
 
-use crate::fleet::Shape;
-use crate::results::{Cost, StepCosts};
-use crate::world::{Options, Report, World, READ_RATE};
+use crate::fleet::FleetShape;
+use crate::results::{StepCost, StepCosts};
+use crate::simulation::{Simulation, SimulationOptions, SimulationResult, PREFILL_RATE};
 use std::time::Duration;
 
-/// Requests a second that the target's peak gives one dispatcher: 31,000 over 530.
+/// Requests per second that the target's peak gives one dispatcher: 31,000 over 530.
 pub const TARGET_RATE: f64 = 31_000.0 / 530.0;
 
-/// What one measurement of the steps is to do.
+/// What is measured.
 #[derive(Clone, Debug)]
-pub struct Measurement {
+pub struct StepMeasurement {
     /// Replicas of the fleet.
     pub replicas: usize,
-    /// Part of them that is cold.
-    pub cold: f64,
-    /// Dispatchers that the settings tell of.
+    /// Share of them that is warming up.
+    pub warming_up_share: f64,
+    /// Dispatchers of the fleet, as configured.
     pub dispatchers: u32,
     /// Draws fleet and traffic.
     pub seed: u64,
-    /// Requests that are played at most, ...
-    pub arrivals: usize,
+    /// Requests that are simulated at most, ...
+    pub max_arrivals: usize,
     /// ... and real time that is spent at most.
-    pub within: Duration,
+    pub max_duration: Duration,
 }
 
-/// Plays one router of the module at the target's rate, and gives what its steps cost.
-pub fn measure(measurement: &Measurement) -> StepCosts {
-    let shape = Shape {
-        cold: measurement.cold,
-        ..Shape::of(measurement.replicas)
-    };
-    let options = Options {
-        shape,
+/// Simulates one router at the target's rate, and returns the cost of its steps.
+pub fn measure(measurement: &StepMeasurement) -> StepCosts {
+    let options = SimulationOptions {
+        shape: FleetShape {
+            warming_up_share: measurement.warming_up_share,
+            ..FleetShape::with_replicas(measurement.replicas)
+        },
         routers: 1,
         dispatchers: measurement.dispatchers,
         rate: TARGET_RATE,
-        others: true,
-        read_rate: READ_RATE,
+        has_background_load: true,
+        prefill_rate: PREFILL_RATE,
         seed: measurement.seed,
-        arrivals: measurement.arrivals,
-        within: measurement.within,
+        max_arrivals: measurement.max_arrivals,
+        max_duration: measurement.max_duration,
     };
-    costs(measurement, World::new(options, |_| {}).run())
+    summarize(measurement, &Simulation::new(options, |_| {}).run())
 }
 
-fn costs(measurement: &Measurement, report: Report) -> StepCosts {
+fn summarize(measurement: &StepMeasurement, result: &SimulationResult) -> StepCosts {
+    let steps = result
+        .steps
+        .iter()
+        .map(|(step, histogram)| (step.name().to_owned(), StepCost::from_histogram(histogram)));
     StepCosts {
         replicas: measurement.replicas,
         dispatchers: measurement.dispatchers,
-        cold: measurement.cold,
+        warming_up_share: measurement.warming_up_share,
         seed: measurement.seed,
-        arrivals: report.arrivals,
-        finished: report.arrivals >= measurement.arrivals,
-        steps: report
-            .steps
-            .iter()
-            .map(|(step, it)| (step.name().to_owned(), Cost::of(it)))
-            .collect(),
+        arrivals: result.arrivals,
+        is_finished: result.arrivals >= measurement.max_arrivals,
+        steps: steps.collect(),
     }
 }
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -1,71 +1,138 @@
 //! The tables of `docs/CAPACITY.md`, written from the committed results.
 //!
-//! The page marks the place of each table with `<!-- table: NAME -->` and `<!-- end -->` on lines of their own; what
+//! The page marks the place of each table with `<!-- table: KIND FILE -->` and `<!-- end -->` on lines of their own; what
 //! stands between is replaced.
 
-use crate::results::{self, ChoiceWorth, MemoryUse, Run, ScaleRun, StepCosts};
-use crate::slope::Slope;
+use crate::power_law::PowerLaw;
+use crate::results::{
+    self, DispatcherUsage, MeasurementRun, MemoryUse, ResultsError, ScaleRunResult,
+    SelectionComparison, StepCosts,
+};
 use std::collections::{BTreeMap, BTreeSet};
+use std::error::Error;
+use std::fmt;
 use std::path::Path;
 
-const OPENS: &str = "<!-- table: ";
-const OPENED: &str = " -->";
-const ENDS: &str = "<!-- end -->";
+const MARKER_START: &str = "<!-- table: ";
+const MARKER_END: &str = " -->";
+const TABLE_END: &str = "<!-- end -->";
 
-/// The page with each table as the results in this folder have it; the error is one line.
-pub fn fill(page: &str, results: &Path) -> Result<String, String> {
+/// Why the tables could not be written.
+#[derive(Debug)]
+pub enum TableError {
+    /// A marker names no file of results.
+    NoFile(String),
+    /// A marker names a kind of table that does not exist.
+    UnknownKind(String),
+    /// A file of results cannot be read.
+    Results(ResultsError),
+    /// A table on a line of the page (counted from 1) could not be written.
+    Line {
+        /// The line of its marker.
+        number: usize,
+        /// What was wrong.
+        source: Box<TableError>,
+    },
+    /// The page's last table is not closed.
+    NotClosed,
+}
+
+impl fmt::Display for TableError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            TableError::NoFile(marker) => {
+                write!(formatter, "no file of results is named: {marker:?}")
+            }
+            TableError::UnknownKind(kind) => write!(formatter, "no such table: {kind:?}"),
+            TableError::Results(error) => error.fmt(formatter),
+            TableError::Line { number, source } => write!(formatter, "line {number}: {source}"),
+            TableError::NotClosed => formatter.write_str("the last table has no end"),
+        }
+    }
+}
+
+impl Error for TableError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            TableError::Results(error) => Some(error),
+            TableError::Line { source, .. } => Some(source.as_ref()),
+            TableError::NoFile(_) | TableError::UnknownKind(_) | TableError::NotClosed => None,
+        }
+    }
+}
+
+impl From<ResultsError> for TableError {
+    fn from(error: ResultsError) -> TableError {
+        TableError::Results(error)
+    }
+}
+
+/// The page with each table as the results in this folder give it.
+///
+/// # Errors
+///
+/// Fails if a table has no end, or its results cannot be read; the error is one line.
+pub fn fill(page: &str, results: &Path) -> Result<String, TableError> {
     let mut filled = String::new();
-    let mut skips = false;
-    for (number, line) in page.lines().enumerate() {
-        if line == ENDS {
-            skips = false;
+    let mut is_in_table = false;
+    for (index, line) in page.lines().enumerate() {
+        if line == TABLE_END {
+            is_in_table = false;
         }
-        if !skips {
+        if !is_in_table {
             filled.push_str(line);
             filled.push('\n');
         }
-        if let Some(name) = line
-            .strip_prefix(OPENS)
-            .and_then(|rest| rest.strip_suffix(OPENED))
-        {
-            let table =
-                table(name, results).map_err(|error| format!("line {}: {error}", number + 1))?;
+        if let Some(marker) = marker_of(line) {
+            let table = render_table(marker, results).map_err(|error| TableError::Line {
+                number: index + 1,
+                source: Box::new(error),
+            })?;
             filled.push_str(&table);
-            skips = true;
+            is_in_table = true;
         }
     }
-    if skips {
-        return Err("the last table has no end".into());
+    if is_in_table {
+        return Err(TableError::NotClosed);
     }
     Ok(filled)
 }
 
-fn table(name: &str, folder: &Path) -> Result<String, String> {
-    let (kind, file) = name
-        .split_once(' ')
-        .ok_or_else(|| format!("no file of results is named: {name:?}"))?;
+fn marker_of(line: &str) -> Option<&str> {
+    line.strip_prefix(MARKER_START)?.strip_suffix(MARKER_END)
+}
+
+fn render_table(marker: &str, folder: &Path) -> Result<String, TableError> {
+    let Some((kind, file)) = marker.split_once(' ') else {
+        return Err(TableError::NoFile(marker.to_owned()));
+    };
     let path = folder.join(format!("{file}.json"));
-    match kind {
-        "steps" => Ok(steps(&results::read::<Run<Vec<StepCosts>>>(&path)?)),
-        "choice" => Ok(choice(&results::read::<Run<Vec<ChoiceWorth>>>(&path)?)),
-        "runs" => Ok(runs(&results::read::<Run<Vec<ScaleRun>>>(&path)?)),
-        "budget" => Ok(budget(&results::read::<Run<Vec<ScaleRun>>>(&path)?)),
-        "carried" => Ok(carried(&results::read::<Run<Vec<ScaleRun>>>(&path)?)),
-        "memory" => Ok(memory(&results::read::<Run<Vec<MemoryUse>>>(&path)?)),
-        other => Err(format!("no such table: {other:?}")),
-    }
+    let table = match kind {
+        "steps" => render_steps(&results::read(&path)?),
+        "choice" => render_selection(&results::read(&path)?),
+        "runs" => render_runs(&results::read(&path)?),
+        "budget" => render_budget(&results::read(&path)?),
+        "carried" => render_extrapolation(&results::read(&path)?),
+        "memory" => render_memory(&results::read(&path)?),
+        other => return Err(TableError::UnknownKind(other.to_owned())),
+    };
+    Ok(table)
 }
 
 /// Where the figures come from, below each table.
-fn source<T>(run: &Run<T>) -> String {
+fn source_line<T>(run: &MeasurementRun<T>) -> String {
     format!(
         "\nMeasured by `quartzhall-scale {}` on commit {}, {} cores.\n",
         run.command, run.commit, run.cores
     )
 }
 
-/// The middle of several values, with the least and the most where they differ.
-fn spread(mut values: Vec<f64>) -> String {
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len().max(1) as f64
+}
+
+/// The median of several values, with the smallest and the largest if there are several.
+fn median_and_range(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let text = |value: f64| {
         if value < 100.0 {
@@ -74,227 +141,279 @@
             format!("{value:.0}")
         }
     };
-    let (Some(least), Some(most)) = (values.first(), values.last()) else {
+    let (Some(min), Some(max)) = (values.first(), values.last()) else {
         return "not run".into();
     };
-    let middle = text(values[values.len() / 2]);
+    let median = text(values[values.len() / 2]);
     if values.len() == 1 {
-        return middle;
+        return median;
+    }
+    format!("{median} ({} to {})", text(*min), text(*max))
+}
+
+/// The mean of several values, with its standard error if there are several.
+fn mean_and_error(values: &[f64], digits: usize) -> String {
+    let count = values.len() as f64;
+    let mean = values.iter().sum::<f64>() / count;
+    if values.len() < 2 {
+        return format!("{mean:.digits$}");
     }
-    format!("{middle} ({} to {})", text(*least), text(*most))
+    let squares = values
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>();
+    let error = (squares / (count - 1.0) / count).sqrt();
+    format!("{mean:.digits$} ± {error:.digits$}")
 }
 
 /// Medians and 99th percentiles of each step by the fleet's size, with the exponent of the medians.
-fn steps(run: &Run<Vec<StepCosts>>) -> String {
-    let sizes: BTreeSet<usize> = run.results.iter().map(|it| it.replicas).collect();
-    let names: BTreeSet<&String> = run.results.iter().flat_map(|it| it.steps.keys()).collect();
-    let mut text = String::from("| step, microseconds |");
-    sizes
+fn render_steps(run: &MeasurementRun<Vec<StepCosts>>) -> String {
+    let sizes: BTreeSet<usize> = run.results.iter().map(|costs| costs.replicas).collect();
+    let names: BTreeSet<&String> = run
+        .results
         .iter()
-        .for_each(|size| text.push_str(&format!(" {size} median | p99 |")));
+        .flat_map(|costs| costs.steps.keys())
+        .collect();
+    let mut text = String::from("| step, microseconds |");
+    for size in &sizes {
+        text.push_str(&format!(" {size} median | p99 |"));
+    }
     text.push_str(" exponent |\n| --- |");
-    sizes.iter().for_each(|_| text.push_str(" --- | --- |"));
+    text.push_str(&" --- | --- |".repeat(sizes.len()));
     text.push_str(" --- |\n");
     for name in names {
-        text.push_str(&format!("| {name} |"));
-        let mut points = Vec::new();
-        for size in &sizes {
-            let plays = run.results.iter().filter(|it| it.replicas == *size);
-            let costs: Vec<_> = plays.filter_map(|it| it.steps.get(name)).collect();
-            let medians = costs.iter().map(|it| it.median_us).collect();
-            let p99 = costs.iter().map(|it| it.p99_us).collect();
-            points.extend(costs.iter().map(|it| (*size as f64, it.median_us)));
-            text.push_str(&format!(" {} | {} |", spread(medians), spread(p99)));
-        }
-        match Slope::fit(&points) {
-            Some(slope) => {
-                text.push_str(&format!(" {:.2} ± {:.2} |\n", slope.exponent, slope.error))
-            }
-            None => text.push_str(" |\n"),
+        text.push_str(&render_step(run, name, &sizes));
+    }
+    let mut unfinished = BTreeMap::new();
+    for costs in &run.results {
+        if !costs.is_finished {
+            unfinished.insert(costs.replicas, costs.arrivals);
         }
     }
-    let cut: BTreeMap<usize, usize> = run
-        .results
-        .iter()
-        .filter(|it| !it.finished)
-        .map(|it| (it.replicas, it.arrivals))
-        .collect();
-    for (size, arrivals) in cut {
+    for (size, arrivals) in unfinished {
         text.push_str(&format!(
             "\nAt {size} replicas the time was up after {arrivals} requests.\n"
         ));
     }
-    text.push_str(&source(run));
+    text + &source_line(run)
+}
+
+fn render_step(
+    run: &MeasurementRun<Vec<StepCosts>>,
+    name: &str,
+    sizes: &BTreeSet<usize>,
+) -> String {
+    let mut text = format!("| {name} |");
+    let mut points = Vec::new();
+    for size in sizes {
+        let mut medians = Vec::new();
+        let mut p99 = Vec::new();
+        for costs in run.results.iter().filter(|costs| costs.replicas == *size) {
+            let Some(cost) = costs.steps.get(name) else {
+                continue;
+            };
+            medians.push(cost.median_us);
+            p99.push(cost.p99_us);
+            points.push((*size as f64, cost.median_us));
+        }
+        text.push_str(&format!(
+            " {} | {} |",
+            median_and_range(medians),
+            median_and_range(p99)
+        ));
+    }
+    match PowerLaw::fit(&points) {
+        Some(law) => text.push_str(&format!(
+            " {:.2} ± {:.2} |\n",
+            law.exponent, law.exponent_error
+        )),
+        None => text.push_str(" |\n"),
+    }
     text
 }
 
-/// Worth of both choices by size, and how often both did the same.
-fn choice(run: &Run<Vec<ChoiceWorth>>) -> String {
+/// Served weight of both kinds of selection by size, and how often both decided the same.
+fn render_selection(run: &MeasurementRun<Vec<SelectionComparison>>) -> String {
     let mut text = String::from(
         "| replicas | cold | plays | worth with candidates | with all looked at | given up | with all looked at | the same draw for draw |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    let kinds: BTreeSet<(usize, u64)> = run
-        .results
-        .iter()
-        .map(|it| (it.replicas, (it.cold * 100.0) as u64))
-        .collect();
-    for (replicas, cold) in kinds {
-        let of_kind =
-            |it: &&ChoiceWorth| it.replicas == replicas && (it.cold * 100.0) as u64 == cold;
-        let plays: Vec<&ChoiceWorth> = run.results.iter().filter(of_kind).collect();
-        let part =
-            |of: fn(&ChoiceWorth) -> f64| interval(plays.iter().map(|it| of(it)).collect(), 4);
-        let same = plays.iter().filter(|it| it.same).count();
+    let kind_of = |comparison: &SelectionComparison| {
+        (
+            comparison.replicas,
+            (comparison.warming_up_share * 100.0) as u64,
+        )
+    };
+    let kinds: BTreeSet<(usize, u64)> = run.results.iter().map(kind_of).collect();
+    for kind in kinds {
+        let comparisons: Vec<&SelectionComparison> = run
+            .results
+            .iter()
+            .filter(|comparison| kind_of(comparison) == kind)
+            .collect();
+        let column = |value: fn(&SelectionComparison) -> f64| {
+            let values: Vec<f64> = comparisons.iter().copied().map(value).collect();
+            mean_and_error(&values, 4)
+        };
+        let identical = comparisons
+            .iter()
+            .filter(|comparison| comparison.is_identical)
+            .count();
+        let (replicas, warming_up_percent) = kind;
         text.push_str(&format!(
-            "| {replicas} | {cold}% | {} | {} | {} | {} | {} | {same} |\n",
-            plays.len(),
-            part(|it| it.worth_candidates),
-            part(|it| it.worth_full),
-            part(|it| it.given_up_candidates as f64 / it.arrivals as f64),
-            part(|it| it.given_up_full as f64 / it.arrivals as f64),
+            "| {replicas} | {warming_up_percent}% | {} | {} | {} | {} | {} | {identical} |\n",
+            comparisons.len(),
+            column(|row| row.served_weight_share),
+            column(|row| row.served_weight_share_full),
+            column(|row| row.shed_or_failed as f64 / row.arrivals as f64),
+            column(|row| row.shed_or_failed_full as f64 / row.arrivals as f64),
         ));
     }
-    text + &source(run)
+    text + &source_line(run)
 }
 
-/// The mean of several values, with its standard error where there are several.
-fn interval(values: Vec<f64>, digits: usize) -> String {
-    let count = values.len() as f64;
-    let mean = values.iter().sum::<f64>() / count;
-    if values.len() < 2 {
-        return format!("{mean:.digits$}");
-    }
-    let square = values.iter().map(|it| (it - mean).powi(2)).sum::<f64>();
-    let error = (square / (count - 1.0) / count).sqrt();
-    format!("{mean:.digits$} ± {error:.digits$}")
-}
+/// One figure of a dispatcher's usage.
+type UsageFigure = fn(&DispatcherUsage) -> f64;
 
 /// What real dispatchers used, and what their clients got, by size.
-fn runs(run: &Run<Vec<ScaleRun>>) -> String {
+fn render_runs(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
     let mut text = String::from(
         "| replicas | seed | served | refused | lost | broken rules | core | MB | ready, s | to first token, ms: median | p99 | to a replica, ms: median | p99 | rig |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for it in &run.results {
-        let count = it.usage.len().max(1) as f64;
-        let mean = |of: Measure| it.usage.iter().map(of).sum::<f64>() / count;
-        let rules =
-            it.rules.sends_after_drain + it.rules.cold_falls + it.rules.states_held_too_long;
+    for result in &run.results {
+        let usage_mean = |figure: UsageFigure| {
+            let values: Vec<f64> = result.usage.iter().map(figure).collect();
+            mean(&values)
+        };
+        let bottleneck = if result.is_bench_limited {
+            "the bottleneck: no figure"
+        } else {
+            "not the bottleneck"
+        };
         text.push_str(&format!(
-            "| {} | {} | {} of {} | {} | {} | {rules} | {:.3} | {:.1} | {:.2} | {:.1} | {:.1} | {:.1} | {:.1} | {} |\n",
-            it.replicas,
-            it.seed,
-            it.answers.served,
-            it.answers.sent,
-            it.answers.refused,
-            it.answers.lost,
-            mean(|it| it.core),
-            mean(|it| it.resident_mb),
-            mean(|it| it.ready_s),
-            it.first_token.median_ms,
-            it.first_token.p99_ms,
-            it.to_replica.median_ms,
-            it.to_replica.p99_ms,
-            if it.rig_limited { "the bottleneck: no figure" } else { "not the bottleneck" },
+            "| {} | {} | {} of {} | {} | {} | {} | {:.3} | {:.1} | {:.2} | {:.1} | {:.1} | {:.1} | {:.1} | {bottleneck} |\n",
+            result.replicas,
+            result.seed,
+            result.responses.served,
+            result.responses.sent,
+            result.responses.shed,
+            result.responses.lost,
+            result.rules.total(),
+            usage_mean(|usage| usage.core_share),
+            usage_mean(|usage| usage.resident_mb),
+            usage_mean(|usage| usage.ready_s),
+            result.time_to_first_token.median_ms,
+            result.time_to_first_token.p99_ms,
+            result.time_to_replica.median_ms,
+            result.time_to_replica.p99_ms,
         ));
     }
-    text + &source(run)
+    text + &source_line(run)
 }
 
-/// The target's budget for control, and what a dispatcher used at the largest size that was run.
-fn budget(run: &Run<Vec<ScaleRun>>) -> String {
-    let largest = run.results.iter().map(|it| it.replicas).max().unwrap_or(0);
-    let plays: Vec<&ScaleRun> = run
-        .results
+fn largest_fleet(run: &MeasurementRun<Vec<ScaleRunResult>>) -> usize {
+    run.results
         .iter()
-        .filter(|it| it.replicas == largest)
-        .collect();
-    let mean = |of: Measure| {
-        let values: Vec<f64> = plays.iter().flat_map(|it| &it.usage).map(of).collect();
-        values.iter().sum::<f64>() / values.len().max(1) as f64
-    };
-    let verdict = |used: f64, most: f64| if used <= most { "within" } else { "over" };
+        .map(|result| result.replicas)
+        .max()
+        .unwrap_or(0)
+}
+
+/// One figure of all dispatchers in the runs whose number of replicas matches, with that number.
+fn usage_points(
+    run: &MeasurementRun<Vec<ScaleRunResult>>,
+    figure: UsageFigure,
+    matches: impl Fn(usize) -> bool,
+) -> Vec<(f64, f64)> {
+    let mut points = Vec::new();
+    for result in &run.results {
+        if matches(result.replicas) {
+            let values = result.usage.iter().map(figure);
+            points.extend(values.map(|value| (result.replicas as f64, value)));
+        }
+    }
+    points
+}
+
+fn mean_value(points: &[(f64, f64)]) -> f64 {
+    let values: Vec<f64> = points.iter().map(|(_, value)| *value).collect();
+    mean(&values)
+}
+
+/// The target's budget for control traffic, and what a dispatcher used at the largest size that was run.
+fn render_budget(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
+    let largest = largest_fleet(run);
+    let used = |figure: UsageFigure| mean_value(&usage_points(run, figure, |size| size == largest));
     let rows = [
         (
             "resident memory, all of it, MB",
-            mean(|it| it.resident_mb),
+            used(|usage| usage.resident_mb),
             256.0,
         ),
         (
             "lists, KB a second",
-            mean(|it| it.list_bytes_per_s) / 1000.0,
+            used(|usage| usage.list_bytes_per_s) / 1000.0,
             26.0,
         ),
         (
             "heard from other dispatchers, KB a second",
-            mean(|it| it.heard_bytes_per_s) / 1000.0,
+            used(|usage| usage.gossip_bytes_per_s) / 1000.0,
             26.0,
         ),
         (
             "lists and talk heard together, KB a second",
-            mean(|it| it.list_bytes_per_s + it.heard_bytes_per_s) / 1000.0,
+            used(|usage| usage.list_bytes_per_s + usage.gossip_bytes_per_s) / 1000.0,
             26.0,
         ),
         (
             "processor, requests and streams included, parts of a core",
-            mean(|it| it.core),
+            used(|usage| usage.core_share),
             0.013,
         ),
     ];
     let mut text =
         format!("| at {largest} replicas | used | budget | |\n| --- | --- | --- | --- |\n");
-    for (name, used, most) in rows {
-        text.push_str(&format!(
-            "| {name} | {used:.3} | {most} | {} |\n",
-            verdict(used, most)
-        ));
+    for (name, used, budget) in rows {
+        let verdict = if used <= budget { "within" } else { "over" };
+        text.push_str(&format!("| {name} | {used:.3} | {budget} | {verdict} |\n"));
     }
-    text + &source(run)
+    text + &source_line(run)
 }
 
 /// Bytes that one more of each kind takes.
-fn memory(run: &Run<Vec<MemoryUse>>) -> String {
+fn render_memory(run: &MeasurementRun<Vec<MemoryUse>>) -> String {
     let mut text =
         String::from("| kind | count | bytes of resident memory for each |\n| --- | --- | --- |\n");
-    for it in &run.results {
+    for memory in &run.results {
         text.push_str(&format!(
             "| {} | {} | {:.0} |\n",
-            it.kind, it.count, it.bytes_each
+            memory.kind, memory.count, memory.bytes_each
         ));
     }
-    text + &source(run)
+    text + &source_line(run)
 }
 
-/// One figure of what a dispatcher used.
-type Measure = fn(&results::Usage) -> f64;
-
-/// What the smaller sizes say of the largest one, and what was measured there.
-fn carried(run: &Run<Vec<ScaleRun>>) -> String {
-    let largest = run.results.iter().map(|it| it.replicas).max().unwrap_or(0);
-    let rows: [(&str, Measure); 2] = [
-        ("processor, parts of a core", |it| it.core),
-        ("resident memory, MB", |it| it.resident_mb),
+/// What the smaller sizes predict for the largest one, and what was measured there.
+fn render_extrapolation(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
+    let largest = largest_fleet(run);
+    let rows: [(&str, UsageFigure); 2] = [
+        ("processor, parts of a core", |usage| usage.core_share),
+        ("resident memory, MB", |usage| usage.resident_mb),
     ];
     let mut text = format!(
         "| | exponent over smaller sizes | predicted at {largest} replicas | measured |\n| --- | --- | --- | --- |\n"
     );
-    for (name, of) in rows {
-        let points = |holds: fn(usize, usize) -> bool| -> Vec<(f64, f64)> {
-            let plays = run.results.iter().filter(|it| holds(it.replicas, largest));
-            plays
-                .flat_map(|it| it.usage.iter().map(|usage| (it.replicas as f64, of(usage))))
-                .collect()
-        };
-        let measured = points(|size, largest| size == largest);
-        let mean = measured.iter().map(|it| it.1).sum::<f64>() / measured.len().max(1) as f64;
-        let Some(slope) = Slope::fit(&points(|size, largest| size < largest)) else {
+    for (name, figure) in rows {
+        let measured = mean_value(&usage_points(run, figure, |size| size == largest));
+        let smaller = usage_points(run, figure, |size| size < largest);
+        let Some(law) = PowerLaw::fit(&smaller) else {
             continue;
         };
         text.push_str(&format!(
-            "| {name} | {:.2} ± {:.2} | {:.3} | {mean:.3} |\n",
-            slope.exponent,
-            slope.error,
-            slope.at(largest as f64)
+            "| {name} | {:.2} ± {:.2} | {:.3} | {measured:.3} |\n",
+            law.exponent,
+            law.exponent_error,
+            law.cost_at(largest as f64)
         ));
     }
-    text + &source(run)
+    text + &source_line(run)
 }
--- a/crates/scale/tests/decisions.rs
+++ b/crates/scale/tests/decisions.rs
@@ -1,29 +1,29 @@
-//! The decisions of the module in fleets of the size in service today, and how they grow beyond it.
+//! The routing module's decisions in fleets of the size in service today.
 
-use quartzhall_scale::fleet::Shape;
-use quartzhall_scale::world::{Options, Report, World, READ_RATE};
+use quartzhall_scale::fleet::FleetShape;
+use quartzhall_scale::simulation::{Simulation, SimulationOptions, SimulationResult, PREFILL_RATE};
 use std::time::Duration;
 
-fn play(shape: Shape, seed: u64, arrivals: usize) -> Report {
-    let options = Options {
+fn simulate(shape: FleetShape, seed: u64, max_arrivals: usize) -> SimulationResult {
+    let options = SimulationOptions {
         shape,
         routers: 2,
         dispatchers: 12,
         rate: 60.0,
-        others: true,
-        read_rate: READ_RATE,
+        has_background_load: true,
+        prefill_rate: PREFILL_RATE,
         seed,
-        arrivals,
-        within: Duration::from_secs(600),
+        max_arrivals,
+        max_duration: Duration::from_secs(600),
     };
-    World::new(options, |_| {}).run()
+    Simulation::new(options, |_| {}).run()
 }
 
-fn shapes() -> Vec<Shape> {
-    let shape = |replicas, zones, cold| Shape {
+fn shapes() -> Vec<FleetShape> {
+    let shape = |replicas, zones, warming_up_share| FleetShape {
         zones,
-        cold,
-        ..Shape::of(replicas)
+        warming_up_share,
+        ..FleetShape::with_replicas(replicas)
     };
     vec![
         shape(12, 1, 0.0),
@@ -33,7 +33,7 @@
     ]
 }
 
-/// All that the module did in these plays when it judged every server for every choice: draw for draw the same.
+/// The digests of these simulations when the module scored every endpoint for every selection.
 const DIGESTS: [u64; 4] = [
     8_361_958_994_946_791_718,
     11_216_637_254_983_268_111,
@@ -42,10 +42,10 @@
 ];
 
 #[test]
-fn decisions_in_small_fleets_are_those_of_full_choice() {
+fn decisions_in_small_fleets_equal_those_with_all_endpoints_scored() {
     let digests: Vec<u64> = shapes()
         .into_iter()
-        .map(|shape| play(shape, 7, 600).digest)
+        .map(|shape| simulate(shape, 7, 600).digest)
         .collect();
     assert_eq!(digests, DIGESTS);
 }
--- a/crates/scale/tests/inputs.rs
+++ b/crates/scale/tests/inputs.rs
@@ -1,13 +1,13 @@
-//! Scenario files, slopes and tables: what is taken, and what is told of what is not.
+//! Scenario files, power laws and tables: what is accepted, and the errors for what is not.
 
-use quartzhall_scale::results::{self, Cost, Run, StepCosts};
+use quartzhall_scale::power_law::PowerLaw;
+use quartzhall_scale::results::{self, MeasurementRun, StepCost, StepCosts};
 use quartzhall_scale::scenario::{EventKind, Scenario};
-use quartzhall_scale::slope::Slope;
 use quartzhall_scale::table;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-const GOOD: &str = r#"name = "good"
+const VALID: &str = r#"name = "good"
 seconds = 5
 [fleet]
 replicas = 40
@@ -29,56 +29,53 @@
 "#;
 
 #[test]
-fn a_good_scenario_is_read() {
-    let scenario = Scenario::parse(GOOD).unwrap();
-    assert_eq!(
-        (scenario.fleet.replicas, scenario.dispatchers.hollow),
-        (40, 0)
-    );
+fn valid_scenario_is_parsed() {
+    let scenario = Scenario::parse(VALID).unwrap();
+    assert_eq!(scenario.fleet.replicas, 40);
+    assert_eq!(scenario.dispatchers.simulated, 0);
     assert_eq!(scenario.events[0].kind, EventKind::DrainZone);
 }
 
-/// A bad file gets one line with the place and the reason.
 #[test]
-fn bad_scenarios_get_one_line_with_the_place() {
+fn invalid_scenario_gives_one_line_with_place_and_reason() {
     let cases = [
-        (GOOD.replace("seconds = 5", "seconds = \"5\""), "2:11: "),
+        (VALID.replace("seconds = 5", "seconds = \"5\""), "2:11: "),
         (
-            GOOD.replace("zones = 2", "zonen = 2"),
+            VALID.replace("zones = 2", "zonen = 2"),
             "5:1: unknown field `zonen`",
         ),
         (
-            GOOD.replace("drain_zone", "flood"),
+            VALID.replace("drain_zone", "flood"),
             "18:8: unknown variant `flood`",
         ),
         (
-            GOOD.replace("readers = 0.25", "readers = 25.0"),
+            VALID.replace("readers = 0.25", "readers = 25.0"),
             "1:1: fleet.readers is a part from 0 to 1, not 25",
         ),
         (
-            GOOD.replace("prompt = [100, 200]", "prompt = [300, 200]"),
+            VALID.replace("prompt = [100, 200]", "prompt = [300, 200]"),
             "1:1: load.prompt",
         ),
         (
-            GOOD.replace("real = 1", "real = 0"),
+            VALID.replace("real = 1", "real = 0"),
             "1:1: dispatchers.real must be over 0",
         ),
     ];
-    for (text, wanted) in cases {
-        let error = Scenario::parse(&text).unwrap_err();
+    for (text, expected) in cases {
+        let error = Scenario::parse(&text).unwrap_err().to_string();
         assert!(
-            error.starts_with(wanted) && !error.contains('\n'),
-            "{error:?}, where {wanted:?} is wanted"
+            error.starts_with(expected) && !error.contains('\n'),
+            "{error:?}, expected {expected:?}"
         );
     }
 }
 
 #[test]
-fn all_scenarios_of_the_project_can_be_read() {
+fn all_committed_scenarios_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let files: Vec<PathBuf> = std::fs::read_dir(folder)
         .unwrap()
-        .map(|it| it.unwrap().path())
+        .map(|entry| entry.unwrap().path())
         .collect();
     assert!(files.len() >= 2);
     for file in files {
@@ -87,45 +84,45 @@
 }
 
 #[test]
-fn a_power_law_is_found_again() {
+fn fit_finds_the_power_law_of_its_points() {
     let points: Vec<(f64, f64)> = [100.0, 300.0, 1_000.0]
         .map(|size: f64| (size, 3.0 * size.powf(1.5)))
         .to_vec();
-    let slope = Slope::fit(&points).unwrap();
+    let law = PowerLaw::fit(&points).unwrap();
     assert!(
-        (slope.exponent - 1.5).abs() < 1e-9
-            && (slope.scale - 3.0).abs() < 1e-6
-            && slope.error < 1e-6
+        (law.exponent - 1.5).abs() < 1e-9
+            && (law.scale - 3.0).abs() < 1e-6
+            && law.exponent_error < 1e-6
     );
-    assert!((slope.at(11_000.0) / (3.0 * 11_000_f64.powf(1.5)) - 1.0).abs() < 1e-6);
-    assert_eq!(Slope::fit(&points[..1]), None);
+    assert!((law.cost_at(11_000.0) / (3.0 * 11_000_f64.powf(1.5)) - 1.0).abs() < 1e-6);
+    assert_eq!(PowerLaw::fit(&points[..1]), None);
 }
 
-/// A folder that goes when the test does.
-struct Folder(PathBuf);
+/// A temporary folder, removed on drop.
+struct TemporaryFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The page's tables are the results', whatever stood there before; a page without the place of a table's end is told of.
 #[test]
-fn tables_are_written_from_results() {
-    let folder =
-        Folder(std::env::temp_dir().join(format!("quartzhall-scale-test-{}", std::process::id())));
+fn tables_are_replaced_from_results_and_broken_markers_fail() {
+    let folder = TemporaryFolder(
+        std::env::temp_dir().join(format!("quartzhall-scale-test-{}", std::process::id())),
+    );
     std::fs::create_dir_all(&folder.0).unwrap();
     let costs = |replicas, median_us| StepCosts {
         replicas,
         dispatchers: 530,
-        cold: 0.0,
+        warming_up_share: 0.0,
         seed: 1,
         arrivals: 10,
-        finished: true,
+        is_finished: true,
         steps: BTreeMap::from([(
             "arrival".to_owned(),
-            Cost {
+            StepCost {
                 count: 10,
                 median_us,
                 p99_us: 2.0 * median_us,
@@ -134,10 +131,10 @@
         )]),
     };
     let results = vec![costs(100, 50.0), costs(1_000, 500.0)];
-    let run = Run {
+    let run = MeasurementRun {
         command: "steps".into(),
         commit: "abc".into(),
-        at: 0,
+        ended_at: 0,
         cores: 2,
         results,
     };
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,30 +1,37 @@
-//! The deployment of a soak: what all dispatchers are told.
+//! The dispatchers' configuration in a soak, and the limits of it that the oracle checks.
 
 use std::time::Duration;
 
-/// A held state is taken or released within this, and what the protocol gives beside it.
+/// A reserved KV cache has to be consumed or released within this.
 pub const RELEASE_WITHIN: Duration = Duration::from_millis(600);
-/// Slack of the rule on what is held.
+/// Tolerance that the protocol grants on [`RELEASE_WITHIN`].
 pub const RELEASE_SLACK: Duration = Duration::from_millis(300);
-/// Nothing is sent to a server so long after it was told to drain, with the protocol's 50 ms.
+/// Nothing may be sent to a replica this long after it was reported as draining; includes the protocol's 50 ms.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// The longest time that clients wait for a first token; the settings' deadline.
-pub const LONGEST_DEADLINE: Duration = Duration::from_millis(4_000);
+/// The longest time that clients wait for a first token; the deadline in the settings.
+pub const MAX_DEADLINE: Duration = Duration::from_millis(4_000);
 /// The class whose requests may run any number of times.
-pub const SAFE_CLASS: &str = "chat";
+pub const IDEMPOTENT_CLASS: &str = "chat";
 /// The class whose requests must not run twice.
-pub const SINGLE_CLASS: &str = "order";
+pub const NON_IDEMPOTENT_CLASS: &str = "order";
 
-/// The configuration file of one dispatcher.
-pub fn text(number: usize, processes: usize, seed: u64, listen: &str, discovery: &str) -> String {
-    let (release, deadline) = (RELEASE_WITHIN.as_millis(), LONGEST_DEADLINE.as_millis());
+/// Writes the configuration file of one dispatcher.
+pub fn config_text(
+    number: usize,
+    processes: usize,
+    seed: u64,
+    listen: &str,
+    discovery: &str,
+) -> String {
+    let release = RELEASE_WITHIN.as_millis();
+    let deadline = MAX_DEADLINE.as_millis();
     format!(
         r#"{{"name":"p{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
  "limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},
  "settings":{{"balancers":{processes},"me":{number},"zone":"zone-0","dcs":["zone-0"],"tick":4.0,"over_share_worth":0.2,
  "classes":[
-  {{"name":"{SAFE_CLASS}","aim":1500.0,"deadline":{deadline}.0,"repeat":"free","group":"all","key_ttl":0.0,"worth":1.0}},
-  {{"name":"{SINGLE_CLASS}","aim":1500.0,"deadline":{deadline}.0,"repeat":"single_shot","group":"all","key_ttl":0.0,"worth":1.0}}],
+  {{"name":"{IDEMPOTENT_CLASS}","aim":1500.0,"deadline":{deadline}.0,"repeat":"free","group":"all","key_ttl":0.0,"worth":1.0}},
+  {{"name":"{NON_IDEMPOTENT_CLASS}","aim":1500.0,"deadline":{deadline}.0,"repeat":"single_shot","group":"all","key_ttl":0.0,"worth":1.0}}],
  "family_info":{{"role_by_kind":["read","write"],"tokens_by_kind":[600000,400000],"release_within":{release}.0,
   "token_aim":[60.0,60.0],"aim_us_per_1000_prompt_tokens":[20000.0,20000.0],"move_fee":0.01}},
  "limits":{{"most_tries":5,"cancel":true,"conn_idle":30000.0,"dial_timeout":250.0,"retry_after":true,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,16 +1,18 @@
 //! A randomized fault soak.
 //!
-//! [`run`] starts real dispatchers on loopback with stand-in [`server`]s, clients ([`client`]) and an agent of discovery for
-//! each, plays a seeded [`schedule`] of faults that overlap in time, and judges by the [`oracle`]: what clients and
-//! servers saw, with monotonic stamps, by request id. A seed plays the same faults and load again.
+//! [`run`] starts real dispatchers on loopback with simulated [`replica`]s, and clients ([`client`]) and a discovery agent
+//! for each dispatcher. It injects the seeded fault [`schedule`], whose faults overlap in time. The [`oracle`] checks what
+//! clients and replicas observed, by request id and with monotonic time stamps. A seed repeats the same faults and load.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod client;
 pub mod config;
+pub mod error;
 pub mod oracle;
+pub mod replica;
+mod request_history;
 pub mod run;
 pub mod schedule;
-pub mod server;
 pub mod wire;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,13 +1,19 @@
 //! The soak's command line.
 
 use clap::Parser;
-use quartzhall_soak::oracle::Breach;
-use quartzhall_soak::run::{play, Plan};
-use quartzhall_soak::schedule::Shape;
-use std::path::PathBuf;
+use quartzhall_soak::error::SoakError;
+use quartzhall_soak::oracle::Violation;
+use quartzhall_soak::run::{run, RunPlan};
+use quartzhall_soak::schedule::SoakShape;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
+/// Log lines that are printed of each file for a violation.
+const MAX_LOG_LINES: usize = 20;
+/// The exit code if the bench could not be set up.
+const SETUP_FAILED: u8 = 2;
+
 /// Plays real dispatchers under faults that overlap in time, and judges by the protocol's rules.
 #[derive(Parser)]
 #[command(name = "quartzhall-soak", version)]
@@ -22,11 +28,11 @@
     #[arg(long, default_value_t = 12)]
     processes: usize,
     /// Servers that read.
-    #[arg(long, default_value_t = 5)]
-    readers: usize,
+    #[arg(long = "readers", value_name = "READERS", default_value_t = 5)]
+    prefill_replicas: usize,
     /// Servers that write.
-    #[arg(long, default_value_t = 7)]
-    writers: usize,
+    #[arg(long = "writers", value_name = "WRITERS", default_value_t = 7)]
+    decode_replicas: usize,
     /// How long clients send, in seconds.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
@@ -41,68 +47,64 @@
     folder: PathBuf,
 }
 
-/// Prints a breach with the request's time line, and the lines of the logs that name it.
-fn print(seed: u64, breach: &Breach, folder: &std::path::Path) {
-    println!("seed {seed}: BROKEN {:?}, {}", breach.invariant, breach.id);
-    breach
-        .timeline
-        .iter()
-        .for_each(|line| println!("    {line}"));
-    let logs = folder
-        .read_dir()
-        .into_iter()
-        .flatten()
-        .flatten()
-        .map(|entry| entry.path());
-    for path in logs.filter(|path| path.extension().is_some_and(|it| it == "log")) {
-        let text = std::fs::read_to_string(&path).unwrap_or_default();
-        let name = path
-            .file_name()
-            .unwrap_or_default()
-            .to_string_lossy()
-            .into_owned();
-        let lines = text
-            .lines()
-            .filter(|line| line.contains(&breach.id))
-            .take(20);
-        lines.for_each(|line| println!("    log of {name}: {line}"));
+/// Prints a violation with the request's time line, and the log lines that contain its id.
+fn print_violation(seed: u64, violation: &Violation, folder: &Path) {
+    let invariant = violation.invariant.name();
+    println!("seed {seed}: BROKEN {invariant}, {}", violation.id);
+    for line in &violation.timeline {
+        println!("    {line}");
+    }
+    for entry in folder.read_dir().into_iter().flatten().flatten() {
+        let path = entry.path();
+        if path.extension().is_some_and(|extension| extension == "log") {
+            print_log_lines(&path, &violation.id);
+        }
     }
 }
 
-async fn soak(arguments: Arguments) -> Result<usize, String> {
-    let mut broken = 0;
+fn print_log_lines(path: &Path, id: &str) {
+    let text = std::fs::read_to_string(path).unwrap_or_default();
+    let name = path.file_name().unwrap_or_default().to_string_lossy();
+    let lines = text.lines().filter(|line| line.contains(id));
+    for line in lines.take(MAX_LOG_LINES) {
+        println!("    log of {name}: {line}");
+    }
+}
+
+/// Runs all seeds and returns the number of violations.
+async fn soak(arguments: Arguments) -> Result<usize, SoakError> {
+    let mut violations = 0;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
         let folder = arguments.folder.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(|error| error.to_string())?;
-        let shape = Shape {
-            processes: arguments.processes,
-            readers: arguments.readers,
-            servers: arguments.readers + arguments.writers,
-            span: Duration::from_secs(arguments.seconds),
-        };
-        let (program, rate) = (arguments.program.clone(), arguments.rate);
-        let played = play(Plan {
+        std::fs::create_dir_all(&folder).map_err(SoakError::CreateFolder)?;
+        let plan = RunPlan {
             seed,
-            shape,
-            rate,
-            program,
+            shape: SoakShape {
+                processes: arguments.processes,
+                prefill_replicas: arguments.prefill_replicas,
+                replicas: arguments.prefill_replicas + arguments.decode_replicas,
+                load_duration: Duration::from_secs(arguments.seconds),
+            },
+            rate: arguments.rate,
+            program: arguments.program.clone(),
             folder: folder.clone(),
-        })
-        .await?;
-        let (served, refused, failed) = played.counts;
+        };
+        let result = run(plan).await?;
         println!(
-            "seed {seed}: {} faults, {served} served, {refused} refused, {failed} failed, {} breaches",
-            played.faults,
-            played.breaches.len()
+            "seed {seed}: {} faults, {} served, {} refused, {} failed, {} breaches",
+            result.faults,
+            result.counts.served,
+            result.counts.shed,
+            result.counts.failed,
+            result.violations.len()
         );
-        played
-            .breaches
-            .iter()
-            .for_each(|breach| print(seed, breach, &folder));
-        broken += played.breaches.len();
+        for violation in &result.violations {
+            print_violation(seed, violation, &folder);
+        }
+        violations += result.violations.len();
     }
-    println!("soak: {} seeds, {broken} breaches", arguments.seeds);
-    Ok(broken)
+    println!("soak: {} seeds, {violations} breaches", arguments.seeds);
+    Ok(violations)
 }
 
 #[tokio::main]
@@ -112,7 +114,7 @@
         Ok(_) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("quartzhall-soak: {error}");
-            ExitCode::from(2)
+            ExitCode::from(SETUP_FAILED)
         }
     }
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,424 +1,421 @@
-//! The rules of the protocol as invariants over what clients and servers saw.
+//! The test oracle: the protocol's rules as invariants over what clients and replicas observe.
 //!
-//! All that happens to a request is told here in the order in which it is seen, with a monotonic stamp. A breach is kept with
-//! the request's whole time line.
+//! The [`Oracle`] owns the history of every request. Each observation is recorded in the order in which it is made, with a
+//! monotonic time stamp; a violated invariant is reported with the request's whole history.
 
 use crate::config::{DRAIN_GRACE, RELEASE_SLACK, RELEASE_WITHIN};
+use crate::request_history::{Observation, RequestHistory};
+use quartzhall::routing::api::Role;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The rig's own delay, for which no dispatcher is blamed.
-pub const RIG_SLACK: Duration = Duration::from_millis(80);
-/// A final answer comes this long after the client's time at the latest.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// The time that a server is told may be over what the client has left by this.
-const TOLD_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may begin this long after its client has gone.
-const GONE_SLACK: Duration = Duration::from_millis(100);
+/// Delay of the test bench itself, for which no dispatcher is blamed.
+pub const BENCH_SLACK: Duration = Duration::from_millis(80);
+/// A final response comes this long after the client's deadline at the latest.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// The time left that is announced to a replica may exceed what the client has left by this.
+const ANNOUNCED_TIME_SLACK: Duration = Duration::from_millis(150);
+/// An attempt may start this long after its client has disconnected.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 
-/// The invariants, by name.
+/// The invariants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// What is held is taken or released in time.
-    HeldState,
-    /// Each request has a final answer in time.
-    FinalAnswer,
-    /// A request that was read is not closed without an answer.
-    Unanswered,
-    /// What must not run twice has no second attempt after one that may have run, and no refusal.
-    Duplicate,
-    /// Nothing is sent to a server that was told to drain.
-    Drain,
-    /// No attempt begins after the client has gone.
-    ClientGone,
-    /// A server is told no more time than the client has left.
-    ToldTime,
-    /// A broken stream has no good end.
-    StreamEnd,
-    /// A process ended by itself, or not as it was told to.
-    Process,
+    /// A reserved KV cache is consumed or released in time.
+    KvReservationReleased,
+    /// Each request gets a final response in time.
+    RespondedInTime,
+    /// A connection is not closed without a response to a request that was received.
+    NotClosedUnanswered,
+    /// A request that must not run twice gets no second decode attempt, and is not shed, after an attempt that may have run.
+    NotExecutedTwice,
+    /// Nothing is sent to a replica that was reported as draining.
+    NotSentToDraining,
+    /// No attempt starts after the client has disconnected.
+    NotSentAfterDisconnect,
+    /// A replica is not announced more time than the client has left.
+    TimeLeftNotExceeded,
+    /// An aborted stream does not end as if it were complete.
+    AbortedStreamIncomplete,
+    /// A process exits only when it is told to, and cleanly.
+    ProcessRuns,
 }
 
-/// A broken invariant.
+impl Invariant {
+    /// The name in the soak's output. It is the name of the program variant that breaks the rule, where there is one.
+    pub fn name(self) -> &'static str {
+        match self {
+            Invariant::KvReservationReleased => "HeldState",
+            Invariant::RespondedInTime => "FinalAnswer",
+            Invariant::NotClosedUnanswered => "Unanswered",
+            Invariant::NotExecutedTwice => "Duplicate",
+            Invariant::NotSentToDraining => "Drain",
+            Invariant::NotSentAfterDisconnect => "ClientGone",
+            Invariant::TimeLeftNotExceeded => "ToldTime",
+            Invariant::AbortedStreamIncomplete => "StreamEnd",
+            Invariant::ProcessRuns => "Process",
+        }
+    }
+}
+
+/// A violated invariant.
 #[derive(Clone, Debug)]
-pub struct Breach {
-    /// Which.
+pub struct Violation {
+    /// The invariant.
     pub invariant: Invariant,
     /// The request's id, or the process.
     pub id: String,
-    /// What was seen of it, oldest first.
+    /// What was observed of the request, oldest first, with seconds since the start of the run.
     pub timeline: Vec<String>,
 }
 
-/// How an attempt ended, as its server saw it.
+/// How an attempt ended, as its replica saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// The prompt was read, whether or not the answer arrived.
-    Read,
-    /// It was turned away, with proof that it never ran.
+pub enum AttemptOutcome {
+    /// Prefill finished, whether or not the response arrived.
+    Prefilled,
+    /// The replica rejected it, with proof that it never ran.
     NeverRan,
-    /// Its stream came to its end.
+    /// Its stream was completed.
     Streamed,
     /// It ended in any other way.
     Other,
 }
 
-#[derive(Default)]
-struct Trace {
-    process: usize,
-    single: bool,
-    sent: Option<Instant>,
-    wait: Duration,
-    gone: Option<Instant>,
-    answered: bool,
-    out: usize,
-    writes_out: usize,
-    unproven: usize, // writes that arrived and may have run
-    held: bool,
-    state_at: usize,
-    idle_since: Option<Instant>,
-    broke: bool,
-    resumed_at: Option<Instant>, // its process stood still up to then
-    timeline: Vec<(Instant, String)>,
+/// An attempt whose last byte was read by a running replica.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptArrival {
+    /// The replica's number.
+    pub replica: usize,
+    /// The replica's role.
+    pub role: Role,
+    /// The bench had stalled the replica or the connection, so that the arrival says nothing about when the attempt was sent.
+    pub is_delayed_by_bench: bool,
+    /// The time left that the attempt announces, in milliseconds.
+    pub time_left_ms: Option<u64>,
+    /// How long ago the dispatcher was notified that the replica is draining.
+    pub draining_for: Option<Duration>,
+}
+
+/// Requests by the kind of their response.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ResponseCounts {
+    /// Responses with status 200.
+    pub served: usize,
+    /// Responses with status 429 or 503.
+    pub shed: usize,
+    /// All other responses.
+    pub failed: usize,
 }
 
 #[derive(Default)]
-struct Ledger {
-    traces: HashMap<String, Trace>,
-    breaches: Vec<Breach>,
-    down: HashMap<usize, Instant>,
-    served: usize,
-    refused: usize,
-    failed: usize,
+struct OracleState {
+    requests: HashMap<String, RequestHistory>,
+    violations: Vec<Violation>,
+    killed_at: HashMap<usize, Instant>, // by process
+    counts: ResponseCounts,
 }
 
-/// Judges one play.
+/// Records what clients and replicas observe in one run, and checks it against the invariants.
 pub struct Oracle {
-    began: Instant,
-    ledger: Mutex<Ledger>,
+    started: Instant,
+    state: Mutex<OracleState>,
 }
 
-impl Trace {
-    fn note(&mut self, what: String) {
-        self.timeline.push((Instant::now(), what));
+impl OracleState {
+    /// Reports a violation, once for each invariant and request.
+    fn report(&mut self, started: Instant, invariant: Invariant, id: &str) {
+        let is_reported = self
+            .violations
+            .iter()
+            .any(|violation| violation.invariant == invariant && violation.id == id);
+        if is_reported {
+            return;
+        }
+        let mut timeline = Vec::new();
+        if let Some(request) = self.requests.get(id) {
+            for Observation { instant, text } in &request.timeline {
+                let seconds = (*instant - started).as_secs_f64();
+                timeline.push(format!("{seconds:.3} {text}"));
+            }
+        }
+        self.violations.push(Violation {
+            invariant,
+            id: id.to_owned(),
+            timeline,
+        });
     }
 
-    /// The clock of what is held runs while nothing is out.
-    fn settle(&mut self) {
-        self.idle_since = match (self.held && self.out == 0, self.idle_since) {
-            (true, None) => Some(Instant::now()),
-            (true, since) => since,
-            (false, _) => None,
-        };
+    fn requests_of(&mut self, process: usize) -> impl Iterator<Item = &mut RequestHistory> {
+        self.requests
+            .values_mut()
+            .filter(move |request| request.process == process)
     }
 }
 
-impl Ledger {
-    fn breach(&mut self, began: Instant, invariant: Invariant, id: &str) {
-        let timeline = self.traces.get(id).map(|trace| {
-            let line = |(at, what): &(Instant, String)| {
-                format!("{:.3} {what}", (*at - began).as_secs_f64())
-            };
-            trace.timeline.iter().map(line).collect()
-        });
-        let known = self
-            .breaches
-            .iter()
-            .any(|it| it.invariant == invariant && it.id == id);
-        if !known {
-            self.breaches.push(Breach {
-                invariant,
-                id: id.to_owned(),
-                timeline: timeline.unwrap_or_default(),
-            });
-        }
-    }
+fn is_shed(status: u16) -> bool {
+    status == 503 || status == 429
 }
 
 impl Oracle {
-    /// Knows nothing yet.
+    /// Creates an oracle that has observed nothing.
     pub fn new() -> Oracle {
         Oracle {
-            began: Instant::now(),
-            ledger: Mutex::default(),
+            started: Instant::now(),
+            state: Mutex::default(),
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, OracleState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with(&self, id: &str, act: impl FnOnce(&mut Trace) -> Option<Invariant>) {
-        let mut ledger = self.ledger();
-        let broken = act(ledger.traces.entry(id.to_owned()).or_default());
-        if let Some(invariant) = broken {
-            ledger.breach(self.began, invariant, id);
+    /// Updates a request's history, and reports the invariant that `update` finds violated.
+    fn update(&self, id: &str, update: impl FnOnce(&mut RequestHistory) -> Option<Invariant>) {
+        let mut state = self.state();
+        let violated = update(state.requests.entry(id.to_owned()).or_default());
+        if let Some(invariant) = violated {
+            state.report(self.started, invariant, id);
         }
     }
 
-    /// A client has sent the last byte of a request to a process.
-    pub fn sent(&self, id: &str, process: usize, single: bool, wait: Duration) {
-        self.with(id, |trace| {
-            (trace.process, trace.single, trace.wait) = (process, single, wait);
-            trace.sent = Some(Instant::now());
-            trace.note(format!(
-                "sent to p{process}, single shot: {single}, would wait {wait:?}"
+    /// A client has sent the last byte of a request to a process; it waits for `deadline`.
+    pub fn on_request_sent(
+        &self,
+        id: &str,
+        process: usize,
+        is_non_idempotent: bool,
+        deadline: Duration,
+    ) {
+        self.update(id, |request| {
+            request.process = process;
+            request.is_non_idempotent = is_non_idempotent;
+            request.deadline = deadline;
+            request.sent_at = Some(Instant::now());
+            request.observe(format!(
+                "sent to p{process}, non-idempotent: {is_non_idempotent}, deadline {deadline:?}"
             ));
             None
         });
     }
 
     /// The client has closed its connection.
-    pub fn client_gone(&self, id: &str) {
-        self.with(id, |trace| {
-            trace.gone = Some(Instant::now());
-            trace.note("client gone".into());
+    pub fn on_client_disconnected(&self, id: &str) {
+        self.update(id, |request| {
+            request.disconnected_at = Some(Instant::now());
+            request.observe("client disconnected".into());
             None
         });
     }
 
-    /// The client has its answer: the status of its head.
-    pub fn answered(&self, id: &str, status: u16) {
-        let refused = status == 503 || status == 429;
-        self.with(id, |trace| {
-            trace.answered = true;
-            trace.note(format!("answered {status}"));
-            (refused && trace.single && trace.unproven > 0).then_some(Invariant::Duplicate)
+    /// The client has received the head of a response with this status.
+    pub fn on_response(&self, id: &str, status: u16) {
+        let is_shed = is_shed(status);
+        self.update(id, |request| {
+            request.is_answered = true;
+            request.observe(format!("response {status}"));
+            let is_violated = is_shed && request.has_unproven_execution();
+            is_violated.then_some(Invariant::NotExecutedTwice)
         });
-        let mut ledger = self.ledger();
-        match status {
-            200 => ledger.served += 1,
-            _ if refused => ledger.refused += 1,
-            _ => ledger.failed += 1,
+        let counts = &mut self.state().counts;
+        if status == 200 {
+            counts.served += 1;
+        } else if is_shed {
+            counts.shed += 1;
+        } else {
+            counts.failed += 1;
         }
     }
 
-    /// The client's connection ended before any answer. `excused`: its process was killed.
-    pub fn closed_unanswered(&self, id: &str, excused: bool) {
-        self.with(id, |trace| {
-            trace.answered = true;
-            trace.note(format!("closed with no answer, excused: {excused}"));
-            (!excused).then_some(Invariant::Unanswered)
+    /// The client's connection ended before any response. `is_excused`: its process was killed.
+    pub fn on_closed_without_response(&self, id: &str, is_excused: bool) {
+        self.update(id, |request| {
+            request.is_answered = true;
+            request.observe(format!("closed without response, excused: {is_excused}"));
+            (!is_excused).then_some(Invariant::NotClosedUnanswered)
         });
     }
 
-    /// The client's stream is over: `whole` by its last chunk.
-    pub fn stream_over(&self, id: &str, whole: bool) {
-        self.with(id, |trace| {
-            trace.note(format!("stream over, whole: {whole}"));
-            (whole && trace.broke).then_some(Invariant::StreamEnd)
+    /// The client's stream has ended. `is_complete`: its last chunk has arrived.
+    pub fn on_stream_ended(&self, id: &str, is_complete: bool) {
+        self.update(id, |request| {
+            request.observe(format!("stream ended, complete: {is_complete}"));
+            let is_violated = is_complete && request.is_stream_aborted;
+            is_violated.then_some(Invariant::AbortedStreamIncomplete)
         });
     }
 
-    /// A server's stream was broken off.
-    pub fn stream_broken(&self, id: &str) {
-        self.with(id, |trace| {
-            trace.broke = true;
-            trace.note("server broke its stream".into());
+    /// A replica has aborted its stream.
+    pub fn on_stream_aborted(&self, id: &str) {
+        self.update(id, |request| {
+            request.is_stream_aborted = true;
+            request.observe("replica aborted its stream".into());
             None
         });
     }
 
-    /// An attempt's last byte was taken by a running server. `prompt`: it had not waited in the rig; `told`: the time that it
-    /// tells; `draining`: how long ago its process was told that the server drains.
-    pub fn arrived(
-        &self,
-        id: &str,
-        server: usize,
-        writes: bool,
-        prompt: bool,
-        told: Option<u64>,
-        draining: Option<Duration>,
-    ) {
-        self.with(id, |trace| {
+    /// A running replica has read the last byte of an attempt.
+    pub fn on_attempt_arrived(&self, id: &str, arrival: AttemptArrival) {
+        self.update(id, |request| {
             let now = Instant::now();
-            trace.note(format!(
-                "s{server} took an attempt, writes: {writes}, told {told:?} ms"
+            let AttemptArrival {
+                replica,
+                role,
+                time_left_ms,
+                ..
+            } = arrival;
+            request.observe(format!(
+                "r{replica} received a {role:?} attempt, announced {time_left_ms:?} ms"
             ));
-            let repeats = writes && trace.single && trace.unproven > 0;
-            trace.out += 1;
-            trace.writes_out += usize::from(writes);
-            trace.unproven += usize::from(writes);
-            trace.settle();
-            let left = trace
-                .sent
-                .map(|sent| (sent + trace.wait).saturating_duration_since(now));
-            let over = |told: u64| {
-                left.is_some_and(|left| Duration::from_millis(told) > left + TOLD_SLACK + RIG_SLACK)
-            };
-            let is_after = |gone: Instant| now.duration_since(gone) > GONE_SLACK + RIG_SLACK;
-            if repeats {
-                return Some(Invariant::Duplicate);
+            let is_repeated = role == Role::Decode && request.has_unproven_execution();
+            request.start_attempt(role);
+            if is_repeated {
+                return Some(Invariant::NotExecutedTwice);
             }
-            if prompt && trace.gone.is_some_and(is_after) {
-                return Some(Invariant::ClientGone);
+            if arrival.is_delayed_by_bench {
+                return None;
             }
-            if prompt && told.is_some_and(over) {
-                return Some(Invariant::ToldTime);
-            }
-            // What was told to a process that stood still is heard when it goes on.
-            let is_just_before = |at: Instant| now.duration_since(at) < DRAIN_GRACE;
-            let prompt = prompt && !trace.resumed_at.is_some_and(is_just_before);
-            let late = draining.is_some_and(|since| since > DRAIN_GRACE + RIG_SLACK);
-            (prompt && late).then_some(Invariant::Drain)
+            find_late_attempt(request, &arrival, now)
         });
     }
 
-    /// A server is about to say that an attempt never ran: from now on its dispatcher may know.
-    pub fn turned_away(&self, id: &str, server: usize, writes: bool) {
-        self.with(id, |trace| {
-            trace.note(format!("s{server} turns it away"));
-            trace.unproven = trace.unproven.saturating_sub(usize::from(writes));
+    /// A replica is about to report that an attempt never ran: from now on its dispatcher may know.
+    pub fn on_attempt_rejected(&self, id: &str, replica: usize, role: Role) {
+        self.update(id, |request| {
+            request.observe(format!("r{replica} rejects it"));
+            request.prove_never_ran(role);
             None
         });
     }
 
-    /// An attempt that had arrived is over, by the server's answer or by the end of its connection.
-    pub fn attempt_over(&self, id: &str, server: usize, writes: bool, outcome: Outcome) {
-        self.with(id, |trace| {
-            trace.note(format!("s{server}: attempt over, {outcome:?}"));
-            trace.out = trace.out.saturating_sub(1);
-            trace.writes_out = trace.writes_out.saturating_sub(usize::from(writes));
-            trace.settle();
+    /// An attempt that had arrived has ended, by the replica's response or by the end of its connection.
+    pub fn on_attempt_ended(&self, id: &str, replica: usize, role: Role, outcome: AttemptOutcome) {
+        self.update(id, |request| {
+            request.observe(format!("r{replica}: attempt ended, {outcome:?}"));
+            request.end_attempt(role);
             None
         });
     }
 
-    /// A reader has read a prompt to its end: from now on a state waits there, also before anybody hears of it.
-    pub fn state_made(&self, id: &str, server: usize) {
-        self.with(id, |trace| {
-            (trace.held, trace.state_at) = (true, server);
-            trace.note(format!("s{server}: a state waits"));
-            trace.settle();
+    /// A prefill replica has finished a prompt: from now on its KV cache is reserved, also before any dispatcher is notified.
+    pub fn on_kv_reserved(&self, id: &str, replica: usize) {
+        self.update(id, |request| {
+            request.is_kv_reserved = true;
+            request.kv_replica = replica;
+            request.observe(format!("r{replica}: KV cache reserved"));
+            request.update_idle_since();
             None
         });
     }
 
-    /// A writer has taken the state; false where there is none.
-    pub fn take_state(&self, id: &str, server: usize) -> bool {
-        let mut taken = false;
-        self.with(id, |trace| {
-            taken = std::mem::take(&mut trace.held);
-            trace.broke = false;
-            trace.note(format!("s{server}: state taken: {taken}"));
-            trace.settle();
+    /// A decode replica consumes the reserved KV cache; false if there is none.
+    pub fn consume_kv(&self, id: &str, replica: usize) -> bool {
+        let mut is_consumed = false;
+        self.update(id, |request| {
+            is_consumed = std::mem::take(&mut request.is_kv_reserved);
+            request.is_stream_aborted = false;
+            request.observe(format!("r{replica}: KV cache consumed: {is_consumed}"));
+            request.update_idle_since();
             None
         });
-        taken
+        is_consumed
     }
 
-    /// Whether a state waits for a writer.
-    pub fn is_held(&self, id: &str) -> bool {
-        self.ledger().traces.get(id).is_some_and(|trace| trace.held)
+    /// Whether a KV cache is reserved for a decode attempt.
+    pub fn is_kv_reserved(&self, id: &str) -> bool {
+        let state = self.state();
+        let request = state.requests.get(id);
+        request.is_some_and(|request| request.is_kv_reserved)
     }
 
-    /// A server has died, and what it held with it.
-    pub fn server_died(&self, server: usize) {
-        for trace in self
-            .ledger()
-            .traces
-            .values_mut()
-            .filter(|it| it.held && it.state_at == server)
-        {
-            trace.note(format!("s{server} died with the state"));
-            trace.held = false;
-            trace.settle();
+    /// A replica has crashed, and its KV caches are lost.
+    pub fn on_replica_killed(&self, replica: usize) {
+        for request in self.state().requests.values_mut() {
+            if request.is_kv_reserved && request.kv_replica == replica {
+                request.observe(format!("r{replica} crashed with the KV cache"));
+                request.is_kv_reserved = false;
+                request.update_idle_since();
+            }
         }
     }
 
-    /// A running server has read a release: what no attempt waits for is gone.
-    pub fn released(&self, id: &str, server: usize) {
-        self.with(id, |trace| {
-            trace.held &= trace.writes_out > 0;
-            trace.note(format!("s{server}: release read"));
-            trace.settle();
+    /// A running replica has read a release: the KV cache is freed unless a decode attempt is in flight.
+    pub fn on_release(&self, id: &str, replica: usize) {
+        self.update(id, |request| {
+            request.is_kv_reserved &= request.decodes_in_flight > 0;
+            request.observe(format!("r{replica}: release received"));
+            request.update_idle_since();
             None
         });
     }
 
-    /// A process was killed: what it held is freed, and its clients' requests are their own.
-    pub fn process_down(&self, process: usize) {
-        let mut ledger = self.ledger();
-        ledger.down.insert(process, Instant::now());
-        for trace in ledger
-            .traces
-            .values_mut()
-            .filter(|it| it.process == process)
-        {
-            trace.note("its process was killed".into());
-            (trace.held, trace.answered) = (false, true);
-            trace.settle();
+    /// A process was killed: its reservations are void, and nothing is owed to its clients.
+    pub fn on_process_killed(&self, process: usize) {
+        let mut state = self.state();
+        state.killed_at.insert(process, Instant::now());
+        for request in state.requests_of(process) {
+            request.observe("its process was killed".into());
+            request.is_kv_reserved = false;
+            request.is_answered = true;
+            request.update_idle_since();
         }
     }
 
-    /// Whether a process was killed since this moment.
-    pub fn was_down_since(&self, process: usize, since: Instant) -> bool {
-        self.ledger()
-            .down
-            .get(&process)
-            .is_some_and(|at| *at >= since)
+    /// Whether a process was killed at or after `since`.
+    pub fn was_killed_since(&self, process: usize, since: Instant) -> bool {
+        let state = self.state();
+        let killed_at = state.killed_at.get(&process);
+        killed_at.is_some_and(|killed_at| *killed_at >= since)
     }
 
-    /// A process was stopped and goes on: it owed nothing meanwhile.
-    pub fn process_stood_still(&self, process: usize, span: Duration) {
-        let mut ledger = self.ledger();
-        for trace in ledger
-            .traces
-            .values_mut()
-            .filter(|it| it.process == process)
-        {
-            trace.note(format!("its process stood still for {span:?}"));
-            trace.idle_since = trace.idle_since.map(|_| Instant::now());
-            trace.wait += span;
-            trace.resumed_at = Some(Instant::now());
-            trace.gone = trace.gone.map(|_| Instant::now());
+    /// A process is about to resume after a pause, during which it owed nothing.
+    pub fn on_process_resumed(&self, process: usize, pause: Duration) {
+        for request in self.state().requests_of(process) {
+            request.observe(format!("its process was paused for {pause:?}"));
+            request.extend_for_pause(pause);
         }
     }
 
-    /// A process did what it must not.
-    pub fn process_failed(&self, process: usize, what: String) {
-        let breach = Breach {
-            invariant: Invariant::Process,
+    /// A process exited by itself, failed to start, or did not shut down cleanly.
+    pub fn on_process_failed(&self, process: usize, reason: String) {
+        let violation = Violation {
+            invariant: Invariant::ProcessRuns,
             id: format!("p{process}"),
-            timeline: vec![what],
+            timeline: vec![reason],
         };
-        self.ledger().breaches.push(breach);
+        self.state().violations.push(violation);
     }
 
-    /// Looks for what should have happened by now. `stopped` are processes that stand still.
-    pub fn look(&self, stopped: &[usize]) {
-        let mut ledger = self.ledger();
-        let (now, mut broken) = (Instant::now(), Vec::new());
-        for (id, trace) in &ledger.traces {
-            if stopped.contains(&trace.process) {
+    /// Checks what should have happened by now. Requests of `paused` processes are not checked.
+    pub fn check_deadlines(&self, paused: &[usize]) {
+        let mut state = self.state();
+        let now = Instant::now();
+        let mut violated = Vec::new();
+        for (id, request) in &state.requests {
+            if paused.contains(&request.process) {
                 continue;
             }
-            let held_for = trace
-                .idle_since
-                .map_or(Duration::ZERO, |since| now.duration_since(since));
-            if held_for > RELEASE_WITHIN + RELEASE_SLACK + RIG_SLACK {
-                broken.push((Invariant::HeldState, id.clone()));
+            if request.kv_idle_time(now) > RELEASE_WITHIN + RELEASE_SLACK + BENCH_SLACK {
+                violated.push((Invariant::KvReservationReleased, id.clone()));
             }
-            let overdue = |sent: Instant| now > sent + trace.wait + ANSWER_SLACK + RIG_SLACK;
-            if !trace.answered && trace.gone.is_none() && trace.sent.is_some_and(overdue) {
-                broken.push((Invariant::FinalAnswer, id.clone()));
+            if request.is_overdue(now, RESPONSE_SLACK + BENCH_SLACK) {
+                violated.push((Invariant::RespondedInTime, id.clone()));
             }
         }
-        for (invariant, id) in broken {
-            ledger.breach(self.began, invariant, &id);
+        for (invariant, id) in violated {
+            state.report(self.started, invariant, &id);
         }
     }
 
-    /// All breaches so far.
-    pub fn breaches(&self) -> Vec<Breach> {
-        self.ledger().breaches.clone()
+    /// All violations so far.
+    pub fn violations(&self) -> Vec<Violation> {
+        self.state().violations.clone()
     }
 
-    /// Requests served, refused and failed.
-    pub fn counts(&self) -> (usize, usize, usize) {
-        let ledger = self.ledger();
-        (ledger.served, ledger.refused, ledger.failed)
+    /// Requests by the kind of their response.
+    pub fn counts(&self) -> ResponseCounts {
+        self.state().counts
     }
 }
 
@@ -427,3 +424,29 @@
         Oracle::new()
     }
 }
+
+/// The invariant that an attempt violates by arriving after it should no longer have been sent, or with too much time left.
+fn find_late_attempt(
+    request: &RequestHistory,
+    arrival: &AttemptArrival,
+    now: Instant,
+) -> Option<Invariant> {
+    if let Some(disconnected_at) = request.disconnected_at {
+        if now.duration_since(disconnected_at) > DISCONNECT_SLACK + BENCH_SLACK {
+            return Some(Invariant::NotSentAfterDisconnect);
+        }
+    }
+    if let (Some(announced_ms), Some(time_left)) = (arrival.time_left_ms, request.time_left(now)) {
+        if Duration::from_millis(announced_ms) > time_left + ANNOUNCED_TIME_SLACK + BENCH_SLACK {
+            return Some(Invariant::TimeLeftNotExceeded);
+        }
+    }
+    // A process that was paused reads the notification of the drain only after it resumes.
+    if let Some(resumed_at) = request.resumed_at {
+        if now.duration_since(resumed_at) < DRAIN_GRACE {
+            return None;
+        }
+    }
+    let draining_for = arrival.draining_for?;
+    (draining_for > DRAIN_GRACE + BENCH_SLACK).then_some(Invariant::NotSentToDraining)
+}
--- /dev/null
+++ b/crates/soak/src/run/faults.rs
@@ -0,0 +1,139 @@
+//! Injection of the scheduled faults into replicas, discovery and processes.
+
+use super::process::DispatcherProcess;
+use super::SoakRun;
+use crate::config::MAX_DEADLINE;
+use crate::schedule::{Fault, ScheduledFault};
+use quartzhall::routing::api::EndpointStatus;
+use rustix::process::Signal;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::time::{sleep, timeout};
+
+/// New connections are made for this long after SIGTERM.
+const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
+/// SIGKILL follows SIGTERM after this, by the longest deadline.
+const KILL_AFTER_TERM: Duration = Duration::from_millis(MAX_DEADLINE.as_millis() as u64 + 1_500);
+
+/// Sets a fault flag for some time.
+async fn set_for(flag: &AtomicBool, duration: Duration) {
+    flag.store(true, Ordering::Relaxed);
+    sleep(duration).await;
+    flag.store(false, Ordering::Relaxed);
+}
+
+impl SoakRun {
+    /// Injects a fault and waits until it is over.
+    pub(super) async fn inject(self: Arc<Self>, scheduled: ScheduledFault) {
+        let duration = scheduled.duration;
+        match scheduled.fault {
+            Fault::StallReplica(replica) => {
+                set_for(&self.replicas[replica].behavior.is_stalled, duration).await;
+            }
+            Fault::LoseResponses(replica) => {
+                set_for(&self.replicas[replica].behavior.loses_responses, duration).await;
+            }
+            Fault::ReturnErrors(replica) => {
+                set_for(&self.replicas[replica].behavior.returns_errors, duration).await;
+            }
+            Fault::RejectOverloaded(replica) => {
+                set_for(&self.replicas[replica].behavior.is_overloaded, duration).await;
+            }
+            Fault::AbortStreams(replica) => {
+                set_for(&self.replicas[replica].behavior.aborts_streams, duration).await;
+            }
+            Fault::KillReplica(replica) => {
+                self.oracle.on_replica_killed(replica);
+                set_for(&self.replicas[replica].behavior.is_dead, duration).await;
+            }
+            Fault::DrainReplica(replica) => {
+                self.publish_status(replica, EndpointStatus::Draining);
+                sleep(duration).await;
+                self.publish_status(replica, EndpointStatus::Ready);
+            }
+            Fault::SilenceConnections { process, replica } => {
+                self.replicas[replica].silence_connections(process);
+            }
+            Fault::ResetConnections { process, replica } => {
+                self.replicas[replica].reset_connections(process);
+            }
+            Fault::PauseProcess(process) => self.pause(&self.processes[process], duration).await,
+            Fault::KillProcess(process) => self.kill(&self.processes[process], duration).await,
+            Fault::TerminateProcess(process) => {
+                self.terminate(&self.processes[process], duration).await;
+            }
+            Fault::ReloadConfig(process) => self.processes[process].signal(Signal::HUP),
+            Fault::StopDiscovery(process) => {
+                let process = &self.processes[process];
+                process.stop_agent();
+                sleep(duration).await;
+                // An overlapping fault may have started the agent again.
+                process.stop_agent();
+                let _ = process.start_agent();
+            }
+        }
+    }
+
+    /// Has all discovery agents report a replica's status.
+    fn publish_status(&self, replica: usize, status: EndpointStatus) {
+        for process in &self.processes {
+            process
+                .discovery
+                .update(&[replica], |endpoint| endpoint.record.status = status);
+        }
+    }
+
+    async fn pause(&self, process: &DispatcherProcess, duration: Duration) {
+        if !process.accepts_requests() || process.mark_paused() {
+            return;
+        }
+        let started = Instant::now();
+        process.signal(Signal::STOP);
+        sleep(duration).await;
+        self.oracle
+            .on_process_resumed(process.number, started.elapsed());
+        process.signal(Signal::CONT);
+        process.mark_resumed();
+    }
+
+    async fn kill(&self, process: &DispatcherProcess, duration: Duration) {
+        if !process.claim_for_exit() {
+            return;
+        }
+        self.oracle.on_process_killed(process.number);
+        drop(process.take_dispatcher());
+        sleep(duration).await;
+        self.oracle.on_process_killed(process.number);
+        self.restart(process).await;
+    }
+
+    async fn terminate(&self, process: &DispatcherProcess, duration: Duration) {
+        if !process.accepts_requests() || process.is_paused() {
+            return;
+        }
+        process.signal(Signal::TERM);
+        sleep(CONNECT_TIME_AFTER_TERM).await;
+        if !process.claim_for_exit() {
+            return;
+        }
+        if let Some(dispatcher) = process.take_dispatcher() {
+            match timeout(KILL_AFTER_TERM, dispatcher.terminate()).await {
+                Ok(Ok(())) => {}
+                Ok(Err(error)) => self
+                    .oracle
+                    .on_process_failed(process.number, error.to_string()),
+                Err(_) => self.oracle.on_process_killed(process.number),
+            }
+        }
+        sleep(duration).await;
+        self.restart(process).await;
+    }
+
+    async fn restart(&self, process: &DispatcherProcess) {
+        if let Err(error) = self.start_process(process).await {
+            self.oracle
+                .on_process_failed(process.number, error.to_string());
+        }
+    }
+}
