--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,130 +1,148 @@
-//! The seeded time line of a play: which faults begin when, and for how long. They overlap.
+//! The seeded fault schedule of a run: which faults start when, and for how long. Faults overlap.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// One kind of trouble, and whom it meets.
+/// A fault and its victim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A server takes connections and bytes, and runs nothing.
-    StopServer(usize),
-    /// A server dies: its connections are reset and new ones refused until it is back.
-    KillServer(usize),
-    /// A server finishes its work and its answers do not arrive.
-    LoseAnswers(usize),
-    /// A server answers with errors.
-    ErrorAnswers(usize),
-    /// A server is full.
-    TurnAway(usize),
-    /// A server's streams break off.
-    BreakStreams(usize),
-    /// Discovery tells that a server drains, and later that it is back.
-    DrainServer(usize),
-    /// All open connections of a process to a server fall silent, for good.
+    /// A replica accepts connections and bytes, and executes nothing.
+    StallReplica(usize),
+    /// A replica crashes: its connections are reset, and new ones refused until it restarts.
+    KillReplica(usize),
+    /// A replica finishes its work, and its responses do not arrive.
+    LoseResponses(usize),
+    /// A replica responds with errors.
+    ReturnErrors(usize),
+    /// A replica is overloaded and rejects requests.
+    RejectOverloaded(usize),
+    /// The streams of a replica are aborted.
+    AbortStreams(usize),
+    /// Discovery reports a replica as draining, and later as ready again.
+    DrainReplica(usize),
+    /// All open connections of a process to a replica fall silent, for good.
     SilenceConnections {
         /// The process.
         process: usize,
-        /// The server.
-        server: usize,
+        /// The replica.
+        replica: usize,
     },
-    /// All open connections of a process to a server are reset.
+    /// All open connections of a process to a replica are reset.
     ResetConnections {
         /// The process.
         process: usize,
-        /// The server.
-        server: usize,
+        /// The replica.
+        replica: usize,
     },
-    /// A process stands still (SIGSTOP, then SIGCONT).
-    StopProcess(usize),
-    /// A process is killed and started again.
+    /// A process is paused (SIGSTOP, then SIGCONT).
+    PauseProcess(usize),
+    /// A process is killed (SIGKILL) and restarted.
     KillProcess(usize),
-    /// A process is told to end (SIGTERM) and started again.
-    EndProcess(usize),
-    /// A process reads its configuration again (SIGHUP).
-    Reload(usize),
-    /// A process's agent of discovery refuses all calls.
-    DiscoveryDown(usize),
+    /// A process is terminated (SIGTERM) and restarted.
+    TerminateProcess(usize),
+    /// A process reloads its configuration (SIGHUP).
+    ReloadConfig(usize),
+    /// The discovery agent of a process refuses connections.
+    StopDiscovery(usize),
 }
 
-/// A fault in its time.
+/// A fault with its start and its duration.
 #[derive(Clone, Copy, Debug)]
-pub struct Planned {
-    /// When it begins, from the start of the play.
-    pub at: Duration,
-    /// How long it lasts, where it lasts.
-    pub lasts: Duration,
-    /// What it is.
+pub struct ScheduledFault {
+    /// When it starts, from the start of the run.
+    pub starts_after: Duration,
+    /// How long it lasts; zero for a momentary fault.
+    pub duration: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What a play is made of.
+/// The size of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct SoakShape {
     /// Real dispatchers.
     pub processes: usize,
-    /// Servers that read; the others write.
-    pub readers: usize,
-    /// Servers.
-    pub servers: usize,
+    /// Replicas for prefill; the others decode.
+    pub prefill_replicas: usize,
+    /// All replicas.
+    pub replicas: usize,
     /// How long clients send.
-    pub span: Duration,
+    pub load_duration: Duration,
 }
 
-/// The first fault comes after this: all processes are ready and have connections.
-const FIRST: Duration = Duration::from_millis(1_000);
+/// The first fault starts after this, when all processes are ready and have connections.
+const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1_000);
 
-fn ms(rng: &mut Pcg32, least: u64, most: u64) -> Duration {
-    Duration::from_millis(rng.gen_range(least..=most))
+fn draw_duration(rng: &mut Pcg32, min_ms: u64, max_ms: u64) -> Duration {
+    Duration::from_millis(rng.gen_range(min_ms..=max_ms))
 }
 
-/// Draws the faults of a play, in the order in which they begin. At least two servers of each role go untouched by what takes
-/// a server out of service, so that there is always somebody who could answer.
-pub fn draw(shape: &Shape, rng: &mut Pcg32) -> Vec<Planned> {
-    let mut victims: Vec<usize> = (2..shape.readers)
-        .chain(shape.readers + 2..shape.servers)
+/// Draws the faults of a run, in the order in which they start. Faults that take a replica out of service leave at least two
+/// replicas of each role untouched, so that every request can be served.
+pub fn draw_schedule(shape: &SoakShape, rng: &mut Pcg32) -> Vec<ScheduledFault> {
+    let mut victims: Vec<usize> = (2..shape.prefill_replicas)
+        .chain(shape.prefill_replicas + 2..shape.replicas)
         .collect();
     victims.shuffle(rng);
-    let mut plan = Vec::new();
-    let mut at = FIRST;
-    while at < shape.span {
-        let (process, server) = (
-            rng.gen_range(0..shape.processes),
-            rng.gen_range(0..shape.servers),
-        );
+    let mut schedule = Vec::new();
+    let mut starts_after = FIRST_FAULT_AFTER;
+    while starts_after < shape.load_duration {
+        let process = rng.gen_range(0..shape.processes);
+        let replica = rng.gen_range(0..shape.replicas);
         let victim = victims.choose(rng).copied().unwrap_or(0);
-        let (fault, lasts) = match rng.gen_range(0..100) {
-            0..=15 => (Fault::StopServer(victim), ms(rng, 300, 4_000)),
-            16..=22 => (Fault::KillServer(victim), ms(rng, 200, 2_000)),
-            23..=30 => (Fault::LoseAnswers(victim), ms(rng, 200, 2_000)),
-            31..=35 => (Fault::ErrorAnswers(victim), ms(rng, 200, 1_000)),
-            36..=40 => (Fault::TurnAway(victim), ms(rng, 200, 1_000)),
-            41..=46 => (Fault::BreakStreams(victim), ms(rng, 200, 1_000)),
-            47..=54 => (Fault::DrainServer(victim), ms(rng, 1_000, 4_000)),
+        let (fault, duration) = match rng.gen_range(0..100) {
+            0..=15 => (Fault::StallReplica(victim), draw_duration(rng, 300, 4_000)),
+            16..=22 => (Fault::KillReplica(victim), draw_duration(rng, 200, 2_000)),
+            23..=30 => (Fault::LoseResponses(victim), draw_duration(rng, 200, 2_000)),
+            31..=35 => (Fault::ReturnErrors(victim), draw_duration(rng, 200, 1_000)),
+            36..=40 => (
+                Fault::RejectOverloaded(victim),
+                draw_duration(rng, 200, 1_000),
+            ),
+            41..=46 => (Fault::AbortStreams(victim), draw_duration(rng, 200, 1_000)),
+            47..=54 => (
+                Fault::DrainReplica(victim),
+                draw_duration(rng, 1_000, 4_000),
+            ),
             55..=66 => (
-                Fault::SilenceConnections { process, server },
+                Fault::SilenceConnections { process, replica },
                 Duration::ZERO,
             ),
-            67..=74 => (Fault::ResetConnections { process, server }, Duration::ZERO),
-            75..=81 => (Fault::StopProcess(process), ms(rng, 50, 700)),
-            82..=86 => (Fault::KillProcess(process), ms(rng, 100, 500)),
-            87..=91 => (Fault::EndProcess(process), ms(rng, 100, 500)),
-            92..=95 => (Fault::Reload(process), Duration::ZERO),
-            _ => (Fault::DiscoveryDown(process), ms(rng, 500, 4_000)),
+            67..=74 => (Fault::ResetConnections { process, replica }, Duration::ZERO),
+            75..=81 => (Fault::PauseProcess(process), draw_duration(rng, 50, 700)),
+            82..=86 => (Fault::KillProcess(process), draw_duration(rng, 100, 500)),
+            87..=91 => (
+                Fault::TerminateProcess(process),
+                draw_duration(rng, 100, 500),
+            ),
+            92..=95 => (Fault::ReloadConfig(process), Duration::ZERO),
+            _ => (
+                Fault::StopDiscovery(process),
+                draw_duration(rng, 500, 4_000),
+            ),
         };
-        plan.push(Planned { at, lasts, fault });
-        at += ms(rng, 20, 400);
+        schedule.push(ScheduledFault {
+            starts_after,
+            duration,
+            fault,
+        });
+        starts_after += draw_duration(rng, 20, 400);
     }
-    // Most writers fall silent together once, as when a rack loses its power.
-    let together = ms(rng, 2_000, (shape.span.as_millis() as u64).max(2_001));
-    for server in shape.readers + 2..shape.servers {
-        plan.push(Planned {
-            at: together,
-            lasts: ms(rng, 1_500, 4_000),
-            fault: Fault::StopServer(server),
+    // Most decode replicas fail together once, as if a rack lost power.
+    let rack_failure = draw_duration(
+        rng,
+        2_000,
+        (shape.load_duration.as_millis() as u64).max(2_001),
+    );
+    for replica in shape.prefill_replicas + 2..shape.replicas {
+        schedule.push(ScheduledFault {
+            starts_after: rack_failure,
+            duration: draw_duration(rng, 1_500, 4_000),
+            fault: Fault::StallReplica(replica),
         });
     }
-    plan.sort_by_key(|planned| planned.at);
-    plan
+    schedule.sort_by_key(|scheduled| scheduled.starts_after);
+    schedule
 }
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,21 +1,26 @@
-//! Messages on raw sockets, for clients and servers that misbehave.
+//! HTTP/1.1 messages on raw sockets, for clients and replicas that misbehave on purpose.
+//!
+//! The module holds no state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A message: its head's lines and its body.
+/// Pending connections of a listener.
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// An HTTP message: the lines of its head, and its body.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// The first line and the header's lines.
+    /// The start line and the header lines.
     pub lines: Vec<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// A header's value, by its name in lower case.
+    /// The value of the header `name`, compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.lines.iter().skip(1).find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -23,56 +28,70 @@
         })
     }
 
-    /// A word of the first line.
-    pub fn word(&self, at: usize) -> &str {
-        self.lines
-            .first()
-            .and_then(|line| line.split(' ').nth(at))
-            .unwrap_or_default()
+    /// Field `index` of the start line; empty if there is none.
+    pub fn start_line_field(&self, index: usize) -> &str {
+        let Some(line) = self.lines.first() else {
+            return "";
+        };
+        line.split(' ').nth(index).unwrap_or_default()
     }
 }
 
+/// The head of the first message in `bytes` as text, and the index at which its body starts; `None` if it is incomplete.
+pub fn split_head(bytes: &[u8]) -> Option<(String, usize)> {
+    let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
+    let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
+    Some((head, end + 4))
+}
+
 /// Reads a message with a stated length; `None` at the connection's end.
-pub async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
+pub async fn read_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
     loop {
-        if let Some(message) = take(buffer) {
+        if let Some(message) = take_message(buffer) {
             return Some(message);
         }
-        let mut some = [0; 8192];
-        let read = stream.read(&mut some).await.ok().filter(|read| *read > 0)?;
-        buffer.extend_from_slice(&some[..read]);
+        let mut chunk = [0; 8192];
+        let count = stream.read(&mut chunk).await.ok()?;
+        if count == 0 {
+            return None;
+        }
+        buffer.extend_from_slice(&chunk[..count]);
     }
 }
 
-/// Takes a whole message out of what was read.
-fn take(buffer: &mut Vec<u8>) -> Option<Message> {
-    let end = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n")?;
-    let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
+/// Removes the first complete message from the buffer.
+fn take_message(buffer: &mut Vec<u8>) -> Option<Message> {
+    let (head, body_start) = split_head(buffer)?;
     let mut message = Message {
         lines: head.lines().map(str::to_owned).collect(),
         body: Vec::new(),
     };
     let length = message
         .header("content-length")
-        .and_then(|it| it.parse().ok())
+        .and_then(|value| value.parse().ok())
         .unwrap_or(0);
-    if buffer.len() < end + 4 + length {
+    let end = body_start + length;
+    if buffer.len() < end {
         return None;
     }
-    message.body = buffer[end + 4..end + 4 + length].to_vec();
-    buffer.drain(..end + 4 + length);
+    message.body = buffer[body_start..end].to_vec();
+    buffer.drain(..end);
     Some(message)
 }
 
-/// Listens on an address of this machine, also where connections of before are still closing.
+/// Listens on a local address, also while earlier connections to it are still closing.
+///
+/// # Errors
+///
+/// Returns the system's error if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(1024)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Has a connection reset when it is dropped.
+/// Closes a connection with a reset (RST) instead of an orderly shutdown.
 pub fn reset(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -1,116 +1,144 @@
-//! The oracle by itself, and that a seed draws the same faults again.
+//! The oracle by itself, and the repeatability of the fault schedule.
 
-use quartzhall_soak::oracle::{Invariant, Oracle, Outcome};
-use quartzhall_soak::schedule::{draw, Shape};
+use quartzhall::routing::api::Role;
+use quartzhall_soak::oracle::{AttemptArrival, AttemptOutcome, Invariant, Oracle};
+use quartzhall_soak::schedule::{draw_schedule, SoakShape};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-const WAIT: Duration = Duration::from_secs(3);
+const DEADLINE: Duration = Duration::from_secs(3);
 
-fn broken(oracle: &Oracle) -> Vec<Invariant> {
+fn violated_invariants(oracle: &Oracle) -> Vec<Invariant> {
     oracle
-        .breaches()
+        .violations()
         .iter()
-        .map(|breach| breach.invariant)
+        .map(|violation| violation.invariant)
         .collect()
 }
 
-/// A single-shot request that a writer has taken; `proven`: that one says that it never ran.
-fn taken(proven: bool) -> Oracle {
-    let oracle = Oracle::new();
-    oracle.sent("a", 0, true, WAIT);
-    oracle.arrived("a", 7, true, true, Some(2_900), None);
-    if proven {
-        oracle.turned_away("a", 7, true);
+fn arrival(replica: usize, role: Role) -> AttemptArrival {
+    AttemptArrival {
+        replica,
+        role,
+        is_delayed_by_bench: false,
+        time_left_ms: None,
+        draining_for: None,
     }
-    oracle.attempt_over(
-        "a",
-        7,
-        true,
-        if proven {
-            Outcome::NeverRan
-        } else {
-            Outcome::Other
-        },
-    );
+}
+
+/// A non-idempotent request whose decode attempt has ended; `is_proven`: the replica reported that it never ran.
+fn oracle_after_decode(is_proven: bool) -> Oracle {
+    let oracle = Oracle::new();
+    oracle.on_request_sent("a", 0, true, DEADLINE);
+    let first = AttemptArrival {
+        time_left_ms: Some(2_900),
+        ..arrival(7, Role::Decode)
+    };
+    oracle.on_attempt_arrived("a", first);
+    let outcome = if is_proven {
+        oracle.on_attempt_rejected("a", 7, Role::Decode);
+        AttemptOutcome::NeverRan
+    } else {
+        AttemptOutcome::Other
+    };
+    oracle.on_attempt_ended("a", 7, Role::Decode, outcome);
     oracle
 }
 
 #[test]
-fn what_may_have_run_is_neither_written_again_nor_refused() {
-    for (proven, expected) in [(false, vec![Invariant::Duplicate]), (true, vec![])] {
-        let oracle = taken(proven);
-        oracle.arrived("a", 8, true, true, None, None);
-        assert_eq!(broken(&oracle), expected);
-        let oracle = taken(proven);
-        oracle.answered("a", 503);
-        assert_eq!(broken(&oracle), expected);
-        let oracle = taken(proven);
-        oracle.answered("a", 502);
-        assert_eq!(broken(&oracle), []);
+fn request_that_may_have_run_is_neither_decoded_again_nor_shed() {
+    for (is_proven, expected) in [(false, vec![Invariant::NotExecutedTwice]), (true, vec![])] {
+        let oracle = oracle_after_decode(is_proven);
+        oracle.on_attempt_arrived("a", arrival(8, Role::Decode));
+        assert_eq!(violated_invariants(&oracle), expected);
+        let oracle = oracle_after_decode(is_proven);
+        oracle.on_response("a", 503);
+        assert_eq!(violated_invariants(&oracle), expected);
+        let oracle = oracle_after_decode(is_proven);
+        oracle.on_response("a", 502);
+        assert_eq!(violated_invariants(&oracle), []);
     }
 }
 
 #[test]
-fn drains_told_times_and_broken_streams_are_judged_by_their_own_rules() {
+fn drains_announced_time_and_aborted_streams_violate_their_own_invariants() {
     let oracle = Oracle::new();
-    oracle.sent("a", 0, false, WAIT);
-    oracle.arrived(
-        "a",
-        1,
-        false,
-        true,
-        Some(3_100),
-        Some(Duration::from_millis(200)),
+    oracle.on_request_sent("a", 0, false, DEADLINE);
+    let within_slack = AttemptArrival {
+        time_left_ms: Some(3_100),
+        draining_for: Some(Duration::from_millis(200)),
+        ..arrival(1, Role::Prefill)
+    };
+    oracle.on_attempt_arrived("a", within_slack);
+    assert_eq!(
+        violated_invariants(&oracle),
+        [],
+        "all of it within the slack"
     );
-    assert_eq!(broken(&oracle), [], "all of it within the slack");
-    oracle.arrived("a", 1, false, true, None, Some(Duration::from_millis(900)));
-    oracle.arrived("a", 1, false, true, Some(4_000), None);
-    oracle.stream_broken("a");
-    oracle.stream_over("a", false);
-    assert_eq!(broken(&oracle), [Invariant::Drain, Invariant::ToldTime]);
-    oracle.stream_over("a", true);
-    assert_eq!(broken(&oracle).last(), Some(&Invariant::StreamEnd));
-    // What had waited in the rig is nobody's fault.
-    let oracle = Oracle::new();
-    oracle.sent("a", 0, false, WAIT);
-    oracle.arrived(
-        "a",
-        1,
-        false,
-        false,
-        Some(9_000),
-        Some(Duration::from_secs(9)),
+    let after_drain = AttemptArrival {
+        draining_for: Some(Duration::from_millis(900)),
+        ..arrival(1, Role::Prefill)
+    };
+    oracle.on_attempt_arrived("a", after_drain);
+    let with_too_much_time = AttemptArrival {
+        time_left_ms: Some(4_000),
+        ..arrival(1, Role::Prefill)
+    };
+    oracle.on_attempt_arrived("a", with_too_much_time);
+    oracle.on_stream_aborted("a");
+    oracle.on_stream_ended("a", false);
+    assert_eq!(
+        violated_invariants(&oracle),
+        [Invariant::NotSentToDraining, Invariant::TimeLeftNotExceeded]
+    );
+    oracle.on_stream_ended("a", true);
+    assert_eq!(
+        violated_invariants(&oracle).last(),
+        Some(&Invariant::AbortedStreamIncomplete)
     );
-    assert_eq!(broken(&oracle), []);
+    // The dispatcher is not blamed for a delay of the bench.
+    let oracle = Oracle::new();
+    oracle.on_request_sent("a", 0, false, DEADLINE);
+    let delayed = AttemptArrival {
+        is_delayed_by_bench: true,
+        time_left_ms: Some(9_000),
+        draining_for: Some(Duration::from_secs(9)),
+        ..arrival(1, Role::Prefill)
+    };
+    oracle.on_attempt_arrived("a", delayed);
+    assert_eq!(violated_invariants(&oracle), []);
 }
 
-/// A release lets go of what no write waits for.
 #[test]
-fn a_release_leaves_what_a_writer_waits_for() {
+fn release_keeps_kv_cache_while_a_decode_attempt_is_in_flight() {
     let oracle = Oracle::new();
-    oracle.sent("a", 0, false, WAIT);
-    oracle.arrived("a", 1, false, true, None, None);
-    oracle.state_made("a", 1);
-    oracle.attempt_over("a", 1, false, Outcome::Read);
-    oracle.arrived("a", 7, true, true, None, None);
-    oracle.released("a", 2);
-    assert!(oracle.is_held("a"));
-    oracle.attempt_over("a", 7, true, Outcome::Other);
-    oracle.released("a", 2);
-    assert!(!oracle.is_held("a"));
+    oracle.on_request_sent("a", 0, false, DEADLINE);
+    oracle.on_attempt_arrived("a", arrival(1, Role::Prefill));
+    oracle.on_kv_reserved("a", 1);
+    oracle.on_attempt_ended("a", 1, Role::Prefill, AttemptOutcome::Prefilled);
+    oracle.on_attempt_arrived("a", arrival(7, Role::Decode));
+    oracle.on_release("a", 2);
+    assert!(oracle.is_kv_reserved("a"));
+    oracle.on_attempt_ended("a", 7, Role::Decode, AttemptOutcome::Other);
+    oracle.on_release("a", 2);
+    assert!(!oracle.is_kv_reserved("a"));
 }
 
 #[test]
-fn a_seed_draws_the_same_faults_again() {
-    let shape = Shape {
+fn seed_repeats_the_fault_schedule() {
+    let shape = SoakShape {
         processes: 10,
-        readers: 5,
-        servers: 12,
-        span: Duration::from_secs(12),
+        prefill_replicas: 5,
+        replicas: 12,
+        load_duration: Duration::from_secs(12),
+    };
+    let schedule = |seed| {
+        format!(
+            "{:?}",
+            draw_schedule(&shape, &mut Pcg32::seed_from_u64(seed))
+        )
     };
-    let drawn = |seed| format!("{:?}", draw(&shape, &mut Pcg32::seed_from_u64(seed)));
-    assert_eq!(drawn(7), drawn(7));
-    assert_ne!(drawn(7), drawn(8));
+    assert_eq!(schedule(7), schedule(7));
+    assert_ne!(schedule(7), schedule(8));
 }
