--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -1,114 +1,122 @@
-//! What a recording tells of its nodes: how fast they read and write, and how long they let wait. Pure.
+//! The speed of recorded endpoints: how fast they prefill and decode, and how long requests wait. The module does no I/O.
 //!
-//! Only spans between two records of one dispatcher are used, so clocks of several dispatchers may disagree. What other
-//! dispatchers had at a node is not in the recording. Readers' figures are of attempts beside which this one had nothing
-//! else out at that node; writers always have, so theirs are as seen under the recorded load. The spread holds what
-//! others did.
+//! Only spans between two records of one dispatcher are used, so clocks of several dispatchers may differ. The load of other
+//! dispatchers at an endpoint is not in the recording. Prefill estimates use only attempts that were sent while this
+//! dispatcher had no other attempt in flight at the endpoint. Decode replicas always have some, so their estimates are those
+//! under the recorded load. The intervals contain the effect of other dispatchers.
 
-use crate::estimate::{figure, inverse, Figure, Part, Sample};
+use crate::estimate::{estimate, Estimate, Estimator, Sample};
 use quartzhall_recording::{Record, RecordedRole, RecordedStatus};
 use std::collections::{BTreeMap, HashMap};
 
-/// Attempts that may be open at once; a recording with more has lost their ends.
-const MOST_OPEN: usize = 100_000;
+/// Attempts that may be in flight at once; in a recording with more, the ends of attempts are missing.
+const MAX_IN_FLIGHT: usize = 100_000;
 
-/// What is known of the nodes of one role.
+/// What is known of the endpoints of one role.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Nodes {
+pub struct RoleCalibration {
     /// The role.
     pub role: RecordedRole,
-    /// How many there were.
-    pub nodes: usize,
+    /// Endpoints of this role.
+    pub endpoints: usize,
     /// Attempts that ended.
     pub attempts: usize,
-    /// The share of them that ended otherwise than well or by a cancel.
-    pub failed: f64,
-    /// Tokens a second: read by readers, written by writers.
-    pub tokens_per_s: Figure,
-    /// Seconds before that: at readers with nothing to read, at writers up to the first token, under the recorded load.
-    pub wait_s: Figure,
+    /// The share of them that neither succeeded nor were cancelled.
+    pub failed_share: f64,
+    /// Tokens per second, of prefill or of decode.
+    pub tokens_per_s: Estimate,
+    /// Seconds before that: for prefill with no tokens to process, for decode up to the first token under the recorded load.
+    pub wait_s: Estimate,
 }
 
-/// What a recording tells.
+/// What is known from a recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Calibration {
     /// By role.
-    pub roles: Vec<Nodes>,
-    /// Requests that came.
+    pub roles: Vec<RoleCalibration>,
+    /// Requests that arrived.
     pub requests: usize,
-    /// Records that are missing in it.
+    /// Records that the recorder dropped.
     pub dropped: u64,
     /// Attempts whose end is missing.
     pub unended: usize,
 }
 
+/// What was observed of one role.
 #[derive(Default)]
-struct Seen {
+struct RoleObservations {
     attempts: usize,
     failed: usize,
     rates: Vec<Sample>,
     waits: Vec<Sample>,
 }
 
-struct Open {
-    sent: u64,
-    node: u32,
-    alone: bool,
-    first: Option<u64>,
+/// An attempt in flight.
+struct Attempt {
+    sent_at: u64,
+    endpoint: u32,
+    /// No other attempt was in flight at the endpoint when it was sent.
+    was_alone: bool,
+    first_event_at: Option<u64>,
 }
 
-fn seconds(from: u64, to: u64) -> f64 {
-    to.saturating_sub(from) as f64 / 1e6
+/// The end of an attempt, as it is recorded.
+struct AttemptEnd {
+    at: u64,
+    status: RecordedStatus,
+    cached_tokens: u32,
+    completion_tokens: u32,
 }
 
-/// Reads figures out of the records. The seed settles the draws of their intervals.
-pub fn calibrate(records: impl Iterator<Item = Record>, seed: u64) -> Calibration {
-    let mut roles: HashMap<u32, RecordedRole> = HashMap::new();
-    let mut prompts: HashMap<u64, f64> = HashMap::new();
-    let mut open: BTreeMap<(u64, u32), Open> = BTreeMap::new();
-    let mut out: HashMap<u32, usize> = HashMap::new();
-    let mut seen = [Seen::default(), Seen::default(), Seen::default()];
-    let (mut requests, mut dropped, mut unended) = (0, 0, 0);
-    for record in records {
+/// What is collected over all records.
+#[derive(Default)]
+struct Observations {
+    roles: HashMap<u32, RecordedRole>,          // by endpoint
+    prompt_tokens: HashMap<u64, f64>,           // by request
+    in_flight: BTreeMap<(u64, u32), Attempt>,   // by request and attempt
+    in_flight_at_endpoint: HashMap<u32, usize>, // by endpoint
+    by_role: [RoleObservations; 3],             // in the order of `RecordedRole`
+    requests: usize,
+    dropped: u64,
+    unended: usize,
+}
+
+fn seconds(from_us: u64, to_us: u64) -> f64 {
+    to_us.saturating_sub(from_us) as f64 / 1e6
+}
+
+fn is_failure(status: RecordedStatus) -> bool {
+    !matches!(
+        status,
+        RecordedStatus::Served | RecordedStatus::PrefillDone | RecordedStatus::Cancelled
+    )
+}
+
+impl Observations {
+    fn add(&mut self, record: Record) {
         match record {
-            Record::Node { node, role, .. } => drop(roles.insert(node, role)),
+            Record::Node { node, role, .. } => {
+                self.roles.insert(node, role);
+            }
             Record::Arrival {
                 request, prompt, ..
             } => {
-                requests += 1;
-                prompts.insert(request, f64::from(prompt));
+                self.requests += 1;
+                self.prompt_tokens.insert(request, f64::from(prompt));
             }
             Record::Sent {
                 at,
                 request,
                 attempt,
                 node,
-            } => {
-                if open.len() >= MOST_OPEN {
-                    unended += open.len();
-                    open.clear();
-                    out.clear();
-                }
-                let there = out.entry(node).or_default();
-                let alone = *there == 0;
-                *there += 1;
-                open.insert(
-                    (request, attempt),
-                    Open {
-                        sent: at,
-                        node,
-                        alone,
-                        first: None,
-                    },
-                );
-            }
+            } => self.on_sent(at, (request, attempt), node),
             Record::First {
                 at,
                 request,
                 attempt,
             } => {
-                if let Some(open) = open.get_mut(&(request, attempt)) {
-                    open.first = Some(at);
+                if let Some(attempt) = self.in_flight.get_mut(&(request, attempt)) {
+                    attempt.first_event_at = Some(at);
                 }
             }
             Record::Ended {
@@ -119,86 +127,137 @@
                 kept,
                 written,
             } => {
-                let Some(ended) = open.remove(&(request, attempt)) else {
-                    continue;
-                };
-                out.entry(ended.node)
-                    .and_modify(|there| *there = there.saturating_sub(1));
-                let Some(role) = roles.get(&ended.node) else {
-                    continue;
-                };
-                let seen = &mut seen[*role as usize];
-                seen.attempts += 1;
-                seen.failed += usize::from(!matches!(
+                let end = AttemptEnd {
+                    at,
                     status,
-                    RecordedStatus::Served
-                        | RecordedStatus::PrefillDone
-                        | RecordedStatus::Cancelled
-                ));
-                let left = prompts
-                    .get(&request)
-                    .map(|prompt| (prompt - f64::from(kept)).max(0.0));
-                match (status, left, ended.first) {
-                    (RecordedStatus::PrefillDone, Some(left), _) if ended.alone => {
-                        let sample = Sample {
-                            at: ended.sent,
-                            x: left,
-                            y: seconds(ended.sent, at),
-                        };
-                        seen.rates.push(sample);
-                        seen.waits.push(sample);
-                    }
-                    (RecordedStatus::Served, _, Some(first)) => {
-                        if written > 0 {
-                            let y = seconds(first, at) / f64::from(written);
-                            seen.rates.push(Sample {
-                                at: ended.sent,
-                                x: 0.0,
-                                y,
-                            });
-                        }
-                        seen.waits.push(Sample {
-                            at: ended.sent,
-                            x: 0.0,
-                            y: seconds(ended.sent, first),
-                        });
-                    }
-                    _ => {}
-                }
+                    cached_tokens: kept,
+                    completion_tokens: written,
+                };
+                self.on_ended(request, attempt, &end);
+            }
+            Record::Final { request, .. } => {
+                self.prompt_tokens.remove(&request);
             }
-            Record::Final { request, .. } => drop(prompts.remove(&request)),
-            Record::Dropped { records } => dropped += records,
+            Record::Dropped { records } => self.dropped += records,
             Record::Start { .. } | Record::Name { .. } => {}
         }
     }
-    let of = |role: RecordedRole| {
-        let seen = &seen[role as usize];
-        // Readers' time grows with what is left to read; a writer's rate is told answer by answer.
-        let (rate, wait) = if role == RecordedRole::Prefill {
-            (Part::Slope, Part::Start)
+
+    fn on_sent(&mut self, at: u64, key: (u64, u32), endpoint: u32) {
+        if self.in_flight.len() >= MAX_IN_FLIGHT {
+            self.unended += self.in_flight.len();
+            self.in_flight.clear();
+            self.in_flight_at_endpoint.clear();
+        }
+        let at_endpoint = self.in_flight_at_endpoint.entry(endpoint).or_default();
+        let was_alone = *at_endpoint == 0;
+        *at_endpoint += 1;
+        let attempt = Attempt {
+            sent_at: at,
+            endpoint,
+            was_alone,
+            first_event_at: None,
+        };
+        self.in_flight.insert(key, attempt);
+    }
+
+    fn on_ended(&mut self, request: u64, attempt: u32, end: &AttemptEnd) {
+        let Some(attempt) = self.in_flight.remove(&(request, attempt)) else {
+            return;
+        };
+        if let Some(count) = self.in_flight_at_endpoint.get_mut(&attempt.endpoint) {
+            *count = count.saturating_sub(1);
+        }
+        let Some(role) = self.roles.get(&attempt.endpoint) else {
+            return;
+        };
+        let observations = &mut self.by_role[*role as usize];
+        observations.attempts += 1;
+        observations.failed += usize::from(is_failure(end.status));
+        match end.status {
+            RecordedStatus::PrefillDone if attempt.was_alone => {
+                if let Some(prompt_tokens) = self.prompt_tokens.get(&request) {
+                    observations.add_prefill(&attempt, end, *prompt_tokens);
+                }
+            }
+            RecordedStatus::Served => {
+                if let Some(first_event_at) = attempt.first_event_at {
+                    observations.add_decode(&attempt, end, first_event_at);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn calibrate_role(&self, role: RecordedRole, seed: u64) -> RoleCalibration {
+        let observations = &self.by_role[role as usize];
+        // The time of a prefill grows with the uncached tokens; the rate of decode is observed stream by stream.
+        let (rate_estimator, wait_estimator) = if role == RecordedRole::Prefill {
+            (Estimator::Slope, Estimator::Intercept)
         } else {
-            (Part::Mean, Part::Mean)
+            (Estimator::Mean, Estimator::Mean)
         };
-        Nodes {
+        RoleCalibration {
             role,
-            nodes: roles.values().filter(|it| **it == role).count(),
-            attempts: seen.attempts,
-            failed: seen.failed as f64 / seen.attempts.max(1) as f64,
-            tokens_per_s: inverse(figure(&seen.rates, rate, seed)),
-            wait_s: figure(&seen.waits, wait, seed),
+            endpoints: self.roles.values().filter(|other| **other == role).count(),
+            attempts: observations.attempts,
+            failed_share: observations.failed as f64 / observations.attempts.max(1) as f64,
+            tokens_per_s: estimate(&observations.rates, rate_estimator, seed).inverse(),
+            wait_s: estimate(&observations.waits, wait_estimator, seed),
+        }
+    }
+}
+
+impl RoleObservations {
+    /// Adds the time of a whole prefill against its uncached tokens.
+    fn add_prefill(&mut self, attempt: &Attempt, end: &AttemptEnd, prompt_tokens: f64) {
+        let sample = Sample {
+            at_us: attempt.sent_at,
+            size: (prompt_tokens - f64::from(end.cached_tokens)).max(0.0),
+            seconds: seconds(attempt.sent_at, end.at),
+        };
+        self.rates.push(sample);
+        self.waits.push(sample);
+    }
+
+    /// Adds the time to the first token, and the time per token after it.
+    fn add_decode(&mut self, attempt: &Attempt, end: &AttemptEnd, first_event_at: u64) {
+        let sample = |seconds| Sample {
+            at_us: attempt.sent_at,
+            size: 0.0,
+            seconds,
+        };
+        if end.completion_tokens > 0 {
+            let stream_seconds = seconds(first_event_at, end.at);
+            let per_token = stream_seconds / f64::from(end.completion_tokens);
+            self.rates.push(sample(per_token));
         }
-    };
-    let all = [
+        self.waits
+            .push(sample(seconds(attempt.sent_at, first_event_at)));
+    }
+}
+
+/// Estimates the speed of the endpoints from the records. The seed determines the resampling of the intervals.
+pub fn calibrate(records: impl Iterator<Item = Record>, seed: u64) -> Calibration {
+    let mut observations = Observations::default();
+    for record in records {
+        observations.add(record);
+    }
+    let mut roles = Vec::new();
+    for role in [
         RecordedRole::Prefill,
         RecordedRole::Decode,
         RecordedRole::Mixed,
-    ]
-    .map(of);
-    let roles = all.into_iter().filter(|nodes| nodes.nodes > 0).collect();
+    ] {
+        let calibration = observations.calibrate_role(role, seed);
+        if calibration.endpoints > 0 {
+            roles.push(calibration);
+        }
+    }
     Calibration {
         roles,
-        requests,
-        dropped,
-        unended: unended + open.len(),
+        requests: observations.requests,
+        dropped: observations.dropped,
+        unended: observations.unended + observations.in_flight.len(),
     }
 }
--- a/crates/calibration/src/compare.rs
+++ b/crates/calibration/src/compare.rs
@@ -1,163 +1,309 @@
-//! Two sets of runs, compared run by run. Pure.
+//! Comparison of two sets of runs, run by run. The module does no I/O.
 //!
-//! Runs are paired by scenario and seed, so that both met the same traffic and the same troubles. The unit is the pair: requests
-//! within a run are not independent. An interval covers what other seeds would bring, and nothing else: neither what the
-//! calibration left open nor what the model gets wrong.
+//! Runs are paired by scenario and seed, so that both met the same traffic and the same faults. The unit is the pair, because
+//! requests within a run are not independent. An interval covers what other seeds would change, and nothing else: neither the
+//! uncertainty of the calibration nor the errors of the model.
 
 use std::collections::BTreeMap;
+use std::error::Error;
+use std::fmt;
 
 /// A run, by its scenario and its seed.
-pub type Run = (String, u64);
+pub type RunKey = (String, u64);
 /// What was measured in each run, by the measure's name.
-pub type Results = BTreeMap<Run, BTreeMap<String, f64>>;
+pub type RunMeasures = BTreeMap<RunKey, BTreeMap<String, f64>>;
 
-/// Fewer pairs say nothing.
-pub const PAIRS: usize = 5;
+/// With fewer pairs in a scenario there is no comparison.
+pub const MIN_PAIRS: usize = 5;
 
-/// The difference of a measure, the second set's less the first's.
+/// Student's t at 97.5% by degrees of freedom.
+const STUDENT_T: [(usize, f64); 14] = [
+    (1, 12.706),
+    (2, 4.303),
+    (3, 3.182),
+    (4, 2.776),
+    (5, 2.571),
+    (6, 2.447),
+    (8, 2.306),
+    (10, 2.228),
+    (12, 2.179),
+    (15, 2.131),
+    (20, 2.086),
+    (30, 2.042),
+    (60, 2.000),
+    (120, 1.980),
+];
+
+/// The difference of a measure: the second set's value minus the first's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// The measure.
     pub measure: String,
     /// The scenario; `None`: over all of them.
     pub scenario: Option<String>,
-    /// Pairs.
+    /// The number of pairs.
     pub pairs: usize,
     /// The mean difference.
     pub mean: f64,
-    /// 95% of such comparisons hold the true one between this ...
+    /// The lower end of the 95% interval.
     pub low: f64,
-    /// ... and this.
+    /// The upper end of the 95% interval.
     pub high: f64,
 }
 
 impl Difference {
-    /// Whether the sets can be told apart by it.
+    /// Whether the sets differ significantly.
     pub fn is_distinct(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
 
-/// Student's t at 97.5% for so many degrees of freedom: from a table, and between its rows from the row before, which
-/// is the wider one.
-fn student(freedom: usize) -> f64 {
-    const TABLE: [(usize, f64); 14] = [
-        (1, 12.706),
-        (2, 4.303),
-        (3, 3.182),
-        (4, 2.776),
-        (5, 2.571),
-        (6, 2.447),
-        (8, 2.306),
-        (10, 2.228),
-        (12, 2.179),
-        (15, 2.131),
-        (20, 2.086),
-        (30, 2.042),
-        (60, 2.000),
-        (120, 1.980),
-    ];
-    TABLE
+/// Which of the two sets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RunSet {
+    /// The first one.
+    First,
+    /// The second one.
+    Second,
+}
+
+/// Why two sets cannot be compared.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CompareError {
+    /// A set has no run for a run of the other one.
+    MissingRun {
+        /// The set.
+        set: RunSet,
+        /// The run's scenario.
+        scenario: String,
+        /// The run's seed.
+        seed: u64,
+    },
+    /// A run has another number of measures in both sets.
+    DifferentMeasures {
+        /// The run's scenario.
+        scenario: String,
+        /// The run's seed.
+        seed: u64,
+    },
+    /// A measure is missing or not finite in a set.
+    NotFinite {
+        /// The measure.
+        measure: String,
+        /// The run's scenario.
+        scenario: String,
+        /// The run's seed.
+        seed: u64,
+    },
+    /// A scenario has fewer than [`MIN_PAIRS`] pairs.
+    TooFewPairs {
+        /// The measure.
+        measure: String,
+    },
+}
+
+impl fmt::Display for CompareError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CompareError::MissingRun {
+                set,
+                scenario,
+                seed,
+            } => {
+                let set = match set {
+                    RunSet::First => "first",
+                    RunSet::Second => "second",
+                };
+                write!(
+                    formatter,
+                    "the {set} set lacks scenario {scenario:?} with seed {seed}"
+                )
+            }
+            CompareError::DifferentMeasures { scenario, seed } => write!(
+                formatter,
+                "scenario {scenario:?} with seed {seed} was not measured alike"
+            ),
+            CompareError::NotFinite {
+                measure,
+                scenario,
+                seed,
+            } => write!(
+                formatter,
+                "{measure:?} of {scenario:?}, seed {seed}, is no number in both"
+            ),
+            CompareError::TooFewPairs { measure } => write!(
+                formatter,
+                "{measure:?}: fewer than {MIN_PAIRS} pairs in a scenario"
+            ),
+        }
+    }
+}
+
+impl Error for CompareError {}
+
+/// A mean with its 95% interval.
+struct Interval {
+    mean: f64,
+    low: f64,
+    high: f64,
+}
+
+impl Interval {
+    fn around(mean: f64, half_width: f64) -> Interval {
+        Interval {
+            mean,
+            low: mean - half_width,
+            high: mean + half_width,
+        }
+    }
+}
+
+/// Student's t at 97.5%. Between two rows of the table, the lower row gives the wider interval.
+fn student_t(degrees_of_freedom: usize) -> f64 {
+    for (row, t) in STUDENT_T.iter().rev() {
+        if *row <= degrees_of_freedom {
+            return *t;
+        }
+    }
+    f64::INFINITY
+}
+
+/// The mean and the sum of the squared deviations from it.
+fn mean_and_squares(differences: &[f64]) -> (f64, f64) {
+    let mean = differences.iter().sum::<f64>() / differences.len() as f64;
+    let squares = differences
         .iter()
-        .rev()
-        .find(|(row, _)| *row <= freedom)
-        .map_or(f64::INFINITY, |(_, t)| *t)
+        .map(|difference| (difference - mean) * (difference - mean))
+        .sum::<f64>();
+    (mean, squares)
 }
 
-/// The mean of these differences and its 95% interval.
-fn interval(differences: &[f64]) -> Option<(f64, f64, f64)> {
+/// The interval of one scenario; `None` with too few pairs.
+fn scenario_interval(differences: &[f64]) -> Option<Interval> {
     let count = differences.len();
-    if count < PAIRS {
+    if count < MIN_PAIRS {
         return None;
     }
-    let mean = differences.iter().sum::<f64>() / count as f64;
-    let square = differences
-        .iter()
-        .map(|it| (it - mean) * (it - mean))
-        .sum::<f64>();
-    let half = student(count - 1) * (square / (count - 1) as f64 / count as f64).sqrt();
-    Some((mean, mean - half, mean + half))
+    let (mean, squares) = mean_and_squares(differences);
+    let standard_error = (squares / (count - 1) as f64 / count as f64).sqrt();
+    Some(Interval::around(
+        mean,
+        student_t(count - 1) * standard_error,
+    ))
 }
 
-/// Over all scenarios, each counting alike whatever its number of pairs: the spread is that within scenarios.
-fn overall(by_scenario: &[Vec<f64>]) -> Option<(f64, f64, f64)> {
-    let (mut mean, mut variance, mut freedom) = (0.0, 0.0, 0);
+/// The interval over all scenarios, which have equal weights whatever their numbers of pairs. The variance is that within
+/// scenarios. `None` with too few pairs in any of them.
+fn overall_interval(by_scenario: &[&Vec<f64>]) -> Option<Interval> {
+    let mut mean = 0.0;
+    let mut variance = 0.0;
+    let mut degrees_of_freedom = 0;
     let scenarios = by_scenario.len() as f64;
     for differences in by_scenario {
         let count = differences.len();
-        if count < PAIRS {
+        if count < MIN_PAIRS {
             return None;
         }
-        let own = differences.iter().sum::<f64>() / count as f64;
-        let square = differences
-            .iter()
-            .map(|it| (it - own) * (it - own))
-            .sum::<f64>();
-        mean += own / scenarios;
-        variance += square / (count - 1) as f64 / count as f64 / (scenarios * scenarios);
-        freedom += count - 1;
+        let (scenario_mean, squares) = mean_and_squares(differences);
+        mean += scenario_mean / scenarios;
+        variance += squares / (count - 1) as f64 / count as f64 / (scenarios * scenarios);
+        degrees_of_freedom += count - 1;
+    }
+    if degrees_of_freedom == 0 {
+        return None;
     }
-    let half = student(freedom) * variance.sqrt();
-    (freedom > 0).then_some((mean, mean - half, mean + half))
+    let half_width = student_t(degrees_of_freedom) * variance.sqrt();
+    Some(Interval::around(mean, half_width))
 }
 
-/// Compares two sets; an error where they are not of the same runs.
-pub fn compare(first: &Results, second: &Results) -> Result<Vec<Difference>, String> {
-    if let Some((scenario, seed)) = first.keys().find(|run| !second.contains_key(*run)) {
-        return Err(format!(
-            "the second set lacks scenario {scenario:?} with seed {seed}"
-        ));
+fn check_runs(first: &RunMeasures, second: &RunMeasures) -> Result<(), CompareError> {
+    let missing = |set, key: &RunKey| CompareError::MissingRun {
+        set,
+        scenario: key.0.clone(),
+        seed: key.1,
+    };
+    if let Some(key) = first.keys().find(|key| !second.contains_key(*key)) {
+        return Err(missing(RunSet::Second, key));
     }
-    if let Some((scenario, seed)) = second.keys().find(|run| !first.contains_key(*run)) {
-        return Err(format!(
-            "the first set lacks scenario {scenario:?} with seed {seed}"
-        ));
+    if let Some(key) = second.keys().find(|key| !first.contains_key(*key)) {
+        return Err(missing(RunSet::First, key));
     }
-    let mut all: BTreeMap<&str, BTreeMap<&str, Vec<f64>>> = BTreeMap::new();
-    for ((scenario, seed), measures) in first {
-        let others = &second[&(scenario.clone(), *seed)];
-        if measures.len() != others.len() {
-            return Err(format!(
-                "scenario {scenario:?} with seed {seed} was not measured alike"
-            ));
+    Ok(())
+}
+
+/// The differences of all pairs, by measure and scenario.
+type Differences<'a> = BTreeMap<&'a str, BTreeMap<&'a str, Vec<f64>>>;
+
+fn pair_runs<'a>(
+    first: &'a RunMeasures,
+    second: &RunMeasures,
+) -> Result<Differences<'a>, CompareError> {
+    let mut differences = Differences::new();
+    for (key, first_measures) in first {
+        let (scenario, seed) = key;
+        let second_measures = &second[key];
+        if first_measures.len() != second_measures.len() {
+            return Err(CompareError::DifferentMeasures {
+                scenario: scenario.clone(),
+                seed: *seed,
+            });
         }
-        for (measure, value) in measures {
-            let other = others
-                .get(measure)
-                .filter(|it| it.is_finite() && value.is_finite());
-            let other = other.ok_or_else(|| {
-                format!("{measure:?} of {scenario:?}, seed {seed}, is no number in both")
-            })?;
-            all.entry(measure)
+        for (measure, first_value) in first_measures {
+            let second_value = match second_measures.get(measure) {
+                Some(value) if value.is_finite() && first_value.is_finite() => value,
+                _ => {
+                    return Err(CompareError::NotFinite {
+                        measure: measure.clone(),
+                        scenario: scenario.clone(),
+                        seed: *seed,
+                    })
+                }
+            };
+            differences
+                .entry(measure)
                 .or_default()
                 .entry(scenario)
                 .or_default()
-                .push(other - value);
+                .push(second_value - first_value);
         }
     }
-    let mut told = Vec::new();
-    for (measure, scenarios) in all {
-        let lists: Vec<Vec<f64>> = scenarios.values().cloned().collect();
-        let mut tell = |scenario: Option<&str>, pairs, found: Option<(f64, f64, f64)>| {
-            let (mean, low, high) = found
-                .ok_or_else(|| format!("{measure:?}: fewer than {PAIRS} pairs in a scenario"))?;
-            let (measure, scenario) = (measure.to_owned(), scenario.map(str::to_owned));
-            told.push(Difference {
-                measure,
-                scenario,
+    Ok(differences)
+}
+
+/// Compares two sets of runs: for each measure the difference over all scenarios, then that of each scenario.
+///
+/// # Errors
+///
+/// Fails if the sets have not the same runs and measures, or too few pairs.
+pub fn compare(first: &RunMeasures, second: &RunMeasures) -> Result<Vec<Difference>, CompareError> {
+    check_runs(first, second)?;
+    let mut comparison = Vec::new();
+    for (measure, by_scenario) in pair_runs(first, second)? {
+        let mut add = |scenario: Option<&str>, pairs: usize, interval: Option<Interval>| {
+            let Some(Interval { mean, low, high }) = interval else {
+                return Err(CompareError::TooFewPairs {
+                    measure: measure.to_owned(),
+                });
+            };
+            comparison.push(Difference {
+                measure: measure.to_owned(),
+                scenario: scenario.map(str::to_owned),
                 pairs,
                 mean,
                 low,
                 high,
             });
-            Ok::<(), String>(())
+            Ok(())
         };
-        tell(None, lists.iter().map(Vec::len).sum(), overall(&lists))?;
-        for (scenario, differences) in scenarios {
-            tell(Some(scenario), differences.len(), interval(&differences))?;
+        let all_scenarios: Vec<&Vec<f64>> = by_scenario.values().collect();
+        let all_pairs = all_scenarios.iter().map(|pairs| pairs.len()).sum();
+        add(None, all_pairs, overall_interval(&all_scenarios))?;
+        for (scenario, differences) in &by_scenario {
+            let interval = scenario_interval(differences);
+            add(Some(scenario), differences.len(), interval)?;
         }
     }
-    Ok(told)
+    Ok(comparison)
 }
 
 #[cfg(test)]
--- a/crates/calibration/src/estimate.rs
+++ b/crates/calibration/src/estimate.rs
@@ -1,154 +1,160 @@
-//! Figures with the spread that the data leave. Pure; draws come from a seed.
+//! Estimates with confidence intervals. The module does no I/O; random draws come from a seed.
 //!
-//! Samples that lie close together in time are not independent (they met the same queue), so what is resampled is
-//! whole blocks of time, never single samples.
+//! Samples that lie close together in time are not independent, because they met the same queue. So whole blocks of time are
+//! resampled, never single samples (block bootstrap).
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A block: samples that came within the same span.
+/// Samples within the same span of this many microseconds form a block.
 const BLOCK_US: u64 = 5_000_000;
-/// With fewer blocks, or fewer samples, nothing is said.
-pub const BLOCKS: usize = 8;
-/// See [`BLOCKS`].
-pub const SAMPLES: usize = 40;
-/// Resamplings.
-const DRAWS: usize = 400;
-/// The part of the resampled values that an interval leaves out on either side: 90% are within.
-const TAIL: f64 = 0.05;
+/// With fewer blocks there is no estimate.
+pub const MIN_BLOCKS: usize = 8;
+/// With fewer samples there is no estimate.
+pub const MIN_SAMPLES: usize = 40;
+/// The number of resamplings.
+const RESAMPLES: usize = 400;
+/// The share of resampled values outside the interval on either side: 90% are within.
+const TAIL_SHARE: f64 = 0.05;
+/// Sizes whose relative variance is lower count as equal.
+const MIN_RELATIVE_VARIANCE: f64 = 1e-9;
 
-/// One observation of a time that may grow with a size.
+/// One observation of a duration that may grow with a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// When, in microseconds.
-    pub at: u64,
+    /// When it was made, in microseconds.
+    pub at_us: u64,
     /// The size.
-    pub x: f64,
-    /// The time.
-    pub y: f64,
+    pub size: f64,
+    /// The duration, in seconds.
+    pub seconds: f64,
 }
 
-/// A figure.
+/// An estimated value.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Figure {
-    /// It was found.
+pub enum Estimate {
+    /// The data suffice.
     Known {
-        /// Its value.
+        /// The value.
         value: f64,
-        /// 90% of the values that blocks drawn anew give are between this ...
+        /// The lower end of the 90% interval.
         low: f64,
-        /// ... and this.
+        /// The upper end of the 90% interval.
         high: f64,
-        /// From so many samples.
+        /// The number of samples.
         samples: usize,
     },
-    /// The data don't say.
+    /// The data do not suffice, or all sizes are equal.
     Unknown {
-        /// There were so many samples ...
+        /// The number of samples.
         samples: usize,
-        /// ... in so many blocks of time; or they all had the same size.
+        /// The number of blocks.
         blocks: usize,
     },
 }
 
-/// What a fitted line is asked for.
+/// What is estimated from the samples.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// Time at size 0.
-    Start,
-    /// Time for each unit of size.
+pub enum Estimator {
+    /// The duration at size 0, by a fitted line.
+    Intercept,
+    /// The duration per unit of size, by a fitted line.
     Slope,
-    /// The mean of the times, whatever the size.
+    /// The mean duration, whatever the size.
     Mean,
 }
 
-/// The line of least squares through the samples; `None` where their sizes don't differ.
-fn line(samples: impl Iterator<Item = Sample> + Clone, part: Part) -> Option<f64> {
-    let count = samples.clone().count() as f64;
-    if count == 0.0 {
-        return None;
+impl Estimator {
+    /// Applies the estimator; `None` without samples, or if a line is to be fitted and all sizes are equal.
+    fn apply(self, samples: impl Iterator<Item = Sample> + Clone) -> Option<f64> {
+        let count = samples.clone().count() as f64;
+        if count == 0.0 {
+            return None;
+        }
+        let mean_size = samples.clone().map(|sample| sample.size).sum::<f64>() / count;
+        let mean_seconds = samples.clone().map(|sample| sample.seconds).sum::<f64>() / count;
+        if self == Estimator::Mean {
+            return Some(mean_seconds);
+        }
+        let variance = samples
+            .clone()
+            .map(|sample| (sample.size - mean_size) * (sample.size - mean_size))
+            .sum::<f64>();
+        let covariance = samples
+            .map(|sample| (sample.size - mean_size) * (sample.seconds - mean_seconds))
+            .sum::<f64>();
+        if variance <= MIN_RELATIVE_VARIANCE * (1.0 + mean_size * mean_size) * count {
+            return None;
+        }
+        let slope = covariance / variance;
+        if self == Estimator::Slope {
+            Some(slope)
+        } else {
+            Some(mean_seconds - slope * mean_size)
+        }
     }
-    let sum =
-        |of: fn(&Sample) -> f64| samples.clone().map(|sample| of(&sample)).sum::<f64>() / count;
-    let (x, y) = (sum(|it| it.x), sum(|it| it.y));
-    if part == Part::Mean {
-        return Some(y);
-    }
-    let across = samples
-        .clone()
-        .map(|it| (it.x - x) * (it.x - x))
-        .sum::<f64>();
-    let along = samples.map(|it| (it.x - x) * (it.y - y)).sum::<f64>();
-    if across <= 1e-9 * (1.0 + x * x) * count {
-        return None;
-    }
-    let slope = along / across;
-    Some(if part == Part::Slope {
-        slope
-    } else {
-        y - slope * x
-    })
 }
 
-/// A figure of the samples, with the interval that blocks drawn anew give. The seed settles the draws.
-pub fn figure(samples: &[Sample], part: Part, seed: u64) -> Figure {
+/// Estimates a value from samples, with the interval that resampled blocks give. The seed determines the resampling.
+pub fn estimate(samples: &[Sample], estimator: Estimator, seed: u64) -> Estimate {
     let mut sorted = samples.to_vec();
-    sorted.sort_by_key(|sample| sample.at);
+    sorted.sort_by_key(|sample| sample.at_us);
     let blocks: Vec<&[Sample]> = sorted
-        .chunk_by(|a, b| a.at / BLOCK_US == b.at / BLOCK_US)
+        .chunk_by(|a, b| a.at_us / BLOCK_US == b.at_us / BLOCK_US)
         .collect();
-    let unknown = Figure::Unknown {
+    let unknown = Estimate::Unknown {
         samples: sorted.len(),
         blocks: blocks.len(),
     };
-    if sorted.len() < SAMPLES || blocks.len() < BLOCKS {
+    if sorted.len() < MIN_SAMPLES || blocks.len() < MIN_BLOCKS {
         return unknown;
     }
-    let Some(value) = line(sorted.iter().copied(), part) else {
+    let Some(value) = estimator.apply(sorted.iter().copied()) else {
         return unknown;
     };
-    let mut random = Pcg64::seed_from_u64(seed);
-    let mut drawn: Vec<f64> = (0..DRAWS)
-        .filter_map(|_| {
-            let picks: Vec<usize> = blocks
-                .iter()
-                .map(|_| random.gen_range(0..blocks.len()))
-                .collect();
-            line(
-                picks.iter().flat_map(|at| blocks[*at].iter().copied()),
-                part,
-            )
-        })
-        .collect();
-    if drawn.len() < DRAWS / 2 {
+    let mut rng = Pcg64::seed_from_u64(seed);
+    let mut resampled = Vec::with_capacity(RESAMPLES);
+    for _ in 0..RESAMPLES {
+        let picks: Vec<usize> = blocks
+            .iter()
+            .map(|_| rng.gen_range(0..blocks.len()))
+            .collect();
+        let picked_samples = picks
+            .iter()
+            .flat_map(|index| blocks[*index].iter().copied());
+        resampled.extend(estimator.apply(picked_samples));
+    }
+    if resampled.len() < RESAMPLES / 2 {
         return unknown;
     }
-    drawn.sort_by(f64::total_cmp);
-    let at = |share: f64| drawn[((drawn.len() - 1) as f64 * share).round() as usize];
-    Figure::Known {
+    resampled.sort_by(f64::total_cmp);
+    let quantile = |share: f64| resampled[((resampled.len() - 1) as f64 * share).round() as usize];
+    Estimate::Known {
         value,
-        low: at(TAIL),
-        high: at(1.0 - TAIL),
+        low: quantile(TAIL_SHARE),
+        high: quantile(1.0 - TAIL_SHARE),
         samples: sorted.len(),
     }
 }
 
-/// The figure's inverse, for a rate in place of a time for one; unknown where that may be endless.
-pub fn inverse(figure: Figure) -> Figure {
-    match figure {
-        Figure::Known {
-            value,
-            low,
-            high,
-            samples,
-        } if low > 0.0 && value > 0.0 => Figure::Known {
-            value: 1.0 / value,
-            low: 1.0 / high,
-            high: 1.0 / low,
-            samples,
-        },
-        Figure::Known { samples, .. } => Figure::Unknown { samples, blocks: 0 },
-        unknown => unknown,
+impl Estimate {
+    /// The estimate of the inverse, such as the rate for a time per token; unknown if that may be infinite.
+    pub fn inverse(self) -> Estimate {
+        match self {
+            Estimate::Known {
+                value,
+                low,
+                high,
+                samples,
+            } if low > 0.0 && value > 0.0 => Estimate::Known {
+                value: 1.0 / value,
+                low: 1.0 / high,
+                high: 1.0 / low,
+                samples,
+            },
+            Estimate::Known { samples, .. } => Estimate::Unknown { samples, blocks: 0 },
+            Estimate::Unknown { .. } => self,
+        }
     }
 }
 
--- a/crates/calibration/src/lib.rs
+++ b/crates/calibration/src/lib.rs
@@ -1,5 +1,5 @@
-//! A model of the fleet, fed with recorded traffic. So far: what a recording tells of its nodes,
-//! and how sets of runs are compared.
+//! Calibration of a fleet model from recorded traffic: the speed of the recorded endpoints ([`calibrate`]) with confidence
+//! intervals ([`estimate`]), and the comparison of two sets of runs ([`compare`]).
 //!
 //! `docs/fleet-model.md` weighs the options and says what comes next.
 
--- a/crates/calibration/src/main.rs
+++ b/crates/calibration/src/main.rs
@@ -1,9 +1,11 @@
-//! The model's command line.
+//! The command line of the calibration.
 
 use clap::{Parser, Subcommand};
-use quartzhall_calibration::calibrate::calibrate;
-use quartzhall_calibration::estimate::Figure;
-use quartzhall_recording::Reader;
+use quartzhall_calibration::calibrate::{calibrate, Calibration};
+use quartzhall_calibration::estimate::Estimate;
+use quartzhall_recording::{Damage, Reader};
+use std::error::Error;
+use std::fmt;
 use std::fs::File;
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
@@ -30,9 +32,43 @@
     },
 }
 
-fn shown(figure: Figure, unit: &str) -> String {
-    match figure {
-        Figure::Known {
+/// Why a recording could not be used.
+#[derive(Debug)]
+enum CalibrationError {
+    /// The file cannot be opened.
+    Open {
+        path: PathBuf,
+        source: std::io::Error,
+    },
+    /// The file is damaged, or not a recording.
+    Damaged { path: PathBuf, source: Damage },
+}
+
+impl fmt::Display for CalibrationError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CalibrationError::Open { path, source } => {
+                write!(formatter, "{}: {source}", path.display())
+            }
+            CalibrationError::Damaged { path, source } => {
+                write!(formatter, "{}: {source}", path.display())
+            }
+        }
+    }
+}
+
+impl Error for CalibrationError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            CalibrationError::Open { source, .. } => Some(source),
+            CalibrationError::Damaged { source, .. } => Some(source),
+        }
+    }
+}
+
+fn format_estimate(estimate: Estimate, unit: &str) -> String {
+    match estimate {
+        Estimate::Known {
             value,
             low,
             high,
@@ -40,56 +76,69 @@
         } => {
             format!("{value:.4} {unit} ({low:.4} to {high:.4}, {samples} samples)")
         }
-        Figure::Unknown { samples, blocks } => {
+        Estimate::Unknown { samples, blocks } => {
             format!("not told by {samples} samples in {blocks} spans of 5 s")
         }
     }
 }
 
-fn show(path: &Path, seed: u64) -> Result<(), String> {
-    let wrong = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-    let file = File::open(path).map_err(|error| wrong(&error))?;
-    let mut reader = Reader::new(BufReader::new(file)).map_err(|damage| wrong(&damage))?;
+/// Calibrates from one recording, and prints the result.
+fn calibrate_recording(path: &Path, seed: u64) -> Result<(), CalibrationError> {
+    let damaged = |source| CalibrationError::Damaged {
+        path: path.to_owned(),
+        source,
+    };
+    let file = File::open(path).map_err(|source| CalibrationError::Open {
+        path: path.to_owned(),
+        source,
+    })?;
+    let mut reader = Reader::new(BufReader::new(file)).map_err(damaged)?;
     let mut damage = None;
-    let records = std::iter::from_fn(|| match reader.next() {
-        Some(Ok(record)) => Some(record),
-        Some(Err(error)) => {
+    let records = std::iter::from_fn(|| match reader.next()? {
+        Ok(record) => Some(record),
+        Err(error) => {
             damage = Some(error);
             None
         }
-        None => None,
     });
-    let told = calibrate(records, seed);
+    let calibration = calibrate(records, seed);
     if let Some(damage) = damage {
-        return Err(wrong(&damage));
+        return Err(damaged(damage));
     }
-    println!("{}: {} requests", path.display(), told.requests);
+    println!("{}: {} requests", path.display(), calibration.requests);
     if reader.was_cut() {
         println!("  cut off at byte {}: read up to there", reader.offset());
     }
-    if told.dropped > 0 || told.unended > 0 {
+    print_calibration(&calibration);
+    Ok(())
+}
+
+fn print_calibration(calibration: &Calibration) {
+    if calibration.dropped > 0 || calibration.unended > 0 {
         println!(
             "  {} records dropped, {} attempts without an end",
-            told.dropped, told.unended
+            calibration.dropped, calibration.unended
         );
     }
-    for nodes in told.roles {
-        let (role, count, attempts) = (nodes.role, nodes.nodes, nodes.attempts);
+    for role in &calibration.roles {
         println!(
-            "  {role:?}: {count} nodes, {attempts} attempts, {:.2}% failed",
-            nodes.failed * 100.0
+            "  {:?}: {} nodes, {} attempts, {:.2}% failed",
+            role.role,
+            role.endpoints,
+            role.attempts,
+            role.failed_share * 100.0
         );
-        println!("    rate: {}", shown(nodes.tokens_per_s, "tokens a second"));
-        println!("    wait: {}", shown(nodes.wait_s, "s"));
+        let rate = format_estimate(role.tokens_per_s, "tokens a second");
+        println!("    rate: {rate}");
+        println!("    wait: {}", format_estimate(role.wait_s, "s"));
     }
-    Ok(())
 }
 
 fn main() -> ExitCode {
     let Task::Calibrate { recordings, seed } = Arguments::parse().task;
     for recording in recordings {
-        if let Err(message) = show(&recording, seed) {
-            eprintln!("quartzhall-calibration: {message}");
+        if let Err(error) = calibrate_recording(&recording, seed) {
+            eprintln!("quartzhall-calibration: {error}");
             return ExitCode::FAILURE;
         }
     }
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -1,20 +1,20 @@
-//! Recordings of a fleet whose figures are known: the calibration finds them, or says that it can't.
+//! Recordings of a fleet with known speeds: the calibration estimates them, or reports that it cannot.
 
 use quartzhall_calibration::calibrate::{calibrate, Calibration};
-use quartzhall_calibration::estimate::Figure;
+use quartzhall_calibration::estimate::Estimate;
 use quartzhall_recording::{Record, RecordedOutcome, RecordedRole, RecordedStatus, Writer};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::process::Command;
 
-const READ_PER_S: f64 = 18_000.0;
-const READ_WAIT: f64 = 0.03;
-const PACE: f64 = 0.025;
-const WRITE_WAIT: f64 = 0.2;
+const PREFILL_TOKENS_PER_S: f64 = 18_000.0;
+const PREFILL_WAIT_S: f64 = 0.03;
+const TOKEN_TIME_S: f64 = 0.025;
+const DECODE_WAIT_S: f64 = 0.2;
 
-/// Requests one after another at one reader and one writer, by a clock that starts anywhere.
+/// Requests one after another at one prefill and one decode replica, by a clock that starts at `clock`.
 fn records(seed: u64, requests: u64, clock: u64) -> Vec<Record> {
-    let mut random = Pcg64::seed_from_u64(seed);
+    let mut rng = Pcg64::seed_from_u64(seed);
     let node = |node, role| Record::Node {
         at: clock,
         node,
@@ -30,9 +30,9 @@
     let mut at = clock;
     for request in 0..requests {
         at += 600_000;
-        let prompt = random.gen_range(500..8_000);
-        let kept = random.gen_range(0..prompt / 2);
-        let mut noise = |time: f64| (time * random.gen_range(0.8..1.2) * 1e6) as u64;
+        let prompt = rng.gen_range(500..8_000);
+        let cached_tokens = rng.gen_range(0..prompt / 2);
+        let mut noise = |time: f64| (time * rng.gen_range(0.8..1.2) * 1e6) as u64;
         all.push(Record::Arrival {
             at,
             request,
@@ -51,29 +51,36 @@
             attempt: 0,
             node: 0,
         });
-        let read = at + noise(READ_WAIT + f64::from(prompt - kept) / READ_PER_S);
-        let ended = |at, attempt, status, kept, written| Record::Ended {
+        let prefill_end =
+            at + noise(PREFILL_WAIT_S + f64::from(prompt - cached_tokens) / PREFILL_TOKENS_PER_S);
+        let ended = |at, attempt, status, cached_tokens, completion_tokens| Record::Ended {
             at,
             request,
             attempt,
             status,
-            kept,
-            written,
+            kept: cached_tokens,
+            written: completion_tokens,
         };
-        all.push(ended(read, 0, RecordedStatus::PrefillDone, kept, 0));
+        all.push(ended(
+            prefill_end,
+            0,
+            RecordedStatus::PrefillDone,
+            cached_tokens,
+            0,
+        ));
         all.push(Record::Sent {
-            at: read,
+            at: prefill_end,
             request,
             attempt: 1,
             node: 1,
         });
-        let first = read + noise(WRITE_WAIT);
+        let first = prefill_end + noise(DECODE_WAIT_S);
         all.push(Record::First {
             at: first,
             request,
             attempt: 1,
         });
-        let end = first + noise(PACE * 150.0);
+        let end = first + noise(TOKEN_TIME_S * 150.0);
         all.push(ended(end, 1, RecordedStatus::Served, 0, 150));
         all.push(Record::Final {
             at: end,
@@ -81,7 +88,7 @@
             answer: RecordedOutcome::Served,
         });
     }
-    // In the order of their times, as a dispatcher writes them.
+    // Sorted by time, as a dispatcher writes them.
     all.sort_by_key(|record| match record {
         Record::Arrival { at, .. } | Record::Sent { at, .. } | Record::First { at, .. } => *at,
         Record::Ended { at, .. } | Record::Final { at, .. } => *at,
@@ -90,27 +97,34 @@
     all
 }
 
-fn holds(figure: Figure, truth: f64, widest: f64) -> bool {
-    let Figure::Known { low, high, .. } = figure else {
-        panic!("{figure:?}")
+fn contains(estimate: Estimate, truth: f64, max_relative_width: f64) -> bool {
+    let Estimate::Known { low, high, .. } = estimate else {
+        panic!("{estimate:?}")
     };
-    assert!(high - low < widest * truth, "{low} to {high}");
+    assert!(high - low < max_relative_width * truth, "{low} to {high}");
     (low..=high).contains(&truth)
 }
 
 #[test]
-fn known_figures_are_found() {
+fn known_speeds_are_within_the_intervals() {
     let mut found = [0; 4];
     for seed in 0..40 {
-        let told = calibrate(records(seed, 400, 1_700_000_000_000_000).into_iter(), seed);
-        let [reader, writer] = &told.roles[..] else {
-            panic!("{told:?}")
+        let calibration = calibrate(records(seed, 400, 1_700_000_000_000_000).into_iter(), seed);
+        let [prefill, decode] = &calibration.roles[..] else {
+            panic!("{calibration:?}")
         };
-        found[0] += u32::from(holds(reader.tokens_per_s, READ_PER_S, 0.2));
-        found[1] += u32::from(holds(reader.wait_s, READ_WAIT, 0.8));
-        found[2] += u32::from(holds(writer.tokens_per_s, 1.0 / PACE, 0.1));
-        found[3] += u32::from(holds(writer.wait_s, WRITE_WAIT, 0.1));
-        assert_eq!((told.requests, told.dropped, told.unended), (400, 0, 0));
+        found[0] += u32::from(contains(prefill.tokens_per_s, PREFILL_TOKENS_PER_S, 0.2));
+        found[1] += u32::from(contains(prefill.wait_s, PREFILL_WAIT_S, 0.8));
+        found[2] += u32::from(contains(decode.tokens_per_s, 1.0 / TOKEN_TIME_S, 0.1));
+        found[3] += u32::from(contains(decode.wait_s, DECODE_WAIT_S, 0.1));
+        assert_eq!(
+            (
+                calibration.requests,
+                calibration.dropped,
+                calibration.unended
+            ),
+            (400, 0, 0)
+        );
     }
     assert!(
         found.iter().all(|found| (30..=40).contains(found)),
@@ -118,11 +132,11 @@
     );
 }
 
-/// Another dispatcher's clock, hours off, changes nothing: only spans count. So does the start of a block.
+/// Only spans between records count, neither the clock of a dispatcher nor the start of a block.
 #[test]
-fn clocks_that_disagree_do_no_harm() {
-    let value = |told: Calibration| match told.roles[0].tokens_per_s {
-        Figure::Known { value, .. } => value,
+fn offset_of_the_clock_does_not_change_the_estimate() {
+    let value = |calibration: Calibration| match calibration.roles[0].tokens_per_s {
+        Estimate::Known { value, .. } => value,
         other => panic!("{other:?}"),
     };
     let (one, other) = (
@@ -136,34 +150,34 @@
 }
 
 #[test]
-fn what_is_not_told_is_not_guessed() {
-    let told = calibrate(records(1, 20, 0).into_iter(), 1);
-    assert!(told
+fn missing_data_gives_no_estimate() {
+    let calibration = calibrate(records(1, 20, 0).into_iter(), 1);
+    assert!(calibration
         .roles
         .iter()
-        .all(|it| matches!(it.tokens_per_s, Figure::Unknown { .. })));
-    // Ends that are missing are counted, and so is what the recorder dropped.
+        .all(|role| matches!(role.tokens_per_s, Estimate::Unknown { .. })));
+    // Missing ends are counted, and so are the records that the recorder dropped.
     let cut = records(1, 100, 0)
         .into_iter()
-        .filter(|it| !matches!(it, Record::Ended { attempt: 1, .. }));
-    let told = calibrate(cut.chain([Record::Dropped { records: 100 }]), 1);
-    assert_eq!((told.unended, told.dropped), (100, 100));
+        .filter(|record| !matches!(record, Record::Ended { attempt: 1, .. }));
+    let calibration = calibrate(cut.chain([Record::Dropped { records: 100 }]), 1);
+    assert_eq!((calibration.unended, calibration.dropped), (100, 100));
     assert!(matches!(
-        told.roles[1].tokens_per_s,
-        Figure::Unknown { samples: 0, .. }
+        calibration.roles[1].tokens_per_s,
+        Estimate::Unknown { samples: 0, .. }
     ));
 }
 
 #[test]
-fn the_command_names_the_file_the_place_and_the_reason() {
+fn command_reports_file_offset_and_reason_of_damage() {
     let folder = std::env::temp_dir().join(format!("quartzhall-model-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("traffic.qhr");
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes).unwrap();
-    records(1, 300, 0)
-        .iter()
-        .for_each(|record| writer.write(record).unwrap());
+    for record in records(1, 300, 0) {
+        writer.write(&record).unwrap();
+    }
     let run = |bytes: &[u8]| {
         std::fs::write(&path, bytes).unwrap();
         let program = env!("CARGO_BIN_EXE_quartzhall-calibration");
@@ -179,22 +193,22 @@
             text(&output.stderr),
         )
     };
-    let (good, said, _) = run(&bytes);
+    let (is_success, output, _) = run(&bytes);
     assert!(
-        good && said.contains("300 requests") && said.contains("tokens a second"),
-        "{said}"
+        is_success && output.contains("300 requests") && output.contains("tokens a second"),
+        "{output}"
     );
-    let (good, said, _) = run(&bytes[..bytes.len() - 3]);
-    assert!(good && said.contains("cut off at byte"), "{said}");
+    let (is_success, output, _) = run(&bytes[..bytes.len() - 3]);
+    assert!(is_success && output.contains("cut off at byte"), "{output}");
     let middle = bytes.len() / 2;
     let mut damaged = bytes.clone();
     damaged[middle] ^= 0x10;
-    let (good, _, error) = run(&damaged);
+    let (is_success, _, error) = run(&damaged);
     assert!(
-        !good && error.contains("traffic.qhr: at byte") && error.lines().count() == 1,
+        !is_success && error.contains("traffic.qhr: at byte") && error.lines().count() == 1,
         "{error}"
     );
-    let (good, _, error) = run(b"no recording");
-    assert!(!good && error.contains("not a recording"), "{error}");
+    let (is_success, _, error) = run(b"no recording");
+    assert!(!is_success && error.contains("not a recording"), "{error}");
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/calibration/tests/unit/compare.rs
+++ b/crates/calibration/tests/unit/compare.rs
@@ -2,46 +2,47 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Runs whose service hangs on scenario and seed, and beside that on what the version does.
-fn results(version: u64, better: f64, seeds: u64) -> Results {
-    let mut all = Results::new();
+/// Runs whose service depends on scenario and seed, and also on the version.
+fn measures(version: u64, improvement: f64, seeds: u64) -> RunMeasures {
+    let mut all = RunMeasures::new();
     for (number, scenario) in ["jump", "deploy", "slow"].iter().enumerate() {
         for seed in 0..seeds {
             let mut shared = Pcg64::seed_from_u64(seed * 10 + number as u64);
             let mut own = Pcg64::seed_from_u64(version * 100_000 + seed * 10 + number as u64);
-            let service = 0.8 + shared.gen_range(-0.15..0.15) + own.gen_range(-0.02..0.02) + better;
-            let run = ((*scenario).to_owned(), seed);
-            all.insert(run, BTreeMap::from([("service".to_owned(), service)]));
+            let service =
+                0.8 + shared.gen_range(-0.15..0.15) + own.gen_range(-0.02..0.02) + improvement;
+            let key = ((*scenario).to_owned(), seed);
+            all.insert(key, BTreeMap::from([("service".to_owned(), service)]));
         }
     }
     all
 }
 
-/// Of two versions that are the same, as many are told apart as the interval allows: one in twenty.
+/// Two equal versions differ significantly as often as the interval allows: once in twenty comparisons.
 #[test]
-fn the_same_version_is_told_apart_as_seldom_as_stated() {
+fn equal_versions_differ_as_rarely_as_stated() {
     let mut distinct = [0; 2];
     for round in 0..400 {
-        let told = compare(
-            &results(2 * round + 1, 0.0, 12),
-            &results(2 * round + 2, 0.0, 12),
+        let differences = compare(
+            &measures(2 * round + 1, 0.0, 12),
+            &measures(2 * round + 2, 0.0, 12),
         )
         .unwrap();
-        distinct[0] += u32::from(told[0].is_distinct());
-        distinct[1] += u32::from(told[1].is_distinct());
+        distinct[0] += u32::from(differences[0].is_distinct());
+        distinct[1] += u32::from(differences[1].is_distinct());
     }
-    // 20 of 400 are meant; chance alone brings 8 to 34.
+    // 20 of 400 are expected; chance alone gives 8 to 34.
     assert!(
-        distinct.iter().all(|it| (8..=34).contains(it)),
+        distinct.iter().all(|count| (8..=34).contains(count)),
         "{distinct:?}"
     );
 }
 
-/// One percent is found though seeds differ by thirty: the pairs met the same.
+/// One percent is detected although seeds differ by thirty, because the pairs met the same traffic.
 #[test]
-fn a_worse_version_is_found() {
-    let told = compare(&results(1, 0.0, 20), &results(2, -0.01, 20)).unwrap();
-    let all = &told[0];
+fn worse_version_differs_significantly() {
+    let differences = compare(&measures(1, 0.0, 20), &measures(2, -0.01, 20)).unwrap();
+    let all = &differences[0];
     assert!(
         all.is_distinct() && all.scenario.is_none() && all.pairs == 60,
         "{all:?}"
@@ -50,32 +51,42 @@
         all.low < -0.01 && -0.01 < all.high && all.high - all.low < 0.02,
         "{all:?}"
     );
-    assert_eq!(told.len(), 4);
+    assert_eq!(differences.len(), 4);
 }
 
 #[test]
-fn sets_of_other_runs_are_refused() {
-    let (whole, few) = (results(1, 0.0, 6), results(1, 0.0, 4));
+fn sets_with_different_runs_are_rejected() {
+    let (whole, few) = (measures(1, 0.0, 6), measures(1, 0.0, 4));
     assert!(compare(&whole, &few)
         .unwrap_err()
+        .to_string()
         .contains("the second set lacks"));
     assert!(compare(&few, &whole)
         .unwrap_err()
+        .to_string()
         .contains("the first set lacks"));
     assert!(compare(&few, &few)
         .unwrap_err()
+        .to_string()
         .contains("fewer than 5 pairs"));
     let mut other = whole.clone();
-    other
-        .values_mut()
-        .for_each(|measures| measures.extend([("worst".into(), 1.0)]));
+    for run in other.values_mut() {
+        run.insert("worst".into(), 1.0);
+    }
     assert!(compare(&whole, &other)
         .unwrap_err()
+        .to_string()
         .contains("not measured alike"));
     let mut broken = whole.clone();
-    broken
-        .values_mut()
-        .for_each(|measures| measures.extend([("service".into(), f64::NAN)]));
-    assert!(compare(&whole, &broken).unwrap_err().contains("no number"));
-    assert_eq!(compare(&Results::new(), &Results::new()), Ok(vec![]));
+    for run in broken.values_mut() {
+        run.insert("service".into(), f64::NAN);
+    }
+    assert!(compare(&whole, &broken)
+        .unwrap_err()
+        .to_string()
+        .contains("no number"));
+    assert_eq!(
+        compare(&RunMeasures::new(), &RunMeasures::new()),
+        Ok(vec![])
+    );
 }
--- a/crates/calibration/tests/unit/estimate.rs
+++ b/crates/calibration/tests/unit/estimate.rs
@@ -1,66 +1,80 @@
 use super::*;
 
-/// A line with noise that samples of one block share in part, as those that met the same queue do.
-fn noisy(seed: u64, blocks: u64) -> Vec<Sample> {
-    let mut random = Pcg64::seed_from_u64(seed);
+/// A line with noise that samples of one block share in part, as samples that met the same queue do.
+fn noisy_samples(seed: u64, blocks: u64) -> Vec<Sample> {
+    let mut rng = Pcg64::seed_from_u64(seed);
     let mut samples = Vec::new();
     for block in 0..blocks {
-        let shared: f64 = random.gen_range(-0.5..0.5);
+        let shared: f64 = rng.gen_range(-0.5..0.5);
         for number in 0..8 {
-            let x = random.gen_range(0.0..10.0);
-            let y = 3.0 + 2.0 * x + shared + random.gen_range(-0.5..0.5);
+            let size = rng.gen_range(0.0..10.0);
+            let seconds = 3.0 + 2.0 * size + shared + rng.gen_range(-0.5..0.5);
             samples.push(Sample {
-                at: block * BLOCK_US + number * 1000,
-                x,
-                y,
+                at_us: block * BLOCK_US + number * 1000,
+                size,
+                seconds,
             });
         }
     }
     samples
 }
 
-/// The intervals cover the truth about as often as they say, and are not wide for it.
+/// The intervals contain the true value about as often as they should, and are not wide for it.
 #[test]
-fn intervals_cover_what_they_say() {
-    for (part, truth, widest) in [(Part::Slope, 2.0, 0.1), (Part::Start, 3.0, 0.5)] {
+fn intervals_contain_the_true_value_as_often_as_stated() {
+    for (estimator, truth, max_width) in [
+        (Estimator::Slope, 2.0, 0.1),
+        (Estimator::Intercept, 3.0, 0.5),
+    ] {
         let mut covered = 0;
         for seed in 0..200 {
-            let Figure::Known { low, high, .. } = figure(&noisy(seed, 40), part, seed) else {
+            let Estimate::Known { low, high, .. } =
+                estimate(&noisy_samples(seed, 40), estimator, seed)
+            else {
                 panic!()
             };
             covered += u32::from((low..=high).contains(&truth));
-            assert!(high - low < widest, "{part:?}: {low} to {high}");
+            assert!(high - low < max_width, "{estimator:?}: {low} to {high}");
         }
         // 90% of 200, with the chance in that and what few blocks lose.
-        assert!((160..=196).contains(&covered), "{part:?}: {covered} of 200");
+        assert!(
+            (160..=196).contains(&covered),
+            "{estimator:?}: {covered} of 200"
+        );
     }
 }
 
 #[test]
-fn too_little_data_is_said() {
-    let few = noisy(1, 4);
+fn too_little_data_gives_no_estimate() {
+    let few = noisy_samples(1, 4);
     assert_eq!(
-        figure(&few, Part::Slope, 1),
-        Figure::Unknown {
+        estimate(&few, Estimator::Slope, 1),
+        Estimate::Unknown {
             samples: 32,
             blocks: 4
         }
     );
-    let same: Vec<Sample> = noisy(1, 40)
+    let same: Vec<Sample> = noisy_samples(1, 40)
         .into_iter()
-        .map(|it| Sample { x: 5.0, ..it })
+        .map(|sample| Sample {
+            size: 5.0,
+            ..sample
+        })
         .collect();
     assert_eq!(
-        figure(&same, Part::Slope, 1),
-        Figure::Unknown {
+        estimate(&same, Estimator::Slope, 1),
+        Estimate::Unknown {
             samples: 320,
             blocks: 40
         }
     );
-    assert!(matches!(figure(&same, Part::Mean, 1), Figure::Known { .. }));
+    assert!(matches!(
+        estimate(&same, Estimator::Mean, 1),
+        Estimate::Known { .. }
+    ));
     assert_eq!(
-        figure(&[], Part::Mean, 1),
-        Figure::Unknown {
+        estimate(&[], Estimator::Mean, 1),
+        Estimate::Unknown {
             samples: 0,
             blocks: 0
         }
@@ -68,16 +82,16 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figure_whatever_the_order() {
-    let samples = noisy(3, 20);
+fn same_seed_gives_same_estimate_for_any_order_of_samples() {
+    let samples = noisy_samples(3, 20);
     let backwards: Vec<Sample> = samples.iter().rev().copied().collect();
     assert_eq!(
-        figure(&samples, Part::Slope, 7),
-        figure(&backwards, Part::Slope, 7)
+        estimate(&samples, Estimator::Slope, 7),
+        estimate(&backwards, Estimator::Slope, 7)
     );
-    let Figure::Known {
+    let Estimate::Known {
         value, low, high, ..
-    } = inverse(figure(&samples, Part::Slope, 7))
+    } = estimate(&samples, Estimator::Slope, 7).inverse()
     else {
         panic!()
     };
--- a/crates/recording/src/file.rs
+++ b/crates/recording/src/file.rs
@@ -1,172 +1,235 @@
-//! The file: a header, then records, each with its length and its sum.
+//! The recording file: a header, then records, each framed with its length and its checksum.
+//!
+//! Header: [`MARK`] and [`VERSION`]. Frame: the body's length (2 bytes), the checksum (4 bytes), the body in postcard. All
+//! numbers are little-endian.
 
 use crate::Record;
+use std::error::Error;
 use std::fmt;
 use std::io::{self, Read, Write};
 
-/// A recording begins with this.
+/// The first bytes of a recording.
 pub const MARK: [u8; 8] = *b"QHRECORD";
-/// The version that is written. Readers take it and those before it.
+/// The version that is written. Readers accept it and those before it.
 pub const VERSION: u16 = 1;
 
-/// Before each record: its length and its sum.
-const FRAME: usize = 2 + 4;
-/// No record is longer.
-const LONGEST: usize = 4096;
+/// Bytes of the header.
+const HEADER_BYTES: usize = MARK.len() + 2;
+/// Bytes of the length and the checksum before each record.
+const FRAME_BYTES: usize = 2 + 4;
+/// The longest body of a record, in bytes.
+const MAX_BODY_BYTES: usize = 4096;
 
 /// Writes a recording.
 pub struct Writer<W> {
-    to: W,
+    output: W,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins one.
-    pub fn new(mut to: W) -> io::Result<Writer<W>> {
-        to.write_all(&MARK)?;
-        to.write_all(&VERSION.to_le_bytes())?;
-        Ok(Writer { to })
+    /// Begins a recording by writing its header.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the output.
+    pub fn new(mut output: W) -> io::Result<Writer<W>> {
+        output.write_all(&MARK)?;
+        output.write_all(&VERSION.to_le_bytes())?;
+        Ok(Writer { output })
     }
 
-    /// Adds a record, as one piece.
+    /// Appends a record with a single write.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the output, or one of the kind `Other` if the record cannot be encoded or is too long.
     pub fn write(&mut self, record: &Record) -> io::Result<()> {
         let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
-        let length = u16::try_from(body.len())
-            .ok()
-            .filter(|length| usize::from(*length) <= LONGEST);
-        let length = length.ok_or_else(|| io::Error::other("a record that is too long"))?;
-        let mut framed = Vec::with_capacity(FRAME + body.len());
+        if body.len() > MAX_BODY_BYTES {
+            return Err(io::Error::other("a record that is too long"));
+        }
+        let length = body.len() as u16;
+        let mut framed = Vec::with_capacity(FRAME_BYTES + body.len());
         framed.extend_from_slice(&length.to_le_bytes());
-        framed.extend_from_slice(&sum(length, &body).to_le_bytes());
+        framed.extend_from_slice(&checksum(length, &body).to_le_bytes());
         framed.extend_from_slice(&body);
-        self.to.write_all(&framed)
+        self.output.write_all(&framed)
     }
 
-    /// What was written reaches the file.
+    /// Flushes the output.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the output.
     pub fn flush(&mut self) -> io::Result<()> {
-        self.to.flush()
+        self.output.flush()
     }
 }
 
-/// The sum covers the length too: a wrong one must not pass for a record's end.
-fn sum(length: u16, body: &[u8]) -> u32 {
+/// The checksum covers the length too: a damaged length must not pass for the end of a record.
+fn checksum(length: u16, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length.to_le_bytes());
     hasher.update(body);
     hasher.finalize()
 }
 
-/// Why a recording is not read, and where.
+/// What is wrong with a recording.
+#[derive(Debug)]
+pub enum DamageReason {
+    /// The file cannot be read.
+    Io(io::Error),
+    /// The header is missing.
+    NotARecording,
+    /// The file is of a version that this program does not know.
+    UnknownVersion(u16),
+    /// A record has this length in bytes, which is not possible.
+    BadLength(u16),
+    /// A record's checksum does not match.
+    BadChecksum,
+    /// A record cannot be decoded.
+    Decode(postcard::Error),
+    /// A record is shorter than its frame says.
+    TrailingBytes,
+}
+
+impl fmt::Display for DamageReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DamageReason::Io(error) => error.fmt(formatter),
+            DamageReason::NotARecording => formatter.write_str("not a recording"),
+            DamageReason::UnknownVersion(version) => {
+                write!(
+                    formatter,
+                    "version {version}, and up to {VERSION} are known"
+                )
+            }
+            DamageReason::BadLength(length) => write!(formatter, "a record of {length} bytes"),
+            DamageReason::BadChecksum => formatter.write_str("a record whose sum is wrong"),
+            DamageReason::Decode(error) => error.fmt(formatter),
+            DamageReason::TrailingBytes => formatter.write_str("a record with more than it says"),
+        }
+    }
+}
+
+/// Why a recording is not read any further, and where.
 #[derive(Debug)]
 pub struct Damage {
     /// The offset in bytes.
     pub offset: u64,
     /// The reason.
-    pub reason: String,
+    pub reason: DamageReason,
 }
 
 impl fmt::Display for Damage {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "at byte {}: {}", self.offset, self.reason)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "at byte {}: {}", self.offset, self.reason)
     }
 }
 
-impl std::error::Error for Damage {}
+impl Error for Damage {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match &self.reason {
+            DamageReason::Io(error) => Some(error),
+            DamageReason::Decode(error) => Some(error),
+            DamageReason::NotARecording
+            | DamageReason::UnknownVersion(_)
+            | DamageReason::BadLength(_)
+            | DamageReason::BadChecksum
+            | DamageReason::TrailingBytes => None,
+        }
+    }
+}
 
 /// Reads a recording, record by record.
 pub struct Reader<R> {
-    from: R,
+    input: R,
     offset: u64,
-    cut: bool,
-    over: bool,
+    is_truncated: bool,
+    is_finished: bool,
 }
 
-/// Reads until the buffer is full or the file ends; tells how much.
-fn fill(from: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
-    let mut read = 0;
-    while read < buffer.len() {
-        match from.read(&mut buffer[read..]) {
+/// Reads until the buffer is full or the input ends, and returns the number of bytes.
+fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
             Ok(0) => break,
-            Ok(more) => read += more,
+            Ok(count) => filled += count,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
     }
-    Ok(read)
+    Ok(filled)
 }
 
 impl<R: Read> Reader<R> {
-    /// Begins to read; what is no recording, or a newer one, is refused.
-    pub fn new(mut from: R) -> Result<Reader<R>, Damage> {
-        let damage = |reason: &str| Damage {
+    /// Reads the header.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the input cannot be read, is not a recording, or is of a newer version.
+    pub fn new(mut input: R) -> Result<Reader<R>, Damage> {
+        let mut header = [0; HEADER_BYTES];
+        let count = read_up_to(&mut input, &mut header).map_err(|error| Damage {
             offset: 0,
-            reason: reason.into(),
-        };
-        let mut header = [0; MARK.len() + 2];
-        let read = fill(&mut from, &mut header).map_err(|error| damage(&error.to_string()))?;
-        if read < header.len() || !header.starts_with(&MARK) {
-            return Err(damage("not a recording"));
+            reason: DamageReason::Io(error),
+        })?;
+        if count < header.len() || !header.starts_with(&MARK) {
+            return Err(Damage {
+                offset: 0,
+                reason: DamageReason::NotARecording,
+            });
         }
         let version = u16::from_le_bytes([header[MARK.len()], header[MARK.len() + 1]]);
         if version == 0 || version > VERSION {
-            let reason = format!("version {version}, and up to {VERSION} are known");
             return Err(Damage {
                 offset: MARK.len() as u64,
-                reason,
+                reason: DamageReason::UnknownVersion(version),
             });
         }
         Ok(Reader {
-            from,
-            offset: header.len() as u64,
-            cut: false,
-            over: false,
+            input,
+            offset: HEADER_BYTES as u64,
+            is_truncated: false,
+            is_finished: false,
         })
     }
 
-    /// Whether the file ended within a record: its writer was cut off.
+    /// Whether the file ended within a record, because its writer was interrupted.
     pub fn was_cut(&self) -> bool {
-        self.cut
+        self.is_truncated
     }
 
-    /// Bytes up to the end of the last whole record.
+    /// Bytes up to the end of the last complete record.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    fn damage(&self, reason: impl fmt::Display) -> Damage {
-        Damage {
-            offset: self.offset,
-            reason: reason.to_string(),
-        }
-    }
-
-    fn record(&mut self) -> Result<Option<Record>, Damage> {
-        let mut frame = [0; FRAME];
-        match fill(&mut self.from, &mut frame).map_err(|error| self.damage(error))? {
-            0 => return Ok(None),
-            FRAME => {}
-            _ => {
-                self.cut = true;
-                return Ok(None);
-            }
+    fn read_record(&mut self) -> Result<Option<Record>, DamageReason> {
+        let mut frame = [0; FRAME_BYTES];
+        let count = read_up_to(&mut self.input, &mut frame).map_err(DamageReason::Io)?;
+        if count < FRAME_BYTES {
+            self.is_truncated = count > 0;
+            return Ok(None);
         }
         let length = u16::from_le_bytes([frame[0], frame[1]]);
-        if usize::from(length) > LONGEST || length == 0 {
-            return Err(self.damage(format!("a record of {length} bytes")));
+        if usize::from(length) > MAX_BODY_BYTES || length == 0 {
+            return Err(DamageReason::BadLength(length));
         }
         let mut body = vec![0; usize::from(length)];
-        if fill(&mut self.from, &mut body).map_err(|error| self.damage(error))? < body.len() {
-            self.cut = true;
+        let count = read_up_to(&mut self.input, &mut body).map_err(DamageReason::Io)?;
+        if count < body.len() {
+            self.is_truncated = true;
             return Ok(None);
         }
-        if frame[2..] != sum(length, &body).to_le_bytes() {
-            return Err(self.damage("a record whose sum is wrong"));
+        if frame[2..] != checksum(length, &body).to_le_bytes() {
+            return Err(DamageReason::BadChecksum);
         }
-        let (record, rest) =
-            postcard::take_from_bytes(&body).map_err(|error| self.damage(error))?;
+        let (record, rest) = postcard::take_from_bytes(&body).map_err(DamageReason::Decode)?;
         if !rest.is_empty() {
-            return Err(self.damage("a record with more than it says"));
+            return Err(DamageReason::TrailingBytes);
         }
-        self.offset += (FRAME + body.len()) as u64;
+        self.offset += (FRAME_BYTES + body.len()) as u64;
         Ok(Some(record))
     }
 }
@@ -175,11 +238,20 @@
     type Item = Result<Record, Damage>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        if self.over {
+        if self.is_finished {
             return None;
         }
-        let next = self.record().transpose();
-        self.over = !matches!(next, Some(Ok(_)));
-        next
+        match self.read_record() {
+            Ok(Some(record)) => Some(Ok(record)),
+            Ok(None) => {
+                self.is_finished = true;
+                None
+            }
+            Err(reason) => {
+                self.is_finished = true;
+                let offset = self.offset;
+                Some(Err(Damage { offset, reason }))
+            }
+        }
     }
 }
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -1,7 +1,8 @@
-//! Recordings of a dispatcher's traffic: what it heard, what it sent where, and what it answered.
+//! Recordings of a dispatcher's traffic: requests, attempts and outcomes.
 //!
-//! `docs/fleet-model.md` says why the file is as it is. [`Recorder`] writes one beside a running dispatcher, from a
-//! thread of its own; [`Reader`] reads one to its last whole record.
+//! `docs/fleet-model.md` explains the format. [`Recorder`] writes a recording beside a running dispatcher, from a thread of
+//! its own; [`Reader`] reads one up to its last complete record. Records are encoded by the order of variants and fields,
+//! which must not change.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -9,20 +10,20 @@
 mod file;
 mod recorder;
 
-pub use file::{Damage, Reader, Writer, MARK, VERSION};
+pub use file::{Damage, DamageReason, Reader, Writer, MARK, VERSION};
 pub use recorder::Recorder;
 
 use serde::{Deserialize, Serialize};
 
-/// A name's digest under a recording's key: the same name has the same one, and it tells nothing of the name.
+/// The keyed digest of a name: equal names have equal digests, and the name cannot be derived from it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Digest(pub u64);
 
-/// The key of a recording's digests. It is never written.
+/// The key of a recording's digests. It is never written to the file.
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// A key from what only this process knows.
+    /// Derives a key from a secret that only this process knows.
     pub fn from_secret(secret: &[u8]) -> Key {
         Key(blake3::derive_key(
             "quartzhall recording: keyed digests, version 1",
@@ -30,127 +31,127 @@
         ))
     }
 
-    /// The digest of a name. `sort` keeps a session and an opening of one name apart.
-    pub fn digest(&self, sort: DigestKind, name: &[u8]) -> Digest {
+    /// The digest of a name. `kind` separates a session and a shared prefix of the same name.
+    pub fn digest(&self, kind: DigestKind, name: &[u8]) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        hasher.update(&[sort as u8]).update(name);
-        let mut first = [0; 8];
-        hasher.finalize_xof().fill(&mut first);
-        Digest(u64::from_le_bytes(first))
+        hasher.update(&[kind as u8]).update(name);
+        let mut bytes = [0; 8];
+        hasher.finalize_xof().fill(&mut bytes);
+        Digest(u64::from_le_bytes(bytes))
     }
 }
 
-/// What a digest stands for.
+/// What a digest identifies.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
 pub enum DigestKind {
     /// A session.
     Session = 1,
-    /// A shared opening.
+    /// A shared prefix.
     Opening = 2,
 }
 
-/// What a number in later records means.
+/// The table of names that a number in other records refers to.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Table {
-    /// A class of requests.
+    /// Request classes.
     Class,
-    /// A tenant.
+    /// Tenants.
     Tenant,
-    /// A node.
+    /// Endpoints.
     Node,
 }
 
-/// What a node does.
+/// The role of an endpoint.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedRole {
-    /// Reads.
+    /// Prefill.
     Prefill,
-    /// Writes.
+    /// Decode.
     Decode,
     /// Both.
     Mixed,
 }
 
-/// How an attempt ended, in the core's terms.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedStatus {
-    /// Served.
+    /// The stream was completed.
     Served,
-    /// The prompt is read.
+    /// Prefill finished.
     PrefillDone,
-    /// An error answer.
+    /// An error response.
     Error,
-    /// Turned away.
+    /// Rejected because of overload, or because the KV cache is missing.
     Overloaded,
-    /// No answer in time.
+    /// No response in time.
     Timeout,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was reset.
     Reset,
-    /// A kept connection broke before anything came back.
+    /// A pooled connection was reset before any response.
     StaleConnection,
     /// Cancelled.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
-    /// Turned away for good.
+    /// The request is not valid.
     InvalidRequest,
 }
 
-/// A request's final answer.
+/// A request's final outcome.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedOutcome {
-    /// A stream was passed on to its end.
+    /// Its stream was forwarded to the end.
     Served,
-    /// A stream was passed on and broke.
+    /// Its stream was forwarded and aborted.
     StreamBroken,
-    /// Refused.
+    /// It was shed.
     Shed,
-    /// Failed.
+    /// It failed.
     Failed,
-    /// The client left before.
+    /// The client disconnected before.
     ClientDisconnected,
 }
 
-/// One record. Times are Unix microseconds on the recording dispatcher's clock; lengths are tokens.
+/// One record. Times are Unix microseconds on the recording dispatcher's clock; lengths are in tokens.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum Record {
-    /// The recording begins: by whom, and among how many dispatchers.
+    /// The recording begins.
     Start {
         /// When.
         at: u64,
         /// The dispatcher's name.
         dispatcher: String,
-        /// Dispatchers that share the nodes.
+        /// Dispatchers that share the endpoints.
         dispatchers: u32,
     },
-    /// A number means this from here on.
+    /// From here on a number refers to this name.
     Name {
-        /// In which table.
+        /// The table.
         table: Table,
         /// The number.
         number: u32,
-        /// What it means.
+        /// The name.
         name: String,
     },
-    /// A node as the list tells of it.
+    /// An endpoint as discovery lists it.
     Node {
         /// When.
         at: u64,
         /// Its number.
         node: u32,
-        /// What it does.
+        /// Its role.
         role: RecordedRole,
         /// Its cell.
         cell: u32,
-        /// It takes work.
+        /// It accepts requests.
         ready: bool,
         /// When it last started; 0: long ago.
         started: u64,
     },
-    /// A request has come.
+    /// A request has arrived.
     Arrival {
         /// When.
         at: u64,
@@ -162,15 +163,15 @@
         tenant: Option<u32>,
         /// Its session.
         session: Option<Digest>,
-        /// Its opening.
+        /// Its shared prefix.
         opening: Option<Digest>,
-        /// Of its prompt.
+        /// The length of its prompt.
         prompt: u32,
-        /// Of its opening.
+        /// The length of its shared prefix.
         prefix: u32,
-        /// The most of its answer.
+        /// The maximum length of its output.
         most: u32,
-        /// Microseconds that its client waits.
+        /// How long its client waits, in microseconds.
         expires_in: u64,
     },
     /// An attempt has been sent.
@@ -179,18 +180,18 @@
         at: u64,
         /// Its request.
         request: u64,
-        /// Which of its attempts.
+        /// The number of the attempt.
         attempt: u32,
-        /// Where to.
+        /// The endpoint's number.
         node: u32,
     },
-    /// An attempt's first event has come.
+    /// An attempt's first event has arrived.
     First {
         /// When.
         at: u64,
         /// Its request.
         request: u64,
-        /// Which of its attempts.
+        /// The number of the attempt.
         attempt: u32,
     },
     /// An attempt has ended.
@@ -199,25 +200,25 @@
         at: u64,
         /// Its request.
         request: u64,
-        /// Which of its attempts.
+        /// The number of the attempt.
         attempt: u32,
-        /// How.
+        /// How it ended.
         status: RecordedStatus,
-        /// Tokens found kept.
+        /// Prompt tokens found in the prefix cache.
         kept: u32,
-        /// Tokens of the answer; 0 where it was not told.
+        /// Output tokens; 0 if the endpoint did not report them.
         written: u32,
     },
-    /// The request is over.
+    /// The request has ended.
     Final {
         /// When.
         at: u64,
         /// The request.
         request: u64,
-        /// How.
+        /// Its outcome.
         answer: RecordedOutcome,
     },
-    /// So many records are missing here: the recorder could not keep up.
+    /// Records are missing here, because the recorder could not keep up.
     Dropped {
         /// How many.
         records: u64,
--- a/crates/recording/src/recorder.rs
+++ b/crates/recording/src/recorder.rs
@@ -1,4 +1,5 @@
-//! Records beside a running dispatcher: a bounded queue and a thread. A full queue drops and counts, and slows nobody.
+//! Recording beside a running dispatcher: a bounded queue and a thread that owns the file. If the queue is full, records are
+//! dropped and counted, and the dispatcher does not wait.
 
 use crate::{Record, Writer};
 use std::io::{self, Write};
@@ -8,10 +9,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// What was written reaches the file within this time.
-const FLUSH: Duration = Duration::from_secs(1);
+/// Written records reach the file within this time.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Takes records in. Letting it go ends the file.
+/// Writes records from a thread of its own. Dropping it finishes the file.
 pub struct Recorder {
     queue: Option<SyncSender<Record>>,
     dropped: Arc<AtomicU64>,
@@ -19,17 +20,20 @@
 }
 
 impl Recorder {
-    /// Writes to a file from now on; `room` records may wait for it.
-    pub fn start(to: impl Write + Send + 'static, room: usize) -> io::Result<Recorder> {
-        let mut writer = Writer::new(io::BufWriter::new(to))?;
+    /// Writes the header and starts the thread; up to `capacity` records are queued.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the header cannot be written or the thread cannot be started.
+    pub fn start(output: impl Write + Send + 'static, capacity: usize) -> io::Result<Recorder> {
+        let mut writer = Writer::new(io::BufWriter::new(output))?;
         writer.flush()?;
-        let (queue, records) = sync_channel(room);
+        let (queue, records) = sync_channel(capacity);
         let dropped = Arc::new(AtomicU64::new(0));
-        let missing = dropped.clone();
-        let work = move || write(&mut writer, &records, &missing);
+        let thread_dropped = dropped.clone();
         let thread = std::thread::Builder::new()
             .name("recorder".into())
-            .spawn(work)?;
+            .spawn(move || write_records(&mut writer, &records, &thread_dropped))?;
         Ok(Recorder {
             queue: Some(queue),
             dropped,
@@ -37,7 +41,7 @@
         })
     }
 
-    /// Takes a record in, or counts it as dropped. Never waits.
+    /// Queues a record, or counts it as dropped if the queue is full. Never waits.
     pub fn note(&self, record: Record) {
         let Some(queue) = &self.queue else { return };
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = queue.try_send(record) {
@@ -45,19 +49,23 @@
         }
     }
 
-    /// Writes what waits and ends the file; the error is the first one that writing met.
+    /// Writes the queued records and finishes the file.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first error of the output.
     pub fn end(mut self) -> io::Result<()> {
         self.finish()
     }
 
     fn finish(&mut self) -> io::Result<()> {
         self.queue = None;
-        match self.thread.take().map(JoinHandle::join) {
-            None => Ok(()),
-            Some(ended) => {
-                ended.unwrap_or_else(|_| Err(io::Error::other("the recorder's thread died")))
-            }
-        }
+        let Some(thread) = self.thread.take() else {
+            return Ok(());
+        };
+        thread
+            .join()
+            .unwrap_or_else(|_| Err(io::Error::other("the recorder's thread died")))
     }
 }
 
@@ -67,15 +75,15 @@
     }
 }
 
-fn write<W: Write>(
+fn write_records<W: Write>(
     writer: &mut Writer<W>,
     records: &Receiver<Record>,
     dropped: &AtomicU64,
 ) -> io::Result<()> {
-    let mut flushed = true;
+    let mut is_flushed = true;
     loop {
-        let next = records.recv_timeout(FLUSH);
-        // The count stands where the gap is: before the first record that found room again.
+        let next = records.recv_timeout(FLUSH_INTERVAL);
+        // The count is written where the gap is: before the first record that was queued again.
         let missing = dropped.swap(0, Ordering::Relaxed);
         if missing > 0 {
             writer.write(&Record::Dropped { records: missing })?;
@@ -83,12 +91,12 @@
         match next {
             Ok(record) => {
                 writer.write(&record)?;
-                flushed = false;
+                is_flushed = false;
             }
-            Err(RecvTimeoutError::Timeout) if flushed => {}
+            Err(RecvTimeoutError::Timeout) if is_flushed => {}
             Err(RecvTimeoutError::Timeout) => {
                 writer.flush()?;
-                flushed = true;
+                is_flushed = true;
             }
             Err(RecvTimeoutError::Disconnected) => return writer.flush(),
         }
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -1,4 +1,4 @@
-//! Recordings that are whole, cut off, damaged, or newer.
+//! Recordings that are complete, truncated, damaged, or of a newer version.
 
 use quartzhall_recording::{
     Digest, DigestKind, Key, Reader, Record, RecordedOutcome, RecordedStatus, Recorder, Table,
@@ -64,25 +64,23 @@
     all
 }
 
-fn written(records: &[Record]) -> Vec<u8> {
+fn encode(records: &[Record]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes).unwrap();
-    records
-        .iter()
-        .for_each(|record| writer.write(record).unwrap());
+    for record in records {
+        writer.write(record).unwrap();
+    }
     bytes
 }
 
 #[test]
-fn what_was_written_is_read() {
-    let bytes = written(&records());
+fn written_records_are_read_back() {
+    let bytes = encode(&records());
     let mut reader = Reader::new(bytes.as_slice()).unwrap();
     let read: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
     assert_eq!(read, records());
-    assert_eq!(
-        (reader.was_cut(), reader.offset()),
-        (false, bytes.len() as u64)
-    );
+    assert!(!reader.was_cut());
+    assert_eq!(reader.offset(), bytes.len() as u64);
     // 250 records about 50 requests: what a day of a million requests would take.
     assert!(
         bytes.len() / 50 < 150,
@@ -92,49 +90,50 @@
 }
 
 #[test]
-fn a_file_that_was_cut_off_is_read_up_to_its_last_whole_record() {
-    let (all, bytes) = (records(), written(&records()));
+fn truncated_file_is_read_up_to_its_last_complete_record() {
+    let all = records();
+    let bytes = encode(&all);
     let ends: Vec<usize> = (0..=all.len())
-        .map(|count| written(&all[..count]).len())
+        .map(|count| encode(&all[..count]).len())
         .collect();
     for cut in ends[0]..bytes.len() {
         let mut reader = Reader::new(&bytes[..cut]).unwrap();
         let read: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
-        let whole = ends.iter().filter(|end| **end <= cut).count() - 1;
+        let complete = ends.iter().filter(|end| **end <= cut).count() - 1;
         assert_eq!(
             (read.len(), reader.was_cut()),
-            (whole, !ends.contains(&cut)),
+            (complete, !ends.contains(&cut)),
             "cut at {cut}"
         );
-        assert_eq!(reader.offset() as usize, ends[whole]);
+        assert_eq!(reader.offset() as usize, ends[complete]);
     }
     for cut in 0..ends[0] {
         assert!(Reader::new(&bytes[..cut]).is_err());
     }
 }
 
-/// One flipped bit anywhere is found: the file is refused at that record, or, in a length, at the latest at its end.
+/// One flipped bit anywhere is detected: reading ends at that record, or, in a length, at the latest at the file's end.
 #[test]
-fn damage_is_refused_with_its_offset() {
-    let bytes = written(&records()[..12]);
+fn flipped_bit_is_detected_with_its_offset() {
+    let bytes = encode(&records()[..12]);
     let header = MARK.len() + 2;
-    for at in 0..bytes.len() {
+    for index in 0..bytes.len() {
         for bit in 0..8 {
             let mut bytes = bytes.clone();
-            bytes[at] ^= 1 << bit;
+            bytes[index] ^= 1 << bit;
             let Ok(mut reader) = Reader::new(bytes.as_slice()) else {
-                assert!(at < header);
+                assert!(index < header);
                 continue;
             };
-            assert!(at >= header, "the header, at {at}");
+            assert!(index >= header, "the header, at {index}");
             let read: Vec<_> = reader.by_ref().collect();
             let damage = read.last().and_then(|last| last.as_ref().err());
             match damage {
-                Some(damage) => assert!(damage.offset as usize <= at, "{damage}, at {at}"),
-                // A length that points behind the end looks like a cut.
+                Some(damage) => assert!(damage.offset as usize <= index, "{damage}, at {index}"),
+                // A length that points behind the end looks like a truncation.
                 None => assert!(
-                    reader.was_cut() && reader.offset() as usize <= at,
-                    "at {at}"
+                    reader.was_cut() && reader.offset() as usize <= index,
+                    "at {index}"
                 ),
             }
         }
@@ -142,23 +141,23 @@
 }
 
 #[test]
-fn a_newer_file_is_refused_by_its_version() {
-    let mut bytes = written(&records());
+fn newer_version_is_rejected() {
+    let mut bytes = encode(&records());
     bytes[MARK.len()..MARK.len() + 2].copy_from_slice(&(VERSION + 1).to_le_bytes());
-    let refused = Reader::new(bytes.as_slice()).err().unwrap().to_string();
+    let error = Reader::new(bytes.as_slice()).err().unwrap().to_string();
     assert!(
-        refused.contains("at byte 8") && refused.contains("version 2"),
-        "{refused}"
+        error.contains("at byte 8") && error.contains("version 2"),
+        "{error}"
     );
 }
 
 #[test]
-fn garbage_ends_in_a_reason() {
+fn random_bytes_end_in_an_error_or_truncation() {
     let garbage = |bytes: Vec<u8>| {
-        let whole = [&MARK[..], &VERSION.to_le_bytes(), &bytes].concat();
-        let mut reader = Reader::new(whole.as_slice()).unwrap();
+        let file = [&MARK[..], &VERSION.to_le_bytes(), &bytes].concat();
+        let mut reader = Reader::new(file.as_slice()).unwrap();
         let last = reader.by_ref().last();
-        bytes.is_empty() || reader.was_cut() || last.is_some_and(|it| it.is_err())
+        bytes.is_empty() || reader.was_cut() || last.is_some_and(|record| record.is_err())
     };
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(300, 5))
@@ -167,8 +166,9 @@
 }
 
 #[test]
-fn digests_tell_sessions_apart_and_nothing_else() {
-    let (key, other) = (Key::from_secret(b"one"), Key::from_secret(b"other"));
+fn digests_depend_on_key_kind_and_name() {
+    let key = Key::from_secret(b"one");
+    let other = Key::from_secret(b"other");
     let digest = key.digest(DigestKind::Session, b"7f3a");
     assert_eq!(digest, key.digest(DigestKind::Session, b"7f3a"));
     let others = [
@@ -179,20 +179,20 @@
     assert!(!others.contains(&digest));
 }
 
-/// A file that takes nothing until it is told to.
-struct Slow {
-    go: Receiver<()>,
-    waits: Sender<()>,
+/// An output that blocks after the first write until the other end of `unblock` is dropped.
+struct BlockingOutput {
+    unblock: Receiver<()>,
+    blocked: Sender<()>,
     bytes: Arc<Mutex<Vec<u8>>>,
-    begun: bool,
+    has_header: bool,
 }
 
-impl Write for Slow {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // The header is written by whoever starts the recorder.
-        if std::mem::replace(&mut self.begun, true) {
-            let _ = self.waits.send(());
-            let _ = self.go.recv();
+        // The header is written by the thread that starts the recorder.
+        if std::mem::replace(&mut self.has_header, true) {
+            let _ = self.blocked.send(());
+            let _ = self.unblock.recv();
         }
         self.bytes.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -203,35 +203,38 @@
     }
 }
 
-/// While the file stalls, records are dropped and counted, and nobody waits; afterwards the count stands in the gap.
+/// While the output blocks, records are dropped and counted without waiting; afterwards the count is written in the gap.
 #[test]
-fn a_full_queue_drops_and_counts() {
-    let ((go_on, go), (waits, waiting)) = (channel(), channel());
+fn full_queue_drops_and_counts_records() {
+    let (unblock_output, unblock) = channel();
+    let (blocked, output_blocked) = channel();
     let bytes: Arc<Mutex<Vec<u8>>> = Arc::default();
     let recorder = Recorder::start(
-        Slow {
-            go,
-            waits,
+        BlockingOutput {
+            unblock,
+            blocked,
             bytes: bytes.clone(),
-            begun: false,
+            has_header: false,
         },
         10,
     )
     .unwrap();
-    let long = |request| Record::Name {
+    let long_record = |number| Record::Name {
         table: Table::Node,
-        number: request,
+        number,
         name: "n".repeat(3000),
     };
-    // More than the buffer holds: the thread comes to a write and stands there.
+    // More than the buffer holds: the thread reaches a write and blocks.
     let mut number = 0;
-    while waiting.try_recv().is_err() {
-        recorder.note(long(number));
+    while output_blocked.try_recv().is_err() {
+        recorder.note(long_record(number));
         number += 1;
         std::thread::yield_now();
     }
-    (0..100).for_each(|more| recorder.note(long(number + more)));
-    drop(go_on);
+    for more in 0..100 {
+        recorder.note(long_record(number + more));
+    }
+    drop(unblock_output);
     recorder.end().unwrap();
     let bytes = bytes.lock().unwrap().clone();
     let read: Vec<Record> = Reader::new(bytes.as_slice())
@@ -243,10 +246,10 @@
         _ => 0,
     };
     let missing: u64 = read.iter().map(dropped).sum();
-    let kept = read
+    let written = read
         .iter()
         .filter(|record| matches!(record, Record::Name { .. }))
         .count() as u64;
-    assert_eq!(missing + kept, u64::from(number) + 100);
+    assert_eq!(missing + written, u64::from(number) + 100);
     assert!(missing >= 90, "{missing}");
 }
