--- /dev/null
+++ b/tests/testbed/session_client.rs
@@ -0,0 +1,84 @@
+//! A client of the session protocol.
+
+use super::Fleet;
+use futures_util::{SinkExt, StreamExt};
+use miniserde::json;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio_tungstenite::tungstenite::Message as Frame;
+use tokio_tungstenite::{MaybeTlsStream, WebSocketStream};
+
+/// The longest wait for a message.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A client with its session.
+pub struct Terminal(pub WebSocketStream<MaybeTlsStream<TcpStream>>);
+
+impl Terminal {
+    /// Opens a session.
+    pub async fn connect(fleet: &Fleet) -> Terminal {
+        let url = format!("ws://{}/v1/sessions", fleet.sessions);
+        Terminal(tokio_tungstenite::connect_async(url).await.unwrap().0)
+    }
+
+    /// Sends a message.
+    pub async fn say(&mut self, text: &str) {
+        self.0.send(Frame::Text(text.into())).await.unwrap();
+    }
+
+    /// Sends a request.
+    pub async fn ask(&mut self, id: &str, class: &str, expires: u32) {
+        self.say(&ask(id, class, expires)).await;
+    }
+
+    /// Receives the next message: its type, and its text.
+    pub async fn hear(&mut self) -> (String, String) {
+        loop {
+            let next = tokio::time::timeout(MESSAGE_TIMEOUT, self.0.next())
+                .await
+                .expect("a message within 10 s");
+            match next {
+                Some(Ok(Frame::Text(text))) => {
+                    let fields: BTreeMap<String, json::Value> = json::from_str(&text).unwrap();
+                    let Some(json::Value::String(kind)) = fields.get("type") else {
+                        panic!("{text}")
+                    };
+                    return (kind.clone(), text.to_string());
+                }
+                Some(Ok(Frame::Close(frame))) => {
+                    return (
+                        "close".into(),
+                        frame.map_or(0, |frame| frame.code.into()).to_string(),
+                    );
+                }
+                Some(Ok(_)) => {}
+                other => return ("end".into(), format!("{other:?}")),
+            }
+        }
+    }
+
+    /// Receives all messages of a request: the type of the final one, and the text of the events.
+    pub async fn hear_final(&mut self, id: &str) -> (String, String) {
+        let mut text = String::new();
+        loop {
+            let (kind, message) = self.hear().await;
+            assert!(message.contains(&format!("\"{id}\"")), "{message}");
+            if kind != "event" {
+                return (kind, text);
+            }
+            let fields: BTreeMap<String, json::Value> = json::from_str(&message).unwrap();
+            let Some(json::Value::String(data)) = fields.get("data") else {
+                panic!("{message}")
+            };
+            text.push_str(data);
+        }
+    }
+}
+
+/// A request message.
+pub fn ask(id: &str, class: &str, expires: u32) -> String {
+    format!(
+        r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":{expires},"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
+    )
+}
