--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -12,81 +12,92 @@
 const TOKEN_TIME_S: f64 = 0.025;
 const DECODE_WAIT_S: f64 = 0.2;
 
-/// Requests one after another at one prefill and one decode replica, by a clock that starts at `clock`.
-fn records(seed: u64, requests: u64, clock: u64) -> Vec<Record> {
-    let mut rng = Pcg64::seed_from_u64(seed);
-    let node = |node, role| Record::Node {
-        at: clock,
+const REQUEST_INTERVAL_US: u64 = 600_000;
+const OUTPUT_TOKENS: u32 = 150;
+
+const PREFILL_NODE: u32 = 0;
+const DECODE_NODE: u32 = 1;
+
+fn node(at: u64, node: u32, role: RecordedRole) -> Record {
+    Record::Node {
+        at,
         node,
         role,
         cell: 0,
         ready: true,
         started: 0,
+    }
+}
+
+fn arrival(at: u64, request: u64, prompt: u32) -> Record {
+    Record::Arrival {
+        at,
+        request,
+        class: 0,
+        tenant: None,
+        session: None,
+        opening: None,
+        prompt,
+        prefix: 0,
+        most: 500,
+        expires_in: 7_500_000,
+    }
+}
+
+/// The records of one request that arrives at `at`: prefill, then decode.
+fn request_records(at: u64, request: u64, rng: &mut Pcg64) -> Vec<Record> {
+    let prompt = rng.gen_range(500..8_000);
+    let cached_tokens = rng.gen_range(0..prompt / 2);
+    let mut noise = |time: f64| (time * rng.gen_range(0.8..1.2) * 1e6) as u64;
+    let uncached_tokens = f64::from(prompt - cached_tokens);
+    let prefill_end = at + noise(PREFILL_WAIT_S + uncached_tokens / PREFILL_TOKENS_PER_S);
+    let first_event = prefill_end + noise(DECODE_WAIT_S);
+    let end = first_event + noise(TOKEN_TIME_S * f64::from(OUTPUT_TOKENS));
+    let sent = |at, attempt, node| Record::Sent {
+        at,
+        request,
+        attempt,
+        node,
     };
-    let mut all = vec![
-        node(0, RecordedRole::Prefill),
-        node(1, RecordedRole::Decode),
-    ];
-    let mut at = clock;
-    for request in 0..requests {
-        at += 600_000;
-        let prompt = rng.gen_range(500..8_000);
-        let cached_tokens = rng.gen_range(0..prompt / 2);
-        let mut noise = |time: f64| (time * rng.gen_range(0.8..1.2) * 1e6) as u64;
-        all.push(Record::Arrival {
-            at,
-            request,
-            class: 0,
-            tenant: None,
-            session: None,
-            opening: None,
-            prompt,
-            prefix: 0,
-            most: 500,
-            expires_in: 7_500_000,
-        });
-        all.push(Record::Sent {
-            at,
-            request,
-            attempt: 0,
-            node: 0,
-        });
-        let prefill_end =
-            at + noise(PREFILL_WAIT_S + f64::from(prompt - cached_tokens) / PREFILL_TOKENS_PER_S);
-        let ended = |at, attempt, status, cached_tokens, completion_tokens| Record::Ended {
-            at,
-            request,
-            attempt,
-            status,
-            kept: cached_tokens,
-            written: completion_tokens,
-        };
-        all.push(ended(
-            prefill_end,
-            0,
-            RecordedStatus::PrefillDone,
-            cached_tokens,
-            0,
-        ));
-        all.push(Record::Sent {
-            at: prefill_end,
-            request,
-            attempt: 1,
-            node: 1,
-        });
-        let first = prefill_end + noise(DECODE_WAIT_S);
-        all.push(Record::First {
-            at: first,
+    let ended = |at, attempt, status, cached_tokens, completion_tokens| Record::Ended {
+        at,
+        request,
+        attempt,
+        status,
+        kept: cached_tokens,
+        written: completion_tokens,
+    };
+    let prefill_done = RecordedStatus::PrefillDone;
+    vec![
+        arrival(at, request, prompt),
+        sent(at, 0, PREFILL_NODE),
+        ended(prefill_end, 0, prefill_done, cached_tokens, 0),
+        sent(prefill_end, 1, DECODE_NODE),
+        Record::First {
+            at: first_event,
             request,
             attempt: 1,
-        });
-        let end = first + noise(TOKEN_TIME_S * 150.0);
-        all.push(ended(end, 1, RecordedStatus::Served, 0, 150));
-        all.push(Record::Final {
+        },
+        ended(end, 1, RecordedStatus::Served, 0, OUTPUT_TOKENS),
+        Record::Final {
             at: end,
             request,
             answer: RecordedOutcome::Served,
-        });
+        },
+    ]
+}
+
+/// Requests one after another at one prefill and one decode replica, by a clock that starts at `clock`.
+fn records(seed: u64, requests: u64, clock: u64) -> Vec<Record> {
+    let mut rng = Pcg64::seed_from_u64(seed);
+    let mut all = vec![
+        node(clock, PREFILL_NODE, RecordedRole::Prefill),
+        node(clock, DECODE_NODE, RecordedRole::Decode),
+    ];
+    let mut at = clock;
+    for request in 0..requests {
+        at += REQUEST_INTERVAL_US;
+        all.extend(request_records(at, request, &mut rng));
     }
     // Sorted by time, as a dispatcher writes them.
     all.sort_by_key(|record| match record {
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -79,6 +79,44 @@
     Duration::from_millis(rng.gen_range(min_ms..=max_ms))
 }
 
+/// Draws a fault and its duration. `victims` are the replicas that may be taken out of service.
+fn draw_fault(shape: &SoakShape, victims: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
+    let process = rng.gen_range(0..shape.processes);
+    let replica = rng.gen_range(0..shape.replicas);
+    let victim = victims.choose(rng).copied().unwrap_or(0);
+    match rng.gen_range(0..100) {
+        0..=15 => (Fault::StallReplica(victim), draw_duration(rng, 300, 4_000)),
+        16..=22 => (Fault::KillReplica(victim), draw_duration(rng, 200, 2_000)),
+        23..=30 => (Fault::LoseResponses(victim), draw_duration(rng, 200, 2_000)),
+        31..=35 => (Fault::ReturnErrors(victim), draw_duration(rng, 200, 1_000)),
+        36..=40 => (
+            Fault::RejectOverloaded(victim),
+            draw_duration(rng, 200, 1_000),
+        ),
+        41..=46 => (Fault::AbortStreams(victim), draw_duration(rng, 200, 1_000)),
+        47..=54 => (
+            Fault::DrainReplica(victim),
+            draw_duration(rng, 1_000, 4_000),
+        ),
+        55..=66 => (
+            Fault::SilenceConnections { process, replica },
+            Duration::ZERO,
+        ),
+        67..=74 => (Fault::ResetConnections { process, replica }, Duration::ZERO),
+        75..=81 => (Fault::PauseProcess(process), draw_duration(rng, 50, 700)),
+        82..=86 => (Fault::KillProcess(process), draw_duration(rng, 100, 500)),
+        87..=91 => (
+            Fault::TerminateProcess(process),
+            draw_duration(rng, 100, 500),
+        ),
+        92..=95 => (Fault::ReloadConfig(process), Duration::ZERO),
+        _ => (
+            Fault::StopDiscovery(process),
+            draw_duration(rng, 500, 4_000),
+        ),
+    }
+}
+
 /// Draws the faults of a run, in the order in which they start. Faults that take a replica out of service leave at least two
 /// replicas of each role untouched, so that every request can be served.
 pub fn draw_schedule(shape: &SoakShape, rng: &mut Pcg32) -> Vec<ScheduledFault> {
@@ -89,40 +127,7 @@
     let mut schedule = Vec::new();
     let mut starts_after = FIRST_FAULT_AFTER;
     while starts_after < shape.load_duration {
-        let process = rng.gen_range(0..shape.processes);
-        let replica = rng.gen_range(0..shape.replicas);
-        let victim = victims.choose(rng).copied().unwrap_or(0);
-        let (fault, duration) = match rng.gen_range(0..100) {
-            0..=15 => (Fault::StallReplica(victim), draw_duration(rng, 300, 4_000)),
-            16..=22 => (Fault::KillReplica(victim), draw_duration(rng, 200, 2_000)),
-            23..=30 => (Fault::LoseResponses(victim), draw_duration(rng, 200, 2_000)),
-            31..=35 => (Fault::ReturnErrors(victim), draw_duration(rng, 200, 1_000)),
-            36..=40 => (
-                Fault::RejectOverloaded(victim),
-                draw_duration(rng, 200, 1_000),
-            ),
-            41..=46 => (Fault::AbortStreams(victim), draw_duration(rng, 200, 1_000)),
-            47..=54 => (
-                Fault::DrainReplica(victim),
-                draw_duration(rng, 1_000, 4_000),
-            ),
-            55..=66 => (
-                Fault::SilenceConnections { process, replica },
-                Duration::ZERO,
-            ),
-            67..=74 => (Fault::ResetConnections { process, replica }, Duration::ZERO),
-            75..=81 => (Fault::PauseProcess(process), draw_duration(rng, 50, 700)),
-            82..=86 => (Fault::KillProcess(process), draw_duration(rng, 100, 500)),
-            87..=91 => (
-                Fault::TerminateProcess(process),
-                draw_duration(rng, 100, 500),
-            ),
-            92..=95 => (Fault::ReloadConfig(process), Duration::ZERO),
-            _ => (
-                Fault::StopDiscovery(process),
-                draw_duration(rng, 500, 4_000),
-            ),
-        };
+        let (fault, duration) = draw_fault(shape, &victims, rng);
         schedule.push(ScheduledFault {
             starts_after,
             duration,
