--- a/crates/scale/benches/decision.rs
+++ b/crates/scale/benches/decision.rs
@@ -22,7 +22,7 @@
         };
         let id = BenchmarkId::from_parameter(replicas);
         group.bench_with_input(id, &measurement, |bencher, measurement| {
-            bencher.iter(|| black_box(measure(measurement)))
+            bencher.iter(|| black_box(measure(measurement)));
         });
     }
     group.finish();
--- a/src/bin/quartzhall-simhost/error.rs
+++ b/src/bin/quartzhall-simhost/error.rs
@@ -5,7 +5,7 @@
 /// An error and the line of input at which it occurred.
 #[derive(Debug, Error)]
 #[error("line {number}: {source}")]
-pub struct LineError {
+pub(crate) struct LineError {
     /// The line's number, from 1.
     pub number: usize,
     /// What was wrong.
@@ -14,7 +14,7 @@
 
 /// What can be wrong with one line of input.
 #[derive(Debug, Error)]
-pub enum HostError {
+pub(crate) enum HostError {
     /// The line could not be read.
     #[error("{0}")]
     Read(#[source] std::io::Error),
--- a/src/bin/quartzhall-simhost/host.rs
+++ b/src/bin/quartzhall-simhost/host.rs
@@ -112,7 +112,7 @@
 
 /// All instances of this process, and the batch that is being read.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     instances: HashMap<String, Instance>,
     endpoint_sheets: HashMap<u32, Vec<EndpointLine>>,
     now: Time,
@@ -122,7 +122,11 @@
 
 impl Host {
     /// Handles one line of input; the line that ends a batch writes its replies to `output`.
-    pub fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<(), HostError> {
+    pub(crate) fn handle_line(
+        &mut self,
+        text: &str,
+        output: &mut impl Write,
+    ) -> Result<(), HostError> {
         let message = Message::parse(text)?;
         match message.kind()? {
             MessageKind::BatchStart => self.start_batch(&message),
--- a/src/bin/quartzhall-simhost/messages.rs
+++ b/src/bin/quartzhall-simhost/messages.rs
@@ -8,7 +8,7 @@
 
 /// One line of input, with the fields of all message types. [`Message::kind`] tells the type.
 #[derive(Deserialize)]
-pub struct Message {
+pub(crate) struct Message {
     #[serde(rename = "type")]
     kind: String,
     who: Option<String>,
@@ -59,7 +59,7 @@
 
 /// One line of a list of endpoints.
 #[derive(Clone, Deserialize)]
-pub struct EndpointLine {
+pub(crate) struct EndpointLine {
     /// Milliseconds; absent or 0: long ago.
     #[serde(rename = "born")]
     started_at_ms: Option<f64>,
@@ -88,7 +88,7 @@
 
 /// The type of a message.
 #[derive(Clone, Copy)]
-pub enum MessageKind {
+pub(crate) enum MessageKind {
     BatchStart,
     BatchEnd,
     EndpointSheet,
@@ -106,12 +106,12 @@
 }
 
 /// Takes a field that the message's type needs; `name` is its name on the wire.
-pub fn required<T>(value: Option<T>, name: &'static str) -> Result<T, HostError> {
+pub(crate) fn required<T>(value: Option<T>, name: &'static str) -> Result<T, HostError> {
     value.ok_or(HostError::MissingField(name))
 }
 
 /// Parses a hexadecimal key, where there is one.
-pub fn parse_key(text: Option<&str>, field: &'static str) -> Result<Option<u64>, HostError> {
+pub(crate) fn parse_key(text: Option<&str>, field: &'static str) -> Result<Option<u64>, HostError> {
     let Some(text) = text else {
         return Ok(None);
     };
@@ -126,11 +126,11 @@
 }
 
 impl Message {
-    pub fn parse(text: &str) -> Result<Message, HostError> {
+    pub(crate) fn parse(text: &str) -> Result<Message, HostError> {
         json::from_str(text).map_err(|_| HostError::Malformed)
     }
 
-    pub fn kind(&self) -> Result<MessageKind, HostError> {
+    pub(crate) fn kind(&self) -> Result<MessageKind, HostError> {
         Ok(match self.kind.as_str() {
             "frame" => MessageKind::BatchStart,
             "commit" => MessageKind::BatchEnd,
@@ -150,25 +150,25 @@
     }
 
     /// The name of the instance that the message is for.
-    pub fn instance(&self) -> Result<&str, HostError> {
+    pub(crate) fn instance(&self) -> Result<&str, HostError> {
         required(self.who.as_deref(), "who")
     }
 
-    pub fn request(&self) -> Result<RequestId, HostError> {
+    pub(crate) fn request(&self) -> Result<RequestId, HostError> {
         required(self.request, "rid")
     }
 
-    pub fn attempt(&self) -> Result<u32, HostError> {
+    pub(crate) fn attempt(&self) -> Result<u32, HostError> {
         required(self.attempt, "trial")
     }
 
     /// The name of the endpoint that the message is about.
-    pub fn endpoint(&self) -> Result<&str, HostError> {
+    pub(crate) fn endpoint(&self) -> Result<&str, HostError> {
         required(self.endpoint.as_deref(), "worker")
     }
 
     /// How an attempt ended.
-    pub fn attempt_status(&self) -> Result<AttemptStatus, HostError> {
+    pub(crate) fn attempt_status(&self) -> Result<AttemptStatus, HostError> {
         let status = self.plain_status()?;
         let is_kv_missing = self.cached_tokens.unwrap_or(0.0) > 0.0;
         if status == AttemptStatus::Overloaded && is_kv_missing {
@@ -178,7 +178,7 @@
     }
 
     /// Whether a probe was answered.
-    pub fn is_probe_healthy(&self) -> Result<bool, HostError> {
+    pub(crate) fn is_probe_healthy(&self) -> Result<bool, HostError> {
         Ok(self.plain_status()? == AttemptStatus::Served)
     }
 
@@ -197,7 +197,7 @@
         })
     }
 
-    pub fn load(&self) -> Option<LoadReport> {
+    pub(crate) fn load(&self) -> Option<LoadReport> {
         self.metrics.as_ref().map(|metrics| LoadReport {
             in_flight: metrics.in_flight,
             queued: metrics.queued,
@@ -208,7 +208,7 @@
 }
 
 impl EndpointLine {
-    pub fn status(&self) -> Result<EndpointStatus, HostError> {
+    pub(crate) fn status(&self) -> Result<EndpointStatus, HostError> {
         match self.readiness {
             0 => Ok(EndpointStatus::Ready),
             1 => Ok(EndpointStatus::Draining),
@@ -217,7 +217,7 @@
         }
     }
 
-    pub fn started_at(&self) -> Option<Time> {
+    pub(crate) fn started_at(&self) -> Option<Time> {
         self.started_at_ms
             .filter(|started_at| *started_at != 0.0)
             .map(micros)
@@ -229,12 +229,12 @@
 }
 
 /// The reply that ends a batch.
-pub fn format_batch_end(batch: u64) -> String {
+pub(crate) fn format_batch_end(batch: u64) -> String {
     format!("{{\"type\":\"ok\",\"n\":{batch}}}\n")
 }
 
 /// The reply for an action of an instance. `endpoint_name` gives an endpoint's name on the wire.
-pub fn format_action<'a>(
+pub(crate) fn format_action<'a>(
     instance: &str,
     action: &Action,
     endpoint_name: impl Fn(EndpointId) -> &'a str,
--- a/src/dispatcher/core/lifecycle.rs
+++ b/src/dispatcher/core/lifecycle.rs
@@ -18,7 +18,7 @@
 
 impl Lifecycle {
     /// Ends the standby; while draining nothing changes.
-    pub fn accept_clients(&mut self) {
+    pub(super) fn accept_clients(&mut self) {
         if *self == Lifecycle::Standby {
             *self = Lifecycle::Serving;
         }
--- a/src/dispatcher/core/settings.rs
+++ b/src/dispatcher/core/settings.rs
@@ -31,7 +31,7 @@
 }
 
 impl SettingsState {
-    pub fn new(deployment: Arc<Deployment>, max_connections: usize, now: Time) -> Self {
+    pub(super) fn new(deployment: Arc<Deployment>, max_connections: usize, now: Time) -> Self {
         SettingsState {
             routing: routing_settings(&deployment),
             max_requests: deployment.bounds.max_open_requests.min(max_connections),
@@ -45,31 +45,31 @@
     }
 
     /// The router's settings.
-    pub fn routing(&self) -> &RoutingSettings {
+    pub(super) fn routing(&self) -> &RoutingSettings {
         &self.routing
     }
 
     /// How many requests may be in the table.
-    pub fn max_requests(&self) -> usize {
+    pub(super) fn max_requests(&self) -> usize {
         self.max_requests
     }
 
-    pub fn max_retry_after(&self) -> Duration {
+    pub(super) fn max_retry_after(&self) -> Duration {
         Duration::from_micros(self.deployment.settings.max_retry_after)
     }
 
     /// How long after its deadline a request may be closed (microseconds).
-    pub fn response_slack(&self) -> Time {
+    pub(super) fn response_slack(&self) -> Time {
         self.deployment.settings.response_slack
     }
 
     /// How long endpoints may hold a reservation (microseconds).
-    pub fn reservation_ttl(&self) -> Time {
+    pub(super) fn reservation_ttl(&self) -> Time {
         self.deployment.settings.reservation_ttl
     }
 
     /// A class that is not known counts as one whose requests must not run twice.
-    pub fn idempotency_of(&self, class: usize) -> Idempotency {
+    pub(super) fn idempotency_of(&self, class: usize) -> Idempotency {
         let classes = &self.deployment.settings.classes;
         classes
             .get(class)
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -39,7 +39,7 @@
 
 impl Endpoint {
     /// What the router receives: an endpoint that is banned is draining, and one whose ban has ended started then.
-    pub fn effective_record(&self) -> EndpointRecord {
+    pub(super) fn effective_record(&self) -> EndpointRecord {
         EndpointRecord {
             status: self.status,
             started_at: self.listed.started_at.max(self.ban_ended_at),
@@ -73,22 +73,22 @@
 }
 
 impl EndpointTable {
-    pub fn get(&self, endpoint: EndpointId) -> Option<&Endpoint> {
+    pub(super) fn get(&self, endpoint: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&endpoint)
     }
 
     /// How many endpoints there are: those of the list, and removed ones with attempts in flight.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
     /// Whether an endpoint is ready that can process the prompt, alone or with others.
-    pub fn can_prefill(&self) -> bool {
+    pub(super) fn can_prefill(&self) -> bool {
         self.is_any_ready_besides(Role::Decode)
     }
 
     /// Whether an endpoint is ready that can generate the response, alone or with others.
-    pub fn can_decode(&self) -> bool {
+    pub(super) fn can_decode(&self) -> bool {
         self.is_any_ready_besides(Role::Prefill)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// The one endpoint that other dispatchers know by this hash; none where two share it.
-    pub fn by_gossip_hash(&self, hash: u32) -> Option<EndpointId> {
+    pub(super) fn by_gossip_hash(&self, hash: u32) -> Option<EndpointId> {
         let endpoints = self.by_gossip_hash.get(&hash)?;
         if endpoints.len() == 1 {
             endpoints.first().copied()
@@ -109,7 +109,7 @@
     }
 
     /// What the rules depend on; `None` where the endpoint is not known.
-    pub fn target(&self, endpoint: EndpointId) -> Option<EndpointTarget> {
+    pub(super) fn target(&self, endpoint: EndpointId) -> Option<EndpointTarget> {
         let endpoint = self.endpoints.get(&endpoint)?;
         Some(EndpointTarget {
             role: endpoint.role,
@@ -120,7 +120,7 @@
     }
 
     /// Records that an endpoint has responded: it is running.
-    pub fn record_contact(&mut self, now: Time, endpoint: EndpointId) {
+    pub(super) fn record_contact(&mut self, now: Time, endpoint: EndpointId) {
         if self.endpoints.contains_key(&endpoint) {
             self.contacts.record(now, endpoint);
         }
@@ -128,7 +128,10 @@
 
     /// Addresses that may be told to release what is reserved for a request: the endpoints with the latest contact first,
     /// which are the most likely to run; then those where the request was attempted, in that order; then some others.
-    pub fn release_addresses(&self, attempted: impl Iterator<Item = EndpointId>) -> Vec<Arc<str>> {
+    pub(super) fn release_addresses(
+        &self,
+        attempted: impl Iterator<Item = EndpointId>,
+    ) -> Vec<Arc<str>> {
         let preferred = self
             .contacts
             .latest_first()
@@ -155,7 +158,7 @@
 
     /// Commands for what has changed for connections: nothing new goes to the address of an endpoint that is not ready,
     /// nor to one that an endpoint has left, unless a ready endpoint has that address now.
-    pub fn take_block_commands(&mut self) -> Vec<Command> {
+    pub(super) fn take_block_commands(&mut self) -> Vec<Command> {
         let mut blocked = HashSet::new();
         for endpoint in self.endpoints.values() {
             if endpoint.status != EndpointStatus::Ready {
@@ -190,7 +193,7 @@
     /// Removes endpoints that have left the list and have no attempt in flight: ids and addresses are ever new, and the
     /// table must not grow with them. Their blocks go too, because nothing can be sent to an endpoint that is not in the
     /// table.
-    pub fn forget_removed(&mut self, in_use: &HashSet<EndpointId>) -> Vec<EndpointId> {
+    pub(super) fn forget_removed(&mut self, in_use: &HashSet<EndpointId>) -> Vec<EndpointId> {
         let mut forgotten = Vec::new();
         for (number, endpoint) in &self.endpoints {
             if endpoint.status == EndpointStatus::Removed && !in_use.contains(number) {
@@ -227,7 +230,7 @@
     /// # Errors
     ///
     /// [`BanError`] where the id is not known or there are too many bans.
-    pub fn set_ban(
+    pub(super) fn set_ban(
         &mut self,
         now: Time,
         id: Arc<str>,
@@ -243,7 +246,7 @@
     }
 
     /// Merges the ban records of another process of this dispatcher.
-    pub fn merge_bans(
+    pub(super) fn merge_bans(
         &mut self,
         now: Time,
         records: &BanRecords,
@@ -277,7 +280,7 @@
     }
 
     /// All ban records, if one has changed since the last call.
-    pub fn take_changed_bans(&mut self) -> Option<BanRecords> {
+    pub(super) fn take_changed_bans(&mut self) -> Option<BanRecords> {
         if std::mem::take(&mut self.has_ban_changes) {
             Some(self.bans.records().clone())
         } else {
--- a/src/dispatcher/endpoint_table/contacts.rs
+++ b/src/dispatcher/endpoint_table/contacts.rs
@@ -12,7 +12,7 @@
 
 impl Contacts {
     /// Records a contact.
-    pub fn record(&mut self, now: Time, endpoint: EndpointId) {
+    pub(super) fn record(&mut self, now: Time, endpoint: EndpointId) {
         if let Some(previous) = self.last_contact.insert(endpoint, now) {
             self.by_time.remove(&(previous, endpoint));
         }
@@ -20,12 +20,12 @@
     }
 
     /// Endpoints, the latest contact first.
-    pub fn latest_first(&self) -> impl Iterator<Item = EndpointId> + '_ {
+    pub(super) fn latest_first(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.by_time.iter().rev().map(|(_, endpoint)| *endpoint)
     }
 
     /// Forgets an endpoint.
-    pub fn forget(&mut self, endpoint: EndpointId) {
+    pub(super) fn forget(&mut self, endpoint: EndpointId) {
         if let Some(time) = self.last_contact.remove(&endpoint) {
             self.by_time.remove(&(time, endpoint));
         }
--- a/src/dispatcher/endpoint_table/update.rs
+++ b/src/dispatcher/endpoint_table/update.rs
@@ -13,7 +13,7 @@
 
 impl EndpointTable {
     /// Applies a complete list: endpoints that are absent have been removed.
-    pub fn replace_list(
+    pub(crate) fn replace_list(
         &mut self,
         now: Time,
         list: Vec<DiscoveredEndpoint>,
@@ -31,7 +31,7 @@
     }
 
     /// Applies what has changed in the list.
-    pub fn update_list(
+    pub(crate) fn update_list(
         &mut self,
         now: Time,
         changed: Vec<DiscoveredEndpoint>,
--- a/src/dispatcher/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -19,7 +19,7 @@
 
 impl<F: Fn(EndpointId) -> Option<EndpointTarget>> Guard<'_, F> {
     /// Whether one more attempt may go to an endpoint; retries and hedged requests are treated as any other attempt.
-    pub fn check_attempt(
+    pub(super) fn check_attempt(
         &self,
         request: &Request,
         endpoint: EndpointId,
@@ -42,13 +42,13 @@
     }
 
     /// Whether the client may be told that trying again is harmless.
-    pub fn check_shed(&self, request: &Request) -> Result<(), Rule> {
+    pub(super) fn check_shed(&self, request: &Request) -> Result<(), Rule> {
         self.check_repeat(request, None)
     }
 
     /// Whether an attempt of a request that must not run twice was abandoned so recently that its endpoint may not have seen
     /// the close yet: to that endpoint it is still in flight.
-    pub fn may_still_run(&self, request: &Request) -> bool {
+    pub(super) fn may_still_run(&self, request: &Request) -> bool {
         let was_abandoned_recently = |attempt: &Attempt| {
             let is_abandoned = attempt.end_reason.is_some_and(EndReason::is_abandoned);
             is_abandoned && self.now < attempt.ended_at.saturating_add(MAX_CLOSE_DELAY)
@@ -58,7 +58,7 @@
     }
 
     /// Whether an attempt's stream may go to the client.
-    pub fn check_stream(&self, request: &Request, attempt: u32) -> Result<(), Rule> {
+    pub(super) fn check_stream(&self, request: &Request, attempt: u32) -> Result<(), Rule> {
         if request.is_waiting() && request.is_in_flight(attempt) {
             Ok(())
         } else {
--- a/src/dispatcher/report.rs
+++ b/src/dispatcher/report.rs
@@ -72,7 +72,7 @@
 
 impl Report {
     /// A report without counts; `now` is Unix time in microseconds.
-    pub fn new(now: Time, log: Logger) -> Report {
+    pub(super) fn new(now: Time, log: Logger) -> Report {
         Report {
             log,
             counts: BTreeMap::new(),
@@ -84,7 +84,7 @@
     }
 
     /// Counts one, and returns whether a line may be logged for it.
-    pub fn count(&mut self, now: Time, counter: Counter) -> bool {
+    pub(super) fn count(&mut self, now: Time, counter: Counter) -> bool {
         *self.counts.entry(counter).or_default() += 1;
         self.has_changed = true;
         let budget = self.budgets.entry(counter).or_insert(LineBudget {
@@ -97,7 +97,7 @@
     }
 
     /// Violations of rules so far.
-    pub fn violations(&self) -> u64 {
+    pub(super) fn violations(&self) -> u64 {
         let is_violation = |counter: &Counter| matches!(counter, Counter::Violation(_));
         self.counts
             .iter()
@@ -107,7 +107,7 @@
     }
 
     /// Logs all counters if it is time for it and one has changed.
-    pub fn summarize_if_due(&mut self, now: Time, open_requests: usize) {
+    pub(super) fn summarize_if_due(&mut self, now: Time, open_requests: usize) {
         if now >= self.next_summary {
             self.next_summary = now.saturating_add(SUMMARY_INTERVAL);
             self.summarize(open_requests);
@@ -115,7 +115,7 @@
     }
 
     /// Logs all counters if one has changed since the last summary.
-    pub fn summarize(&mut self, open_requests: usize) {
+    pub(super) fn summarize(&mut self, open_requests: usize) {
         if std::mem::take(&mut self.has_changed) {
             info!(self.log, "summary"; "violations" => self.violations(), "suppressed_lines" => self.suppressed_lines,
                 "open_requests" => open_requests, "counts" => format_counts(&self.counts));
--- a/src/dispatcher/report/log_lines.rs
+++ b/src/dispatcher/report/log_lines.rs
@@ -15,13 +15,13 @@
 
 /// Lines about requests.
 impl Report {
-    pub fn log_request_arrived(&self, metadata: &RequestMetadata, client_request_id: &str) {
+    pub(crate) fn log_request_arrived(&self, metadata: &RequestMetadata, client_request_id: &str) {
         debug!(self.log, "request arrived"; "id" => metadata.id, "client_request_id" => client_request_id,
             "class" => metadata.class, "time_left_us" => metadata.time_left, "prompt_tokens" => metadata.prompt_tokens,
             "prefix_tokens" => metadata.prefix_tokens);
     }
 
-    pub fn log_request_rejected(
+    pub(crate) fn log_request_rejected(
         &mut self,
         now: Time,
         client_request_id: &str,
@@ -34,7 +34,7 @@
         }
     }
 
-    pub fn log_request_closed(
+    pub(crate) fn log_request_closed(
         &mut self,
         now: Time,
         id: RequestId,
@@ -48,16 +48,16 @@
         }
     }
 
-    pub fn log_outcome(&self, id: RequestId, outcome: &Outcome) {
+    pub(crate) fn log_outcome(&self, id: RequestId, outcome: &Outcome) {
         debug!(self.log, "request outcome"; "id" => id, "outcome" => ?outcome);
     }
 
-    pub fn log_client_disconnected(&mut self, now: Time, id: RequestId) {
+    pub(crate) fn log_client_disconnected(&mut self, now: Time, id: RequestId) {
         self.count(now, Counter::Close(CloseReason::ClientDisconnected));
         debug!(self.log, "client disconnected"; "id" => id);
     }
 
-    pub fn log_stream_broken(
+    pub(crate) fn log_stream_broken(
         &self,
         id: RequestId,
         request: &Request,
@@ -68,7 +68,7 @@
             "endpoint" => endpoint, "status" => ?status);
     }
 
-    pub fn log_release_started(
+    pub(crate) fn log_release_started(
         &mut self,
         now: Time,
         id: RequestId,
@@ -84,12 +84,12 @@
         }
     }
 
-    pub fn count_release_failure(&mut self, now: Time) {
+    pub(crate) fn count_release_failure(&mut self, now: Time) {
         self.count(now, Counter::ReleaseFailed);
     }
 
     /// A rule was violated, or a violation was prevented.
-    pub fn log_violation(
+    pub(crate) fn log_violation(
         &mut self,
         now: Time,
         rule: Rule,
@@ -105,12 +105,12 @@
 
 /// Lines about attempts.
 impl Report {
-    pub fn log_attempt_started(&self, id: RequestId, attempt: u32, endpoint: EndpointId) {
+    pub(crate) fn log_attempt_started(&self, id: RequestId, attempt: u32, endpoint: EndpointId) {
         debug!(self.log, "attempt started"; "id" => id, "attempt" => attempt, "endpoint" => endpoint);
     }
 
     /// A further attempt follows one that ended for `previous_end`; `request` has the new one already.
-    pub fn log_retry(
+    pub(crate) fn log_retry(
         &mut self,
         now: Time,
         id: RequestId,
@@ -125,12 +125,12 @@
         }
     }
 
-    pub fn log_first_event(&self, id: RequestId, attempt: u32) {
+    pub(crate) fn log_first_event(&self, id: RequestId, attempt: u32) {
         debug!(self.log, "first event"; "id" => id, "attempt" => attempt);
     }
 
     /// Counts why an attempt ended, and logs it within the budget; the ordinary reasons are only counted.
-    pub fn log_attempt_failure(
+    pub(crate) fn log_attempt_failure(
         &mut self,
         now: Time,
         id: RequestId,
@@ -155,7 +155,7 @@
             "duration_ms" => now.saturating_sub(ended.started_at) / MILLISECOND);
     }
 
-    pub fn log_attempt_ended(
+    pub(crate) fn log_attempt_ended(
         &self,
         id: RequestId,
         attempt: u32,
@@ -171,33 +171,33 @@
 
 /// Lines about endpoints, gossip, settings and the process.
 impl Report {
-    pub fn log_endpoint_moved(&self, endpoint: EndpointId, address: &str) {
+    pub(crate) fn log_endpoint_moved(&self, endpoint: EndpointId, address: &str) {
         debug!(self.log, "endpoint moved"; "endpoint" => endpoint, "address" => address);
     }
 
-    pub fn log_endpoint_updated(&self, endpoint: &Endpoint) {
+    pub(crate) fn log_endpoint_updated(&self, endpoint: &Endpoint) {
         debug!(self.log, "endpoint updated"; "endpoint" => endpoint.listed.endpoint, "endpoint_id" => %endpoint.id,
             "address" => %endpoint.address, "role" => ?endpoint.role, "status" => ?endpoint.status,
             "started_at" => ?endpoint.listed.started_at);
     }
 
-    pub fn log_ban_changed(&self, endpoint_id: &str, is_banned: bool) {
+    pub(crate) fn log_ban_changed(&self, endpoint_id: &str, is_banned: bool) {
         info!(self.log, "ban changed"; "endpoint_id" => endpoint_id, "banned" => is_banned);
     }
 
-    pub fn log_unknown_probe(&self, endpoint: EndpointId) {
+    pub(crate) fn log_unknown_probe(&self, endpoint: EndpointId) {
         warn!(self.log, "probe of unknown endpoint"; "endpoint" => endpoint);
     }
 
-    pub fn log_gossip_dropped(&self, peer: usize, reason: &impl Debug) {
+    pub(crate) fn log_gossip_dropped(&self, peer: usize, reason: &impl Debug) {
         debug!(self.log, "gossip message dropped"; "peer" => peer, "reason" => ?reason);
     }
 
-    pub fn log_settings_applied(&self, classes: usize, max_attempts: u32) {
+    pub(crate) fn log_settings_applied(&self, classes: usize, max_attempts: u32) {
         info!(self.log, "settings applied"; "classes" => classes, "max_attempts" => max_attempts);
     }
 
-    pub fn log_readiness(&self, readiness: Readiness) {
+    pub(crate) fn log_readiness(&self, readiness: Readiness) {
         info!(self.log, "readiness"; "state" => ?readiness);
     }
 }
--- a/src/dispatcher/request.rs
+++ b/src/dispatcher/request.rs
@@ -23,7 +23,7 @@
 
 impl Attempt {
     /// An attempt that starts now.
-    pub fn new(now: Time, endpoint: EndpointId, target: Option<EndpointTarget>) -> Self {
+    pub(super) fn new(now: Time, endpoint: EndpointId, target: Option<EndpointTarget>) -> Self {
         Attempt {
             endpoint,
             target,
@@ -33,7 +33,7 @@
         }
     }
 
-    pub fn is_in_flight(&self) -> bool {
+    pub(super) fn is_in_flight(&self) -> bool {
         self.end_reason.is_none()
     }
 
@@ -81,7 +81,7 @@
 
 impl Request {
     /// A request as it arrives.
-    pub fn new(
+    pub(super) fn new(
         now: Time,
         metadata: &RequestMetadata,
         upstream: UpstreamRequest,
@@ -102,23 +102,23 @@
         }
     }
 
-    pub fn has_attempt_in_flight(&self) -> bool {
+    pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    pub fn is_in_flight(&self, attempt: u32) -> bool {
+    pub(super) fn is_in_flight(&self, attempt: u32) -> bool {
         self.attempts
             .get(attempt as usize)
             .is_some_and(Attempt::is_in_flight)
     }
 
     /// Why the last attempt ended; `None` where there is none or it is in flight.
-    pub fn last_end_reason(&self) -> Option<EndReason> {
+    pub(super) fn last_end_reason(&self) -> Option<EndReason> {
         self.attempts.last()?.end_reason
     }
 
     /// Endpoints of its attempts: first those that have responded, the latest before the others.
-    pub fn attempted_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
+    pub(super) fn attempted_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         let latest_first = self.attempts.iter().rev();
         let with_response = latest_first
             .clone()
@@ -130,16 +130,16 @@
     }
 
     /// Whether it has no outcome yet.
-    pub fn is_waiting(&self) -> bool {
+    pub(super) fn is_waiting(&self) -> bool {
         self.phase == Phase::Waiting
     }
 
-    pub fn is_closed(&self) -> bool {
+    pub(super) fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed { .. })
     }
 
     /// The attempt whose stream goes, or went, to the client.
-    pub fn stream(&self) -> Option<u32> {
+    pub(super) fn stream(&self) -> Option<u32> {
         match self.phase {
             Phase::Waiting => None,
             Phase::Streaming { attempt } => Some(attempt),
@@ -149,7 +149,7 @@
 
     /// Who may still use what is reserved for it. A stream in flight needs no KV cache of another endpoint any more; any
     /// other attempt may wait for one.
-    pub fn reservation_demand(&self) -> ReservationDemand {
+    pub(super) fn reservation_demand(&self) -> ReservationDemand {
         if self.stream().is_none() && self.has_attempt_in_flight() {
             ReservationDemand::AttemptInFlight
         } else if self.is_waiting() {
@@ -160,14 +160,14 @@
     }
 
     /// An attempt's first event has gone to the client.
-    pub fn start_stream(&mut self, attempt: u32) {
+    pub(super) fn start_stream(&mut self, attempt: u32) {
         self.phase = Phase::Streaming { attempt };
         self.reservation.on_stream_started();
         self.upstream.body = Bytes::new(); // no further attempt will need it
     }
 
     /// It has its final outcome, or its client has disconnected. False where it was closed before.
-    pub fn close(&mut self) -> bool {
+    pub(super) fn close(&mut self) -> bool {
         let was_open = !self.is_closed();
         self.phase = Phase::Closed {
             stream: self.stream(),
@@ -176,7 +176,7 @@
     }
 
     /// Records the end of an attempt, what may be reserved and what may have run by it. `None`: it was not in flight.
-    pub fn end_attempt(
+    pub(super) fn end_attempt(
         &mut self,
         now: Time,
         attempt: u32,
@@ -204,7 +204,7 @@
     }
 
     /// Whether it can leave the table.
-    pub fn is_finished(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.is_closed()
             && !self.has_attempt_in_flight()
             && !self.reservation.is_releasing()
--- a/src/dispatcher/request_table.rs
+++ b/src/dispatcher/request_table.rs
@@ -27,17 +27,17 @@
 }
 
 impl RequestTable {
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
     /// Whether a request of this client request id is in the table.
-    pub fn is_open(&self, client_request_id: &str) -> bool {
+    pub(super) fn is_open(&self, client_request_id: &str) -> bool {
         self.open_ids.contains(client_request_id)
     }
 
     /// Whether a request of this client request id ended recently and may have run.
-    pub fn may_have_run(&self, client_request_id: &str) -> bool {
+    pub(super) fn may_have_run(&self, client_request_id: &str) -> bool {
         self.recent_ids.contains(client_request_id)
     }
 
@@ -58,22 +58,22 @@
         }
     }
 
-    pub fn insert(&mut self, id: RequestId, request: Request) {
+    pub(super) fn insert(&mut self, id: RequestId, request: Request) {
         self.open_ids
             .insert(request.upstream.client_request_id.clone());
         self.requests.insert(id, request);
     }
 
-    pub fn get(&self, id: RequestId) -> Option<&Request> {
+    pub(super) fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests.get_mut(&id)
     }
 
     /// Requests whose deadlines must be checked: all but those of which nothing is left but a stream in flight.
-    pub fn ids_to_check(&self) -> Vec<RequestId> {
+    pub(super) fn ids_to_check(&self) -> Vec<RequestId> {
         let needs_check = |request: &Request| {
             request.is_waiting() || request.is_closed() || request.reservation.may_be_held()
         };
@@ -85,7 +85,7 @@
     }
 
     /// Classes that a request in the table belongs to.
-    pub fn classes(&self) -> HashSet<usize> {
+    pub(super) fn classes(&self) -> HashSet<usize> {
         self.requests
             .values()
             .map(|request| request.class)
@@ -93,7 +93,7 @@
     }
 
     /// Endpoints with an attempt in flight.
-    pub fn endpoints_in_use(&self) -> HashSet<EndpointId> {
+    pub(super) fn endpoints_in_use(&self) -> HashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts
             .filter(|attempt| attempt.is_in_flight())
@@ -102,7 +102,7 @@
     }
 
     /// Removes a request that is finished, and reports whether it may have run to whoever waits for that.
-    pub fn remove_if_finished(&mut self, now: Time, id: RequestId) {
+    pub(super) fn remove_if_finished(&mut self, now: Time, id: RequestId) {
         if !self.requests.get(&id).is_some_and(Request::is_finished) {
             return;
         }
--- a/src/dispatcher/reservation.rs
+++ b/src/dispatcher/reservation.rs
@@ -66,7 +66,7 @@
 
 impl Reservation {
     /// Updates what may be reserved after an attempt at an endpoint of this role has ended.
-    pub fn on_attempt_ended(&mut self, now: Time, role: Option<Role>, reason: EndReason) {
+    pub(super) fn on_attempt_ended(&mut self, now: Time, role: Option<Role>, reason: EndReason) {
         let was_released = std::mem::take(&mut self.released_during_attempt);
         let may_be_kept = was_released && role != Some(Role::Prefill);
         if reason.is_abandoned() {
@@ -93,25 +93,25 @@
     }
 
     /// A stream has begun: its endpoint frees everything else that is reserved by itself.
-    pub fn on_stream_started(&mut self) {
+    pub(super) fn on_stream_started(&mut self) {
         self.confirmed_since = None;
         self.suspected_since = None;
         self.released_during_attempt = false;
     }
 
     /// The router needs the KV cache no longer.
-    pub fn abandon(&mut self, now: Time) {
+    pub(super) fn abandon(&mut self, now: Time) {
         let confirmed = self.confirmed_since.take();
         self.suspected_since = confirmed.or(self.suspected_since).or(Some(now));
     }
 
     /// Whether a KV cache may be reserved.
-    pub fn may_be_held(&self) -> bool {
+    pub(super) fn may_be_held(&self) -> bool {
         self.confirmed_since.is_some() || self.suspected_since.is_some()
     }
 
     /// Whether a release is in progress.
-    pub fn is_releasing(&self) -> bool {
+    pub(super) fn is_releasing(&self) -> bool {
         matches!(self.release, ReleaseState::InProgress { .. })
     }
 
@@ -136,7 +136,7 @@
 
     /// Starts a release if one is due, and returns its reason. `ttl`: how long endpoints may hold a reservation
     /// (microseconds).
-    pub fn start_release(
+    pub(super) fn start_release(
         &mut self,
         now: Time,
         ttl: Time,
@@ -168,7 +168,7 @@
     }
 
     /// The release in progress has completed. It is repeated where it may have arrived too early.
-    pub fn on_release_completed(&mut self, now: Time) {
+    pub(super) fn on_release_completed(&mut self, now: Time) {
         let ReleaseState::InProgress { must_repeat } = self.release else {
             return;
         };
--- a/src/process/core_startup.rs
+++ b/src/process/core_startup.rs
@@ -29,7 +29,7 @@
 }
 
 impl CoreStartup {
-    pub fn create(startup: &mut Startup) -> Result<CoreStartup, ServeError> {
+    pub(super) fn create(startup: &mut Startup) -> Result<CoreStartup, ServeError> {
         let deployment = startup.deployment.clone();
         let log = startup.log.clone();
         let (dispatcher, events) = dispatcher::channel(deployment.clone());
--- a/src/process/frontends.rs
+++ b/src/process/frontends.rs
@@ -44,7 +44,7 @@
 
 impl Frontends {
     /// Prepares the clients' frontend, and starts those for sessions and agent checks where they are on.
-    pub fn start(
+    pub(super) fn start(
         inputs: FrontendInputs,
         client_listener: TcpListener,
         session_listener: Option<DeferredListener>,
@@ -102,7 +102,7 @@
     }
 
     /// Starts to accept clients.
-    pub fn accept_clients(&mut self) {
+    pub(super) fn accept_clients(&mut self) {
         if let Some(clients) = self.clients.take() {
             self.tasks.spawn(listener::serve(
                 clients.listener,
@@ -115,13 +115,13 @@
         }
     }
 
-    pub fn set_shutdown_phase(&self, phase: ShutdownPhase) {
+    pub(super) fn set_shutdown_phase(&self, phase: ShutdownPhase) {
         // Without any frontend running nobody needs to know.
         let _ = self.shutdown_phase.send(phase);
     }
 
     /// Waits until all connections and sessions are closed.
-    pub async fn wait_until_closed(&mut self) {
+    pub(super) async fn wait_until_closed(&mut self) {
         while self.tasks.join_next().await.is_some() {}
         self.sessions.wait_until_closed().await;
     }
--- a/src/process/limits.rs
+++ b/src/process/limits.rs
@@ -20,7 +20,7 @@
 }
 
 impl ResourceBudgets {
-    pub fn new(config: &Config, sessions: SessionConfig) -> Self {
+    pub(super) fn new(config: &Config, sessions: SessionConfig) -> Self {
         let sockets = config.limits.socket_budgets();
         let memory_bytes = config.limits.memory_bytes();
         ResourceBudgets {
@@ -31,7 +31,7 @@
     }
 
     /// File descriptors that sessions take out of the clients' budget, where there are sessions.
-    pub fn session_sockets(&self) -> usize {
+    pub(super) fn session_sockets(&self) -> usize {
         self.sessions.config.max_sessions + self.sessions.handshake_sockets
     }
 }
@@ -49,7 +49,7 @@
 
 impl SharedLimits {
     /// The whole limits, with `session_sockets` of the clients' file descriptors reserved for sessions.
-    pub fn new(budgets: &ResourceBudgets, session_sockets: usize) -> Self {
+    pub(super) fn new(budgets: &ResourceBudgets, session_sockets: usize) -> Self {
         let body_memory_kilobytes = budgets.memory_bytes / 1024 / BODY_MEMORY_DIVISOR;
         SharedLimits {
             clients: ConnectionLimit::new(budgets.sockets.clients - session_sockets),
--- a/src/process/listeners.rs
+++ b/src/process/listeners.rs
@@ -58,7 +58,7 @@
 }
 
 impl SideListeners {
-    pub async fn bind(
+    pub(super) async fn bind(
         options: &ServeOptions,
         has_predecessor: bool,
     ) -> Result<SideListeners, ServeError> {
@@ -101,7 +101,7 @@
     }
 
     /// Waits for the listener. `None`: the process shuts down before the address is free.
-    pub async fn listener(
+    pub(super) async fn listener(
         self,
         mut shutdown_phase: watch::Receiver<ShutdownPhase>,
     ) -> Option<TcpListener> {
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -35,7 +35,7 @@
 impl Process {
     /// Accepts clients, as soon as a predecessor leaves them to this process, and drains after the first termination
     /// signal. Returns when all requests have ended.
-    pub async fn run(mut self, mut termination: TerminationSignals) {
+    pub(super) async fn run(mut self, mut termination: TerminationSignals) {
         let mut terminated = pin!(termination.wait());
         let is_accepting = tokio::select! {
             () = terminated.as_mut() => false,
--- a/src/process/signals.rs
+++ b/src/process/signals.rs
@@ -17,7 +17,7 @@
 
 impl Signals {
     /// Installs the handlers. This is the first step of a start: a signal that arrives earlier kills the process.
-    pub fn install() -> Result<Signals, ServeError> {
+    pub(super) fn install() -> Result<Signals, ServeError> {
         let hangup = signal(SignalKind::hangup()).map_err(ServeError::Signal)?;
         let terminate = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
         let interrupt = signal(SignalKind::interrupt()).map_err(ServeError::Signal)?;
@@ -34,7 +34,7 @@
 
 impl TerminationSignals {
     /// Waits for the first of these signals.
-    pub async fn wait(&mut self) {
+    pub(super) async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/src/process/tasks.rs
+++ b/src/process/tasks.rs
@@ -125,12 +125,12 @@
 
 impl VitalTasks {
     /// How many tasks run.
-    pub fn count(&self) -> usize {
+    pub(super) fn count(&self) -> usize {
         self.tasks.len()
     }
 
     /// Waits until one of the tasks has ended, which none should.
-    pub async fn wait_for_end(&mut self) -> Option<Result<(), JoinError>> {
+    pub(super) async fn wait_for_end(&mut self) -> Option<Result<(), JoinError>> {
         self.tasks.join_next().await
     }
 
--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -13,14 +13,14 @@
 mod hash_ring;
 mod prefix_affinity;
 
-pub use hash_ring::mix;
+pub(super) use hash_ring::mix;
 
 use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use hash_ring::HashRing;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// With up to this many ready endpoints, all of them are candidates.
-pub const MAX_FULLY_SCORED_ENDPOINTS: usize = 128;
+pub(super) const MAX_FULLY_SCORED_ENDPOINTS: usize = 128;
 /// Each widening of a query multiplies its number of candidates by this.
 const WIDENING_FACTOR: usize = 4;
 /// Prefill endpoints drawn from the dispatcher's own zone ...
@@ -38,7 +38,7 @@
 
 /// The pool that an attempt draws its candidates from. An endpoint of mixed role is in both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PoolKind {
+pub(super) enum PoolKind {
     /// Endpoints that take prompts.
     Prefill,
     /// Endpoints that take KV caches and stream responses.
@@ -47,7 +47,7 @@
 
 /// A ready endpoint, as the index knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IndexedEndpoint {
+pub(super) struct IndexedEndpoint {
     /// What it does.
     pub role: Role,
     /// Its zone.
@@ -110,7 +110,7 @@
 
 /// What candidates are looked for.
 #[derive(Clone, Copy, Debug)]
-pub struct CandidateQuery {
+pub(super) struct CandidateQuery {
     /// The dispatcher's zone.
     pub zone: u32,
     /// Determines the random draws: one number for each request.
@@ -127,7 +127,7 @@
 
 /// The index. Two that were given the same list are equal, whatever came before.
 #[derive(Clone, Debug)]
-pub struct CandidateIndex {
+pub(super) struct CandidateIndex {
     now: Time,
     max_fully_scored: usize,
     endpoints: BTreeMap<EndpointId, IndexedEndpoint>,
@@ -152,7 +152,7 @@
 
 impl CandidateIndex {
     /// From now on all endpoints are candidates in fleets of up to this many.
-    pub fn look_at_all_up_to(&mut self, endpoints: usize) {
+    pub(super) fn look_at_all_up_to(&mut self, endpoints: usize) {
         self.max_fully_scored = endpoints;
     }
 
@@ -170,7 +170,7 @@
 
     /// Records a line of the list of endpoints. An endpoint is warm `slow_start_duration` microseconds after
     /// its start.
-    pub fn update(&mut self, now: Time, record: &EndpointRecord, slow_start_duration: Time) {
+    pub(super) fn update(&mut self, now: Time, record: &EndpointRecord, slow_start_duration: Time) {
         if record.status != EndpointStatus::Ready {
             self.set(now, record.endpoint, None);
             return;
@@ -232,7 +232,7 @@
     }
 
     /// Advances the clock: endpoints that are warm by `now` leave slow start.
-    pub fn advance_to(&mut self, now: Time) {
+    pub(super) fn advance_to(&mut self, now: Time) {
         self.now = now;
         while let Some((warm_at, id)) = self.warming_up.first().copied() {
             if warm_at > now {
@@ -249,7 +249,7 @@
 
     /// How many endpoints serve the load of a pool, at least 1: the warm ones, or where there are none all;
     /// and whether any is warm.
-    pub fn serving_endpoints(&self, kind: PoolKind) -> (f64, bool) {
+    pub(super) fn serving_endpoints(&self, kind: PoolKind) -> (f64, bool) {
         let pool = self.pool(kind);
         let warm = pool.all.len() - pool.in_slow_start.len();
         if warm > 0 {
@@ -260,14 +260,14 @@
     }
 
     /// Whether the candidates of a query are all endpoints of the pool.
-    pub fn covers_all(&self, kind: PoolKind, query: &CandidateQuery) -> bool {
+    pub(super) fn covers_all(&self, kind: PoolKind, query: &CandidateQuery) -> bool {
         let min_drawn = PREFILL_CANDIDATES_IN_ZONE.min(DECODE_CANDIDATES_IN_ZONE);
         self.considers_all() || query.widen(min_drawn) >= self.pool(kind).all.len()
     }
 
     /// The factor for a request's draw at an endpoint in slow start. A request draws at a few such
     /// endpoints only; with the factor, each is sent as much as if every request drew at every one.
-    pub fn slow_start_sampling_factor(
+    pub(super) fn slow_start_sampling_factor(
         &self,
         kind: PoolKind,
         query: &CandidateQuery,
@@ -294,7 +294,7 @@
 
     /// Candidates for a prefill: those that are likely to have the prompt cached, and some that are drawn. In
     /// order of their ids, each once.
-    pub fn prefill_endpoints(
+    pub(super) fn prefill_endpoints(
         &self,
         query: &CandidateQuery,
         mut likely: BTreeSet<EndpointId>,
@@ -313,7 +313,7 @@
 
     /// Candidates for a decode attempt whose KV cache is in one of these cells. In order of their ids, each
     /// once.
-    pub fn decode_endpoints(
+    pub(super) fn decode_endpoints(
         &self,
         query: &CandidateQuery,
         cells: &BTreeSet<u32>,
--- a/src/routing/candidate_index/hash_ring.rs
+++ b/src/routing/candidate_index/hash_ring.rs
@@ -76,7 +76,7 @@
 }
 
 /// Hashes a pair of numbers evenly, such as the keys of a prefix and of an endpoint.
-pub fn mix(first: u64, second: u64) -> u64 {
+pub(crate) fn mix(first: u64, second: u64) -> u64 {
     let mut mixed = first ^ second.rotate_left(32);
     for _ in 0..2 {
         mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
--- a/src/routing/candidate_index/prefix_affinity.rs
+++ b/src/routing/candidate_index/prefix_affinity.rs
@@ -21,7 +21,7 @@
 
 /// The affinity endpoints of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PrefixAffinity {
+pub(crate) struct PrefixAffinity {
     /// Those of its shared prefix, or where it has none those among which the session's one was ranked.
     pub for_prefix: Vec<EndpointId>,
     /// The one of its session.
@@ -33,7 +33,7 @@
     /// prefix, so that it comes back to the same ones. `traffic_share` is the prefix's share of the traffic,
     /// `warm_share` the share of its capacity that an endpoint has: one that warms up has affinity for what
     /// it can take. A zone with too few prefill endpoints has further ones in the other zones.
-    pub fn prefix_affinity(
+    pub(crate) fn prefix_affinity(
         &self,
         query: &CandidateQuery,
         prefix: Option<u64>,
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -23,7 +23,7 @@
 
 /// The index.
 #[derive(Default)]
-pub struct PrefixCacheIndex {
+pub(super) struct PrefixCacheIndex {
     by_endpoint: BTreeMap<EndpointId, BTreeMap<u64, CachedPrefix>>,
     by_key: HashMap<u64, BTreeSet<EndpointId>>,
     /// Shared prefixes of recent requests; 0 for a request without one.
@@ -32,7 +32,7 @@
 
 impl PrefixCacheIndex {
     /// Counts an arrived request in the traffic sample.
-    pub fn on_arrival(&mut self, request: &RequestMetadata) {
+    pub(super) fn on_arrival(&mut self, request: &RequestMetadata) {
         self.recent_prefixes.push_back(request.prefix.unwrap_or(0));
         while self.recent_prefixes.len() > TRAFFIC_SAMPLE_REQUESTS {
             self.recent_prefixes.pop_front();
@@ -40,7 +40,7 @@
     }
 
     /// The share of recent requests that begin with the same shared prefix, 0 to 1.
-    pub fn traffic_share(&self, request: &RequestMetadata) -> f64 {
+    pub(super) fn traffic_share(&self, request: &RequestMetadata) -> f64 {
         let Some(prefix) = request.prefix else {
             return 0.0;
         };
@@ -61,7 +61,7 @@
     }
 
     /// Tokens of a request's prompt that an endpoint is known to have cached.
-    pub fn cached_tokens(&self, request: &RequestMetadata, endpoint: EndpointId) -> f64 {
+    pub(super) fn cached_tokens(&self, request: &RequestMetadata, endpoint: EndpointId) -> f64 {
         let shared = self
             .tokens_for_key(request.prefix, endpoint)
             .min(request.prefix_tokens);
@@ -71,7 +71,7 @@
     }
 
     /// Some endpoints that have a request's session or shared prefix cached; of many, others for each seed.
-    pub fn holders(&self, request: &RequestMetadata, seed: u64) -> BTreeSet<EndpointId> {
+    pub(super) fn holders(&self, request: &RequestMetadata, seed: u64) -> BTreeSet<EndpointId> {
         let mut found = BTreeSet::new();
         for key in [request.session, request.prefix].iter().flatten() {
             let Some(holders) = self.by_key.get(key) else {
@@ -86,7 +86,7 @@
 
     /// Records that an endpoint has prefilled a request. At most `max_tokens` are recorded
     /// for it, where that is over 0: an endpoint whose memory is full evicts the oldest.
-    pub fn record_prefill(
+    pub(super) fn record_prefill(
         &mut self,
         now: Time,
         endpoint: EndpointId,
@@ -134,7 +134,7 @@
     }
 
     /// Forgets what was recorded at this instant or before, in microseconds.
-    pub fn expire(&mut self, until: Time) {
+    pub(super) fn expire(&mut self, until: Time) {
         for (endpoint, entries) in &mut self.by_endpoint {
             entries.retain(|key, entry| {
                 let is_fresh = entry.recorded_at > until;
@@ -148,7 +148,7 @@
     }
 
     /// Forgets an endpoint that was removed or has restarted.
-    pub fn forget_endpoint(&mut self, endpoint: EndpointId) {
+    pub(super) fn forget_endpoint(&mut self, endpoint: EndpointId) {
         let Some(entries) = self.by_endpoint.remove(&endpoint) else {
             return;
         };
--- a/src/routing/token_bucket.rs
+++ b/src/routing/token_bucket.rs
@@ -7,7 +7,7 @@
 
 /// One tenant's bucket, at one dispatcher.
 #[derive(Clone, Debug)]
-pub struct TokenBucket {
+pub(super) struct TokenBucket {
     /// Tokens a second; 0: no limit.
     rate: f64,
     tokens: f64,
@@ -16,7 +16,7 @@
 
 impl TokenBucket {
     /// A bucket with a rate in requests a second; 0: no limit. `now` is in microseconds.
-    pub fn new(rate: f64, now: Time) -> TokenBucket {
+    pub(super) fn new(rate: f64, now: Time) -> TokenBucket {
         TokenBucket {
             rate,
             tokens: BURST_SECONDS,
@@ -25,12 +25,12 @@
     }
 
     /// Changes the rate, in requests a second; 0: no limit.
-    pub fn set_rate(&mut self, rate: f64) {
+    pub(super) fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 
     /// Takes a token for a request; true where none is left. `now` is in microseconds and never goes back.
-    pub fn is_exceeded(&mut self, now: Time) -> bool {
+    pub(super) fn is_exceeded(&mut self, now: Time) -> bool {
         let elapsed_seconds = (now - self.refilled_at) as f64 / 1e6;
         self.tokens =
             (self.tokens + self.rate * elapsed_seconds).min(self.rate * BURST_SECONDS + 1.0);
--- a/src/upgrade/announcements.rs
+++ b/src/upgrade/announcements.rs
@@ -33,7 +33,7 @@
 }
 
 /// This process's announcement, whose file it owns and removes in the end, and the others' as they were last read.
-pub struct ProcessAnnouncements {
+pub(super) struct ProcessAnnouncements {
     folder: SharedFolder,
     own_file: File,
     own_path: PathBuf,
@@ -61,7 +61,7 @@
     ///
     /// `now`, in Unix microseconds, is when it started, unless a living process has announced the same or a later time,
     /// as after the wall clock was set back: then this one comes right after that.
-    pub fn publish(folder: SharedFolder, now: u64) -> io::Result<ProcessAnnouncements> {
+    pub(super) fn publish(folder: SharedFolder, now: u64) -> io::Result<ProcessAnnouncements> {
         let started_at = match youngest_live_process(&folder)? {
             Some(youngest) => now.max(youngest.saturating_add(1)),
             None => now,
@@ -94,17 +94,17 @@
     }
 
     /// What this process announces.
-    pub fn own(&self) -> ProcessAnnouncement {
+    pub(super) fn own(&self) -> ProcessAnnouncement {
         self.own
     }
 
     /// What the other live processes announced when the folder was last scanned.
-    pub fn others(&self) -> &[ProcessAnnouncement] {
+    pub(super) fn others(&self) -> &[ProcessAnnouncement] {
         &self.others
     }
 
     /// Announces this from now on. After an error the file is written with the next update.
-    pub fn update(&mut self, own: ProcessAnnouncement) -> io::Result<()> {
+    pub(super) fn update(&mut self, own: ProcessAnnouncement) -> io::Result<()> {
         if own == self.own && self.is_published {
             return Ok(());
         }
@@ -120,7 +120,7 @@
 
     /// Whether the announcements may have changed since the last scan. While this process is alone, only a new file
     /// matters, which shows in the folder's modification time.
-    pub fn needs_scan(&self) -> bool {
+    pub(super) fn needs_scan(&self) -> bool {
         if !self.others.is_empty() {
             return true;
         }
@@ -136,7 +136,7 @@
 
     /// Reads the others' announcements, and removes the files of dead processes. After an error what is known of the
     /// others stays as it was: half a reading of the folder could miss a live process.
-    pub fn scan(&mut self) -> io::Result<()> {
+    pub(super) fn scan(&mut self) -> io::Result<()> {
         let folder_modified = fs::metadata(self.folder.path())?.modified()?;
         let mut others = Vec::new();
         let mut live_process_ids = vec![std::process::id()];
@@ -210,7 +210,7 @@
     }
 
     /// What this process sees of the others, as of the last scan.
-    pub fn peer_processes(&self) -> PeerProcesses {
+    pub(super) fn peer_processes(&self) -> PeerProcesses {
         let started_at = self.own.started_at;
         let mut predecessor = false;
         let mut successor = None;
--- a/src/upgrade/ban_file.rs
+++ b/src/upgrade/ban_file.rs
@@ -21,7 +21,7 @@
 
 /// Why no bans could be read.
 #[derive(Debug, Error)]
-pub enum BanFileError {
+pub(super) enum BanFileError {
     /// The file could not be read; it is read again the next time.
     #[error(transparent)]
     Unreadable(io::Error),
@@ -89,7 +89,7 @@
 }
 
 /// The records that the file should hold, the newest of each id; `None` where it holds just these.
-pub fn merge_records(own: &BanRecords, published: &BanRecords) -> Option<BanRecords> {
+pub(super) fn merge_records(own: &BanRecords, published: &BanRecords) -> Option<BanRecords> {
     let mut merged = published.clone();
     for (id, own_record) in own {
         let newest = merged.entry(id.clone()).or_insert(*own_record);
@@ -104,7 +104,7 @@
 }
 
 /// The file of bans, as one process uses it.
-pub struct BanFile {
+pub(super) struct BanFile {
     path: PathBuf,
     temporary_path: PathBuf,
     last_read: Option<FileVersion>,
@@ -120,7 +120,7 @@
 
 impl BanFile {
     /// The file in this folder. It need not exist.
-    pub fn new(folder: &SharedFolder) -> BanFile {
+    pub(super) fn new(folder: &SharedFolder) -> BanFile {
         BanFile {
             path: folder.bans(),
             temporary_path: folder.temporary_bans(std::process::id()),
@@ -139,7 +139,7 @@
 
     /// Reads the file if it exists and has changed since it was last read. A file with wrong contents is reported
     /// once; one that is [`BanFileError::Unreadable`] is read again with the next call.
-    pub fn read_if_changed(&mut self) -> Result<Option<BanRecords>, BanFileError> {
+    pub(super) fn read_if_changed(&mut self) -> Result<Option<BanRecords>, BanFileError> {
         let Some(version) = self.current_version() else {
             return Ok(None);
         };
@@ -157,7 +157,7 @@
     }
 
     /// Replaces the file by one with these records.
-    pub fn write(&self, records: &BanRecords) -> io::Result<()> {
+    pub(super) fn write(&self, records: &BanRecords) -> io::Result<()> {
         let mut file = File::create(&self.temporary_path)?;
         file.write_all(format_records(records).as_bytes())?;
         file.sync_all()?;
--- a/src/upgrade/shared_folder.rs
+++ b/src/upgrade/shared_folder.rs
@@ -13,14 +13,14 @@
 
 /// The folder, and the prefix that the names of one dispatcher's files have.
 #[derive(Clone, Debug)]
-pub struct SharedFolder {
+pub(super) struct SharedFolder {
     path: PathBuf,
     prefix: String,
 }
 
 /// A file that another process of the dispatcher may have left in the folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SharedFile {
+pub(super) enum SharedFile {
     /// A process announcement.
     Announcement(AnnouncementName),
     /// A ban file that was being written by this process, where the name tells which.
@@ -32,7 +32,7 @@
 
 /// What the name of an announcement's file says of its process, where it can be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AnnouncementName {
+pub(super) struct AnnouncementName {
     /// When it started, in Unix microseconds.
     pub started_at: Option<u64>,
     /// Its process number.
@@ -41,7 +41,7 @@
 
 impl SharedFolder {
     /// The files in this folder of the dispatcher with this name.
-    pub fn new(path: &Path, dispatcher_name: &str) -> SharedFolder {
+    pub(super) fn new(path: &Path, dispatcher_name: &str) -> SharedFolder {
         SharedFolder {
             path: path.to_owned(),
             // A hash, as the name may hold characters that have a meaning in a path.
@@ -50,17 +50,17 @@
     }
 
     /// The folder's own path.
-    pub fn path(&self) -> &Path {
+    pub(super) fn path(&self) -> &Path {
         &self.path
     }
 
     /// The announcement of this process.
-    pub fn announcement(&self, started_at: u64) -> PathBuf {
+    pub(super) fn announcement(&self, started_at: u64) -> PathBuf {
         self.own_announcement(started_at, ANNOUNCEMENT_SUFFIX)
     }
 
     /// The announcement of this process while its file is not locked yet.
-    pub fn temporary_announcement(&self, started_at: u64) -> PathBuf {
+    pub(super) fn temporary_announcement(&self, started_at: u64) -> PathBuf {
         self.own_announcement(started_at, TEMPORARY_ANNOUNCEMENT_SUFFIX)
     }
 
@@ -70,17 +70,17 @@
     }
 
     /// The socket on which the process that started then receives streams.
-    pub fn stream_socket(&self, started_at: u64) -> PathBuf {
+    pub(super) fn stream_socket(&self, started_at: u64) -> PathBuf {
         self.file(&format!("-{started_at:020}.sock"))
     }
 
     /// The file of bans, one for all processes.
-    pub fn bans(&self) -> PathBuf {
+    pub(super) fn bans(&self) -> PathBuf {
         self.file(".bans")
     }
 
     /// The file of bans as the process with this number writes it.
-    pub fn temporary_bans(&self, process_id: u32) -> PathBuf {
+    pub(super) fn temporary_bans(&self, process_id: u32) -> PathBuf {
         self.file(&format!("-{process_id}{TEMPORARY_BANS_SUFFIX}"))
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// What the file at this path is; `None` if it is not one of this dispatcher's announcements or temporary files.
-    pub fn classify(&self, path: &Path) -> Option<SharedFile> {
+    pub(super) fn classify(&self, path: &Path) -> Option<SharedFile> {
         let file_name = path.file_name()?.to_str()?;
         let rest = file_name.strip_prefix(&self.prefix)?;
         if let Some(name) = file_name.strip_suffix(TEMPORARY_BANS_SUFFIX) {
--- a/src/upgrade/stream_migration/sender.rs
+++ b/src/upgrade/stream_migration/sender.rs
@@ -24,7 +24,7 @@
         // A task of its own: a stream that takes long delays no other.
         tokio::spawn(send_and_report(successor_path(), stream, log.clone()));
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
 
 async fn send_and_report(path: Option<PathBuf>, stream: MigratingStream, log: Logger) {
--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -17,25 +17,25 @@
 use tokio::sync::{mpsc, oneshot};
 
 #[path = "../testbed/profile.rs"]
-pub mod profile;
+pub(crate) mod profile;
 
 /// The time at which every core starts.
-pub const START: Time = 1_700_000_000_000_000;
+pub(crate) const START: Time = 1_700_000_000_000_000;
 /// Microseconds in a millisecond.
-pub const MS: Time = 1000;
+pub(crate) const MS: Time = 1000;
 
 /// The part of the profile that gives the first class its meaning, and one under which its requests must not run twice.
-pub const FREE_CLASS: &str = r#""aim":1500.0,"repeat":"free""#;
-pub const NON_IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"single_shot""#;
+pub(crate) const FREE_CLASS: &str = r#""aim":1500.0,"repeat":"free""#;
+pub(crate) const NON_IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"single_shot""#;
 
 /// A core with its time, and what it has commanded.
-pub struct CoreHarness {
+pub(crate) struct CoreHarness {
     pub core: Core,
     pub now: Time,
     pub commands: Vec<Command>,
 }
 
-pub fn endpoint(id: &str, role: Role, status: EndpointStatus) -> DiscoveredEndpoint {
+pub(crate) fn endpoint(id: &str, role: Role, status: EndpointStatus) -> DiscoveredEndpoint {
     let record = EndpointRecord {
         key: id.len() as u64,
         role,
@@ -51,13 +51,13 @@
     }
 }
 
-pub fn deployment(profile: &str) -> Deployment {
+pub(crate) fn deployment(profile: &str) -> Deployment {
     let settings: SettingsObject = miniserde::json::from_str(profile).unwrap();
     Deployment::new(&settings).unwrap()
 }
 
 /// A request of the first class that has 2 s left.
-pub fn metadata(id: u64) -> RequestMetadata {
+pub(crate) fn metadata(id: u64) -> RequestMetadata {
     RequestMetadata {
         id,
         time_left: 2_000 * MS,
@@ -67,7 +67,7 @@
     }
 }
 
-pub fn request_arrived(
+pub(crate) fn request_arrived(
     metadata: RequestMetadata,
     client_request_id: &str,
 ) -> (Event, oneshot::Receiver<Outcome>) {
@@ -87,11 +87,11 @@
 
 impl CoreHarness {
     /// A core with one endpoint for prefill, `r`, and one for decode, `ww`.
-    pub fn new(max_requests: usize) -> CoreHarness {
+    pub(crate) fn new(max_requests: usize) -> CoreHarness {
         CoreHarness::with_deployment(deployment(profile::PROFILE), max_requests)
     }
 
-    pub fn with_deployment(deployment: Deployment, max_requests: usize) -> CoreHarness {
+    pub(crate) fn with_deployment(deployment: Deployment, max_requests: usize) -> CoreHarness {
         let log = Logger::root(Discard, o!());
         let mut harness = CoreHarness {
             core: Core::new(Arc::new(deployment), max_requests, 7, START, log),
@@ -107,13 +107,13 @@
         harness
     }
 
-    pub fn handle(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         self.core.handle_event(self.now, event);
         self.commands.extend(self.core.take_commands());
     }
 
     /// Lets time pass, and wakes the core whenever it is due.
-    pub fn advance(&mut self, time: Time) {
+    pub(crate) fn advance(&mut self, time: Time) {
         let until = self.now + time;
         while let Some(due) = self.core.next_wakeup().filter(|due| *due <= until) {
             self.now = due.max(self.now + 1);
@@ -126,7 +126,7 @@
 
 /// Requests and their attempts.
 impl CoreHarness {
-    pub fn submit(
+    pub(crate) fn submit(
         &mut self,
         id: u64,
         class: usize,
@@ -140,7 +140,7 @@
         self.submit_request(metadata, client_request_id)
     }
 
-    pub fn submit_request(
+    pub(crate) fn submit_request(
         &mut self,
         metadata: RequestMetadata,
         client_request_id: &str,
@@ -151,7 +151,7 @@
     }
 
     /// The client disconnects, and nobody waits for whether the request may have run.
-    pub fn disconnect(&mut self, id: u64) {
+    pub(crate) fn disconnect(&mut self, id: u64) {
         self.handle(Event::ClientDisconnected {
             id,
             may_have_run: None,
@@ -159,7 +159,7 @@
     }
 
     /// An attempt's first event; the stream breaks when the sender is dropped.
-    pub fn start_stream(&mut self, id: u64, attempt: u32) -> mpsc::Sender<StreamChunk> {
+    pub(crate) fn start_stream(&mut self, id: u64, attempt: u32) -> mpsc::Sender<StreamChunk> {
         let (chunks, stream) = mpsc::channel(4);
         self.handle(Event::FirstEvent {
             id,
@@ -169,7 +169,7 @@
         chunks
     }
 
-    pub fn end_attempt(&mut self, id: u64, attempt: u32, status: AttemptStatus) {
+    pub(crate) fn end_attempt(&mut self, id: u64, attempt: u32, status: AttemptStatus) {
         self.handle(Event::AttemptEnded {
             id,
             attempt,
@@ -181,14 +181,14 @@
     }
 
     /// How many attempts were started.
-    pub fn attempt_count(&self) -> usize {
+    pub(crate) fn attempt_count(&self) -> usize {
         self.commands
             .iter()
             .filter(|command| matches!(command, Command::StartAttempt { .. }))
             .count()
     }
 
-    pub fn cancelled_attempts(&self) -> Vec<(u64, u32)> {
+    pub(crate) fn cancelled_attempts(&self) -> Vec<(u64, u32)> {
         let cancelled = |command: &Command| match command {
             Command::CancelAttempt { id, attempt } => Some((*id, *attempt)),
             _ => None,
@@ -197,7 +197,7 @@
     }
 
     /// How many releases were commanded.
-    pub fn release_count(&self) -> usize {
+    pub(crate) fn release_count(&self) -> usize {
         self.commands
             .iter()
             .filter(|command| matches!(command, Command::ReleaseReservation { .. }))
@@ -205,7 +205,7 @@
     }
 
     /// An endpoint confirms the release.
-    pub fn complete_release(&mut self, id: u64) {
+    pub(crate) fn complete_release(&mut self, id: u64) {
         self.handle(Event::ReleaseCompleted {
             id,
             confirmed: true,
@@ -214,7 +214,7 @@
 
     /// The release of a request whose attempt was abandoned just now is confirmed; it is repeated when the close of that
     /// attempt has arrived, and confirmed again.
-    pub fn complete_repeated_release(&mut self, id: u64) {
+    pub(crate) fn complete_repeated_release(&mut self, id: u64) {
         let before = self.release_count();
         self.complete_release(id);
         assert_eq!(self.release_count(), before, "the repeat comes later");
@@ -227,7 +227,7 @@
 /// Endpoints, bans and settings.
 impl CoreHarness {
     /// A complete list of endpoints.
-    pub fn replace_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
+    pub(crate) fn replace_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
         self.handle(Event::EndpointsChanged {
             is_full: true,
             endpoints,
@@ -235,14 +235,14 @@
     }
 
     /// What has changed in the list of endpoints.
-    pub fn update_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
+    pub(crate) fn update_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
         self.handle(Event::EndpointsChanged {
             is_full: false,
             endpoints,
         });
     }
 
-    pub fn set_ban(&mut self, endpoint_id: &str, banned: bool) -> Result<(), BanError> {
+    pub(crate) fn set_ban(&mut self, endpoint_id: &str, banned: bool) -> Result<(), BanError> {
         let (reply, mut result) = oneshot::channel();
         self.handle(Event::BanRequested {
             endpoint_id: endpoint_id.into(),
@@ -253,7 +253,7 @@
     }
 
     /// Addresses that were blocked (true) and unblocked (false), in order.
-    pub fn block_commands(&self) -> Vec<(&str, bool)> {
+    pub(crate) fn block_commands(&self) -> Vec<(&str, bool)> {
         let block = |command| match command {
             &Command::BlockAddress {
                 ref address,
@@ -265,7 +265,7 @@
     }
 
     /// Addresses that are blocked by all that was commanded, sorted.
-    pub fn blocked_addresses(&self) -> Vec<&str> {
+    pub(crate) fn blocked_addresses(&self) -> Vec<&str> {
         let mut blocked = BTreeSet::new();
         for (address, is_blocked) in self.block_commands() {
             if is_blocked {
@@ -277,7 +277,7 @@
         blocked.into_iter().collect()
     }
 
-    pub fn apply_settings(&mut self, profile: &str) -> Result<(), SettingsError> {
+    pub(crate) fn apply_settings(&mut self, profile: &str) -> Result<(), SettingsError> {
         let (reply, mut result) = oneshot::channel();
         self.handle(Event::SettingsChanged {
             deployment: Box::new(deployment(profile)),
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -207,6 +207,7 @@
 /// Whatever came of earlier requests, a list arrives within 6 s where discovery answers by then, and at once where it is an
 /// agent on this machine. After a response that was no list the next request used to be sent up to 24 s later.
 #[tokio::test(start_paused = true)]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 async fn list_arrives_in_time_after_any_failed_requests() {
     let sequences: &[&'static [FakeResponse]] = &[
         &[
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -102,6 +102,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn check_and_configuration_errors_are_unchanged() {
     let good = config("127.0.0.1:8080", "127.0.0.1:9000", "null");
     let deployed = include_str!("../deploy/websocket.json");
@@ -225,6 +226,7 @@
     }
 
     #[test]
+    #[expect(clippy::too_many_lines, reason = "a table of cases")]
     fn recording_is_unchanged() {
         use quartzhall_recording::{
             Digest, Record, RecordedOutcome, RecordedRole, RecordedStatus, Table, Writer,
@@ -620,6 +622,7 @@
     }
 
     #[tokio::test]
+    #[expect(clippy::too_many_lines, reason = "a table of cases")]
     async fn http_exchange_is_unchanged() {
         let program = start("http").await;
         let length = "Content-Length: 2";
@@ -804,6 +807,7 @@
 
     /// The files that two versions share: their names, and what they hold.
     #[tokio::test]
+    #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
     async fn upgrade_files_are_unchanged() {
         let folder = Folder::new("upgrade");
         let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -4,10 +4,10 @@
 use quartzhall::routing::api::*;
 use quartzhall::routing::Router;
 
-pub const MS: Time = 1_000;
-pub const SECOND: Time = 1_000_000;
+pub(crate) const MS: Time = 1_000;
+pub(crate) const SECOND: Time = 1_000_000;
 
-pub fn class(weight: f64, idempotency: Idempotency) -> RequestClass {
+pub(crate) fn class(weight: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         ttft_objective: SECOND,
         ttft_objective_per_1000_tokens: 40 * MS,
@@ -18,7 +18,7 @@
     }
 }
 
-pub fn settings(classes: Vec<RequestClass>) -> RoutingSettings {
+pub(crate) fn settings(classes: Vec<RequestClass>) -> RoutingSettings {
     RoutingSettings {
         dispatchers: 2,
         zone: 0,
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn endpoint(endpoint_id: EndpointId, role: Role) -> EndpointRecord {
+pub(crate) fn endpoint(endpoint_id: EndpointId, role: Role) -> EndpointRecord {
     EndpointRecord {
         endpoint: endpoint_id,
         key: endpoint_id.into(),
@@ -58,7 +58,7 @@
     }
 }
 
-pub fn request(id: RequestId, session: u64) -> RequestMetadata {
+pub(crate) fn request(id: RequestId, session: u64) -> RequestMetadata {
     RequestMetadata {
         id,
         session: Some(session),
@@ -70,18 +70,22 @@
 }
 
 /// A router and its clock.
-pub struct RouterHarness {
+pub(crate) struct RouterHarness {
     pub router: Router,
     pub now: Time,
 }
 
 impl RouterHarness {
-    pub fn new(settings: RoutingSettings, endpoints: Vec<EndpointRecord>) -> Self {
+    pub(crate) fn new(settings: RoutingSettings, endpoints: Vec<EndpointRecord>) -> Self {
         RouterHarness::seeded(settings, endpoints, 7)
     }
 
     /// One of several routers that share the endpoints.
-    pub fn seeded(settings: RoutingSettings, endpoints: Vec<EndpointRecord>, seed: u64) -> Self {
+    pub(crate) fn seeded(
+        settings: RoutingSettings,
+        endpoints: Vec<EndpointRecord>,
+        seed: u64,
+    ) -> Self {
         let mut harness = RouterHarness {
             router: Router::new(settings, seed, 0),
             now: 0,
@@ -95,19 +99,19 @@
     }
 
     /// Handles an event and returns the actions, but for timers.
-    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
         actions
     }
 
-    pub fn submit(&mut self, request: RequestMetadata) -> Vec<Action> {
+    pub(crate) fn submit(&mut self, request: RequestMetadata) -> Vec<Action> {
         self.handle(Event::RequestArrived(request))
     }
 
     /// Advances the clock in small steps and collects the actions.
-    pub fn advance(&mut self, time: Time) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, time: Time) -> Vec<Action> {
         let end = self.now + time;
         let mut all = Vec::new();
         while self.now < end {
@@ -117,7 +121,7 @@
         all
     }
 
-    pub fn end_attempt(
+    pub(crate) fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -127,7 +131,7 @@
         self.end_attempt_with_cached_tokens(id, attempt, endpoint_id, status, 0.0)
     }
 
-    pub fn end_attempt_with_cached_tokens(
+    pub(crate) fn end_attempt_with_cached_tokens(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -148,7 +152,7 @@
     }
 
     /// Serves a request from start to end with these times, wherever it is sent; returns the endpoints.
-    pub fn serve(
+    pub(crate) fn serve(
         &mut self,
         request: RequestMetadata,
         prefill_time: Time,
@@ -160,7 +164,7 @@
 
     /// The same with a prefill time that depends on the endpoint, and with prompt tokens that were found
     /// cached.
-    pub fn serve_with(
+    pub(crate) fn serve_with(
         &mut self,
         request: RequestMetadata,
         prefill_time: impl Fn(EndpointId) -> Time,
@@ -198,7 +202,7 @@
 }
 
 /// The endpoint to which these actions send a request.
-pub fn started_endpoint(actions: &[Action], id: RequestId) -> Option<EndpointId> {
+pub(crate) fn started_endpoint(actions: &[Action], id: RequestId) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
             id: sent,
@@ -210,7 +214,7 @@
 }
 
 /// How many final responses these actions give to a request.
-pub fn count_final_responses(actions: &[Action], of: RequestId) -> usize {
+pub(crate) fn count_final_responses(actions: &[Action], of: RequestId) -> usize {
     let ends = |action: &&Action| match action {
         Action::Shed { id, .. } | Action::Fail { id, .. } => *id == of,
         _ => false,
@@ -219,14 +223,14 @@
 }
 
 /// Four prefill and three decode endpoints.
-pub fn fleet() -> Vec<EndpointRecord> {
+pub(crate) fn fleet() -> Vec<EndpointRecord> {
     let prefill_endpoints = (1..=4).map(|id| endpoint(id, Role::Prefill));
     prefill_endpoints
         .chain((11..=13).map(|id| endpoint(id, Role::Decode)))
         .collect()
 }
 
-pub fn harness() -> RouterHarness {
+pub(crate) fn harness() -> RouterHarness {
     RouterHarness::new(
         settings(vec![
             class(3.0, Idempotency::Idempotent),
@@ -237,7 +241,7 @@
 }
 
 /// A router that has served 80 requests one after another, with streams of this duration.
-pub fn harness_after_serving(
+pub(crate) fn harness_after_serving(
     settings: RoutingSettings,
     endpoints: Vec<EndpointRecord>,
     stream: Time,
@@ -250,7 +254,7 @@
 }
 
 /// A router that has learned from 80 requests and is idle.
-pub fn trained_harness() -> RouterHarness {
+pub(crate) fn trained_harness() -> RouterHarness {
     let mut harness = harness();
     for id in 0..80 {
         assert_eq!(
@@ -265,10 +269,13 @@
 }
 
 /// A prefill and a decode endpoint.
-pub fn prefill_and_decode() -> Vec<EndpointRecord> {
+pub(crate) fn prefill_and_decode() -> Vec<EndpointRecord> {
     vec![endpoint(1, Role::Prefill), endpoint(2, Role::Decode)]
 }
 
-pub fn harness_with(idempotency: Idempotency, endpoints: Vec<EndpointRecord>) -> RouterHarness {
+pub(crate) fn harness_with(
+    idempotency: Idempotency,
+    endpoints: Vec<EndpointRecord>,
+) -> RouterHarness {
     RouterHarness::new(settings(vec![class(1.0, idempotency)]), endpoints)
 }
--- a/tests/routing_outlier_detection.rs
+++ b/tests/routing_outlier_detection.rs
@@ -254,7 +254,7 @@
         drop(harness.handle(Event::PeerLoadReport {
             endpoint: 11,
             load: None,
-        }))
+        }));
     });
     harness.handle(Event::PeerLoadReport {
         endpoint: 999,
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -21,21 +21,21 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Notify};
 
-pub use profile::PROFILE;
-pub use replicas::{Ledger, Way, ANSWER};
-pub use session_client::{ask, Terminal};
+pub(crate) use profile::PROFILE;
+pub(crate) use replicas::{Ledger, Way, ANSWER};
+pub(crate) use session_client::{ask, Terminal};
 
 use replicas::StandInReplica;
 
 /// The node side alone, with a test in the core's place.
-pub fn node_side(
+pub(crate) fn node_side(
     over_sessions: &[String],
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
     node_side_for(16, over_sessions)
 }
 
 /// The same, and so many commands may wait for it.
-pub fn node_side_for(
+pub(crate) fn node_side_for(
     waiting: usize,
     over_sessions: &[String],
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
@@ -58,7 +58,7 @@
 }
 
 /// The stand-ins and the dispatcher before them.
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub door: DispatcherHandle,
     pub ledger: Arc<Mutex<Ledger>>,
     pub go: Arc<Notify>,
@@ -81,7 +81,11 @@
 
 impl Fleet {
     /// Two readers (0, 1) and two writers (2, 3), over HTTP/1.1 or sessions. Writer 3 is not told of at first.
-    pub async fn start(over_sessions: bool) -> Fleet {
+    #[expect(
+        clippy::too_many_lines,
+        reason = "puts a whole dispatcher together, as process does"
+    )]
+    pub(crate) async fn start(over_sessions: bool) -> Fleet {
         let log = Logger::root(Discard, o!());
         let (ledger, go) = (
             Arc::new(Mutex::new(Ledger::default())),
@@ -186,12 +190,12 @@
         fleet
     }
 
-    pub fn way(&self, number: usize, way: Way) {
+    pub(crate) fn way(&self, number: usize, way: Way) {
         self.nodes[number].set_behavior(way);
     }
 
     /// Discovery tells of changes.
-    pub async fn tell(&self, phases: &[(usize, &str)]) {
+    pub(crate) async fn tell(&self, phases: &[(usize, &str)]) {
         let line = |(number, phase): &(usize, &str)| {
             let kind = if *number < 2 { "prefill" } else { "decode" };
             let address = &self.addresses[*number];
@@ -209,7 +213,7 @@
         self.door.send(event).await;
     }
 
-    pub fn sent_to(&self, number: usize) -> usize {
+    pub(crate) fn sent_to(&self, number: usize) -> usize {
         self.ledger
             .lock()
             .unwrap()
@@ -220,7 +224,7 @@
     }
 
     /// Waits until something holds at the nodes.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Ledger) -> bool) {
+    pub(crate) async fn until(&self, what: &str, holds: impl Fn(&Ledger) -> bool) {
         let waits = async {
             while !holds(&self.ledger.lock().unwrap()) {
                 tokio::task::yield_now().await;
@@ -232,7 +236,7 @@
     }
 
     /// Within 1 s nothing is left: no state, no place, nothing in the core's table.
-    pub async fn nothing_left(&self) {
+    pub(crate) async fn nothing_left(&self) {
         let waits = async {
             self.door.wait_until_idle().await;
             self.until("nothing held", |ledger| {
@@ -254,7 +258,7 @@
             .unwrap_or_else(|_| panic!("left: {}", left()));
     }
 
-    pub async fn drain(&self) {
+    pub(crate) async fn drain(&self) {
         self.door
             .send(Event::Drain(std::time::Duration::from_secs(3)))
             .await;
--- a/tests/testbed/replicas.rs
+++ b/tests/testbed/replicas.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, Notify};
 
 /// The events of a complete stream.
-pub const ANSWER: [&str; 3] = [
+pub(crate) const ANSWER: [&str; 3] = [
     "data: {\"n\":1}\n\n",
     "data: {\"n\":\"ä\"}\n\n",
     "data: [DONE]\n\n",
@@ -23,7 +23,7 @@
 
 /// How a replica behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub(crate) enum Way {
     /// It serves.
     Serve,
     /// It accepts the request and never responds.
@@ -44,7 +44,7 @@
 
 /// What all replicas have reserved, and what was sent to them.
 #[derive(Default)]
-pub struct Ledger {
+pub(crate) struct Ledger {
     /// Requests whose KV cache is reserved.
     pub states: BTreeSet<String>,
     /// Requests in flight.
--- a/tests/upgrade/setup.rs
+++ b/tests/upgrade/setup.rs
@@ -15,7 +15,7 @@
 
 /// A dispatcher that is upgraded: the socket and the folder that its processes have in common, and the fleet that they
 /// use.
-pub struct UpgradeSetup {
+pub(crate) struct UpgradeSetup {
     pub fleet: Fleet,
     platform_socket: std::net::TcpListener,
     platform_address: String,
@@ -25,13 +25,13 @@
     pub arguments: Vec<String>,
 }
 
-pub struct Process {
+pub(crate) struct Process {
     pub child: Child,
     pub management_address: String,
 }
 
 /// What a client reads of a response.
-pub struct Response {
+pub(crate) struct Response {
     pub status: u16,
     pub keeps_connection: bool,
 }
@@ -49,12 +49,12 @@
     }
 }
 
-pub fn request(trace_id: &str) -> String {
+pub(crate) fn request(trace_id: &str) -> String {
     format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace_id}\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 9000\r\nX-Props: prompt_len=500,max_out=100\r\nContent-Length: 2\r\n\r\n{{}}")
 }
 
 /// An address that nothing listens on.
-pub async fn free_address() -> String {
+pub(crate) async fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap().to_string()
 }
@@ -90,7 +90,7 @@
 }
 
 impl UpgradeSetup {
-    pub async fn new(test_name: &str) -> UpgradeSetup {
+    pub(crate) async fn new(test_name: &str) -> UpgradeSetup {
         let fleet = Fleet::start(false).await;
         let discovery_address = start_discovery(endpoint_list(&fleet.addresses)).await;
         let platform_socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -109,7 +109,12 @@
     }
 
     /// A process that inherits `socket` as descriptor 5 and is told that it is `descriptor`.
-    pub fn command(&self, descriptor: &str, socket: OwnedFd, management_address: &str) -> Command {
+    pub(crate) fn command(
+        &self,
+        descriptor: &str,
+        socket: OwnedFd,
+        management_address: &str,
+    ) -> Command {
         let config = self.folder.join("config.json");
         let settings = testbed::PROFILE;
         let text = format!(
@@ -132,12 +137,12 @@
         command
     }
 
-    pub fn inheritable_socket(&self) -> OwnedFd {
+    pub(crate) fn inheritable_socket(&self) -> OwnedFd {
         self.platform_socket.try_clone().unwrap().into()
     }
 
     /// Starts one more process and waits until it reports that it accepts clients.
-    pub async fn start_process(&self) -> Process {
+    pub(crate) async fn start_process(&self) -> Process {
         let management_address = free_address().await;
         let mut command = self.command("5", self.inheritable_socket(), &management_address);
         let process = Process {
@@ -155,30 +160,30 @@
         process
     }
 
-    pub async fn connect(&self) -> BufReader<TcpStream> {
+    pub(crate) async fn connect(&self) -> BufReader<TcpStream> {
         BufReader::new(TcpStream::connect(&self.platform_address).await.unwrap())
     }
 
     /// The status of one request's response, on a connection of its own; `None` without a response.
-    pub async fn request_status(&self, trace_id: &str) -> Option<u16> {
+    pub(crate) async fn request_status(&self, trace_id: &str) -> Option<u16> {
         let mut connection = self.connect().await;
         let response = send_request(&mut connection, trace_id).await?;
         Some(response.status)
     }
 
     /// Whether the endpoints that were sent anything, from this entry of the ledger on, are n1 and n3.
-    pub fn only_enabled_endpoints_were_used(&self, first_entry: usize) -> bool {
+    pub(crate) fn only_enabled_endpoints_were_used(&self, first_entry: usize) -> bool {
         let ledger = self.fleet.ledger.lock().unwrap();
         ledger.sent[first_entry..]
             .iter()
             .all(|(endpoint, _)| [1, 3].contains(endpoint))
     }
 
-    pub fn sent_count(&self) -> usize {
+    pub(crate) fn sent_count(&self) -> usize {
         self.fleet.ledger.lock().unwrap().sent.len()
     }
 
-    pub fn announcement_count(&self) -> usize {
+    pub(crate) fn announcement_count(&self) -> usize {
         let mut count = 0;
         for entry in std::fs::read_dir(&self.folder).unwrap() {
             let path = entry.unwrap().path();
@@ -192,7 +197,7 @@
 }
 
 /// Sends one request on this connection and reads its response to the end; `None` if the connection ends before.
-pub async fn send_request(
+pub(crate) async fn send_request(
     connection: &mut BufReader<TcpStream>,
     trace_id: &str,
 ) -> Option<Response> {
@@ -255,7 +260,7 @@
 
 impl Process {
     /// The response to an operator's call; `None` if the process does not accept it.
-    pub async fn call(&self, line: &str) -> Option<String> {
+    pub(crate) async fn call(&self, line: &str) -> Option<String> {
         let mut connection = TcpStream::connect(&self.management_address).await.ok()?;
         connection
             .write_all(format!("{line}\n").as_bytes())
@@ -266,17 +271,17 @@
         Some(response)
     }
 
-    pub async fn assert_acknowledged(&self, line: &str) {
+    pub(crate) async fn assert_acknowledged(&self, line: &str) {
         assert_eq!(self.call(line).await.as_deref(), Some("ACK\n"));
     }
 
-    pub fn send_sigterm(&self) {
+    pub(crate) fn send_sigterm(&self) {
         let command = format!("kill -TERM {}", self.child.id());
         let status = Command::new("sh").arg("-c").arg(command).status().unwrap();
         assert!(status.success());
     }
 
-    pub async fn exit_code(mut self) -> Option<i32> {
+    pub(crate) async fn exit_code(mut self) -> Option<i32> {
         let wait = tokio::task::spawn_blocking(move || self.child.wait().unwrap().code());
         tokio::time::timeout(Duration::from_secs(20), wait)
             .await
--- a/tests/upgrade_versions.rs
+++ b/tests/upgrade_versions.rs
@@ -174,6 +174,11 @@
     result.unwrap_or_else(|_| panic!("no {what} within 20 s"))
 }
 
+#[expect(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    reason = "one scenario from start to end"
+)]
 async fn hands_over(name: &str, predecessor: &str, successor: &str) {
     let go_on = Arc::new(Notify::new());
     let prefill = replica(PREFILL_DONE, "", go_on.clone()).await;
