--- a/src/upgrade/stream_migration.rs
+++ b/src/upgrade/stream_migration.rs
@@ -329,8 +329,8 @@
         part,
     } = taken;
     let spoilt = || io::Error::from(ErrorKind::InvalidData);
-    let mut events = EventStream::resumed();
-    let first = events.take(&part).map_err(|_| spoilt())?;
+    let mut events = EventStream::resume();
+    let first = events.push(&part).map_err(|_| spoilt())?;
     write_chunk(&mut client, &first).await?;
     let mut buffer = vec![0; 16 * 1024];
     let mut silent_at = tokio::time::Instant::now() + SILENCE;
@@ -346,13 +346,13 @@
         chunks
             .feed(&buffer[..read], |piece| data.extend_from_slice(piece))
             .map_err(|FramingLost| spoilt())?;
-        let whole = events.take(&data).map_err(|_| spoilt())?;
+        let whole = events.push(&data).map_err(|_| spoilt())?;
         if !whole.is_empty() {
             write_chunk(&mut client, &whole).await?;
             silent_at = tokio::time::Instant::now() + SILENCE;
         }
     }
-    let rest = events.rest().map_err(|_| spoilt())?;
+    let rest = events.finish().map_err(|_| spoilt())?;
     write_chunk(&mut client, &rest).await?;
     stalls(client.write_all(b"0\r\n\r\n")).await?;
     client.shutdown().await
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 mod testbed;
 
 use quartzhall::backend::{
-    attempt, event_stream, http as backend_http, websocket as backend_websocket,
+    event_stream, http as backend_http, load_report, websocket as backend_websocket,
 };
 use quartzhall::config::{Config, Deployment, SessionConfig, SettingsObject};
 use quartzhall::discovery;
@@ -34,7 +34,7 @@
 fn feed(site: &Deployment, bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
     backend_http::parse_tail(bytes);
-    attempt::parse_load(&text);
+    load_report::parse_load(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
     identifiers::is_name(&text);
     identifiers::key(&text);
@@ -43,7 +43,7 @@
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
-    let told = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::NodeMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
+    let told = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
     let said = websocket::parse(&text, site).is_ok();
     told || said
         || discovery::parse_list(bytes).is_ok()
@@ -91,18 +91,23 @@
 
 #[test]
 fn what_is_valid_is_read_as_it_is_meant() {
-    let (kept, written, load) = backend_http::parse_tail(TAIL.as_bytes());
-    let load = load.expect("a report");
-    assert_eq!(written, 200.0);
+    let report = backend_http::parse_tail(TAIL.as_bytes());
+    let load = report.load.expect("a report");
+    assert_eq!(report.completion_tokens, 200.0);
     assert_eq!(
-        (kept, load.in_flight, load.kv_memory_share, load.queued),
+        (
+            report.cached_tokens,
+            load.in_flight,
+            load.kv_memory_share,
+            load.queued
+        ),
         (4096.0, Some(7.0), Some(0.5), None)
     );
     assert!(
-        attempt::parse_load("TEXT what=7").is_none()
-            && attempt::parse_load("JSON inflight=7").is_none()
+        load_report::parse_load("TEXT what=7").is_none()
+            && load_report::parse_load("JSON inflight=7").is_none()
     );
-    assert!(attempt::parse_load("TEXT inflight=inf").is_none());
+    assert!(load_report::parse_load("TEXT inflight=inf").is_none());
     let mut ask = RequestMetadata::default();
     http::parse_props(
         "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1",
@@ -200,7 +205,7 @@
         );
         while !rest.is_empty() {
             let (some, later) = rest.split_at(1 + usize::arbitrary(&mut random) % rest.len());
-            let whole = events.take(some).unwrap();
+            let whole = events.push(some).unwrap();
             assert!(whole.is_empty() || whole.ends_with(b"\n\n") || whole.ends_with(b"\n\r\n"));
             assert!(
                 !out.is_empty() || whole.is_empty() || whole.windows(5).any(|it| it == b"data:")
@@ -208,18 +213,18 @@
             out.extend_from_slice(&whole);
             rest = later;
         }
-        out.extend_from_slice(&events.rest().unwrap());
+        out.extend_from_slice(&events.finish().unwrap());
         assert_eq!(out, stream.as_bytes());
 
         let mut garbage = Vec::<u8>::arbitrary(&mut random);
         garbage.insert(0, b'?');
         let mut events = event_stream::EventStream::default();
-        assert_eq!(events.take(b"data: 1\n\n").unwrap(), "data: 1\n\n");
-        assert_eq!(events.take(&garbage), Err(event_stream::MalformedEvent));
+        assert_eq!(events.push(b"data: 1\n\n").unwrap(), "data: 1\n\n");
+        assert_eq!(events.push(&garbage), Err(event_stream::MalformedEvent));
     }
     let mut events = event_stream::EventStream::default();
     let took = (0..70)
-        .map(|_| events.take(&[b':'; 1024]))
+        .map(|_| events.push(&[b':'; 1024]))
         .take_while(Result::is_ok)
         .count();
     assert_eq!(took, 64, "an event without an end is not kept for ever");
