--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,4 +1,5 @@
-//! The incident of 2026-12-02 with the real program: a writer's machine takes connections and bytes, and nothing runs there.
+//! The incident of 2026-12-02 with the real program: a decode endpoint's machine accepts connections and bytes, and
+//! nothing runs there.
 
 mod testbed;
 
@@ -10,7 +11,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
 /// A test that waits longer has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The program, which does not outlive its test.
 struct Program {
@@ -33,9 +34,9 @@
 }
 
 /// The head of a message, and its body by its length.
-async fn message(stream: &mut TcpStream) -> Option<String> {
+async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
-    let mut some = [0; 4096];
+    let mut buffer = [0; 4096];
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
@@ -48,38 +49,42 @@
                 return Some(text);
             }
         }
-        let read = stream.read(&mut some).await.ok().filter(|read| *read > 0)?;
-        bytes.extend_from_slice(&some[..read]);
+        let count = stream
+            .read(&mut buffer)
+            .await
+            .ok()
+            .filter(|count| *count > 0)?;
+        bytes.extend_from_slice(&buffer[..count]);
     }
 }
 
-/// A reader that reads at once, and tells of each release.
-async fn reader(listener: TcpListener, released: mpsc::UnboundedSender<String>) {
+/// A prefill endpoint that answers at once, and reports the request line of each release.
+async fn serve_prefill_endpoint(listener: TcpListener, released: mpsc::UnboundedSender<String>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let released = released.clone();
         tokio::spawn(async move {
-            while let Some(text) = message(&mut stream).await {
-                let answer = if text.starts_with("DELETE ") {
+            while let Some(text) = read_message(&mut stream).await {
+                let response = if text.starts_with("DELETE ") {
                     let _ = released.send(text.lines().next().unwrap_or_default().to_owned());
                     "HTTP/1.1 204 No Content\r\n\r\n"
                 } else {
                     "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}"
                 };
-                stream.write_all(answer.as_bytes()).await.unwrap();
+                stream.write_all(response.as_bytes()).await.unwrap();
             }
         });
     }
 }
 
-fn start(listen: &str, reader: &str, writer: &str) -> Program {
+fn start_program(listen: &str, prefill: &str, decode: &str) -> Program {
     let member = |id: &str, address: &str, flavor: &str| {
         format!(
             r#"{{"id":"{id}","host_port":"{address}","locality":"east","flavor":"{flavor}","cell":1,"phase":"Ready"}}"#
         )
     };
     let members = [
-        member("r", reader, "prefill"),
-        member("w", writer, "decode"),
+        member("r", prefill, "prefill"),
+        member("w", decode, "decode"),
     ]
     .join(",");
     let text = format!(
@@ -109,32 +114,32 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, connects)
+    tokio::time::timeout(TEST_TIMEOUT, connects)
         .await
-        .expect("it listens")
+        .expect("the program listens")
 }
 
-/// The client waits for 4 s and the state may be held for 1 s: it is released while the client still waits.
+/// The client waits for 4 s and the KV cache may be reserved for 1 s: it is released while the client still waits.
 #[tokio::test]
-async fn a_state_is_released_while_its_send_lies_at_a_silent_writer() {
-    let (reading, reader_address) = bind().await;
-    let (_writer_takes_connections_and_reads_nothing, writer_address) = bind().await;
+async fn a_kv_cache_is_released_while_its_request_waits_at_a_silent_decode_endpoint() {
+    let (prefill, prefill_address) = bind().await;
+    let (_decode_accepts_connections_and_reads_nothing, decode_address) = bind().await;
     let (released, mut releases) = mpsc::unbounded_channel();
-    tokio::spawn(reader(reading, released));
+    tokio::spawn(serve_prefill_endpoint(prefill, released));
     let listen = bind().await.1;
-    let _program = start(&listen, &reader_address, &writer_address);
+    let _program = start_program(&listen, &prefill_address, &decode_address);
     let mut client = connect(&listen).await;
     let request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 00000000000000aa\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 1\r\nX-Expires-In-Ms: 4000\r\nX-Props: prompt_len=100,max_out=10\r\nContent-Length: 2\r\n\r\n{}";
     client.write_all(request.as_bytes()).await.unwrap();
-    let mut some = [0; 64];
+    let mut buffer = [0; 64];
     let first = async {
         tokio::select! {
-            release = releases.recv() => release.expect("the reader runs"),
-            answer = client.read(&mut some) => format!("an answer: {answer:?}"),
+            release = releases.recv() => release.expect("the prefill endpoint runs"),
+            response = client.read(&mut buffer) => format!("a response: {response:?}"),
         }
     };
-    let first = tokio::time::timeout(PATIENCE, first)
+    let first = tokio::time::timeout(TEST_TIMEOUT, first)
         .await
-        .expect("a release or an answer");
+        .expect("a release or a response");
     assert_eq!(first, "DELETE /kv/leases/00000000000000aa HTTP/1.1");
 }
--- a/tests/malformed_streams.rs
+++ b/tests/malformed_streams.rs
@@ -1,296 +1,304 @@
-//! Answers of nodes that come spoilt, good ones with more than belongs to them, and how long a connection is kept
-//! after one: raw bytes, a paused clock.
+//! Malformed responses of endpoints, valid ones with extra bytes, and how long a connection is pooled after one: raw
+//! bytes, a paused clock.
 
+#[path = "backend/support.rs"]
+mod support;
 mod testbed;
 
-use quartzhall::dispatcher::{Command, Event, EventReceiver, StreamChunk, UpstreamRequest};
+use quartzhall::dispatcher::{Command, Event, EventReceiver, StreamChunk};
 use quartzhall::routing::api::AttemptStatus;
 use std::time::Duration;
+use support::{bind_endpoint, block_address, AttemptSpec, STREAM_HEAD};
 use testbed::node_side;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-const HEAD: &str =
-    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 const EVENT: &str = "data: {\"n\":1}\n\n";
 
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A node that reads one request and says this; its connection stays open for as long as the stream is held.
-struct Node(TcpListener);
+/// An endpoint that reads one request and writes these bytes; its connection stays open until the stream is dropped.
+struct RawEndpoint {
+    listener: TcpListener,
+    address: String,
+}
 
-impl Node {
-    async fn start() -> Node {
-        Node(TcpListener::bind("127.0.0.1:0").await.unwrap())
+impl RawEndpoint {
+    async fn start() -> RawEndpoint {
+        let (listener, address) = bind_endpoint().await;
+        RawEndpoint { listener, address }
     }
 
-    async fn says(&self, bytes: &[u8]) -> TcpStream {
-        let accepted = tokio::time::timeout(Duration::from_secs(60), self.0.accept()).await;
+    async fn respond(&self, bytes: &[u8]) -> TcpStream {
+        let accepted = tokio::time::timeout(Duration::from_secs(60), self.listener.accept()).await;
         let (mut stream, _) = accepted.expect("a connection within a minute").unwrap();
-        answer(&mut stream, bytes).await;
+        respond_on(&mut stream, bytes).await;
         stream
     }
 
-    fn send(&self, id: u64) -> Command {
-        let name = format!("s{id}").as_str().into();
-        let work = UpstreamRequest {
-            client_request_id: name,
-            target: "/v1/chat/completions".into(),
-            body: "{}".into(),
+    fn start_attempt(&self, id: u64) -> Command {
+        let attempt = AttemptSpec {
+            timeout: Duration::from_secs(60),
+            ..AttemptSpec::new(id, &self.address)
         };
-        let (address, timeout) = (
-            self.0.local_addr().unwrap().to_string(),
-            Duration::from_secs(60),
-        );
-        Command::StartAttempt {
-            id,
-            attempt: 0,
-            address: address.as_str().into(),
-            upstream: work,
-            timeout,
-            needs_new_connection: false,
-        }
+        attempt.command()
     }
 }
 
-async fn answer(stream: &mut TcpStream, bytes: &[u8]) {
-    let mut text = Vec::new();
-    while !text.ends_with(b"\r\n\r\n{}") {
-        let mut some = [0; 1024];
-        let read = stream.read(&mut some).await.unwrap();
-        text.extend_from_slice(&some[..read]);
-    }
+async fn respond_on(stream: &mut TcpStream, bytes: &[u8]) {
+    support::read_request(stream).await;
     // The dispatcher may have closed it in the middle.
     let _ = stream.write_all(bytes).await;
 }
 
-/// How an attempt ended; what was passed on of its stream, and whether that has a good end.
-async fn outcome(inbox: &mut EventReceiver) -> (AttemptStatus, String, bool) {
-    let (mut stream, mut text, mut whole) =
-        (None::<mpsc::Receiver<StreamChunk>>, Vec::new(), false);
+/// How an attempt ended, what was forwarded of its stream, and whether the stream was reported as complete.
+async fn outcome(events: &mut EventReceiver) -> (AttemptStatus, String, bool) {
+    let mut stream = None::<mpsc::Receiver<StreamChunk>>;
+    let mut text = Vec::new();
+    let mut is_complete = false;
     loop {
-        match inbox.recv().await.expect("an open queue") {
-            Event::FirstEvent { stream: begun, .. } => stream = Some(begun),
+        match events.recv().await.expect("an open queue") {
+            Event::FirstEvent {
+                stream: started, ..
+            } => stream = Some(started),
             Event::AttemptEnded { reason, .. } => {
-                while let Some(piece) = stream.as_mut().and_then(|it| it.try_recv().ok()) {
-                    match piece {
+                while let Some(chunk) = stream.as_mut().and_then(|stream| stream.try_recv().ok()) {
+                    match chunk {
                         StreamChunk::Data(data) => text.extend_from_slice(&data),
-                        StreamChunk::End => whole = true,
-                        StreamChunk::Migrate(_) => panic!("nothing moves here"),
+                        StreamChunk::End => is_complete = true,
+                        StreamChunk::Migrate(_) => panic!("nothing migrates here"),
                     }
                 }
-                return (reason.status(), String::from_utf8(text).unwrap(), whole);
+                return (
+                    reason.status(),
+                    String::from_utf8(text).unwrap(),
+                    is_complete,
+                );
             }
             other => panic!("{other:?}"),
         }
     }
 }
 
-/// A stream that is spoilt before its first event commits nothing; one spoilt later ends without its good end.
-/// Both are errors that may have run, found within 5 s while the connection stays open.
+/// A stream that is malformed before its first event commits nothing; one that is malformed later is not reported as
+/// complete. Both are errors that may have run, found within 5 s while the connection stays open.
 #[tokio::test(start_paused = true)]
-async fn a_spoilt_stream_is_found_and_never_whole() {
+async fn a_malformed_stream_is_an_error_and_never_complete() {
     let event = chunk(EVENT);
-    let endless = format!("{HEAD}{event}b2d05e00\r\n{}", "x".repeat(200_000));
-    let lines = format!("{HEAD}{event}b2d05e00\r\n{}", "data: x\n".repeat(20_000));
-    for (said, passed) in [
+    let endless = format!("{STREAM_HEAD}{event}b2d05e00\r\n{}", "x".repeat(200_000));
+    let lines = format!(
+        "{STREAM_HEAD}{event}b2d05e00\r\n{}",
+        "data: x\n".repeat(20_000)
+    );
+    for (response, forwarded) in [
         ("\u{1}\u{2}\u{3} what?\r\n\r\n".to_owned(), ""),
         ("HTTP/1.1 what\r\n\r\n".to_owned(), ""),
         (
             format!("HTTP/1.1 200 OK\r\nX-More: {}", "x".repeat(100_000)),
             "",
         ),
-        (format!("{HEAD}{}", chunk("\u{1}\u{2}\u{3}")), ""),
+        (format!("{STREAM_HEAD}{}", chunk("\u{1}\u{2}\u{3}")), ""),
         (
-            format!("{HEAD}{}", chunk(": only a comment\n\n\nwhat\n")),
+            format!("{STREAM_HEAD}{}", chunk(": only a comment\n\n\nwhat\n")),
             "",
         ),
-        (format!("{HEAD}zz\r\n{EVENT}\r\n"), ""),
-        (format!("{HEAD}0\r\n\r\n"), ""),
-        (format!("{HEAD}{event}zz\r\n{EVENT}\r\n"), EVENT),
-        (format!("{HEAD}{event}5\r\n{EVENT}\r\n"), EVENT),
-        (format!("{HEAD}{event}20\r\n{EVENT}\r\n{event}"), EVENT),
+        (format!("{STREAM_HEAD}zz\r\n{EVENT}\r\n"), ""),
+        (format!("{STREAM_HEAD}0\r\n\r\n"), ""),
+        (format!("{STREAM_HEAD}{event}zz\r\n{EVENT}\r\n"), EVENT),
+        (format!("{STREAM_HEAD}{event}5\r\n{EVENT}\r\n"), EVENT),
+        (
+            format!("{STREAM_HEAD}{event}20\r\n{EVENT}\r\n{event}"),
+            EVENT,
+        ),
         (endless, EVENT),
         (lines, EVENT),
     ] {
-        let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-        commands.send(node.send(1)).await.unwrap();
-        let stream = node.says(said.as_bytes()).await;
-        let began = Instant::now();
-        let (status, text, whole) = outcome(&mut inbox).await;
-        assert_eq!(status, AttemptStatus::Error, "{said:.200}");
+        let endpoint = RawEndpoint::start().await;
+        let (commands, mut events) = node_side(&[]);
+        commands.send(endpoint.start_attempt(1)).await.unwrap();
+        let stream = endpoint.respond(response.as_bytes()).await;
+        let started_at = Instant::now();
+        let (status, text, is_complete) = outcome(&mut events).await;
+        assert_eq!(status, AttemptStatus::Error, "{response:.200}");
         assert!(
-            text == passed || !passed.is_empty() && text == EVENT.repeat(2),
-            "{said:.200}: {text}"
+            text == forwarded || !forwarded.is_empty() && text == EVENT.repeat(2),
+            "{response:.200}: {text}"
         );
         assert!(
-            !whole && began.elapsed() < Duration::from_secs(5),
-            "{said:.200}: {:?}",
-            began.elapsed()
+            !is_complete && started_at.elapsed() < Duration::from_secs(5),
+            "{response:.200}: {:?}",
+            started_at.elapsed()
         );
         drop(stream);
     }
 }
 
-/// A chunk that is said to be longer than it is, and then silence: the client is not left waiting.
+/// A chunk that is declared longer than it is, and then silence: the client is not left waiting.
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_stops_is_broken_within_5_s_of_its_last_event() {
-    let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-    commands.send(node.send(1)).await.unwrap();
-    let mut stream = node.says(format!("{HEAD}ff\r\n{EVENT}").as_bytes()).await;
-    let began = Instant::now();
+async fn a_stream_that_stops_is_a_reset_within_5_s_of_its_last_event() {
+    let endpoint = RawEndpoint::start().await;
+    let (commands, mut events) = node_side(&[]);
+    commands.send(endpoint.start_attempt(1)).await.unwrap();
+    let mut stream = endpoint
+        .respond(format!("{STREAM_HEAD}ff\r\n{EVENT}").as_bytes())
+        .await;
+    let started_at = Instant::now();
     // Bytes that make no event don't keep it open.
-    let drips = async {
+    let send_comment_bytes = async {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
             let _ = stream.write_all(b":").await;
         }
     };
     let ended = tokio::select! {
-        ended = outcome(&mut inbox) => ended,
-        () = drips => unreachable!(),
+        ended = outcome(&mut events) => ended,
+        () = send_comment_bytes => unreachable!(),
     };
     assert_eq!(ended, (AttemptStatus::Reset, EVENT.to_owned(), false));
     assert!(
-        began.elapsed() < Duration::from_secs(5),
+        started_at.elapsed() < Duration::from_secs(5),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// A node that has much to do is silent for seconds and then goes on: its stream is not cut, over and over.
+/// A busy endpoint is silent for seconds and then goes on, repeatedly: its stream is not cut.
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_goes_on_after_4_6_s_is_not_cut() {
-    let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-    commands.send(node.send(1)).await.unwrap();
-    let mut stream = node
-        .says(format!("{HEAD}{}", chunk(EVENT)).as_bytes())
+async fn a_stream_with_4_6_s_between_events_is_not_cut() {
+    let endpoint = RawEndpoint::start().await;
+    let (commands, mut events) = node_side(&[]);
+    commands.send(endpoint.start_attempt(1)).await.unwrap();
+    let mut stream = endpoint
+        .respond(format!("{STREAM_HEAD}{}", chunk(EVENT)).as_bytes())
         .await;
-    let goes_on = async {
+    let continue_stream = async {
         for _ in 0..2 {
             tokio::time::sleep(Duration::from_millis(4_600)).await;
             let _ = stream.write_all(chunk(EVENT).as_bytes()).await;
         }
         let _ = stream.write_all(b"0\r\n\r\n").await;
     };
-    let (ended, ()) = tokio::join!(outcome(&mut inbox), goes_on);
+    let (ended, ()) = tokio::join!(outcome(&mut events), continue_stream);
     assert_eq!(ended, (AttemptStatus::Served, EVENT.repeat(3), true));
 }
 
-/// Early heads, a load report that can't be read and a second answer leave a good stream good; but a connection
-/// on which more came than was asked for is not used again.
+/// Informational responses, an unreadable load report and a second response leave a valid stream valid; but a
+/// connection on which more came than was requested is not used again.
 #[tokio::test(start_paused = true)]
-async fn a_good_stream_with_more_than_belongs_to_it_is_good() {
-    let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-    let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-    let head = HEAD.replacen(
+async fn a_valid_stream_with_extra_bytes_is_served() {
+    let endpoint = RawEndpoint::start().await;
+    let (commands, mut events) = node_side(&[]);
+    let early_heads = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
+    let head = STREAM_HEAD.replacen(
         "\r\n",
         "\r\nEndpoint-Load-Metrics: TEXT inflight=\u{ff}, ?\r\n",
         1,
     );
     let body = format!("{EVENT}: Endpoint-Load-Metrics: \u{1}TEXT x0=much\n\n");
-    let good = format!("{early}{head}{}0\r\n\r\n", chunk(&body));
-    let mut held = Vec::new();
-    for (id, behind) in [
-        (1, format!("{HEAD}{}0\r\n\r\n", chunk("data: other\n\n"))),
+    let good = format!("{early_heads}{head}{}0\r\n\r\n", chunk(&body));
+    let mut connections = Vec::new();
+    for (id, extra) in [
+        (
+            1,
+            format!("{STREAM_HEAD}{}0\r\n\r\n", chunk("data: other\n\n")),
+        ),
         (2, String::new()),
     ] {
-        commands.send(node.send(id)).await.unwrap();
-        held.push(node.says(format!("{good}{behind}").as_bytes()).await);
+        commands.send(endpoint.start_attempt(id)).await.unwrap();
+        connections.push(endpoint.respond(format!("{good}{extra}").as_bytes()).await);
         assert_eq!(
-            outcome(&mut inbox).await,
+            outcome(&mut events).await,
             (AttemptStatus::Served, body.clone(), true)
         );
     }
-    // With nothing behind, the connection serves again.
-    commands.send(node.send(3)).await.unwrap();
-    answer(&mut held[1], good.as_bytes()).await;
+    // Without extra bytes, the connection serves again.
+    commands.send(endpoint.start_attempt(3)).await.unwrap();
+    respond_on(&mut connections[1], good.as_bytes()).await;
     assert_eq!(
-        outcome(&mut inbox).await,
+        outcome(&mut events).await,
         (AttemptStatus::Served, body, true)
     );
 }
 
 #[tokio::test]
-async fn a_bad_request_is_told_from_an_error_of_the_node() {
-    for (code, wanted) in [
+async fn an_invalid_request_is_not_an_endpoint_error() {
+    for (status_line, expected) in [
         ("400 Bad Request", AttemptStatus::InvalidRequest),
         ("500 Oh", AttemptStatus::Error),
         ("302 Found", AttemptStatus::Error),
     ] {
-        let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-        commands.send(node.send(1)).await.unwrap();
-        let _stream = node
-            .says(format!("HTTP/1.1 {code}\r\nContent-Length: 0\r\n\r\n").as_bytes())
+        let endpoint = RawEndpoint::start().await;
+        let (commands, mut events) = node_side(&[]);
+        commands.send(endpoint.start_attempt(1)).await.unwrap();
+        let _stream = endpoint
+            .respond(format!("HTTP/1.1 {status_line}\r\nContent-Length: 0\r\n\r\n").as_bytes())
             .await;
-        assert_eq!(outcome(&mut inbox).await.0, wanted, "{code}");
+        assert_eq!(outcome(&mut events).await.0, expected, "{status_line}");
     }
 }
 
-/// A node that leaves the list in the middle of a stream, whatever byte has come by then: its kept connections are let
-/// go, and one with a stream under way must not be taken for idle.
+/// An endpoint leaves the list in the middle of a stream, whatever byte has come by then: its idle connections are
+/// closed, and one with a stream in flight must not count as idle.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_leaves_mid_stream_cuts_nothing() {
-    let text = format!("{HEAD}{}{}0\r\n\r\n", chunk(EVENT), chunk(EVENT));
+async fn blocking_an_endpoint_mid_stream_does_not_cut_the_stream() {
+    let text = format!("{STREAM_HEAD}{}{}0\r\n\r\n", chunk(EVENT), chunk(EVENT));
     for cut in 0..=text.len() {
-        let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-        let address: std::sync::Arc<str> = node.0.local_addr().unwrap().to_string().into();
-        commands.send(node.send(1)).await.unwrap();
-        let mut stream = node.says(text.as_bytes()).await;
+        let endpoint = RawEndpoint::start().await;
+        let (commands, mut events) = node_side(&[]);
+        commands.send(endpoint.start_attempt(1)).await.unwrap();
+        let mut stream = endpoint.respond(text.as_bytes()).await;
         assert_eq!(
-            outcome(&mut inbox).await,
+            outcome(&mut events).await,
             (AttemptStatus::Served, EVENT.repeat(2), true)
         );
-        // The second answer comes on the connection that was kept.
-        commands.send(node.send(2)).await.unwrap();
+        // The second response comes on the pooled connection.
+        commands.send(endpoint.start_attempt(2)).await.unwrap();
         let (before, after) = text.as_bytes().split_at(cut);
-        answer(&mut stream, before).await;
+        respond_on(&mut stream, before).await;
         tokio::time::sleep(Duration::from_millis(1)).await;
         commands
-            .send(Command::BlockAddress {
-                address,
-                is_blocked: true,
-            })
+            .send(block_address(&endpoint.address))
             .await
             .unwrap();
         tokio::time::sleep(Duration::from_millis(1)).await;
         stream.write_all(after).await.unwrap();
         drop(stream);
         assert_eq!(
-            outcome(&mut inbox).await,
+            outcome(&mut events).await,
             (AttemptStatus::Served, EVENT.repeat(2), true),
             "cut at byte {cut}"
         );
     }
 }
 
-/// A node closes what has been idle for the settings' time (30 s in these), and what is written to it from then on
-/// may have run: for seven tenths of that a connection is used again, and after that no more.
+/// An endpoint closes connections that were idle for the settings' time (30 s here), and a request written then may have
+/// run: a connection is used again for seven tenths of that time, and not after it.
 #[tokio::test(start_paused = true)]
-async fn a_connection_is_not_used_again_when_its_node_may_be_closing_it() {
-    let (node, (commands, mut inbox)) = (Node::start().await, node_side(&[]));
-    let good = format!("{HEAD}{}0\r\n\r\n", chunk(EVENT));
-    commands.send(node.send(1)).await.unwrap();
-    let mut first = node.says(good.as_bytes()).await;
-    assert_eq!(outcome(&mut inbox).await.0, AttemptStatus::Served);
+async fn a_connection_is_not_used_again_when_its_endpoint_may_be_closing_it() {
+    let endpoint = RawEndpoint::start().await;
+    let (commands, mut events) = node_side(&[]);
+    let good = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(EVENT));
+    commands.send(endpoint.start_attempt(1)).await.unwrap();
+    let mut first = endpoint.respond(good.as_bytes()).await;
+    assert_eq!(outcome(&mut events).await.0, AttemptStatus::Served);
     tokio::time::sleep(Duration::from_millis(20_500)).await;
-    commands.send(node.send(2)).await.unwrap();
-    answer(&mut first, good.as_bytes()).await;
+    commands.send(endpoint.start_attempt(2)).await.unwrap();
+    respond_on(&mut first, good.as_bytes()).await;
     assert_eq!(
-        outcome(&mut inbox).await.0,
+        outcome(&mut events).await.0,
         AttemptStatus::Served,
         "the same connection"
     );
     tokio::time::sleep(Duration::from_millis(21_500)).await;
-    commands.send(node.send(3)).await.unwrap();
-    let _second = node.says(good.as_bytes()).await;
+    commands.send(endpoint.start_attempt(3)).await.unwrap();
+    let _second = endpoint.respond(good.as_bytes()).await;
     assert_eq!(
-        outcome(&mut inbox).await.0,
+        outcome(&mut events).await.0,
         AttemptStatus::Served,
-        "a connection of its own"
+        "a new connection"
     );
 }
