--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -234,8 +234,8 @@
         self.dispatcher.send(event).await;
     }
 
-    /// Forwards what came after the last event, and that the stream is complete; without that its reader takes it as
-    /// broken. A stream without an event is no valid response.
+    /// Forwards what came after the last event, and that the stream is complete; without that the stream
+    /// counts as broken. A stream without an event is no valid response.
     pub async fn finish(mut self) -> Result<(), EndReason> {
         let rest = std::mem::take(&mut self.events).finish();
         let rest = rest
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -1,7 +1,7 @@
 //! Opens connections to endpoints, within the connect timeout and the number of descriptors allowed.
 //!
-//! A connection that came up too late for the request that opened it is held for a moment, for the request that is
-//! made in its place. The connector owns those; all others belong to their users.
+//! A connection that came up too late for the request that opened it is retained for a moment, for the request that
+//! replaces that one. The connector owns those; all others belong to their users.
 
 use super::blocked_endpoints::ConnectionGate;
 use super::transport::Transport;
@@ -21,7 +21,7 @@
 const LATE_CONNECT_THRESHOLD: Duration = Duration::from_millis(50);
 /// Between two tries while this machine is short of a resource.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How many connections that came up late are held for each address.
+/// How many connections that came up late are retained for each address.
 const MAX_LATE_CONNECTIONS_PER_ADDRESS: usize = 8;
 
 /// Why no connection is there for a request.
@@ -36,7 +36,7 @@
     /// The connection did not come up within the connect timeout.
     #[error("connect timeout")]
     Timeout,
-    /// The connection came up late and is held: a request that declares the time left now gets it at once.
+    /// The connection came up late and is retained: a request that declares the time left now gets it at once.
     #[error("the connection came up late")]
     Late,
     /// The operating system reported an error.
@@ -49,7 +49,7 @@
     connected_at: Instant,
 }
 
-/// Connections that came up late, by address, for the requests that are made in place of those that opened them.
+/// Connections that came up late, by address, for the requests that replace those that opened them.
 struct LateConnections {
     by_address: HashMap<SocketAddr, Vec<LateConnection>>,
     max_age: Duration,
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -49,32 +49,31 @@
         Bytes::copy_from_slice(&self.buffer)
     }
 
+    /// The bytes whose lines were not checked yet.
+    fn unchecked(&self) -> &[u8] {
+        &self.buffer[self.checked_bytes..]
+    }
+
     /// Adds bytes and returns the whole events, with the comments between them. Comments alone don't start a stream:
     /// they are returned with the first event.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, MalformedEvent> {
         self.buffer.extend_from_slice(data);
         let mut whole_bytes = 0;
-        while let Some(length) = self.buffer[self.checked_bytes..]
-            .iter()
-            .position(|byte| *byte == b'\n')
-        {
-            let line = &self.buffer[self.checked_bytes..self.checked_bytes + length];
+        while let Some(length) = self.unchecked().iter().position(|byte| *byte == b'\n') {
+            let line = &self.unchecked()[..length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
-            self.checked_bytes += length + 1;
-            if line.is_empty() {
-                whole_bytes = if self.has_started {
-                    self.checked_bytes
-                } else {
-                    0
-                };
-            } else if is_line(line) {
-                self.has_started |= !line.starts_with(b":");
-            } else {
+            let is_event_end = line.is_empty();
+            if !is_event_end && !is_line(line) {
                 return Err(MalformedEvent);
             }
+            self.has_started |= !is_event_end && !line.starts_with(b":");
+            self.checked_bytes += length + 1;
+            if is_event_end && self.has_started {
+                whole_bytes = self.checked_bytes;
+            }
         }
         let is_too_long = self.buffer.len() - whole_bytes > MAX_EVENT_BYTES;
-        if is_too_long || !may_be_line(&self.buffer[self.checked_bytes..]) {
+        if is_too_long || !may_be_line(self.unchecked()) {
             return Err(MalformedEvent);
         }
         self.checked_bytes -= whole_bytes;
@@ -83,7 +82,7 @@
 
     /// What came after the last event, when the stream has ended without an error.
     pub fn finish(self) -> Result<Bytes, MalformedEvent> {
-        if !is_line(&self.buffer[self.checked_bytes..]) {
+        if !is_line(self.unchecked()) {
             return Err(MalformedEvent);
         }
         Ok(self.buffer.freeze())
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -111,7 +111,7 @@
         let result = tokio::select! {
             biased;
             // Draining counts from a request's first byte: one that still waits for a connection when its endpoint is
-            // blocked is not sent. One that has been sent goes on.
+            // blocked is not sent. One that was sent goes on.
             () = self.connector.gate().wait_until_blocked(&request.address, is_waiting) => {
                 return Err(EndReason::EndpointBlocked);
             }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Asks an endpoint to release a request's reservation. Returns whether it confirmed that it has.
+    /// Requests that an endpoint release a request's reservation. Returns whether it confirmed that it has.
     pub async fn release(
         &self,
         client_request_id: &str,
@@ -203,7 +203,7 @@
         is_confirmed
     }
 
-    /// Asks an endpoint for its load. `None` where no whole response came.
+    /// Requests an endpoint's load report. `None` where no whole response came.
     pub async fn probe(&self, address: &str) -> Option<ProbeResult> {
         let response = self
             .call(
--- a/src/backend/http/request_body.rs
+++ b/src/backend/http/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request to an endpoint, which tells whether a connection has taken it.
+//! The body of a request to an endpoint, which records whether a connection has taken it.
 
 use bytes::Bytes;
 use http_body::Frame;
--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -1,4 +1,4 @@
-//! A streamed response: its frames go to the [`StreamForwarder`], its last lines are kept for the usage and the load
+//! A streamed response: its frames go to the [`StreamForwarder`], its last lines are buffered for the usage and the load
 //! that they report, and it can migrate to another process between two frames.
 
 use super::exchange::{reason_may_have_run, CloseGuard, ResponseHead};
@@ -19,7 +19,7 @@
 
 /// Bytes read from an endpoint pass through the HTTP client within this time.
 const MAX_CLIENT_DELAY: Duration = Duration::from_millis(300);
-/// How many of a stream's last bytes are kept for the usage and the load report in them.
+/// How many of a stream's last bytes are buffered for the usage and the load report in them.
 const TAIL_BYTES: usize = 4096;
 
 /// What the body gave next: a frame, its end, or an error.
@@ -151,13 +151,13 @@
         };
         if let Ok(data) = frame.into_data() {
             self.received_bytes += data.len() as u64;
-            self.keep_tail(&data);
+            self.buffer_tail(&data);
             self.forwarder.forward(&data).await?;
         }
         Ok(StreamProgress::Continues)
     }
 
-    fn keep_tail(&mut self, data: &[u8]) {
+    fn buffer_tail(&mut self, data: &[u8]) {
         let newest = &data[data.len().saturating_sub(TAIL_BYTES)..];
         self.tail.extend_from_slice(newest);
         let excess = self.tail.len().saturating_sub(TAIL_BYTES);
--- a/src/backend/tracked_connection.rs
+++ b/src/backend/tracked_connection.rs
@@ -1,8 +1,8 @@
 //! What is known of one connection to an endpoint: what it has carried, whether its reading is paused, and whether
 //! it is to be closed once it is idle.
 //!
-//! The [`Transport`](super::transport::Transport) records each read and write here; the HTTP client asks afterwards
-//! how an exchange broke. The socket itself belongs to the transport.
+//! The [`Transport`](super::transport::Transport) records each read and write here; the HTTP client uses
+//! the record to classify how an exchange broke. The socket itself belongs to the transport.
 
 use crate::net::message_framing::{ChunkedDecoder, ResponseFraming};
 use socket2::SockRef;
@@ -14,11 +14,11 @@
 use std::task::{Poll, Waker};
 use tokio::net::TcpStream;
 
-/// Whether bytes are read from the connection, and the task that reads them.
+/// Whether reading is paused, and the task that reads.
 #[derive(Default)]
 struct ReadGate {
     is_paused: bool,
-    reader: Option<Waker>,
+    waker: Option<Waker>,
 }
 
 /// The record of one connection, shared by its transport and the exchange that runs on it.
@@ -55,9 +55,9 @@
     /// Closes the connection if it is idle; otherwise its exchange goes on, and the connection is closed after that.
     pub(super) fn close_when_idle(&self) {
         self.closes_when_idle.store(true, Ordering::Relaxed);
-        let reader = self.read_gate().reader.take();
-        if let Some(reader) = reader {
-            reader.wake();
+        let waker = self.read_gate().waker.take();
+        if let Some(waker) = waker {
+            waker.wake();
         }
     }
 
@@ -90,11 +90,11 @@
     fn set_reading_paused(&self, is_paused: bool) {
         let gate = ReadGate {
             is_paused,
-            reader: None,
+            waker: None,
         };
         let previous = std::mem::replace(&mut *self.read_gate(), gate);
-        if let Some(reader) = previous.reader {
-            reader.wake();
+        if let Some(waker) = previous.waker {
+            waker.wake();
         }
     }
 
@@ -104,9 +104,9 @@
     }
 
     /// Registers the task that reads, to be woken when it should read again, and tells whether reading is paused now.
-    pub(super) fn register_reader(&self, reader: &Waker) -> bool {
+    pub(super) fn register_reader(&self, waker: &Waker) -> bool {
         let mut gate = self.read_gate();
-        gate.reader = Some(reader.clone());
+        gate.waker = Some(waker.clone());
         gate.is_paused
     }
 
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Asks an endpoint to release a request's reservation. Returns whether it confirmed that it has.
+    /// Requests that an endpoint release a request's reservation. Returns whether it confirmed that it has.
     pub async fn release(
         &self,
         client_request_id: &str,
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,10 +1,13 @@
 //! The incident of 2026-12-02 with the real program: a decode endpoint's machine accepts connections and bytes, and
 //! nothing runs there.
 
+#[path = "backend/support.rs"]
+mod support;
 mod testbed;
 
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
+use support::bind_endpoint;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -27,33 +30,32 @@
     }
 }
 
-async fn bind() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap().to_string();
-    (listener, address)
+fn content_length(head: &str) -> Option<usize> {
+    for line in head.lines() {
+        if let Some((name, value)) = line.split_once(':') {
+            if name.eq_ignore_ascii_case("content-length") {
+                return value.trim().parse().ok();
+            }
+        }
+    }
+    None
 }
 
-/// The head of a message, and its body by its length.
+/// Reads a message: its head, and its body by its length. `None` when the connection ends first.
 async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.lines().find_map(|line| {
-                let (name, value) = line.split_once(':')?;
-                name.eq_ignore_ascii_case("content-length")
-                    .then(|| value.trim().parse().ok())?
-            });
-            if body.len() >= length.unwrap_or(0) {
+            if body.len() >= content_length(head).unwrap_or(0) {
                 return Some(text);
             }
         }
-        let count = stream
-            .read(&mut buffer)
-            .await
-            .ok()
-            .filter(|count| *count > 0)?;
+        let count = stream.read(&mut buffer).await.ok()?;
+        if count == 0 {
+            return None;
+        }
         bytes.extend_from_slice(&buffer[..count]);
     }
 }
@@ -122,11 +124,11 @@
 /// The client waits for 4 s and the KV cache may be reserved for 1 s: it is released while the client still waits.
 #[tokio::test]
 async fn a_kv_cache_is_released_while_its_request_waits_at_a_silent_decode_endpoint() {
-    let (prefill, prefill_address) = bind().await;
-    let (_decode_accepts_connections_and_reads_nothing, decode_address) = bind().await;
+    let (prefill, prefill_address) = bind_endpoint().await;
+    let (_decode_accepts_connections_and_reads_nothing, decode_address) = bind_endpoint().await;
     let (released, mut releases) = mpsc::unbounded_channel();
     tokio::spawn(serve_prefill_endpoint(prefill, released));
-    let listen = bind().await.1;
+    let listen = bind_endpoint().await.1;
     let _program = start_program(&listen, &prefill_address, &decode_address);
     let mut client = connect(&listen).await;
     let request = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 00000000000000aa\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 1\r\nX-Expires-In-Ms: 4000\r\nX-Props: prompt_len=100,max_out=10\r\nContent-Length: 2\r\n\r\n{}";
--- a/tests/malformed_streams.rs
+++ b/tests/malformed_streams.rs
@@ -199,7 +199,7 @@
         1,
     );
     let body = format!("{EVENT}: Endpoint-Load-Metrics: \u{1}TEXT x0=much\n\n");
-    let good = format!("{early_heads}{head}{}0\r\n\r\n", chunk(&body));
+    let response = format!("{early_heads}{head}{}0\r\n\r\n", chunk(&body));
     let mut connections = Vec::new();
     for (id, extra) in [
         (
@@ -209,7 +209,11 @@
         (2, String::new()),
     ] {
         commands.send(endpoint.start_attempt(id)).await.unwrap();
-        connections.push(endpoint.respond(format!("{good}{extra}").as_bytes()).await);
+        connections.push(
+            endpoint
+                .respond(format!("{response}{extra}").as_bytes())
+                .await,
+        );
         assert_eq!(
             outcome(&mut events).await,
             (AttemptStatus::Served, body.clone(), true)
@@ -217,7 +221,7 @@
     }
     // Without extra bytes, the connection serves again.
     commands.send(endpoint.start_attempt(3)).await.unwrap();
-    respond_on(&mut connections[1], good.as_bytes()).await;
+    respond_on(&mut connections[1], response.as_bytes()).await;
     assert_eq!(
         outcome(&mut events).await,
         (AttemptStatus::Served, body, true)
@@ -281,13 +285,13 @@
 async fn a_connection_is_not_used_again_when_its_endpoint_may_be_closing_it() {
     let endpoint = RawEndpoint::start().await;
     let (commands, mut events) = node_side(&[]);
-    let good = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(EVENT));
+    let response = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(EVENT));
     commands.send(endpoint.start_attempt(1)).await.unwrap();
-    let mut first = endpoint.respond(good.as_bytes()).await;
+    let mut first = endpoint.respond(response.as_bytes()).await;
     assert_eq!(outcome(&mut events).await.0, AttemptStatus::Served);
     tokio::time::sleep(Duration::from_millis(20_500)).await;
     commands.send(endpoint.start_attempt(2)).await.unwrap();
-    respond_on(&mut first, good.as_bytes()).await;
+    respond_on(&mut first, response.as_bytes()).await;
     assert_eq!(
         outcome(&mut events).await.0,
         AttemptStatus::Served,
@@ -295,7 +299,7 @@
     );
     tokio::time::sleep(Duration::from_millis(21_500)).await;
     commands.send(endpoint.start_attempt(3)).await.unwrap();
-    let _second = endpoint.respond(good.as_bytes()).await;
+    let _second = endpoint.respond(response.as_bytes()).await;
     assert_eq!(
         outcome(&mut events).await.0,
         AttemptStatus::Served,
