--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -1,5 +1,5 @@
-//! A streamed response: its frames go to the [`StreamForwarder`], its last lines are buffered for the usage and the load
-//! that they report, and it can migrate to another process between two frames.
+//! A streamed response: its frames go to the [`StreamForwarder`], its last lines are buffered for the usage and the
+//! load that they report, and it can migrate to another process between two frames.
 
 use super::exchange::{reason_may_have_run, CloseGuard, ResponseHead};
 use super::usage::{load_from_headers, parse_tail};
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,7 +1,7 @@
 //! The backend: runs the dispatcher's commands at the endpoints, and reports how each attempt, release and probe ended.
 //!
-//! Endpoints use HTTP/1.1, or WebSocket sessions where the session file names them. [`run`] owns the tasks, one for each
-//! attempt, release and probe; ending it ends them.
+//! Endpoints use HTTP/1.1, or WebSocket sessions where the session file names them. [`run`] owns the tasks, one for
+//! each attempt, release and probe; ending it ends them.
 
 pub mod attempt;
 mod blocked_endpoints;
@@ -209,7 +209,8 @@
         self.cancels.remove(&key);
         if let Err(error) = finished {
             // A task that panicked has reported nothing, and the dispatcher must not wait for it.
-            error!(self.client.log, "attempt task panicked"; "id" => key.id, "attempt" => key.attempt, "error" => %error);
+            error!(self.client.log, "attempt task panicked"; "id" => key.id, "attempt" => key.attempt,
+                "error" => %error);
             let event = attempt_ended(key, EndReason::TaskPanicked.into());
             self.client.dispatcher.send_detached(event);
         }
