--- a/src/upgrade/stream_migration/forwarder.rs
+++ b/src/upgrade/stream_migration/forwarder.rs
@@ -26,9 +26,9 @@
         mut chunks,
         partial_event,
     } = stream;
-    let mut events = EventStream::resumed();
+    let mut events = EventStream::resume();
     let whole_events = events
-        .take(&partial_event)
+        .push(&partial_event)
         .map_err(|_| MigrationError::MalformedStream)?;
     write_chunk(&mut client, &whole_events).await?;
     let mut buffer = vec![0; READ_BUFFER_BYTES];
@@ -47,14 +47,16 @@
             .feed(&buffer[..read], |chunk| data.extend_from_slice(chunk))
             .map_err(|_| MigrationError::MalformedStream)?;
         let whole_events = events
-            .take(&data)
+            .push(&data)
             .map_err(|_| MigrationError::MalformedStream)?;
         if !whole_events.is_empty() {
             write_chunk(&mut client, &whole_events).await?;
             silent_at = Instant::now() + UPSTREAM_TIMEOUT;
         }
     }
-    let last_event = events.rest().map_err(|_| MigrationError::MalformedStream)?;
+    let last_event = events
+        .finish()
+        .map_err(|_| MigrationError::MalformedStream)?;
     write_chunk(&mut client, &last_event).await?;
     within_write_timeout(client.write_all(LAST_CHUNK)).await?;
     client.shutdown().await?;
