--- a/src/backend/http/connection_pool.rs
+++ b/src/backend/http/connection_pool.rs
@@ -43,7 +43,7 @@
 impl ConnectionPool {
     /// An empty pool. A connection that was idle for `idle_timeout` is not used again, and no more than
     /// `max_idle_per_endpoint` are pooled for each endpoint, so that the other endpoints have permits left.
-    pub fn new(
+    pub(super) fn new(
         connector: Connector,
         idle_timeout: Duration,
         max_idle_per_endpoint: usize,
@@ -70,7 +70,7 @@
     }
 
     /// The client for a request.
-    pub fn client(&self, policy: ConnectionPolicy) -> HttpClient {
+    pub(super) fn client(&self, policy: ConnectionPolicy) -> HttpClient {
         let pooled = self.pooled();
         if policy == ConnectionPolicy::RequireNew || Instant::now() < pooled.paused_until {
             self.unpooled.clone()
@@ -81,7 +81,7 @@
 
     /// A pooled connection has broken under a request. Then others will: the endpoints, or something on the network
     /// path, close them early. All are dropped, and none is pooled for a time that grows while this goes on.
-    pub fn on_stale_connection(&self) {
+    pub(super) fn on_stale_connection(&self) {
         let now = Instant::now();
         let mut pooled = self.pooled();
         if now < pooled.paused_until {
--- a/src/backend/http/exchange.rs
+++ b/src/backend/http/exchange.rs
@@ -35,7 +35,7 @@
     }
 
     /// The exchange has come to its end, and its connection may be used again.
-    pub fn disarm(&mut self) {
+    pub(super) fn disarm(&mut self) {
         self.capture = None;
     }
 }
@@ -83,7 +83,7 @@
     }
 
     /// How the attempt has ended. `is_taken`: a connection has taken the request's body.
-    pub fn end_reason(&self, is_taken: bool) -> EndReason {
+    pub(super) fn end_reason(&self, is_taken: bool) -> EndReason {
         let (source, may_be_stale, has_unwritten_bytes) = match self {
             ExchangeError::InvalidRequest(_) => return EndReason::NotSent,
             ExchangeError::Failed {
--- a/src/backend/http/request_body.rs
+++ b/src/backend/http/request_body.rs
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll};
 
 /// A body of at most one frame. It sets its flag when a connection takes it: before that nothing can have run.
-pub struct SingleFrameBody {
+pub(super) struct SingleFrameBody {
     data: Option<Bytes>,
     is_taken: Arc<AtomicBool>,
 }
--- a/tests/backend/support.rs
+++ b/tests/backend/support.rs
@@ -13,15 +13,15 @@
 use tokio::time::timeout;
 
 /// How many connections the backend of a test may open.
-pub const CONNECTION_LIMIT: u64 = 10;
+pub(crate) const CONNECTION_LIMIT: u64 = 10;
 /// The head of a stream's response.
-pub const STREAM_HEAD: &str =
+pub(crate) const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// The end of a request with the body that [`AttemptSpec::new`] gives it.
 const REQUEST_END: &[u8] = b"\r\n\r\n{}";
 
 /// An attempt to start.
-pub struct AttemptSpec {
+pub(crate) struct AttemptSpec {
     pub id: RequestId,
     pub address: String,
     pub body: Bytes,
@@ -31,7 +31,7 @@
 
 impl AttemptSpec {
     /// An attempt that may use an idle connection, with a timeout of 5 s.
-    pub fn new(id: RequestId, address: &str) -> AttemptSpec {
+    pub(crate) fn new(id: RequestId, address: &str) -> AttemptSpec {
         AttemptSpec {
             id,
             address: address.to_owned(),
@@ -42,7 +42,7 @@
     }
 
     /// The command that starts it. Its request is named `n` and its id.
-    pub fn command(self) -> Command {
+    pub(crate) fn command(self) -> Command {
         Command::StartAttempt {
             id: self.id,
             attempt: 0,
@@ -58,15 +58,15 @@
     }
 }
 
-pub fn start_attempt(id: RequestId, address: &str) -> Command {
+pub(crate) fn start_attempt(id: RequestId, address: &str) -> Command {
     AttemptSpec::new(id, address).command()
 }
 
-pub fn cancel_attempt(id: RequestId) -> Command {
+pub(crate) fn cancel_attempt(id: RequestId) -> Command {
     Command::CancelAttempt { id, attempt: 0 }
 }
 
-pub fn block_address(address: &str) -> Command {
+pub(crate) fn block_address(address: &str) -> Command {
     Command::BlockAddress {
         address: address.into(),
         is_blocked: true,
@@ -74,21 +74,21 @@
 }
 
 /// Binds a listener for a stand-in endpoint, and gives its address.
-pub async fn bind_endpoint() -> (TcpListener, String) {
+pub(crate) async fn bind_endpoint() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, address)
 }
 
 /// The same with a listener of the standard library, which a paused clock does not affect.
-pub fn bind_blocking_endpoint() -> (std::net::TcpListener, String) {
+pub(crate) fn bind_blocking_endpoint() -> (std::net::TcpListener, String) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, address)
 }
 
 /// Reads a whole request from a raw connection.
-pub async fn read_request(stream: &mut TcpStream) {
+pub(crate) async fn read_request(stream: &mut TcpStream) {
     let mut text = Vec::new();
     while !text.ends_with(REQUEST_END) {
         let mut buffer = [0; 1024];
@@ -99,7 +99,7 @@
 }
 
 /// Answers as a prefill endpoint does.
-pub async fn write_prefill_response(stream: &mut TcpStream) {
+pub(crate) async fn write_prefill_response(stream: &mut TcpStream) {
     stream
         .write_all(b"HTTP/1.1 202 OK\r\nContent-Length: 2\r\n\r\n{}")
         .await
@@ -107,14 +107,14 @@
 }
 
 /// Reads a request and answers it as a prefill endpoint does, on a connection that stays open.
-pub async fn serve_prefill(stream: &mut TcpStream) {
+pub(crate) async fn serve_prefill(stream: &mut TcpStream) {
     read_request(stream).await;
     write_prefill_response(stream).await;
 }
 
 /// Accepts a connection and reads a whole request from it, on a thread of its own: a paused clock does not advance
 /// meanwhile.
-pub async fn accept_request_blocking(
+pub(crate) async fn accept_request_blocking(
     listener: std::net::TcpListener,
 ) -> (std::net::TcpStream, String) {
     let accept = move || {
@@ -132,14 +132,14 @@
 }
 
 /// A backend all of whose connection permits are taken by attempts at an endpoint that does not answer.
-pub struct ExhaustedBackend {
+pub(crate) struct ExhaustedBackend {
     pub commands: Sender<Command>,
     pub events: EventReceiver,
     _connections: Vec<(std::net::TcpStream, std::net::SocketAddr)>,
 }
 
 impl ExhaustedBackend {
-    pub async fn start() -> ExhaustedBackend {
+    pub(crate) async fn start() -> ExhaustedBackend {
         let (commands, events) = node_side(&[]);
         let (silent, address) = bind_blocking_endpoint();
         for id in 0..CONNECTION_LIMIT {
@@ -158,14 +158,14 @@
     }
 
     /// Cancels one of the attempts 200 ms later, so that what waits for a connection gets its permit.
-    pub async fn free_a_permit_after_200_ms(&self) {
+    pub(crate) async fn free_a_permit_after_200_ms(&self) {
         tokio::task::yield_now().await;
         tokio::time::advance(Duration::from_millis(200)).await;
         self.commands.send(cancel_attempt(0)).await.unwrap();
     }
 }
 
-pub async fn next_event(events: &mut EventReceiver) -> Event {
+pub(crate) async fn next_event(events: &mut EventReceiver) -> Event {
     timeout(Duration::from_secs(10), events.recv())
         .await
         .expect("an event")
@@ -173,7 +173,7 @@
 }
 
 /// The status with which the next attempt ends.
-pub async fn next_status(events: &mut EventReceiver) -> AttemptStatus {
+pub(crate) async fn next_status(events: &mut EventReceiver) -> AttemptStatus {
     match next_event(events).await {
         Event::AttemptEnded { reason, .. } => reason.status(),
         other => panic!("{other:?}"),
