--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -3,6 +3,8 @@
 //! The files were made with the program as it was before its code was reworked for readers. A change of one of them is a change of
 //! a protocol or of a stored format. `UPDATE_GOLDEN=1` writes them anew.
 
+mod free_address;
+
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 
@@ -390,10 +392,10 @@
 mod exchange {
     //! Raw bytes between clients, the program, replicas and discovery.
 
+    use super::free_address::free_address;
     use super::{assert_golden, config, Folder};
     use std::collections::BTreeSet;
     use std::process::{Child, Command, Stdio};
-    use std::sync::atomic::{AtomicU8, Ordering};
     use std::sync::{Arc, Mutex};
     use std::time::Duration;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -523,19 +525,6 @@
         address
     }
 
-    /// An address that nobody else binds before the program does: each has an IP address of its own.
-    async fn free_address() -> String {
-        static NEXT: AtomicU8 = AtomicU8::new(2);
-        let [_, _, high, low] = std::process::id().to_be_bytes();
-        let host = format!(
-            "127.{}.{low}.{}",
-            16 + high % 128,
-            NEXT.fetch_add(1, Ordering::Relaxed)
-        );
-        let listener = TcpListener::bind((host, 0)).await.unwrap();
-        listener.local_addr().unwrap().to_string()
-    }
-
     async fn connect(address: &str) -> TcpStream {
         let connects = async {
             loop {
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,11 +1,13 @@
 //! The program: its command line, its start, its reload at SIGHUP and its shutdown at SIGTERM.
 
+mod free_address;
 mod testbed;
 
 use axum::extract::State;
 use axum::http::Uri;
 use axum::routing::get;
 use axum::Router;
+use free_address::free_address;
 use std::io::{BufRead, BufReader, Lines};
 use std::path::PathBuf;
 use std::process::{Child, ChildStderr, Command, ExitStatus, Output, Stdio};
@@ -171,11 +173,6 @@
     assert!(String::from_utf8_lossy(&check.stdout).contains("2 classes, 1 tenants"));
 }
 
-async fn free_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    listener.local_addr().unwrap().to_string()
-}
-
 /// The whole response to a `GET`, once the address answers at all.
 async fn get_response(address: &str, path: &str) -> String {
     let requests = async {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,11 +1,13 @@
 //! Upgrades without downtime: two processes of the program on one inherited socket.
 
+mod free_address;
 #[path = "upgrade/setup.rs"]
 mod setup;
 mod testbed;
 
+use free_address::free_address;
 use quartzhall_recording::{Reader, Record, RecordedOutcome};
-use setup::{free_address, request, send_request, Response, UpgradeSetup};
+use setup::{request, send_request, Response, UpgradeSetup};
 use std::os::fd::OwnedFd;
 use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/tests/upgrade/setup.rs
+++ b/tests/upgrade/setup.rs
@@ -1,5 +1,6 @@
 //! A dispatcher that is upgraded, as its processes, its clients and its operators see it.
 
+use super::free_address::free_address;
 use super::testbed::{self, Fleet};
 use axum::http::Uri;
 use axum::routing::get;
@@ -53,12 +54,6 @@
     format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace_id}\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 9000\r\nX-Props: prompt_len=500,max_out=100\r\nContent-Length: 2\r\n\r\n{{}}")
 }
 
-/// An address that nothing listens on.
-pub(crate) async fn free_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    listener.local_addr().unwrap().to_string()
-}
-
 /// The endpoint list with two endpoints for prefill and the rest for decode.
 fn endpoint_list(addresses: &[String]) -> String {
     let mut members = Vec::new();
