--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -1,7 +1,7 @@
 //! One run: simulated replicas, discovery agents and clients in this process, real dispatchers beside it, and the faults of
 //! the schedule.
 //!
-//! [`SoakRun`] owns all of them for the time of the run.
+//! `SoakRun` owns all of them for the time of the run.
 
 mod faults;
 mod process;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! A dispatcher: a core that knows no wire ([`dispatcher`]), the [`frontend`] that speak with clients, and the
-//! [`backend`] and [`discovery`] sides. `docs/architecture.md` has the life of a request.
+//! A dispatcher for fleets of language-model servers that work in two stages: prefill and decode.
 //!
-//! Its decisions are the module's, [`routing::Router`], which decides for a router of language-model servers that read
-//! prompts and write answers in two stages.
+//! The [`dispatcher`] is a state machine that knows no wire; [`frontend`] connects it with clients, [`backend`] with
+//! endpoints, [`discovery`] with the endpoint list, [`gossip`] and [`upgrade`] with other dispatchers and processes.
+//! `docs/architecture.md` says who owns which state.
 //!
-//! The caller owns clock, network and threads; it tells a [`Router`] what it hears and does what the router
-//! says.
+//! Decisions are made by [`routing::Router`], which is pure: its caller owns clock, network and threads, passes it
+//! events, and executes the actions that it returns.
 //!
 //! ```
 //! use quartzhall::routing::api::*;
