--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -219,7 +219,7 @@
                 continue;
             };
             let received = Event::GossipReceived {
-                from: 1,
+                peer: 1,
                 message: Bytes::from(message),
             };
             self.measure_event("core: message heard", received);
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -307,7 +307,7 @@
                     return;
                 }
                 // All waiting commands are taken at once, and addresses are blocked before any attempt starts.
-                Command::blocks_first(&mut batch);
+                Command::sort_blocks_first(&mut batch);
                 for command in batch.drain(..) {
                     backend.execute(command);
                 }
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -125,7 +125,7 @@
                 is_healthy,
                 load,
             } => self.on_probe_completed(now, endpoint, is_healthy, load),
-            Event::GossipReceived { from, message } => self.on_gossip_received(now, from, &message),
+            Event::GossipReceived { peer, message } => self.on_gossip_received(now, peer, &message),
             Event::EndpointsChanged { is_full, endpoints } => {
                 self.update_endpoints(now, is_full, endpoints);
             }
@@ -175,7 +175,7 @@
 
     /// Takes the commands, in order; blocks come first, so that nothing goes to an endpoint that has begun to drain.
     pub fn take_commands(&mut self) -> Vec<Command> {
-        Command::blocks_first(&mut self.commands);
+        Command::sort_blocks_first(&mut self.commands);
         std::mem::take(&mut self.commands)
     }
 
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -155,7 +155,7 @@
     /// A gossip message from another dispatcher was received.
     GossipReceived {
         /// The sender's number among the peers.
-        from: usize,
+        peer: usize,
         /// The message, as received.
         message: Bytes,
     },
@@ -254,7 +254,7 @@
 impl Command {
     /// Sorts blocks before all other commands, and keeps the order among each kind: an attempt that was commanded before its
     /// endpoint began to drain is not sent there afterwards.
-    pub fn blocks_first(commands: &mut [Command]) {
+    pub fn sort_blocks_first(commands: &mut [Command]) {
         commands.sort_by_key(|command| !matches!(command, Command::BlockAddress { .. }));
     }
 }
--- a/src/gossip/transport.rs
+++ b/src/gossip/transport.rs
@@ -90,7 +90,7 @@
                     };
                     if let Some(index) = self.peer_indices.get(&sender) {
                         let message = Bytes::copy_from_slice(&buffer[..length]);
-                        dispatcher.send(Event::GossipReceived { from: *index, message }).await;
+                        dispatcher.send(Event::GossipReceived { peer: *index, message }).await;
                     }
                 }
             }
--- a/tests/dispatcher_endpoints.rs
+++ b/tests/dispatcher_endpoints.rs
@@ -315,13 +315,13 @@
     let message = share_load(&mut one, 40.0).expect("forty requests are a surprise");
     for length in 0..message.len() {
         other.handle(Event::GossipReceived {
-            from: 3,
+            peer: 3,
             message: message.slice(..length),
         });
     }
     let unknown = [&message[..3], &[9, 9, 9, 40, 0]].concat().into();
     other.handle(Event::GossipReceived {
-        from: 4,
+        peer: 4,
         message: unknown,
     });
     assert!(
@@ -330,10 +330,10 @@
     );
     let mut third = gossiping_core();
     third.handle(Event::GossipReceived {
-        from: 3,
+        peer: 3,
         message: message.clone(),
     });
-    third.handle(Event::GossipReceived { from: 3, message });
+    third.handle(Event::GossipReceived { peer: 3, message });
     assert_eq!(
         share_load(&mut third, 40.0),
         None,
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -75,7 +75,7 @@
     peer.send_to(&[7; 300], &listen_address).await.unwrap();
     for length in [4, 257] {
         match events.recv().await {
-            Some(Event::GossipReceived { from: 1, message }) => assert_eq!(message.len(), length),
+            Some(Event::GossipReceived { peer: 1, message }) => assert_eq!(message.len(), length),
             other => panic!("{other:?}"),
         }
     }
