--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -310,7 +310,7 @@
             if !self.start_request(id) {
                 continue;
             }
-            let reason = EndReason::of(AttemptStatus::PrefillDone);
+            let reason = EndReason::from_status(AttemptStatus::PrefillDone);
             self.core.handle_event(self.now, prefill_done(id, reason));
             let commands = self.core.take_commands();
             let commands = self.answer_probes(commands);
--- a/src/dispatcher/core/endpoints.rs
+++ b/src/dispatcher/core/endpoints.rs
@@ -21,7 +21,7 @@
         } else {
             self.endpoints.update_list(now, list, &self.report)
         };
-        self.record_endpoints(now, &changes.recorded);
+        self.record_endpoints(now, &changes.trace_records);
         let in_use = self.requests.endpoints_in_use();
         for endpoint in self.endpoints.forget_removed(&in_use) {
             if let Some(gossip) = &mut self.gossip {
@@ -36,7 +36,7 @@
             now,
             api::Event::EndpointsChanged {
                 is_full,
-                endpoints: changes.records,
+                endpoints: changes.router_records,
             },
         );
     }
@@ -68,14 +68,14 @@
 
     /// Passes on that endpoints were banned, or that their bans have ended.
     fn apply_bans(&mut self, now: Time, changes: EndpointChanges) {
-        self.record_endpoints(now, &changes.recorded);
+        self.record_endpoints(now, &changes.trace_records);
         self.commands.extend(self.endpoints.take_block_commands());
-        if !changes.records.is_empty() {
+        if !changes.router_records.is_empty() {
             self.drive_router(
                 now,
                 api::Event::EndpointsChanged {
                     is_full: false,
-                    endpoints: changes.records,
+                    endpoints: changes.router_records,
                 },
             );
         }
--- a/src/dispatcher/core/router_actions.rs
+++ b/src/dispatcher/core/router_actions.rs
@@ -64,7 +64,7 @@
 
     fn abandon_reservation(&mut self, now: Time, id: RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.reservation.abandon(now);
+            request.reservation.mark_unneeded(now);
         }
         self.release_or_remove(now, id);
     }
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -52,9 +52,9 @@
 #[derive(Default)]
 pub(super) struct EndpointChanges {
     /// For the router.
-    pub records: Vec<EndpointRecord>,
+    pub router_records: Vec<EndpointRecord>,
     /// For the recording, with their ids: endpoints whose status or address has changed.
-    pub recorded: Vec<(Arc<str>, EndpointRecord)>,
+    pub trace_records: Vec<(Arc<str>, EndpointRecord)>,
 }
 
 /// The table. Numbers name endpoints to the router; a number is used once.
@@ -280,8 +280,8 @@
             endpoint.status = effective_status(&self.bans, id, endpoint.listed.status);
             endpoint.ban_ended_at = endpoint.ban_ended_at.max(self.bans.ended_at(id));
             let record = endpoint.effective_record();
-            changes.recorded.push((id.clone(), record.clone()));
-            changes.records.push(record);
+            changes.trace_records.push((id.clone(), record.clone()));
+            changes.router_records.push(record);
         }
         changes
     }
--- a/src/dispatcher/endpoint_table/update.rs
+++ b/src/dispatcher/endpoint_table/update.rs
@@ -96,14 +96,16 @@
         let record = endpoint.effective_record();
         if has_moved || previous_status != Some(endpoint.status) {
             report.log_endpoint_updated(&endpoint);
-            changes.recorded.push((endpoint.id.clone(), record.clone()));
+            changes
+                .trace_records
+                .push((endpoint.id.clone(), record.clone()));
         }
         self.by_gossip_hash
             .entry(gossip::endpoint_hash(record.key))
             .or_default()
             .insert(number);
         self.endpoints.insert(number, endpoint);
-        changes.records.push(record);
+        changes.router_records.push(record);
         number
     }
 
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -77,7 +77,7 @@
     }
 
     /// The reason for a status of which no more is known.
-    pub fn of(status: AttemptStatus) -> EndReason {
+    pub fn from_status(status: AttemptStatus) -> EndReason {
         match status {
             AttemptStatus::Served => EndReason::Served,
             AttemptStatus::PrefillDone => EndReason::PrefillDone,
--- a/src/dispatcher/reservation.rs
+++ b/src/dispatcher/reservation.rs
@@ -100,7 +100,7 @@
     }
 
     /// The router needs the KV cache no longer.
-    pub(super) fn abandon(&mut self, now: Time) {
+    pub(super) fn mark_unneeded(&mut self, now: Time) {
         let confirmed = self.confirmed_since.take();
         self.suspected_since = confirmed.or(self.suspected_since).or(Some(now));
     }
--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -173,7 +173,7 @@
         self.handle(Event::AttemptEnded {
             id,
             attempt,
-            reason: EndReason::of(status),
+            reason: EndReason::from_status(status),
             cached_tokens: 0.0,
             completion_tokens: 0.0,
             load: None,
--- a/tests/unit/dispatcher/guard.rs
+++ b/tests/unit/dispatcher/guard.rs
@@ -186,7 +186,7 @@
         AttemptStatus::Timeout,
         AttemptStatus::Cancelled,
     ] {
-        let previous = (PREFILL, Some(EndReason::of(status)));
+        let previous = (PREFILL, Some(EndReason::from_status(status)));
         assert_non_idempotent(DECODE, previous, Ok(()));
     }
 }
@@ -200,7 +200,7 @@
         AttemptStatus::Cancelled,
         AttemptStatus::Error,
     ] {
-        let previous = (DECODE, Some(EndReason::of(status)));
+        let previous = (DECODE, Some(EndReason::from_status(status)));
         assert_non_idempotent(PREFILL, previous, Err(Rule::Duplicate));
     }
 }
@@ -213,7 +213,7 @@
         AttemptStatus::NotSent,
         AttemptStatus::InvalidRequest,
     ] {
-        let previous = (DECODE, Some(EndReason::of(status)));
+        let previous = (DECODE, Some(EndReason::from_status(status)));
         assert_non_idempotent(DECODE, previous, Ok(()));
     }
 }
