--- a/crates/scale/src/selection.rs
+++ b/crates/scale/src/selection.rs
@@ -37,7 +37,7 @@
         max_duration: MAX_DURATION,
     };
     let candidates = Simulation::new(options.clone(), |_| {}).run();
-    let full = Simulation::new(options, |router| router.look_at_all_up_to(usize::MAX)).run();
+    let full = Simulation::new(options, |router| router.set_full_scan_limit(usize::MAX)).run();
     SelectionComparison {
         replicas,
         routers,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -160,7 +160,7 @@
     }
 
     /// Scores all endpoints in fleets of up to this many, and a sample in larger ones: for comparisons.
-    pub fn look_at_all_up_to(&mut self, endpoints: usize) {
+    pub fn set_full_scan_limit(&mut self, endpoints: usize) {
         self.candidates.look_at_all_up_to(endpoints);
     }
 
