--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -13,7 +13,7 @@
 mod hash_ring;
 mod prefix_affinity;
 
-pub(super) use hash_ring::mix;
+pub(super) use hash_ring::hash_pair;
 
 use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use hash_ring::HashRing;
@@ -94,7 +94,7 @@
 
     /// The index in the slow-start ring at which a request's draws begin.
     fn first_slow_start_draw(&self, seed: u64) -> usize {
-        (mix(seed, u64::MAX) % self.in_slow_start.len().max(1) as u64) as usize
+        (hash_pair(seed, u64::MAX) % self.in_slow_start.len().max(1) as u64) as usize
     }
 }
 
@@ -152,7 +152,7 @@
 
 impl CandidateIndex {
     /// From now on all endpoints are candidates in fleets of up to this many.
-    pub(super) fn look_at_all_up_to(&mut self, endpoints: usize) {
+    pub(super) fn set_full_scan_limit(&mut self, endpoints: usize) {
         self.max_fully_scored = endpoints;
     }
 
@@ -294,7 +294,7 @@
 
     /// Candidates for a prefill: those that are likely to have the prompt cached, and some that are drawn. In
     /// order of their ids, each once.
-    pub(super) fn prefill_endpoints(
+    pub(super) fn prefill_candidates(
         &self,
         query: &CandidateQuery,
         mut likely: BTreeSet<EndpointId>,
@@ -313,7 +313,7 @@
 
     /// Candidates for a decode attempt whose KV cache is in one of these cells. In order of their ids, each
     /// once.
-    pub(super) fn decode_endpoints(
+    pub(super) fn decode_candidates(
         &self,
         query: &CandidateQuery,
         cells: &BTreeSet<u32>,
@@ -351,7 +351,7 @@
         }
         found.extend(
             pool.all
-                .sample(mix(query.seed, 0), query.widen(count_anywhere)),
+                .sample(hash_pair(query.seed, 0), query.widen(count_anywhere)),
         );
         let first_draw = pool.first_slow_start_draw(query.seed);
         found.extend(
--- a/src/routing/candidate_index/hash_ring.rs
+++ b/src/routing/candidate_index/hash_ring.rs
@@ -63,7 +63,7 @@
         }
         (1..=count as u64)
             .map(|number| {
-                let index = mix(seed, number) % self.len() as u64;
+                let index = hash_pair(seed, number) % self.len() as u64;
                 self.slots[index as usize].1
             })
             .collect()
@@ -72,11 +72,11 @@
 
 /// The position of a key on the ring.
 pub(super) fn ring_position(key: u64) -> u64 {
-    mix(key, 0)
+    hash_pair(key, 0)
 }
 
 /// Hashes a pair of numbers evenly, such as the keys of a prefix and of an endpoint.
-pub(crate) fn mix(first: u64, second: u64) -> u64 {
+pub(crate) fn hash_pair(first: u64, second: u64) -> u64 {
     let mut mixed = first ^ second.rotate_left(32);
     for _ in 0..2 {
         mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
--- a/src/routing/candidate_index/prefix_affinity.rs
+++ b/src/routing/candidate_index/prefix_affinity.rs
@@ -1,7 +1,7 @@
 //! Prefix affinity by rendezvous hashing: the prefill endpoints that a shared prefix or a session comes back
 //! to.
 
-use super::hash_ring::{mix, ring_position, HashRing};
+use super::hash_ring::{hash_pair, ring_position, HashRing};
 use super::{CandidateIndex, CandidateQuery, PoolKind};
 use crate::routing::api::EndpointId;
 use std::cmp::Reverse;
@@ -83,7 +83,7 @@
         let Some(endpoint) = self.endpoints.get(&id) else {
             return 0;
         };
-        let uniform = (mix(key, endpoint.key) >> 12) as f64 + 0.5;
+        let uniform = (hash_pair(key, endpoint.key) >> 12) as f64 + 0.5;
         let warm_share = if endpoint.warm_at <= self.now {
             1.0
         } else {
@@ -119,7 +119,7 @@
         let seed = session.unwrap_or(query.seed);
         let mut indices = BTreeSet::new();
         for number in 0..MAX_AFFINITY_ENDPOINTS_PER_SESSION as u64 {
-            indices.insert(mix(seed, number) % pool.len().max(1) as u64);
+            indices.insert(hash_pair(seed, number) % pool.len().max(1) as u64);
         }
         indices
             .into_iter()
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -19,7 +19,7 @@
 mod tracked_endpoint;
 
 use crate::routing::api::*;
-use crate::routing::candidate_index::{mix, CandidateIndex};
+use crate::routing::candidate_index::{hash_pair, CandidateIndex};
 use crate::routing::prefix_cache_index::PrefixCacheIndex;
 use crate::routing::token_bucket::TokenBucket;
 use hedging::MAX_HEDGE_BUDGET;
@@ -155,13 +155,13 @@
             hedge_budget: MAX_HEDGE_BUDGET,
             mean_load: Default::default(),
             flow: Default::default(),
-            hash_salt: mix(seed, 0),
+            hash_salt: hash_pair(seed, 0),
         }
     }
 
     /// Scores all endpoints in fleets of up to this many, and a sample in larger ones: for comparisons.
     pub fn set_full_scan_limit(&mut self, endpoints: usize) {
-        self.candidates.look_at_all_up_to(endpoints);
+        self.candidates.set_full_scan_limit(endpoints);
     }
 
     /// Handles one event at `now` (microseconds) and appends the actions that follow from it.
--- a/src/routing/router/decode.rs
+++ b/src/routing/router/decode.rs
@@ -49,7 +49,7 @@
     ) -> Vec<&TrackedEndpoint> {
         let ids = self
             .candidates
-            .decode_endpoints(&self.candidate_query(request), cells);
+            .decode_candidates(&self.candidate_query(request), cells);
         self.available_endpoints(request, Stage::Decode, &ids)
     }
 
--- a/src/routing/router/prefill.rs
+++ b/src/routing/router/prefill.rs
@@ -103,7 +103,7 @@
         let query = self.candidate_query(request);
         let mut likely = self.prefixes.holders(&request.metadata, query.seed);
         likely.extend(request.affinity.keys());
-        let ids = self.candidates.prefill_endpoints(&query, likely);
+        let ids = self.candidates.prefill_candidates(&query, likely);
         let available = self.available_endpoints(request, Stage::Prefill, &ids);
         let cells = available
             .iter()
--- a/src/routing/router/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -3,7 +3,7 @@
 use super::tracked_endpoint::TrackedEndpoint;
 use super::{Request, Router, Stage, DECAY_INTERVAL, SMOOTHING_FACTOR};
 use crate::routing::api::{EndpointId, Time};
-use crate::routing::candidate_index::mix;
+use crate::routing::candidate_index::hash_pair;
 
 /// Share of a slow-start budget that is used. The budget is computed as if the endpoint's capacity stayed the
 /// initial one.
@@ -63,8 +63,8 @@
         }
         let time_left: Time = request.response_deadline.saturating_sub(self.now);
         let windows_left = time_left / self.settings.overload_window.max(1);
-        mix(
-            mix(request.metadata.id ^ self.hash_salt, windows_left),
+        hash_pair(
+            hash_pair(request.metadata.id ^ self.hash_salt, windows_left),
             endpoint.into(),
         )
     }
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -103,7 +103,7 @@
                 seed,
                 widenings: seed as u32 % 4,
             };
-            for id in index.decode_endpoints(&query, &BTreeSet::from([1, 2, 77])) {
+            for id in index.decode_candidates(&query, &BTreeSet::from([1, 2, 77])) {
                 assert!(reference
                     .endpoints
                     .get(&id)
@@ -119,7 +119,7 @@
             // The caller checks whether the likely ones are still listed. All others are.
             let likely = BTreeSet::from([1, 2, 1_000]);
             let found: BTreeSet<EndpointId> = index
-                .prefill_endpoints(&query, likely.clone())
+                .prefill_candidates(&query, likely.clone())
                 .into_iter()
                 .collect();
             for id in found.difference(&likely) {
@@ -170,7 +170,7 @@
                 seed: 99,
                 widenings,
             };
-            let found = index.decode_endpoints(&query, &BTreeSet::from([2]));
+            let found = index.decode_candidates(&query, &BTreeSet::from([2]));
             assert!(found.len() >= most, "a wider query has no fewer");
             most = found.len();
             if widenings == 0 {
@@ -248,7 +248,7 @@
             widenings: 0,
         };
         for id in index
-            .prefix_affinity(&query, Some(mix(prefix, 1)), None, 0.0, |_| 1.0)
+            .prefix_affinity(&query, Some(hash_pair(prefix, 1)), None, 0.0, |_| 1.0)
             .for_prefix
         {
             *affinity_counts.entry(id).or_default() += 1;
@@ -273,11 +273,11 @@
     for seed in 0..requests {
         let query = CandidateQuery {
             zone: 0,
-            seed: mix(seed, 5),
+            seed: hash_pair(seed, 5),
             widenings: 0,
         };
         for id in index.draw(PoolKind::Decode, &query, 0, 0) {
-            let draw = mix(mix(seed, 6), id.into()) as f64 / u64::MAX as f64;
+            let draw = hash_pair(hash_pair(seed, 6), id.into()) as f64 / u64::MAX as f64;
             if draw * index.slow_start_sampling_factor(PoolKind::Decode, &query, id) < chance {
                 *won.entry(id).or_default() += 1.0;
             }
