--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -3,13 +3,13 @@
 mod testbed;
 
 use std::time::Duration;
-use testbed::{Fleet, Terminal, Way};
+use testbed::{Behavior, Fleet, SessionClient};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 async fn send_command(fleet: &Fleet, line: &[u8]) -> String {
     let exchange = async {
-        let mut stream = TcpStream::connect(&fleet.management).await.unwrap();
+        let mut stream = TcpStream::connect(&fleet.management_address).await.unwrap();
         stream.write_all(line).await.unwrap();
         let mut response = String::new();
         stream.read_to_string(&mut response).await.unwrap();
@@ -50,7 +50,7 @@
     assert!(send_command(&fleet, b"disable-server nobody\n")
         .await
         .starts_with("NAK "));
-    let mut cut = TcpStream::connect(&fleet.management).await.unwrap();
+    let mut cut = TcpStream::connect(&fleet.management_address).await.unwrap();
     cut.write_all(b"disable-server n1").await.unwrap();
     cut.shutdown().await.unwrap();
     let mut response = String::new();
@@ -66,7 +66,7 @@
     let fleet = Fleet::start(false).await;
     let mut incomplete = Vec::new();
     for _ in 0..60 {
-        let mut stream = TcpStream::connect(&fleet.management).await.unwrap();
+        let mut stream = TcpStream::connect(&fleet.management_address).await.unwrap();
         stream.write_all(b"rea").await.unwrap();
         incomplete.push(stream);
         assert_eq!(send_command(&fleet, b"ready\n").await, "ACK\n");
@@ -84,41 +84,41 @@
 async fn a_banned_endpoint_receives_nothing_until_its_ban_is_lifted() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
-        let mut terminal = Terminal::connect(&fleet).await;
+        let mut client = SessionClient::connect(&fleet).await;
         // The only listed decode endpoint serves, so that a connection to it is pooled.
-        terminal.ask("a", "status-query", 4000).await;
-        assert_eq!(terminal.hear_final("a").await.0, "served");
-        assert_eq!(fleet.sent_to(2), 1);
+        client.send_request("a", "status-query", 4000).await;
+        assert_eq!(client.receive_response("a").await.0, "served");
+        assert_eq!(fleet.attempts_at(2), 1);
         // A request in flight at the endpoint during the ban is served: a ban drains.
-        fleet.way(2, Way::Pause);
-        terminal.ask("b", "status-query", 4000).await;
-        assert_eq!(terminal.hear().await.0, "event");
-        fleet.way(2, Way::Serve);
+        fleet.set_behavior(2, Behavior::Pause);
+        client.send_request("b", "status-query", 4000).await;
+        assert_eq!(client.receive().await.0, "event");
+        fleet.set_behavior(2, Behavior::Serve);
         assert_eq!(send_command(&fleet, b"disable-server n2\n").await, "ACK\n");
-        fleet.tell(&[(3, "Ready")]).await;
+        fleet.update_discovery(&[(3, "Ready")]).await;
         for (number, phase) in ["Ready", "Gone", "Ready", "Terminating", "Ready"]
             .iter()
             .enumerate()
         {
-            fleet.tell(&[(2, phase)]).await;
+            fleet.update_discovery(&[(2, phase)]).await;
             let name = format!("c{number}");
-            terminal.ask(&name, "status-query", 4000).await;
+            client.send_request(&name, "status-query", 4000).await;
             loop {
-                let (kind, text) = terminal.hear().await;
+                let (kind, text) = client.receive().await;
                 if text.contains(&format!("\"{name}\"")) && kind != "event" {
                     assert_eq!(kind, "served");
                     break;
                 }
             }
         }
-        assert_eq!((fleet.sent_to(2), fleet.sent_to(3)), (2, 5));
-        fleet.go.notify_one();
-        assert_eq!(terminal.hear_final("b").await.0, "served");
+        assert_eq!((fleet.attempts_at(2), fleet.attempts_at(3)), (2, 5));
+        fleet.resume.notify_one();
+        assert_eq!(client.receive_response("b").await.0, "served");
         assert_eq!(send_command(&fleet, b"enable-server n2\n").await, "ACK\n");
-        fleet.tell(&[(3, "Gone")]).await;
-        terminal.ask("d", "status-query", 4000).await;
-        assert_eq!(terminal.hear_final("d").await.0, "served");
-        assert_eq!(fleet.sent_to(2), 3);
-        fleet.nothing_left().await;
+        fleet.update_discovery(&[(3, "Gone")]).await;
+        client.send_request("d", "status-query", 4000).await;
+        assert_eq!(client.receive_response("d").await.0, "served");
+        assert_eq!(fleet.attempts_at(2), 3);
+        fleet.assert_all_released().await;
     }
 }
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -17,7 +17,7 @@
     accept_request_blocking, bind_blocking_endpoint, bind_endpoint, block_address, cancel_attempt,
     next_event, next_status, read_request, start_attempt, AttemptSpec, ExhaustedBackend,
 };
-use testbed::{node_side, node_side_for, Fleet, Way, ANSWER};
+use testbed::{start_backend, start_backend_with_queue, Behavior, Fleet, STREAM_EVENTS};
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{sleep_until, Instant};
@@ -33,12 +33,12 @@
 impl StartedStream {
     async fn start(uses_websocket: bool) -> StartedStream {
         let fleet = Fleet::start(uses_websocket).await;
-        let (commands, mut events) = node_side(&websocket_addresses(&fleet, uses_websocket));
-        let prefill = start_attempt(1, &fleet.addresses[0]);
+        let (commands, mut events) = start_backend(&websocket_addresses(&fleet, uses_websocket));
+        let prefill = start_attempt(1, &fleet.replica_addresses[0]);
         commands.send(prefill).await.unwrap();
         assert_eq!(next_status(&mut events).await, AttemptStatus::PrefillDone);
-        fleet.way(2, Way::Pause);
-        let decode = start_attempt(1, &fleet.addresses[2]);
+        fleet.set_behavior(2, Behavior::Pause);
+        let decode = start_attempt(1, &fleet.replica_addresses[2]);
         commands.send(decode).await.unwrap();
         let Event::FirstEvent { stream, .. } = next_event(&mut events).await else {
             panic!("no first event")
@@ -55,7 +55,7 @@
 /// The addresses at which the backend uses sessions.
 fn websocket_addresses(fleet: &Fleet, uses_websocket: bool) -> Vec<String> {
     if uses_websocket {
-        fleet.addresses.clone()
+        fleet.replica_addresses.clone()
     } else {
         Vec::new()
     }
@@ -87,12 +87,12 @@
                 confirmed: false
             }
         ));
-        fleet.go.notify_one();
+        fleet.resume.notify_one();
         let mut text = Vec::new();
         while let Some(StreamChunk::Data(data)) = stream.recv().await {
             text.extend_from_slice(&data);
         }
-        assert_eq!(String::from_utf8(text).unwrap(), ANSWER.concat());
+        assert_eq!(String::from_utf8(text).unwrap(), STREAM_EVENTS.concat());
         assert_eq!(next_status(&mut events).await, AttemptStatus::Served);
     }
 }
@@ -109,7 +109,7 @@
         } = StartedStream::start(uses_websocket).await;
         drop(stream);
         assert_eq!(next_status(&mut events).await, AttemptStatus::Cancelled);
-        fleet.nothing_left().await;
+        fleet.assert_all_released().await;
     }
 }
 
@@ -117,12 +117,12 @@
 #[tokio::test]
 async fn an_attempt_at_an_endpoint_that_is_blocked_is_not_sent_and_a_release_is() {
     let fleet = Fleet::start(false).await;
-    let (commands, mut events) = node_side(&[]);
-    let address = &fleet.addresses[0];
+    let (commands, mut events) = start_backend(&[]);
+    let address = &fleet.replica_addresses[0];
     commands.send(block_address(address)).await.unwrap();
     commands.send(start_attempt(1, address)).await.unwrap();
     assert_eq!(next_status(&mut events).await, AttemptStatus::ConnectFailed);
-    assert_eq!(fleet.sent_to(0), 0);
+    assert_eq!(fleet.attempts_at(0), 0);
     let release = Command::ReleaseReservation {
         id: 2,
         client_request_id: "x".into(),
@@ -136,7 +136,7 @@
             confirmed: true
         }
     ));
-    assert_eq!(fleet.ledger.lock().unwrap().released, 1);
+    assert_eq!(fleet.activity.lock().unwrap().release_count, 1);
 }
 
 /// Hundreds of attempts may be queued when their endpoint is blocked: none of them starts after that. Commands taken
@@ -144,8 +144,8 @@
 #[tokio::test]
 async fn no_queued_attempt_starts_at_an_endpoint_that_is_blocked_by_then() {
     let fleet = Fleet::start(false).await;
-    let (commands, mut events) = node_side_for(1024, &[]);
-    let address = &fleet.addresses[0];
+    let (commands, mut events) = start_backend_with_queue(1024, &[]);
+    let address = &fleet.replica_addresses[0];
     for id in 0..600 {
         commands.try_send(start_attempt(id, address)).unwrap();
     }
@@ -153,7 +153,7 @@
     for _ in 0..600 {
         assert_eq!(next_status(&mut events).await, AttemptStatus::ConnectFailed);
     }
-    assert_eq!(fleet.sent_to(0), 0);
+    assert_eq!(fleet.attempts_at(0), 0);
 }
 
 /// A client disconnects as its request is sent on: the cancel is taken with the attempt, and an idle connection is
@@ -161,8 +161,8 @@
 #[tokio::test]
 async fn an_attempt_whose_cancel_is_queued_with_it_is_not_sent() {
     let fleet = Fleet::start(false).await;
-    let (commands, mut events) = node_side(&[]);
-    let address = &fleet.addresses[0];
+    let (commands, mut events) = start_backend(&[]);
+    let address = &fleet.replica_addresses[0];
     commands.send(start_attempt(1, address)).await.unwrap();
     assert_eq!(next_status(&mut events).await, AttemptStatus::PrefillDone);
     commands.try_send(start_attempt(2, address)).unwrap();
@@ -170,8 +170,12 @@
     assert_eq!(next_status(&mut events).await, AttemptStatus::Cancelled);
     commands.send(start_attempt(3, address)).await.unwrap();
     assert_eq!(next_status(&mut events).await, AttemptStatus::PrefillDone);
-    let ledger = fleet.ledger.lock().unwrap();
-    let names: Vec<String> = ledger.sent.iter().map(|(_, name)| name.clone()).collect();
+    let activity = fleet.activity.lock().unwrap();
+    let names: Vec<String> = activity
+        .attempts
+        .iter()
+        .map(|(_, name)| name.clone())
+        .collect();
     assert_eq!(names, ["n1", "n3"]);
 }
 
@@ -179,7 +183,7 @@
 #[tokio::test]
 async fn a_connection_that_breaks_after_the_request_is_a_reset_and_is_not_retried() {
     let (listener, address) = bind_endpoint().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     commands.send(start_attempt(1, &address)).await.unwrap();
     let (mut stream, _) = listener.accept().await.unwrap();
     read_request(&mut stream).await;
@@ -195,7 +199,7 @@
 #[tokio::test]
 async fn a_connection_that_breaks_before_the_whole_request_is_written_never_ran_it() {
     let (listener, address) = bind_endpoint().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     let attempt = AttemptSpec {
         body: vec![b' '; 64 << 20].into(), // more than socket buffers hold
         needs_new_connection: true,
@@ -214,7 +218,7 @@
 async fn the_end_of_an_abandoned_attempt_is_reported_after_its_connection_is_closed() {
     for is_cancelled in [false, true] {
         let (listener, address) = bind_blocking_endpoint();
-        let (commands, mut events) = node_side(&[]);
+        let (commands, mut events) = start_backend(&[]);
         let started_at = Instant::now();
         let timeout = Duration::from_millis(if is_cancelled { 5_000 } else { 100 });
         let attempt = AttemptSpec {
--- a/tests/backend/connections.rs
+++ b/tests/backend/connections.rs
@@ -4,7 +4,7 @@
     bind_endpoint, block_address, next_event, next_status, read_request, serve_prefill,
     start_attempt, write_prefill_response, AttemptSpec, CONNECTION_LIMIT, STREAM_HEAD,
 };
-use super::testbed::{node_side, Fleet, Way};
+use super::testbed::{start_backend, Behavior, Fleet};
 use super::websocket_addresses;
 use quartzhall::dispatcher::{Event, StreamChunk};
 use quartzhall::routing::api::AttemptStatus;
@@ -18,7 +18,7 @@
 #[tokio::test]
 async fn an_idle_connection_that_breaks_under_a_request_is_stale_and_pooling_pauses() {
     let (listener, address) = bind_endpoint().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     commands.send(start_attempt(1, &address)).await.unwrap();
     let (mut stream, _) = listener.accept().await.unwrap();
     serve_prefill(&mut stream).await;
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn an_attempt_that_needs_a_new_connection_uses_no_pooled_one() {
     let (listener, address) = bind_endpoint().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     commands.send(start_attempt(1, &address)).await.unwrap();
     let (mut pooled, _) = listener.accept().await.unwrap();
     serve_prefill(&mut pooled).await;
@@ -70,16 +70,18 @@
 async fn an_attempt_without_a_connection_permit_is_not_sent() {
     for uses_websocket in [false, true] {
         let fleet = Fleet::start(uses_websocket).await;
-        fleet.way(0, Way::Wait);
-        let (commands, mut events) = node_side(&websocket_addresses(&fleet, uses_websocket));
+        fleet.set_behavior(0, Behavior::Hang);
+        let (commands, mut events) = start_backend(&websocket_addresses(&fleet, uses_websocket));
         for id in 0..CONNECTION_LIMIT {
-            let attempt = start_attempt(id, &fleet.addresses[0]);
+            let attempt = start_attempt(id, &fleet.replica_addresses[0]);
             commands.send(attempt).await.unwrap();
         }
         fleet
-            .until("ten are in flight", |ledger| ledger.sent.len() == 10)
+            .wait_until("ten are in flight", |activity| {
+                activity.attempts.len() == 10
+            })
             .await;
-        let attempt = start_attempt(10, &fleet.addresses[1]);
+        let attempt = start_attempt(10, &fleet.replica_addresses[1]);
         commands.send(attempt).await.unwrap();
         assert_eq!(next_status(&mut events).await, AttemptStatus::NotSent);
     }
@@ -96,7 +98,7 @@
 #[tokio::test]
 async fn connections_to_a_blocked_endpoint_are_closed_once_they_are_idle() {
     let (listener, address) = bind_endpoint().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     commands.send(start_attempt(1, &address)).await.unwrap();
     let (mut idle, _) = listener.accept().await.unwrap();
     read_request(&mut idle).await;
--- a/tests/backend/releases.rs
+++ b/tests/backend/releases.rs
@@ -3,7 +3,7 @@
 use super::support::{
     bind_blocking_endpoint, bind_endpoint, next_event, next_status, start_attempt, ExhaustedBackend,
 };
-use super::testbed::{node_side, Fleet};
+use super::testbed::{start_backend, Fleet};
 use quartzhall::dispatcher::{Command, Event};
 use quartzhall::routing::api::AttemptStatus;
 use std::time::Duration;
@@ -16,8 +16,13 @@
         let fleet = Fleet::start(uses_websocket).await;
         let (closed, closed_address) = bind_endpoint().await;
         drop(closed);
-        let with_sessions = [vec![closed_address.clone()], fleet.addresses.clone()].concat();
-        let (commands, mut events) = node_side(if uses_websocket { &with_sessions } else { &[] });
+        let with_sessions = [
+            vec![closed_address.clone()],
+            fleet.replica_addresses.clone(),
+        ]
+        .concat();
+        let (commands, mut events) =
+            start_backend(if uses_websocket { &with_sessions } else { &[] });
         let attempt = start_attempt(1, &closed_address);
         commands.send(attempt).await.unwrap();
         assert_eq!(next_status(&mut events).await, AttemptStatus::ConnectFailed);
@@ -26,7 +31,7 @@
             client_request_id: "x".into(),
             addresses: vec![
                 closed_address.as_str().into(),
-                fleet.addresses[1].as_str().into(),
+                fleet.replica_addresses[1].as_str().into(),
             ],
         };
         commands.send(release).await.unwrap();
@@ -37,7 +42,7 @@
                 confirmed: true
             }
         ));
-        assert_eq!(fleet.ledger.lock().unwrap().released, 1);
+        assert_eq!(fleet.activity.lock().unwrap().release_count, 1);
     }
 }
 
@@ -46,7 +51,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_release_does_not_wait_for_endpoints_that_are_silent() {
     let fleet = Fleet::start(false).await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     let (_first_silent, first_address) = bind_endpoint().await;
     let (_second_silent, second_address) = bind_endpoint().await;
     let started_at = Instant::now();
@@ -56,7 +61,7 @@
         addresses: vec![
             first_address.as_str().into(),
             second_address.as_str().into(),
-            fleet.addresses[1].as_str().into(),
+            fleet.replica_addresses[1].as_str().into(),
         ],
     };
     commands.send(release).await.unwrap();
@@ -67,7 +72,7 @@
             confirmed: true
         }
     ));
-    assert_eq!(fleet.ledger.lock().unwrap().released, 1);
+    assert_eq!(fleet.activity.lock().unwrap().release_count, 1);
     assert!(
         started_at.elapsed() < Duration::from_millis(300),
         "{:?}",
--- a/tests/backend/support.rs
+++ b/tests/backend/support.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use super::testbed::node_side;
+use super::testbed::start_backend;
 use bytes::Bytes;
 use quartzhall::dispatcher::{Command, Event, EventReceiver, UpstreamRequest};
 use quartzhall::routing::api::{AttemptStatus, RequestId};
@@ -140,7 +140,7 @@
 
 impl ExhaustedBackend {
     pub(crate) async fn start() -> ExhaustedBackend {
-        let (commands, events) = node_side(&[]);
+        let (commands, events) = start_backend(&[]);
         let (silent, address) = bind_blocking_endpoint();
         for id in 0..CONNECTION_LIMIT {
             commands.send(start_attempt(id, &address)).await.unwrap();
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -9,7 +9,7 @@
 use quartzhall::net::connection_limit::ConnectionLimit;
 use slog::{o, Discard, Logger};
 use std::time::Duration;
-use testbed::{Fleet, Way, ANSWER};
+use testbed::{Behavior, Fleet, STREAM_EVENTS};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -102,7 +102,7 @@
         (&half, "HTTP/1.1 408"),
         ("what?\r\n\r\n", "HTTP/1.1 400"),
     ] {
-        let mut client = send(&fleet.platform, text).await;
+        let mut client = send(&fleet.http_address, text).await;
         let sent = Instant::now();
         let response = read_until(&mut client, "").await;
         assert!(
@@ -115,26 +115,26 @@
             sent.elapsed()
         );
     }
-    fleet.nothing_left().await;
+    fleet.assert_all_released().await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_in_flight_is_not_subject_to_the_head_timeout() {
     let fleet = Fleet::start(false).await;
-    fleet.way(2, Way::Pause);
+    fleet.set_behavior(2, Behavior::Pause);
     let mut client = send(
-        &fleet.platform,
+        &fleet.http_address,
         &format!("{HEAD}Content-Length: 2\r\n\r\n{{}}"),
     )
     .await;
     assert!(read_until(&mut client, "\n\n\r\n")
         .await
-        .contains(ANSWER[0]));
+        .contains(STREAM_EVENTS[0]));
     sleep(Duration::from_secs(3)).await;
-    fleet.go.notify_one();
+    fleet.resume.notify_one();
     assert!(read_until(&mut client, "0\r\n\r\n")
         .await
-        .contains(ANSWER[2]));
+        .contains(STREAM_EVENTS[2]));
 }
 
 #[tokio::test(start_paused = true)]
@@ -336,14 +336,16 @@
     let very_many = GET.repeat(3_000);
     for behind in ["", "\r\n", GET, &HEAD[..40], "what?", &many, &very_many] {
         let fleet = Fleet::start(false).await;
-        fleet.way(0, Way::Wait);
-        fleet.way(1, Way::Wait);
-        let client = send(&fleet.platform, &format!("{request}{behind}")).await;
-        fleet.until("sent", |ledger| ledger.places > 0).await;
+        fleet.set_behavior(0, Behavior::Hang);
+        fleet.set_behavior(1, Behavior::Hang);
+        let client = send(&fleet.http_address, &format!("{request}{behind}")).await;
+        fleet
+            .wait_until("sent", |activity| activity.in_flight > 0)
+            .await;
         drop(client);
-        fleet.nothing_left().await;
+        fleet.assert_all_released().await;
         assert_eq!(
-            fleet.sent_to(0) + fleet.sent_to(1),
+            fleet.attempts_at(0) + fleet.attempts_at(1),
             1,
             "{} bytes behind",
             behind.len()
--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -88,7 +88,7 @@
 impl CoreHarness {
     /// A core with one endpoint for prefill, `r`, and one for decode, `ww`.
     pub(crate) fn new(max_requests: usize) -> CoreHarness {
-        CoreHarness::with_deployment(deployment(profile::PROFILE), max_requests)
+        CoreHarness::with_deployment(deployment(profile::SETTINGS), max_requests)
     }
 
     pub(crate) fn with_deployment(deployment: Deployment, max_requests: usize) -> CoreHarness {
--- a/tests/dispatcher_lifecycle.rs
+++ b/tests/dispatcher_lifecycle.rs
@@ -24,7 +24,7 @@
 /// A full queue loses nothing: a client that disconnects then is reported all the same.
 #[tokio::test]
 async fn a_full_event_queue_drops_nothing() {
-    let deployment = Arc::new(deployment(profile::PROFILE));
+    let deployment = Arc::new(deployment(profile::SETTINGS));
     let (handle, receiver) = dispatcher::channel(deployment.clone());
     for _ in 0..10_000 {
         handle.send_detached(Event::EndpointListFailed);
--- a/tests/dispatcher_recording.rs
+++ b/tests/dispatcher_recording.rs
@@ -18,7 +18,7 @@
         Key::from_secret(b"test"),
         START,
         "n1",
-        &deployment(profile::PROFILE),
+        &deployment(profile::SETTINGS),
     ));
     harness.update_endpoints(vec![endpoint("ww", Role::Decode, EndpointStatus::Draining)]);
     harness.update_endpoints(vec![endpoint("ww", Role::Decode, EndpointStatus::Ready)]);
--- a/tests/dispatcher_settings.rs
+++ b/tests/dispatcher_settings.rs
@@ -19,7 +19,7 @@
     let mut idempotent = harness.submit(1, 0, "before");
     harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
     harness
-        .apply_settings(&profile::PROFILE.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS))
+        .apply_settings(&profile::SETTINGS.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS))
         .unwrap();
     let deployment = harness.core.take_changed_deployment().unwrap();
     let number = deployment.classes.lookup("status-query").unwrap() as usize;
@@ -42,7 +42,7 @@
     harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
     assert_eq!(harness.attempt_count(), 2);
     harness
-        .apply_settings(&profile::PROFILE.replace(r#""most_tries":5"#, r#""most_tries":2"#))
+        .apply_settings(&profile::SETTINGS.replace(r#""most_tries":5"#, r#""most_tries":2"#))
         .unwrap();
     harness.end_attempt(1, 1, AttemptStatus::Error);
     harness.advance(100 * MS);
@@ -65,7 +65,7 @@
     for round in 0..300 {
         let class = format!(r#""aim":{}.0,"repeat":"free""#, 1000 + round);
         harness
-            .apply_settings(&profile::PROFILE.replace(FREE_CLASS, &class))
+            .apply_settings(&profile::SETTINGS.replace(FREE_CLASS, &class))
             .unwrap();
         let deployment = harness.core.take_changed_deployment().unwrap();
         largest = largest.max(deployment.classes.lookup("status-query").unwrap());
@@ -81,7 +81,8 @@
     let mut applied = 0;
     while harness
         .apply_settings(
-            &profile::PROFILE.replace(FREE_CLASS, &format!(r#""aim":{applied}.5,"repeat":"free""#)),
+            &profile::SETTINGS
+                .replace(FREE_CLASS, &format!(r#""aim":{applied}.5,"repeat":"free""#)),
         )
         .is_ok()
     {
@@ -89,7 +90,7 @@
     }
     assert!((200..260).contains(&applied), "{applied}");
     let rejected =
-        harness.apply_settings(&profile::PROFILE.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS));
+        harness.apply_settings(&profile::SETTINGS.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS));
     assert_eq!(
         rejected.unwrap_err().to_string(),
         "too many classes have come and gone while requests of theirs are open"
@@ -106,7 +107,7 @@
 /// started that may arrive later; also after a change of settings.
 #[test]
 fn a_repeat_arrives_within_the_idempotency_window_over_a_slow_connection() {
-    let keyed = profile::PROFILE.replace(
+    let keyed = profile::SETTINGS.replace(
         r#""repeat":"single_shot","group":"all","key_ttl":0.0"#,
         r#""repeat":"guarded","group":"all","key_ttl":2000.0"#,
     );
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -21,7 +21,7 @@
 fn deployment(is_pushed: bool, dispatcher_count: u32) -> Deployment {
     let mode = if is_pushed { "automatic" } else { "subscribe" };
     let settings = format!(r#""membership_mode":"{mode}","balancers":{dispatcher_count}"#);
-    let profile = testbed::PROFILE.replacen(r#""balancers":1"#, &settings, 1);
+    let profile = testbed::SETTINGS.replacen(r#""balancers":1"#, &settings, 1);
     let profile: SettingsObject = miniserde::json::from_str(&profile).unwrap();
     Deployment::new(&profile).unwrap()
 }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 
 fn config(listen: &str, peers: &[&str], broadcast: &str) -> Config {
-    let profile = testbed::PROFILE;
+    let profile = testbed::SETTINGS;
     let peers = peers.join("\",\"");
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{{}},
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -10,7 +10,7 @@
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
 use std::time::Duration;
-use testbed::{Fleet, Way, ANSWER, PROFILE};
+use testbed::{Behavior, Fleet, SETTINGS, STREAM_EVENTS};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -28,7 +28,7 @@
 
 impl Client {
     async fn connect(fleet: &Fleet) -> Client {
-        Client(TcpStream::connect(&fleet.platform).await.unwrap())
+        Client(TcpStream::connect(&fleet.http_address).await.unwrap())
     }
 
     async fn write(&mut self, text: &str) {
@@ -79,9 +79,12 @@
                 "{text}"
             );
             let body = text.split("\r\n\r\n").nth(1).unwrap().to_owned();
-            assert!(ANSWER.iter().all(|event| text.contains(event)), "{body}");
+            assert!(
+                STREAM_EVENTS.iter().all(|event| text.contains(event)),
+                "{body}"
+            );
         }
-        fleet.nothing_left().await;
+        fleet.assert_all_released().await;
     }
 }
 
@@ -126,8 +129,8 @@
     );
     let text = Client::exchange(&fleet, &chunked).await;
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
-    assert!(fleet.ledger.lock().unwrap().sent.is_empty());
-    fleet.nothing_left().await;
+    assert!(fleet.activity.lock().unwrap().attempts.is_empty());
+    fleet.assert_all_released().await;
 }
 
 /// A chunked body reaches the endpoint whole, with its length declared.
@@ -140,24 +143,27 @@
     );
     let text = Client::exchange(&fleet, &chunked).await;
     assert!(
-        text.starts_with("HTTP/1.1 200") && ANSWER.iter().all(|event| text.contains(event)),
+        text.starts_with("HTTP/1.1 200") && STREAM_EVENTS.iter().all(|event| text.contains(event)),
         "{text}"
     );
-    fleet.nothing_left().await;
+    fleet.assert_all_released().await;
 }
 
 #[tokio::test]
 async fn a_broken_stream_ends_without_the_last_chunk() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
-        fleet.way(2, Way::BreakLater);
+        fleet.set_behavior(2, Behavior::PauseThenAbort);
         let mut client = Client::connect(&fleet).await;
         client.write(&request("broken")).await;
-        assert!(client.read_until("\n\n\r\n").await.contains(ANSWER[0]));
-        fleet.go.notify_one();
+        assert!(client
+            .read_until("\n\n\r\n")
+            .await
+            .contains(STREAM_EVENTS[0]));
+        fleet.resume.notify_one();
         let rest = client.read_until("").await;
         assert_eq!(rest, "", "no last chunk");
-        fleet.nothing_left().await;
+        fleet.assert_all_released().await;
     }
 }
 
@@ -177,57 +183,68 @@
             text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n"),
             "{text}"
         );
-        assert!(ANSWER.iter().all(|event| text.contains(event)), "{text}");
+        assert!(
+            STREAM_EVENTS.iter().all(|event| text.contains(event)),
+            "{text}"
+        );
     }
-    fleet.nothing_left().await;
+    fleet.assert_all_released().await;
 }
 
 #[tokio::test]
 async fn shed_failed_and_duplicate_requests_have_their_status_codes() {
     let fleet = Fleet::start(false).await;
-    fleet.way(2, Way::Fail);
+    fleet.set_behavior(2, Behavior::Error);
     let text = Client::exchange(&fleet, &request("f")).await;
     assert!(text.starts_with("HTTP/1.1 502"), "{text}");
-    fleet.way(2, Way::Pause);
+    fleet.set_behavior(2, Behavior::Pause);
     let mut first = Client::connect(&fleet).await;
     first.write(&request("same")).await;
     fleet
-        .until("the response streams", |ledger| {
-            ledger.sent.iter().filter(|(node, _)| *node == 2).count() == 2
+        .wait_until("the response streams", |activity| {
+            activity
+                .attempts
+                .iter()
+                .filter(|(node, _)| *node == 2)
+                .count()
+                == 2
         })
         .await;
     let text = Client::exchange(&fleet, &request("same")).await;
     assert!(text.starts_with("HTTP/1.1 409"), "{text}");
-    fleet.go.notify_one();
-    assert!(first.read_until("0\r\n\r\n").await.contains(ANSWER[2]));
-    fleet.way(0, Way::Full);
-    fleet.way(1, Way::Full);
+    fleet.resume.notify_one();
+    assert!(first
+        .read_until("0\r\n\r\n")
+        .await
+        .contains(STREAM_EVENTS[2]));
+    fleet.set_behavior(0, Behavior::Reject);
+    fleet.set_behavior(1, Behavior::Reject);
     let text = Client::exchange(&fleet, &request("r")).await;
     assert!(
         text.starts_with("HTTP/1.1 503") && text.to_lowercase().contains("retry-after: 0.5"),
         "{text}"
     );
-    fleet.nothing_left().await;
+    fleet.assert_all_released().await;
 }
 
 #[tokio::test]
 async fn a_client_disconnect_releases_its_request_before_and_after_the_first_event() {
     for over_sessions in [false, true] {
-        for way in [Way::Wait, Way::Pause] {
+        for behavior in [Behavior::Hang, Behavior::Pause] {
             let fleet = Fleet::start(over_sessions).await;
-            fleet.way(2, way);
+            fleet.set_behavior(2, behavior);
             let mut client = Client::connect(&fleet).await;
             client.write(&request("gone")).await;
-            if way == Way::Pause {
+            if behavior == Behavior::Pause {
                 client.read_until("\n\n\r\n").await;
             }
             fleet
-                .until("the request is at the decode endpoint", |ledger| {
-                    ledger.sent.len() == 2
+                .wait_until("the request is at the decode endpoint", |activity| {
+                    activity.attempts.len() == 2
                 })
                 .await;
             drop(client);
-            fleet.nothing_left().await;
+            fleet.assert_all_released().await;
         }
     }
 }
@@ -239,8 +256,14 @@
     assert!(Client::exchange(&fleet, &get("/ready"))
         .await
         .starts_with("HTTP/1.1 200"));
-    fleet.door.send(Event::Drain(Duration::from_secs(3))).await;
-    fleet.door.wait_for_readiness(Readiness::Draining).await;
+    fleet
+        .dispatcher
+        .send(Event::Drain(Duration::from_secs(3)))
+        .await;
+    fleet
+        .dispatcher
+        .wait_for_readiness(Readiness::Draining)
+        .await;
     assert!(Client::exchange(&fleet, &get("/ready"))
         .await
         .starts_with("HTTP/1.1 503"));
@@ -254,13 +277,13 @@
         .read_until("draining\n")
         .await
         .starts_with("HTTP/1.1 503"));
-    fleet.stop.send(ShutdownPhase::Closing).unwrap();
+    fleet.shutdown.send(ShutdownPhase::Closing).unwrap();
     assert_eq!(
         idle.read_until("").await,
         "",
         "an idle connection is closed"
     );
-    tokio::time::timeout(Duration::from_secs(5), fleet.over)
+    tokio::time::timeout(Duration::from_secs(5), fleet.frontend_task)
         .await
         .expect("the frontends end")
         .unwrap();
@@ -273,7 +296,7 @@
     let slow = request("slow").replace("X-Expires-In-Ms: 2000", "X-Expires-In-Ms: 100");
     let text = Client::exchange(&fleet, slow.strip_suffix('}').unwrap()).await;
     assert!(text.starts_with("HTTP/1.1 408"), "{text}");
-    assert!(fleet.ledger.lock().unwrap().sent.is_empty());
+    assert!(fleet.activity.lock().unwrap().attempts.is_empty());
 }
 
 /// Text messages can't carry a body that is not UTF-8, so that it is not sent to an endpoint over a session.
@@ -286,8 +309,8 @@
     client.0.write_all(b"\xff\xfe").await.unwrap();
     let text = client.read_until("").await;
     assert!(text.starts_with("HTTP/1.1 503"), "{text}");
-    assert!(fleet.ledger.lock().unwrap().sent.is_empty());
-    fleet.nothing_left().await;
+    assert!(fleet.activity.lock().unwrap().attempts.is_empty());
+    fleet.assert_all_released().await;
 }
 
 /// A stream breaks right behind its first event, before any of it was sent: the client receives the event, and the
@@ -295,7 +318,7 @@
 #[tokio::test]
 async fn chunks_received_before_a_stream_breaks_are_sent() {
     let log = Logger::root(Discard, o!());
-    let profile: SettingsObject = miniserde::json::from_str(PROFILE).unwrap();
+    let profile: SettingsObject = miniserde::json::from_str(SETTINGS).unwrap();
     let (dispatcher_handle, mut events) =
         dispatcher::channel(Arc::new(Deployment::new(&profile).unwrap()));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -321,13 +344,13 @@
     };
     let (chunks, stream) = mpsc::channel(4);
     chunks
-        .try_send(StreamChunk::Data(ANSWER[0].into()))
+        .try_send(StreamChunk::Data(STREAM_EVENTS[0].into()))
         .unwrap();
     drop(chunks);
     outcome_sender.send(Outcome::Stream(stream)).unwrap();
     let text = client.read_until("").await;
     assert!(
-        text.starts_with("HTTP/1.1 200") && text.contains(ANSWER[0]),
+        text.starts_with("HTTP/1.1 200") && text.contains(STREAM_EVENTS[0]),
         "{text:?}"
     );
     assert!(!text.ends_with("0\r\n\r\n"), "{text:?}");
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -91,7 +91,7 @@
     .join(",");
     let text = format!(
         r#"{{"name":"n1","listen":"{listen}","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{{"revision":1,"complete":true,"members":[{members}]}},"settings":{}}}"#,
-        testbed::PROFILE
+        testbed::SETTINGS
     );
     let config =
         std::env::temp_dir().join(format!("quartzhall-incident-{}.json", std::process::id()));
--- a/tests/malformed_streams.rs
+++ b/tests/malformed_streams.rs
@@ -9,7 +9,7 @@
 use quartzhall::routing::api::AttemptStatus;
 use std::time::Duration;
 use support::{bind_endpoint, block_address, AttemptSpec, STREAM_HEAD};
-use testbed::node_side;
+use testbed::start_backend;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -118,7 +118,7 @@
         (lines, EVENT),
     ] {
         let endpoint = RawEndpoint::start().await;
-        let (commands, mut events) = node_side(&[]);
+        let (commands, mut events) = start_backend(&[]);
         commands.send(endpoint.start_attempt(1)).await.unwrap();
         let stream = endpoint.respond(response.as_bytes()).await;
         let started_at = Instant::now();
@@ -141,7 +141,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_stream_that_stops_is_a_reset_within_5_s_of_its_last_event() {
     let endpoint = RawEndpoint::start().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     commands.send(endpoint.start_attempt(1)).await.unwrap();
     let mut stream = endpoint
         .respond(format!("{STREAM_HEAD}ff\r\n{EVENT}").as_bytes())
@@ -170,7 +170,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_stream_with_4_6_s_between_events_is_not_cut() {
     let endpoint = RawEndpoint::start().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     commands.send(endpoint.start_attempt(1)).await.unwrap();
     let mut stream = endpoint
         .respond(format!("{STREAM_HEAD}{}", chunk(EVENT)).as_bytes())
@@ -191,7 +191,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_valid_stream_with_extra_bytes_is_served() {
     let endpoint = RawEndpoint::start().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     let early_heads = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     let head = STREAM_HEAD.replacen(
         "\r\n",
@@ -236,7 +236,7 @@
         ("302 Found", AttemptStatus::Error),
     ] {
         let endpoint = RawEndpoint::start().await;
-        let (commands, mut events) = node_side(&[]);
+        let (commands, mut events) = start_backend(&[]);
         commands.send(endpoint.start_attempt(1)).await.unwrap();
         let _stream = endpoint
             .respond(format!("HTTP/1.1 {status_line}\r\nContent-Length: 0\r\n\r\n").as_bytes())
@@ -252,7 +252,7 @@
     let text = format!("{STREAM_HEAD}{}{}0\r\n\r\n", chunk(EVENT), chunk(EVENT));
     for cut in 0..=text.len() {
         let endpoint = RawEndpoint::start().await;
-        let (commands, mut events) = node_side(&[]);
+        let (commands, mut events) = start_backend(&[]);
         commands.send(endpoint.start_attempt(1)).await.unwrap();
         let mut stream = endpoint.respond(text.as_bytes()).await;
         assert_eq!(
@@ -284,7 +284,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_connection_is_not_used_again_when_its_endpoint_may_be_closing_it() {
     let endpoint = RawEndpoint::start().await;
-    let (commands, mut events) = node_side(&[]);
+    let (commands, mut events) = start_backend(&[]);
     let response = format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(EVENT));
     commands.send(endpoint.start_attempt(1)).await.unwrap();
     let mut first = endpoint.respond(response.as_bytes()).await;
--- a/tests/migrated_streams.rs
+++ b/tests/migrated_streams.rs
@@ -13,14 +13,14 @@
 mod testbed;
 
 use setup::{request, send_signal, OpenStream, Process, UpgradeSetup};
-use testbed::Way;
+use testbed::Behavior;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// The decode endpoints pause behind the first event until the test lets them go on.
 async fn setup_with_pausing_endpoints(name: &str) -> UpgradeSetup {
     let setup = UpgradeSetup::new(name).await;
     for decode_endpoint in 2..4 {
-        setup.fleet.way(decode_endpoint, Way::Pause);
+        setup.fleet.set_behavior(decode_endpoint, Behavior::Pause);
     }
     setup
 }
@@ -40,10 +40,10 @@
 }
 
 async fn assert_whole(setup: &UpgradeSetup, streams: Vec<OpenStream>) {
-    setup.fleet.go.notify_waiters();
+    setup.fleet.resume.notify_waiters();
     for stream in streams {
         let response = stream.finish().await;
-        let has_all_events = testbed::ANSWER
+        let has_all_events = testbed::STREAM_EVENTS
             .iter()
             .all(|event| response.matches(event).count() == 1);
         assert!(
@@ -99,16 +99,16 @@
         upgrade_away(current).await;
         current = successor;
     }
-    setup.fleet.go.notify_waiters();
+    setup.fleet.resume.notify_waiters();
     let mut response = stream.finish_connected().await;
     assert!(response.text().ends_with("0\r\n\r\n"));
     response.received.clear();
     let both_responses = async {
-        while !response.text().contains(testbed::ANSWER[0]) {
+        while !response.text().contains(testbed::STREAM_EVENTS[0]) {
             let read_bytes = response.connection.read_buf(&mut response.received).await;
             assert_ne!(read_bytes.unwrap(), 0, "{}", response.text());
         }
-        setup.fleet.go.notify_waiters();
+        setup.fleet.resume.notify_waiters();
         response.finish().await
     };
     let second = tokio::time::timeout(std::time::Duration::from_secs(20), both_responses)
@@ -221,9 +221,12 @@
     let _successor = setup.start_process().await;
     predecessor.send_sigterm();
     predecessor.wait_for_log("listener closed").await;
-    setup.fleet.go.notify_waiters();
+    setup.fleet.resume.notify_waiters();
     let response = stream.finish().await;
-    assert!(response.ends_with(&testbed::ANSWER.concat()), "{response}");
+    assert!(
+        response.ends_with(&testbed::STREAM_EVENTS.concat()),
+        "{response}"
+    );
     assert_eq!(predecessor.exit_code().await, Some(0));
     assert!(!has_log_of_a_migration(&setup));
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -17,7 +17,7 @@
 const TOLD: &str = r#"{"type":"read","id":"n","cached_tokens":7,"load":"TEXT inflight=7"}"#;
 
 fn site() -> Deployment {
-    let profile: SettingsObject = miniserde::json::from_str(testbed::PROFILE).unwrap();
+    let profile: SettingsObject = miniserde::json::from_str(testbed::SETTINGS).unwrap();
     Deployment::new(&profile).unwrap()
 }
 
@@ -26,7 +26,7 @@
         r#""name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:0","seed":"7","limits":{}"#;
     format!(
         r#"{{{rest},"known":{MEMBERS},"settings":{}}}"#,
-        testbed::PROFILE
+        testbed::SETTINGS
     )
 }
 
@@ -54,7 +54,7 @@
 #[test]
 fn cuts_of_valid_messages_are_errors() {
     let site = site();
-    let call = testbed::ask("n", "status-query", 500);
+    let call = testbed::request_message("n", "status-query", 500);
     for whole in [MEMBERS, TOLD, &call, &config(), "{\"listen\":null}"] {
         assert!(feed(&site, whole.as_bytes()), "{whole}");
         let mut random = Gen::from_size_and_seed(100, 11);
@@ -74,7 +74,7 @@
 
 #[test]
 fn garbage_is_no_message() {
-    let (site, call) = (site(), testbed::ask("n", "status-query", 500));
+    let (site, call) = (site(), testbed::request_message("n", "status-query", 500));
     let mut random = Gen::from_size_and_seed(200, 12);
     for _ in 0..3000 {
         let garbage = Vec::<u8>::arbitrary(&mut random);
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -107,7 +107,7 @@
 }
 
 fn config(listen: &str, discovery: &str, known: &str) -> String {
-    let settings = testbed::PROFILE;
+    let settings = testbed::SETTINGS;
     format!(
         r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{settings}}}"#
     )
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -51,7 +51,7 @@
 impl Receiver {
     async fn start() -> Receiver {
         let log = Logger::root(Discard, o!());
-        let settings: SettingsObject = json::from_str(testbed::PROFILE).unwrap();
+        let settings: SettingsObject = json::from_str(testbed::SETTINGS).unwrap();
         let deployment = Arc::new(Deployment::new(&settings).unwrap());
         let clock = Clock::start();
         let (dispatcher, events) = dispatcher::channel(deployment.clone());
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -21,55 +21,55 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Notify};
 
-pub(crate) use profile::PROFILE;
-pub(crate) use replicas::{Ledger, Way, ANSWER};
-pub(crate) use session_client::{ask, Terminal};
+pub(crate) use profile::SETTINGS;
+pub(crate) use replicas::{Behavior, ReplicaActivity, STREAM_EVENTS};
+pub(crate) use session_client::{request_message, SessionClient};
 
 use replicas::StandInReplica;
 
 /// The node side alone, with a test in the core's place.
-pub(crate) fn node_side(
+pub(crate) fn start_backend(
     over_sessions: &[String],
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
-    node_side_for(16, over_sessions)
+    start_backend_with_queue(16, over_sessions)
 }
 
 /// The same, and so many commands may wait for it.
-pub(crate) fn node_side_for(
-    waiting: usize,
+pub(crate) fn start_backend_with_queue(
+    queue_length: usize,
     over_sessions: &[String],
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
-    let profile: SettingsObject = json::from_str(PROFILE).unwrap();
-    let site = Arc::new(Deployment::new(&profile).unwrap());
-    let bounds = site.bounds;
-    let (door, inbox) = dispatcher::channel(site);
-    let (commands, commanded) = mpsc::channel(waiting);
-    let speak = over_sessions.iter().cloned().collect();
+    let profile: SettingsObject = json::from_str(SETTINGS).unwrap();
+    let deployment = Arc::new(Deployment::new(&profile).unwrap());
+    let bounds = deployment.bounds;
+    let (dispatcher, events) = dispatcher::channel(deployment);
+    let (commands, command_queue) = mpsc::channel(queue_length);
+    let session_addresses = over_sessions.iter().cloned().collect();
     tokio::spawn(backend::run(
-        commanded,
-        door,
+        command_queue,
+        dispatcher,
         bounds,
         ConnectionLimit::new(10),
-        speak,
+        session_addresses,
         backend::StreamMigration::disabled(),
         Logger::root(Discard, o!()),
     ));
-    (commands, inbox)
+    (commands, events)
 }
 
 /// The stand-ins and the dispatcher before them.
 pub(crate) struct Fleet {
-    pub door: DispatcherHandle,
-    pub ledger: Arc<Mutex<Ledger>>,
-    pub go: Arc<Notify>,
-    pub platform: String,
-    pub sessions: String,
-    pub management: String,
-    pub stop: watch::Sender<ShutdownPhase>,
-    pub over: tokio::task::JoinHandle<()>,
-    pub addresses: Vec<String>,
-    nodes: Vec<Arc<StandInReplica>>,
-    site: Mutex<Deployment>,
+    pub dispatcher: DispatcherHandle,
+    pub activity: Arc<Mutex<ReplicaActivity>>,
+    pub resume: Arc<Notify>,
+    pub http_address: String,
+    pub websocket_address: String,
+    pub management_address: String,
+    pub shutdown: watch::Sender<ShutdownPhase>,
+    pub frontend_task: tokio::task::JoinHandle<()>,
+    pub replica_addresses: Vec<String>,
+    replicas: Vec<Arc<StandInReplica>>,
+    deployment: Mutex<Deployment>,
     log: Logger,
 }
 
@@ -87,116 +87,121 @@
     )]
     pub(crate) async fn start(over_sessions: bool) -> Fleet {
         let log = Logger::root(Discard, o!());
-        let (ledger, go) = (
-            Arc::new(Mutex::new(Ledger::default())),
+        let (activity, resume) = (
+            Arc::new(Mutex::new(ReplicaActivity::default())),
             Arc::new(Notify::new()),
         );
-        let (mut standing, mut addresses) = (Vec::new(), Vec::new());
+        let (mut stand_ins, mut replica_addresses) = (Vec::new(), Vec::new());
         for number in 0..4 {
             let is_prefill = number < 2;
-            let replica = StandInReplica::new(number, is_prefill, ledger.clone(), go.clone());
+            let replica = StandInReplica::new(number, is_prefill, activity.clone(), resume.clone());
             let routes = replica.clone().routes();
             let (listener, address) = bind().await;
             tokio::spawn(async move { axum::serve(listener, routes).await });
-            standing.push(replica);
-            addresses.push(address);
+            stand_ins.push(replica);
+            replica_addresses.push(address);
         }
-        let profile: SettingsObject = json::from_str(PROFILE).unwrap();
-        let (site, second) = (
+        let profile: SettingsObject = json::from_str(SETTINGS).unwrap();
+        let (deployment, second) = (
             Deployment::new(&profile).unwrap(),
             Deployment::new(&profile).unwrap(),
         );
         let clock = Clock::start();
-        let site = Arc::new(site);
-        let (door, inbox) = dispatcher::channel(site.clone());
-        let core = Core::new(site.clone(), 100, 7, clock.now(), log.clone());
-        let (commands, commanded) = mpsc::channel(64);
-        let speak = if over_sessions {
-            addresses.iter().cloned().collect()
+        let deployment = Arc::new(deployment);
+        let (dispatcher, events) = dispatcher::channel(deployment.clone());
+        let core = Core::new(deployment.clone(), 100, 7, clock.now(), log.clone());
+        let (commands, command_queue) = mpsc::channel(64);
+        let session_addresses = if over_sessions {
+            replica_addresses.iter().cloned().collect()
         } else {
             Default::default()
         };
         tokio::spawn(backend::run(
-            commanded,
-            door.clone(),
-            site.bounds,
+            command_queue,
+            dispatcher.clone(),
+            deployment.bounds,
             ConnectionLimit::new(100),
-            speak,
+            session_addresses,
             backend::StreamMigration::disabled(),
             log.clone(),
         ));
-        tokio::spawn(dispatcher::run(core, clock, inbox, commands, None, None));
-        let (stop, stopped) = watch::channel(ShutdownPhase::Serving);
+        tokio::spawn(dispatcher::run(core, clock, events, commands, None, None));
+        let (shutdown, shutdown_phase) = watch::channel(ShutdownPhase::Serving);
         let options = r#"{"most_sessions":4,"most_message":4000,"reattach_ms":200,"most_requests":8,"record_text":4000}"#;
         let options = Arc::new(SessionConfig::parse(options).unwrap());
-        let (listener, sessions) = bind().await;
-        let rooms = BodyMemoryBudget::new(10_000);
-        let shared = websocket::SessionFrontend::new(
-            door.clone(),
+        let (listener, websocket_address) = bind().await;
+        let memory_budget = BodyMemoryBudget::new(10_000);
+        let session_frontend = websocket::SessionFrontend::new(
+            dispatcher.clone(),
             options,
-            rooms.clone(),
+            memory_budget.clone(),
             1,
-            stopped.clone(),
+            shutdown_phase.clone(),
             log.clone(),
         );
-        let routes = websocket::routes(shared.clone()).merge(health_check::routes(door.clone()));
-        let front = listener::serve(
+        let routes = websocket::routes(session_frontend.clone())
+            .merge(health_check::routes(dispatcher.clone()));
+        let session_listener = listener::serve(
             listener,
             routes,
             ConnectionLimit::new(50),
-            stopped.clone(),
+            shutdown_phase.clone(),
             log.clone(),
         );
-        let (calls, management) = bind().await;
-        tokio::spawn(admin::serve(calls, door.clone(), log.clone()));
-        let (listener, platform) = bind().await;
-        let routes = http::routes(door.clone(), rooms, log.clone());
-        let thin = listener::serve(
+        let (management_listener, management_address) = bind().await;
+        tokio::spawn(admin::serve(
+            management_listener,
+            dispatcher.clone(),
+            log.clone(),
+        ));
+        let (listener, http_address) = bind().await;
+        let routes = http::routes(dispatcher.clone(), memory_budget, log.clone());
+        let http_listener = listener::serve(
             listener,
             routes,
             ConnectionLimit::new(50),
-            stopped,
+            shutdown_phase,
             log.clone(),
         );
-        let over = tokio::spawn(async move {
-            tokio::join!(front, thin);
-            shared.wait_until_closed().await;
+        let frontend_task = tokio::spawn(async move {
+            tokio::join!(session_listener, http_listener);
+            session_frontend.wait_until_closed().await;
         });
-        let site = Mutex::new(second);
-        let nodes = standing;
+        let deployment = Mutex::new(second);
+        let replicas = stand_ins;
         let fleet = Fleet {
-            door,
-            ledger,
-            go,
-            platform,
-            sessions,
-            management,
-            stop,
-            over,
-            nodes,
-            addresses,
-            site,
+            dispatcher,
+            activity,
+            resume,
+            http_address,
+            websocket_address,
+            management_address,
+            shutdown,
+            frontend_task,
+            replicas,
+            replica_addresses,
+            deployment,
             log,
         };
         fleet
-            .tell(&[(0, "Ready"), (1, "Ready"), (2, "Ready")])
+            .update_discovery(&[(0, "Ready"), (1, "Ready"), (2, "Ready")])
             .await;
         fleet
-            .door
+            .dispatcher
             .wait_for_readiness(dispatcher::Readiness::Ready)
             .await;
         fleet
     }
 
-    pub(crate) fn way(&self, number: usize, way: Way) {
-        self.nodes[number].set_behavior(way);
+    pub(crate) fn set_behavior(&self, number: usize, behavior: Behavior) {
+        self.replicas[number].set_behavior(behavior);
     }
 
     /// Discovery tells of changes.
-    pub(crate) async fn tell(&self, phases: &[(usize, &str)]) {
+    pub(crate) async fn update_discovery(&self, phases: &[(usize, &str)]) {
         let line = |(number, phase): &(usize, &str)| {
             let kind = if *number < 2 { "prefill" } else { "decode" };
-            let address = &self.addresses[*number];
+            let address = &self.replica_addresses[*number];
             format!(
                 r#"{{"id":"n{number}","host_port":"{address}","locality":"east","flavor":"{kind}","cell":1,"phase":"{phase}"}}"#
             )
@@ -207,24 +212,29 @@
             lines.join(",")
         );
         let list: EndpointList = discovery::parse_list(text.as_bytes()).unwrap();
-        let event = discovery::endpoints_changed(&mut self.site.lock().unwrap(), &list, &self.log);
-        self.door.send(event).await;
+        let event =
+            discovery::endpoints_changed(&mut self.deployment.lock().unwrap(), &list, &self.log);
+        self.dispatcher.send(event).await;
     }
 
-    pub(crate) fn sent_to(&self, number: usize) -> usize {
-        self.ledger
+    pub(crate) fn attempts_at(&self, number: usize) -> usize {
+        self.activity
             .lock()
             .unwrap()
-            .sent
+            .attempts
             .iter()
             .filter(|(node, _)| *node == number)
             .count()
     }
 
-    /// Waits until something holds at the nodes.
-    pub(crate) async fn until(&self, what: &str, holds: impl Fn(&Ledger) -> bool) {
+    /// Waits until something holds at the replicas.
+    pub(crate) async fn wait_until(
+        &self,
+        what: &str,
+        condition: impl Fn(&ReplicaActivity) -> bool,
+    ) {
         let waits = async {
-            while !holds(&self.ledger.lock().unwrap()) {
+            while !condition(&self.activity.lock().unwrap()) {
                 tokio::task::yield_now().await;
             }
         };
@@ -234,21 +244,21 @@
     }
 
     /// Within 1 s nothing is left: no state, no place, nothing in the core's table.
-    pub(crate) async fn nothing_left(&self) {
+    pub(crate) async fn assert_all_released(&self) {
         let waits = async {
-            self.door.wait_until_idle().await;
-            self.until("nothing held", |ledger| {
-                ledger.states.is_empty() && ledger.places == 0
+            self.dispatcher.wait_until_idle().await;
+            self.wait_until("nothing held", |activity| {
+                activity.kv_caches.is_empty() && activity.in_flight == 0
             })
             .await;
         };
         let left = || {
-            let ledger = self.ledger.lock().unwrap();
+            let activity = self.activity.lock().unwrap();
             format!(
                 "{:?}, {} places, {} open",
-                ledger.states,
-                ledger.places,
-                self.door.open_requests()
+                activity.kv_caches,
+                activity.in_flight,
+                self.dispatcher.open_requests()
             )
         };
         tokio::time::timeout(Duration::from_secs(1), waits)
@@ -257,12 +267,12 @@
     }
 
     pub(crate) async fn drain(&self) {
-        self.door
+        self.dispatcher
             .send(Event::Drain(std::time::Duration::from_secs(3)))
             .await;
-        self.door
+        self.dispatcher
             .wait_for_readiness(dispatcher::Readiness::Draining)
             .await;
-        self.stop.send(ShutdownPhase::Closing).unwrap();
+        self.shutdown.send(ShutdownPhase::Closing).unwrap();
     }
 }
--- a/tests/testbed/profile.rs
+++ b/tests/testbed/profile.rs
@@ -1,6 +1,6 @@
 //! The settings of the tests, as JSON.
 
-pub(crate) const PROFILE: &str = r#"{"balancers":1,"classes":[
+pub(crate) const SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"name":"status-query","aim":1500.0,"repeat":"free","group":"all","key_ttl":0.0,"worth":3.0},
  {"name":"return-request","aim":2500.0,"repeat":"single_shot","group":"all","key_ttl":0.0,"worth":2.0}],
  "dcs":["east"],"family_info":{"role_by_kind":["read","write"],"tokens_by_kind":[200000,100000],
--- a/tests/testbed/replicas.rs
+++ b/tests/testbed/replicas.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, Notify};
 
 /// The events of a complete stream.
-pub(crate) const ANSWER: [&str; 3] = [
+pub(crate) const STREAM_EVENTS: [&str; 3] = [
     "data: {\"n\":1}\n\n",
     "data: {\"n\":\"ä\"}\n\n",
     "data: [DONE]\n\n",
@@ -23,51 +23,51 @@
 
 /// How a replica behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Way {
+pub(crate) enum Behavior {
     /// It serves.
     Serve,
     /// It accepts the request and never responds.
-    Wait,
+    Hang,
     /// It responds with an error.
-    Fail,
+    Error,
     /// It rejects all requests.
-    Full,
+    Reject,
     /// It aborts the stream after a first event; in prefill, it closes the connection without a response.
-    Break,
-    /// It sends a first event and aborts the stream once `go` is notified.
-    BreakLater,
-    /// It sends a first event and continues once `go` is notified.
+    Abort,
+    /// It sends a first event and aborts the stream once `resume` is notified.
+    PauseThenAbort,
+    /// It sends a first event and continues once `resume` is notified.
     Pause,
     /// Its response is malformed.
-    Garbage,
+    Malformed,
 }
 
 /// What all replicas have reserved, and what was sent to them.
 #[derive(Default)]
-pub(crate) struct Ledger {
+pub(crate) struct ReplicaActivity {
     /// Requests whose KV cache is reserved.
-    pub states: BTreeSet<String>,
+    pub kv_caches: BTreeSet<String>,
     /// Requests in flight.
-    pub places: usize,
+    pub in_flight: usize,
     /// All attempts: the replica's number and the request's id.
-    pub sent: Vec<(usize, String)>,
+    pub attempts: Vec<(usize, String)>,
     /// Releases that were received.
-    pub released: usize,
+    pub release_count: usize,
 }
 
 pub(super) struct StandInReplica {
     number: usize,
     is_prefill: bool,
-    behavior: Mutex<Way>,
-    ledger: Arc<Mutex<Ledger>>,
-    go: Arc<Notify>,
+    behavior: Mutex<Behavior>,
+    activity: Arc<Mutex<ReplicaActivity>>,
+    resume: Arc<Notify>,
 }
 
-struct InFlightGuard(Arc<Mutex<Ledger>>);
+struct InFlightGuard(Arc<Mutex<ReplicaActivity>>);
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.lock().unwrap().places -= 1;
+        self.0.lock().unwrap().in_flight -= 1;
     }
 }
 
@@ -86,20 +86,20 @@
     pub(super) fn new(
         number: usize,
         is_prefill: bool,
-        ledger: Arc<Mutex<Ledger>>,
-        go: Arc<Notify>,
+        activity: Arc<Mutex<ReplicaActivity>>,
+        resume: Arc<Notify>,
     ) -> Arc<StandInReplica> {
         Arc::new(StandInReplica {
             number,
             is_prefill,
-            behavior: Mutex::new(Way::Serve),
-            ledger,
-            go,
+            behavior: Mutex::new(Behavior::Serve),
+            activity,
+            resume,
         })
     }
 
     /// Changes how it behaves from the next attempt on.
-    pub(super) fn set_behavior(&self, behavior: Way) {
+    pub(super) fn set_behavior(&self, behavior: Behavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
@@ -121,33 +121,33 @@
 
     /// Executes one attempt; its response is sent on the channel.
     async fn execute(self: Arc<Self>, id: String, parts: mpsc::Sender<ResponsePart>) {
-        self.ledger.lock().unwrap().places += 1;
-        let _in_flight = InFlightGuard(self.ledger.clone());
-        self.ledger
+        self.activity.lock().unwrap().in_flight += 1;
+        let _in_flight = InFlightGuard(self.activity.clone());
+        self.activity
             .lock()
             .unwrap()
-            .sent
+            .attempts
             .push((self.number, id.clone()));
         let behavior = *self.behavior.lock().unwrap();
         let work = async {
             match behavior {
-                Way::Wait => std::future::pending().await,
-                Way::Fail => drop(parts.send(ResponsePart::Failed).await),
-                Way::Full => drop(
+                Behavior::Hang => std::future::pending().await,
+                Behavior::Error => drop(parts.send(ResponsePart::Failed).await),
+                Behavior::Reject => drop(
                     parts
                         .send(ResponsePart::Rejected {
                             is_kv_missing: false,
                         })
                         .await,
                 ),
-                Way::Garbage => drop(parts.send(ResponsePart::Malformed).await),
-                Way::Break if self.is_prefill => {}
-                Way::Serve | Way::Pause | Way::BreakLater if self.is_prefill => {
-                    self.ledger.lock().unwrap().states.insert(id.clone());
+                Behavior::Malformed => drop(parts.send(ResponsePart::Malformed).await),
+                Behavior::Abort if self.is_prefill => {}
+                Behavior::Serve | Behavior::Pause | Behavior::PauseThenAbort if self.is_prefill => {
+                    self.activity.lock().unwrap().kv_caches.insert(id.clone());
                     let _ = parts.send(ResponsePart::Prefilled).await;
                 }
                 _ => {
-                    if !self.ledger.lock().unwrap().states.remove(&id) {
+                    if !self.activity.lock().unwrap().kv_caches.remove(&id) {
                         return drop(
                             parts
                                 .send(ResponsePart::Rejected {
@@ -156,18 +156,18 @@
                                 .await,
                         );
                     }
-                    let _ = parts.send(ResponsePart::Event(ANSWER[0])).await;
-                    if behavior == Way::Break {
+                    let _ = parts.send(ResponsePart::Event(STREAM_EVENTS[0])).await;
+                    if behavior == Behavior::Abort {
                         return;
                     }
-                    if matches!(behavior, Way::Pause | Way::BreakLater) {
-                        self.go.notified().await;
+                    if matches!(behavior, Behavior::Pause | Behavior::PauseThenAbort) {
+                        self.resume.notified().await;
                     }
-                    if behavior == Way::BreakLater {
+                    if behavior == Behavior::PauseThenAbort {
                         return;
                     }
-                    let _ = parts.send(ResponsePart::Event(ANSWER[1])).await;
-                    let _ = parts.send(ResponsePart::Event(ANSWER[2])).await;
+                    let _ = parts.send(ResponsePart::Event(STREAM_EVENTS[1])).await;
+                    let _ = parts.send(ResponsePart::Event(STREAM_EVENTS[2])).await;
                     let _ = parts.send(ResponsePart::End).await;
                 }
             }
@@ -179,9 +179,9 @@
     }
 
     fn release(&self, id: &str) {
-        let mut ledger = self.ledger.lock().unwrap();
-        ledger.states.remove(id);
-        ledger.released += 1;
+        let mut activity = self.activity.lock().unwrap();
+        activity.kv_caches.remove(id);
+        activity.release_count += 1;
     }
 }
 
--- a/tests/testbed/session_client.rs
+++ b/tests/testbed/session_client.rs
@@ -13,27 +13,27 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A client with its session.
-pub(crate) struct Terminal(pub WebSocketStream<MaybeTlsStream<TcpStream>>);
+pub(crate) struct SessionClient(pub WebSocketStream<MaybeTlsStream<TcpStream>>);
 
-impl Terminal {
+impl SessionClient {
     /// Opens a session.
-    pub(crate) async fn connect(fleet: &Fleet) -> Terminal {
-        let url = format!("ws://{}/v1/sessions", fleet.sessions);
-        Terminal(tokio_tungstenite::connect_async(url).await.unwrap().0)
+    pub(crate) async fn connect(fleet: &Fleet) -> SessionClient {
+        let url = format!("ws://{}/v1/sessions", fleet.websocket_address);
+        SessionClient(tokio_tungstenite::connect_async(url).await.unwrap().0)
     }
 
     /// Sends a message.
-    pub(crate) async fn say(&mut self, text: &str) {
+    pub(crate) async fn send(&mut self, text: &str) {
         self.0.send(Frame::Text(text.into())).await.unwrap();
     }
 
     /// Sends a request.
-    pub(crate) async fn ask(&mut self, id: &str, class: &str, expires: u32) {
-        self.say(&ask(id, class, expires)).await;
+    pub(crate) async fn send_request(&mut self, id: &str, class: &str, expires: u32) {
+        self.send(&request_message(id, class, expires)).await;
     }
 
     /// Receives the next message: its type, and its text.
-    pub(crate) async fn hear(&mut self) -> (String, String) {
+    pub(crate) async fn receive(&mut self) -> (String, String) {
         loop {
             let next = tokio::time::timeout(MESSAGE_TIMEOUT, self.0.next())
                 .await
@@ -59,10 +59,10 @@
     }
 
     /// Receives all messages of a request: the type of the final one, and the text of the events.
-    pub(crate) async fn hear_final(&mut self, id: &str) -> (String, String) {
+    pub(crate) async fn receive_response(&mut self, id: &str) -> (String, String) {
         let mut text = String::new();
         loop {
-            let (kind, message) = self.hear().await;
+            let (kind, message) = self.receive().await;
             assert!(message.contains(&format!("\"{id}\"")), "{message}");
             if kind != "event" {
                 return (kind, text);
@@ -77,7 +77,7 @@
 }
 
 /// A request message.
-pub(crate) fn ask(id: &str, class: &str, expires: u32) -> String {
+pub(crate) fn request_message(id: &str, class: &str, expires: u32) -> String {
     format!(
         r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":{expires},"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
     )
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use testbed::Way;
+use testbed::Behavior;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
@@ -85,11 +85,11 @@
 /// Waits until whichever process accepts a request sends it to n1 and n3 only.
 async fn until_both_processes_apply_bans(setup: &UpgradeSetup) {
     loop {
-        let first_entry = setup.sent_count();
+        let first_entry = setup.attempt_count();
         let mut are_all_served = true;
         for _ in 0..20 {
             let mut connection = setup.connect().await;
-            let trace_id = format!("b{}", setup.sent_count());
+            let trace_id = format!("b{}", setup.attempt_count());
             let response = send_request(&mut connection, &trace_id).await;
             are_all_served &= response.is_some_and(|response| response.status == 200);
         }
@@ -132,16 +132,16 @@
     let third = setup.start_process().await;
     second.send_sigterm();
     assert_eq!(second.exit_code().await, Some(0));
-    setup.fleet.ledger.lock().unwrap().sent.clear();
+    setup.fleet.activity.lock().unwrap().attempts.clear();
     for number in 0..20 {
         let status = setup.request_status(&format!("d{number}")).await;
         assert_eq!(status, Some(200));
     }
     assert!(setup.only_enabled_endpoints_were_used(0));
     third.assert_acknowledged("enable-server n2").await;
-    setup.fleet.way(3, Way::Full);
+    setup.fleet.set_behavior(3, Behavior::Reject);
     assert_eq!(setup.request_status("e").await, Some(200));
-    assert_eq!(setup.fleet.sent_to(2), 1);
+    assert_eq!(setup.fleet.attempts_at(2), 1);
 }
 
 /// Reads a response to its last chunk, or to the connection's end; counts it in `begun` once its first event is there.
@@ -156,7 +156,7 @@
         .await
         .unwrap();
     let mut text = Vec::new();
-    while !String::from_utf8_lossy(&text).contains(testbed::ANSWER[0]) {
+    while !String::from_utf8_lossy(&text).contains(testbed::STREAM_EVENTS[0]) {
         assert_ne!(connection.read_buf(&mut text).await.unwrap(), 0);
     }
     begun.fetch_add(1, Ordering::SeqCst);
@@ -174,11 +174,11 @@
 /// the upstream breaks off, the response ends without the last chunk.
 #[tokio::test]
 async fn live_streams_migrate_to_the_successor() {
-    for way in [Way::Pause, Way::BreakLater] {
-        let setup = Arc::new(UpgradeSetup::new(&format!("{way:?}")).await);
+    for behavior in [Behavior::Pause, Behavior::PauseThenAbort] {
+        let setup = Arc::new(UpgradeSetup::new(&format!("{behavior:?}")).await);
         let predecessor = setup.start_process().await;
         for decode_endpoint in 2..4 {
-            setup.fleet.way(decode_endpoint, way);
+            setup.fleet.set_behavior(decode_endpoint, behavior);
         }
         let mut clients = tokio::task::JoinSet::new();
         let begun = Arc::new(AtomicUsize::new(0));
@@ -201,18 +201,18 @@
         );
         assert!(clients.try_join_next().is_none(), "all streams live");
         for _ in 0..8 {
-            setup.fleet.go.notify_waiters();
+            setup.fleet.resume.notify_waiters();
         }
         while let Some(result) = clients.join_next().await {
             let text = result.unwrap();
             assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-            let has_all_events = testbed::ANSWER
+            let has_all_events = testbed::STREAM_EVENTS
                 .iter()
                 .all(|event| text.matches(event).count() == 1);
             let has_last_chunk = text.ends_with("0\r\n\r\n");
             assert_eq!(
                 (has_all_events, has_last_chunk),
-                (way == Way::Pause, way == Way::Pause),
+                (behavior == Behavior::Pause, behavior == Behavior::Pause),
                 "{text}"
             );
         }
--- a/tests/upgrade/setup.rs
+++ b/tests/upgrade/setup.rs
@@ -22,8 +22,8 @@
 /// use.
 pub(crate) struct UpgradeSetup {
     pub fleet: Fleet,
-    platform_socket: std::net::TcpListener,
-    platform_address: String,
+    http_listener: std::net::TcpListener,
+    http_address: String,
     pub folder: PathBuf,
     /// Where its processes find each other.
     pub shared_folder: PathBuf,
@@ -94,16 +94,16 @@
 impl UpgradeSetup {
     pub(crate) async fn new(test_name: &str) -> UpgradeSetup {
         let fleet = Fleet::start(false).await;
-        let discovery_address = start_discovery(endpoint_list(&fleet.addresses)).await;
-        let platform_socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let platform_address = platform_socket.local_addr().unwrap().to_string();
+        let discovery_address = start_discovery(endpoint_list(&fleet.replica_addresses)).await;
+        let http_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let http_address = http_listener.local_addr().unwrap().to_string();
         let folder_name = format!("quartzhall-{}-{test_name}", std::process::id());
         let folder = std::env::temp_dir().join(folder_name);
         std::fs::create_dir_all(&folder).unwrap();
         UpgradeSetup {
             fleet,
-            platform_socket,
-            platform_address,
+            http_listener,
+            http_address,
             shared_folder: folder.clone(),
             folder,
             discovery_address,
@@ -119,10 +119,10 @@
         management_address: &str,
     ) -> Command {
         let config = self.folder.join("config.json");
-        let settings = testbed::PROFILE;
+        let settings = testbed::SETTINGS;
         let text = format!(
             r#"{{"name":"n1","listen":"{}","discovery":"{}","seed":"8c1f","limits":{{"memory_mb":192,"sockets":512}},"known":null,"settings":{settings}}}"#,
-            self.platform_address, self.discovery_address
+            self.http_address, self.discovery_address
         );
         std::fs::write(&config, text).unwrap();
         // A shell puts the inherited socket where the platform does.
@@ -141,7 +141,7 @@
     }
 
     pub(crate) fn inheritable_socket(&self) -> OwnedFd {
-        self.platform_socket.try_clone().unwrap().into()
+        self.http_listener.try_clone().unwrap().into()
     }
 
     /// Starts one more process and waits until it reports that it accepts clients.
@@ -165,7 +165,7 @@
     }
 
     pub(crate) async fn connect(&self) -> BufReader<TcpStream> {
-        BufReader::new(TcpStream::connect(&self.platform_address).await.unwrap())
+        BufReader::new(TcpStream::connect(&self.http_address).await.unwrap())
     }
 
     /// The status of one request's response, on a connection of its own; `None` without a response.
@@ -175,16 +175,16 @@
         Some(response.status)
     }
 
-    /// Whether the endpoints that were sent anything, from this entry of the ledger on, are n1 and n3.
+    /// Whether the endpoints that were sent anything, from this entry of the activity on, are n1 and n3.
     pub(crate) fn only_enabled_endpoints_were_used(&self, first_entry: usize) -> bool {
-        let ledger = self.fleet.ledger.lock().unwrap();
-        ledger.sent[first_entry..]
+        let activity = self.fleet.activity.lock().unwrap();
+        activity.attempts[first_entry..]
             .iter()
             .all(|(endpoint, _)| [1, 3].contains(endpoint))
     }
 
-    pub(crate) fn sent_count(&self) -> usize {
-        self.fleet.ledger.lock().unwrap().sent.len()
+    pub(crate) fn attempt_count(&self) -> usize {
+        self.fleet.activity.lock().unwrap().attempts.len()
     }
 
     pub(crate) fn announcement_count(&self) -> usize {
@@ -254,7 +254,7 @@
         let mut connection = setup.connect().await;
         connection.write_all(request.as_bytes()).await.unwrap();
         let mut received = Vec::new();
-        while !String::from_utf8_lossy(&received).contains(testbed::ANSWER[0]) {
+        while !String::from_utf8_lossy(&received).contains(testbed::STREAM_EVENTS[0]) {
             let read_bytes = connection.read_buf(&mut received).await.unwrap();
             assert_ne!(read_bytes, 0, "{}", String::from_utf8_lossy(&received));
         }
