--- a/src/dispatcher/clock.rs
+++ b/src/dispatcher/clock.rs
@@ -1,10 +1,11 @@
-//! The dispatcher's clock: Unix time that never jumps.
+//! The dispatcher's clock: Unix time that doesn't follow adjustments of the system clock.
 
 use crate::routing::api::Time;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Unix time in microseconds, from one reading of the system's clock and a clock that never jumps.
+/// A monotonic clock of Unix time in microseconds. Reads the system clock once, at its start, and then adds the monotonic
+/// time that has elapsed since, so that adjustments of the system clock cause no jump.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start_unix_time: Time,
@@ -12,7 +13,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the system's current time.
     pub fn start() -> Self {
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Clock {
@@ -21,12 +22,12 @@
         }
     }
 
-    /// The current Unix time in microseconds.
+    /// Returns the current Unix time in microseconds.
     pub fn now(&self) -> Time {
         self.start_unix_time + self.start_instant.elapsed().as_micros() as Time
     }
 
-    /// The moment of a Unix time; the clock's start for times before that.
+    /// Converts a Unix time to an instant. Times before the clock's start become its start.
     pub(super) fn instant(&self, time: Time) -> Instant {
         self.start_instant + Duration::from_micros(time.saturating_sub(self.start_unix_time))
     }
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -1,8 +1,9 @@
-//! The dispatcher's state machine: events in, commands out.
+//! The dispatcher's state machine, which turns events into commands.
 //!
-//! [`Core`] owns the router, the request table, the endpoint table, the settings in force, the timers and the report. This
-//! file joins them; the handlers of each concern are in a module of their own: [`requests`], [`attempts`], [`received_streams`],
-//! [`router_actions`], [`endpoints`], [`gossip`], [`settings`] and [`lifecycle`].
+//! [`Core`] owns the router, the request table, the endpoint table, the settings in force, the timers and the report. It
+//! performs no I/O and reads no clock. This file defines the state, the timers and the dispatch of events; the handlers
+//! are in one module per concern: [`requests`], [`attempts`], [`received_streams`], [`router_actions`], [`endpoints`],
+//! [`gossip`], [`settings`] and [`lifecycle`].
 
 mod attempts;
 mod endpoints;
@@ -33,10 +34,10 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// While there are requests, their deadlines are checked this often (microseconds).
+/// The interval at which the deadlines of open requests are checked, in microseconds.
 const DEADLINE_CHECK_INTERVAL: Time = 20_000;
 
-/// The state machine. Its caller passes the time with each event and executes the commands.
+/// The dispatcher's state machine. The caller passes the time with each event and executes the resulting commands.
 pub struct Core {
     router: Router,
     settings: SettingsState,
@@ -52,8 +53,9 @@
 }
 
 impl Core {
-    /// A core that starts now. `now` is Unix time in microseconds, as are all times that the core receives.
-    /// `max_connections`: the number of connections to endpoints bounds the number of open requests.
+    /// Creates a core that accepts clients at once. `now`, like every time passed to the core, is Unix time in
+    /// microseconds. `max_connections`, the limit of connections to endpoints, also limits the number of open requests.
+    /// `seed` initializes the router's random choices.
     pub fn new(
         deployment: Arc<Deployment>,
         max_connections: usize,
@@ -79,17 +81,17 @@
         core
     }
 
-    /// Records from now on what arrives and what is decided.
+    /// Enables the trace recording of arrivals, attempts, endpoints and outcomes.
     pub fn set_trace_recorder(&mut self, recorder: TraceRecorder) {
         self.recorder = Some(recorder);
     }
 
-    /// Exchanges observations with other dispatchers from now on.
+    /// Enables the exchange of endpoint observations with other dispatchers.
     pub fn set_gossip(&mut self, gossip: Gossip) {
         self.gossip = Some(gossip);
     }
 
-    /// Handles one event.
+    /// Handles one event. The resulting commands wait for [`Core::take_commands`].
     pub fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::RequestArrived {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Does what is due: the router's timers, the check of deadlines and the summary.
+    /// Runs the router timers that are due, and at each check interval the deadline check and the log summary.
     pub fn on_timer(&mut self, now: Time) {
         while let Some(Reverse(due)) = self.timers.peek() {
             if *due > now {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// When [`Core::on_timer`] must be called next.
+    /// Returns when [`Core::on_timer`] must be called next; `None` while nothing is scheduled.
     pub fn next_wakeup(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse(due)| *due);
         if self.requests.len() == 0 {
@@ -173,13 +175,14 @@
         Some(timer.map_or(check, |due| due.min(check)))
     }
 
-    /// Takes the commands, in order; blocks come first, so that nothing goes to an endpoint that has begun to drain.
+    /// Takes the pending commands in order, with address blocks first: no earlier attempt is sent to an endpoint that has
+    /// begun to drain.
     pub fn take_commands(&mut self) -> Vec<Command> {
         Command::sort_blocks_first(&mut self.commands);
         std::mem::take(&mut self.commands)
     }
 
-    /// Takes what was recorded since the last call.
+    /// Takes the trace records since the last call; none without a recorder.
     pub fn take_records(&mut self) -> Vec<Record> {
         match &mut self.recorder {
             Some(recorder) => recorder.take_records(),
@@ -187,23 +190,23 @@
         }
     }
 
-    /// Logs all counters that are not logged yet.
+    /// Logs all counters if one has changed since the last summary.
     pub fn log_summary(&mut self) {
         self.report.summarize(self.requests.len());
     }
 
-    /// The number of requests in the table.
+    /// Returns the number of requests in the table, with closed ones whose attempts or reservations have not ended.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The number of endpoints in the table: those of the list, and removed ones with attempts in flight.
+    /// Returns the number of endpoints in the table: listed ones, and removed ones with attempts in flight.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 }
 
-/// The guard that checks steps against the settings in force and the endpoints as they are now.
+/// Returns a guard for the settings in force and the current state of the endpoints.
 fn guard<'a>(
     settings: &'a SettingsState,
     endpoints: &'a EndpointTable,
--- a/src/dispatcher/core/attempts.rs
+++ b/src/dispatcher/core/attempts.rs
@@ -1,4 +1,7 @@
-//! Attempts: their start, the first event of their stream, and their end.
+//! The handlers for attempts: their start, the first event of their stream, and their end.
+//!
+//! Every attempt starts in `Core::start_attempt`, after the guard has checked it against the protocol rules. Every attempt
+//! ends in `Core::end_attempt`, also one that the guard rejected and that was never sent.
 
 use super::{guard, Core};
 use crate::dispatcher::messages::{Command, Outcome, StreamChunk};
@@ -10,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The end of an attempt.
+/// How an attempt ended, and what its endpoint reported.
 pub(super) struct AttemptEnd {
     pub id: RequestId,
     pub attempt: u32,
@@ -20,7 +23,8 @@
 }
 
 impl Core {
-    /// Starts an attempt where the rules allow it. All attempts start here.
+    /// Starts an attempt if the protocol rules allow it; otherwise ends it as not sent. `timeout` is the time until the
+    /// first event in microseconds; 0 means the time left until the deadline.
     pub(super) fn start_attempt(
         &mut self,
         now: Time,
@@ -40,7 +44,7 @@
             .push(Attempt::new(now, endpoint, allowed_target));
         let (target, listed) = match (checked, self.endpoints.get(endpoint)) {
             (Ok(target), Some(listed)) => (target, listed),
-            // What the rules forbid is not sent, whatever the router decides.
+            // The router's decision doesn't override the protocol rules.
             (checked, _) => {
                 self.report_violation(now, checked.err().unwrap_or(Rule::Drain), id);
                 self.end_attempt(now, AttemptEnd::not_sent(id, attempt));
@@ -48,7 +52,7 @@
             }
         };
         self.report.log_attempt_started(id, attempt, endpoint);
-        // An attempt that follows a prefill is the second stage, and one beside another in flight is a hedged request.
+        // Not a retry: the decode attempt after a completed prefill, and a hedged request beside an attempt in flight.
         if let Some(previous_end) = previous_end {
             if previous_end != EndReason::PrefillDone {
                 self.report
@@ -70,7 +74,7 @@
             address: listed.address.clone(),
             upstream: request.upstream.clone(),
             timeout: Duration::from_micros(timeout),
-            // A prefill has no effect, so that it may be repeated.
+            // A prefill has no side effects and may run twice.
             needs_new_connection: request.must_not_repeat && target.role != Role::Prefill,
         });
     }
@@ -86,7 +90,7 @@
             return;
         };
         let checked = guard(&self.settings, &self.endpoints, now).check_stream(request, attempt);
-        // Dropping the stream of an attempt that came too late ends it at its endpoint.
+        // The request has its outcome or the attempt has ended: dropping the stream ends it at its endpoint.
         if checked.is_err() {
             return;
         }
@@ -94,7 +98,7 @@
             return;
         };
         if outcome.send(Outcome::Stream(stream)).is_err() {
-            // The client disconnected at this moment; its event is on the way.
+            // The client has just disconnected; `ClientDisconnected` is still in the queue.
             return;
         }
         request.start_stream(attempt);
@@ -150,13 +154,12 @@
         if was_open_stream {
             self.on_stream_ended(now, id, endpoint, reason);
         }
-        // While attempts reach no endpoint, the router may start the next one at once, each time: what a broken prefill may
-        // have left is released in between.
+        // While attempts reach no endpoint, the router may start the next one at once every time. The KV cache that a
+        // broken prefill may have left must be released between two such attempts.
         if self.requests.get(id).is_some_and(Request::is_waiting) {
             self.release_or_remove(now, id);
         }
-        // The other endpoints would find the request invalid too: it would go round the whole fleet, and its endpoints would
-        // be ejected for it.
+        // Other endpoints would reject an invalid request too. Retrying it across the fleet would get them ejected.
         if status == AttemptStatus::InvalidRequest {
             let invalid = Outcome::InvalidRequest;
             self.close_request(now, id, CloseReason::InvalidRequest, invalid);
@@ -170,7 +173,7 @@
         self.report
             .log_attempt_ended(id, attempt, endpoint, status, cached_tokens, request_closed);
         self.share_observations(now, endpoint, status, load.as_ref());
-        // The router knows nothing of a request that another process has begun.
+        // The router of this process doesn't know requests that another process started.
         if !is_received {
             self.drive_router(
                 now,
@@ -188,7 +191,7 @@
         self.release_or_remove(now, id);
     }
 
-    /// Tells other dispatchers what the end of an attempt says of its endpoint.
+    /// Queues for other dispatchers the endpoint's load, if reported, and its failure, if the attempt ended with one.
     fn share_observations(
         &mut self,
         now: Time,
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Records how the client's stream ended, by its complete end or by its break; its client may have disconnected before.
+    /// Records and logs whether the client's stream ended complete or broken, also after its client has disconnected.
     fn on_stream_ended(
         &mut self,
         now: Time,
@@ -221,7 +224,7 @@
             AttemptStatus::Served => RecordedOutcome::Served,
             _ => RecordedOutcome::StreamBroken,
         };
-        // The recording has no arrival of a request that another process has begun.
+        // The recording has no arrival for a request that another process started.
         if !is_received {
             self.record_outcome(now, id, outcome);
         }
@@ -254,7 +257,7 @@
         }
     }
 
-    /// The end of an attempt that the rules forbid.
+    /// Creates the end of an attempt that the protocol rules forbid.
     fn not_sent(id: RequestId, attempt: u32) -> Self {
         AttemptEnd {
             id,
@@ -266,7 +269,7 @@
     }
 }
 
-/// Whether other dispatchers are told that an attempt at this endpoint failed.
+/// Returns whether this status counts as a failure of the endpoint, to be shared with other dispatchers.
 fn is_endpoint_failure(status: AttemptStatus) -> bool {
     matches!(
         status,
--- a/src/dispatcher/core/endpoints.rs
+++ b/src/dispatcher/core/endpoints.rs
@@ -1,4 +1,7 @@
-//! The endpoint list, bans and probes.
+//! The handlers for the endpoint list, bans and probes.
+//!
+//! Each change of the list or of the bans is recorded, its address blocks are commanded to the backend, and the router
+//! receives the changed endpoint records.
 
 use super::Core;
 use crate::dispatcher::bans::{BanError, BanRecords};
@@ -9,7 +12,7 @@
 use tokio::sync::oneshot;
 
 impl Core {
-    /// Applies a list of endpoints: a complete one, or what has changed in it.
+    /// Applies a complete endpoint list (`is_full`), or only the endpoints that have changed.
     pub(super) fn update_endpoints(
         &mut self,
         now: Time,
@@ -66,7 +69,7 @@
         self.apply_bans(now, changes);
     }
 
-    /// Passes on that endpoints were banned, or that their bans have ended.
+    /// Records changed bans and passes them to the backend and the router.
     fn apply_bans(&mut self, now: Time, changes: EndpointChanges) {
         self.record_endpoints(now, &changes.recorded);
         self.commands.extend(self.endpoints.take_block_commands());
@@ -90,7 +93,7 @@
         }
     }
 
-    /// All ban records, if one has changed since the last call.
+    /// Takes all ban records if one has changed since the last call.
     pub fn take_changed_bans(&mut self) -> Option<BanRecords> {
         self.endpoints.take_changed_bans()
     }
--- a/src/dispatcher/core/gossip.rs
+++ b/src/dispatcher/core/gossip.rs
@@ -1,18 +1,21 @@
-//! Observations that are exchanged with other dispatchers.
+//! The exchange of endpoint observations (load and failures) with other dispatchers.
+//!
+//! The core queues its observations in [`Gossip`](crate::gossip::Gossip) and passes received loads to the router. Without
+//! gossip, which is optional, the functions here do nothing.
 
 use super::Core;
 use crate::routing::api::{self, EndpointId, LoadReport, Time};
 use bytes::Bytes;
 
 impl Core {
-    /// The message that other dispatchers are to receive now, if there is one.
+    /// Returns the gossip message that is due now, if any.
     pub fn next_gossip_message(&mut self, now: Time) -> Option<Bytes> {
         let message = self.gossip.as_mut()?.next_message(now)?;
         Some(Bytes::from(message))
     }
 
-    /// Applies a message of another dispatcher. Observations of endpoints that are not listed here, and of hashes that two
-    /// endpoints share, are ignored.
+    /// Applies a gossip message of another dispatcher. Ignores observations whose hash matches no known endpoint, or more
+    /// than one.
     pub(super) fn on_gossip_received(&mut self, now: Time, peer: usize, message: &[u8]) {
         let Some(gossip) = &mut self.gossip else {
             return;
@@ -36,14 +39,14 @@
         }
     }
 
-    /// Queues for other dispatchers the load that an endpoint has reported.
+    /// Queues an endpoint's reported load for other dispatchers.
     pub(super) fn share_load(&mut self, now: Time, endpoint: EndpointId, load: &LoadReport) {
         if let (Some(listed), Some(gossip)) = (self.endpoints.get(endpoint), &mut self.gossip) {
             gossip.record_load(now, endpoint, listed.listed.key, load);
         }
     }
 
-    /// Queues for other dispatchers that an attempt at an endpoint has failed.
+    /// Queues an endpoint's failure for other dispatchers.
     pub(super) fn share_failure(&mut self, endpoint: EndpointId) {
         if let (Some(listed), Some(gossip)) = (self.endpoints.get(endpoint), &mut self.gossip) {
             gossip.record_failure(listed.listed.key);
--- a/src/dispatcher/core/lifecycle.rs
+++ b/src/dispatcher/core/lifecycle.rs
@@ -1,23 +1,26 @@
-//! The phases of the core's life, and the readiness that load balancers see.
+//! The core's lifecycle, and the readiness that load balancers see.
+//!
+//! The readiness combines the lifecycle state with the state of the endpoints: the core is ready only while one endpoint
+//! at least is ready for prefill and one for decode.
 
 use super::Core;
 use crate::dispatcher::messages::Readiness;
 use crate::routing::api::{self, Time};
 use std::time::Duration;
 
-/// Where the core stands. It never leaves `Draining`.
+/// The core's lifecycle state. `Draining` is final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lifecycle {
     /// Clients are not accepted yet.
     Standby,
     /// Clients are accepted.
     Serving,
-    /// The process shuts down; requests that still arrive are served.
+    /// The process is shutting down; requests that still arrive are served.
     Draining,
 }
 
 impl Lifecycle {
-    /// Ends the standby; while draining nothing changes.
+    /// Changes `Standby` to `Serving`; has no effect while draining.
     pub(super) fn accept_clients(&mut self) {
         if *self == Lifecycle::Standby {
             *self = Lifecycle::Serving;
@@ -26,7 +29,8 @@
 }
 
 impl Core {
-    /// Is not ready until it receives [`Event::AcceptClients`](crate::dispatcher::Event::AcceptClients).
+    /// Holds readiness back until [`Event::AcceptClients`](crate::dispatcher::Event::AcceptClients); has no effect while
+    /// draining.
     pub fn start_in_standby(&mut self) {
         if self.lifecycle == Lifecycle::Serving {
             self.lifecycle = Lifecycle::Standby;
@@ -39,7 +43,7 @@
         self.drive_router(now, api::Event::ShutdownDeadline(deadline));
     }
 
-    /// The state that load balancers see.
+    /// Returns the state that load balancers see.
     pub fn readiness(&self) -> Readiness {
         let can_serve = self.endpoints.can_prefill() && self.endpoints.can_decode();
         match self.lifecycle {
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Logs that the published readiness has changed.
+    /// Logs a change of the published readiness.
     pub(in crate::dispatcher) fn log_readiness(&self, readiness: Readiness) {
         self.report.log_readiness(readiness);
     }
--- a/src/dispatcher/core/received_streams.rs
+++ b/src/dispatcher/core/received_streams.rs
@@ -1,5 +1,7 @@
-//! Streams that another process of this dispatcher has begun: requests of this process like any other, of which the router
-//! knows nothing, as nothing is left to decide.
+//! The handler for received streams, which another process of this dispatcher started.
+//!
+//! A received stream has an entry in the request table like any other request. The router is not told of it, because there
+//! is no routing decision left.
 
 use super::Core;
 use crate::dispatcher::messages::ReceivedRequest;
@@ -7,10 +9,10 @@
 use crate::routing::api::{EndpointId, Time};
 use crate::variants::{breaks, Variant};
 
-/// Stands for an endpoint that is not in the table. Numbers are given from 0 on, and never come to this.
+/// Placeholder for an endpoint that is not in the table. Endpoint ids are assigned from 0 and never reach this value.
 const UNKNOWN_ENDPOINT: EndpointId = EndpointId::MAX;
-/// Stands for the id of a client whose process did not tell it. No client can choose it.
-const UNKNOWN_REQUEST_ID: &str = "?";
+/// Placeholder for a client request id that the sending process did not pass on. Clients can't send this id.
+const UNKNOWN_CLIENT_REQUEST_ID: &str = "?";
 
 impl Core {
     pub(super) fn on_stream_received(&mut self, now: Time, received: ReceivedRequest) {
@@ -26,7 +28,8 @@
             .as_deref()
             .and_then(|address| self.endpoints.by_address(address))
             .unwrap_or(UNKNOWN_ENDPOINT);
-        let client_request_id = client_request_id.unwrap_or_else(|| UNKNOWN_REQUEST_ID.into());
+        let client_request_id =
+            client_request_id.unwrap_or_else(|| UNKNOWN_CLIENT_REQUEST_ID.into());
         let request = Request::received(now, client_request_id, endpoint);
         self.report.log_stream_received(now, id, &request, endpoint);
         self.requests.insert(id, request);
--- a/src/dispatcher/core/requests.rs
+++ b/src/dispatcher/core/requests.rs
@@ -1,4 +1,7 @@
-//! The life of a request: its arrival, its final outcome, its deadline, and the release of what is reserved for it.
+//! The handlers for a request: arrival, final outcome, deadline, and the release of its reservation.
+//!
+//! Every outcome other than a stream is sent by `Core::close_request`, at most once per request. A request stays in the
+//! table until it is closed, no attempt is in flight and nothing is reserved for it.
 
 use super::{guard, Core};
 use crate::dispatcher::messages::{Command, Outcome, UpstreamRequest};
@@ -12,7 +15,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Why a request does not enter the table, and its outcome.
+/// Why a request is not admitted, and the outcome that its client receives.
 struct Rejection {
     reason: CloseReason,
     outcome: Outcome,
@@ -28,7 +31,7 @@
     ) {
         let client_request_id = &upstream.client_request_id;
         let idempotency = self.settings.idempotency_of(metadata.class);
-        if let Err(rejection) = self.check_arrival(client_request_id, idempotency) {
+        if let Err(rejection) = self.check_admission(client_request_id, idempotency) {
             let open_requests = self.requests.len();
             self.report.log_request_rejected(
                 now,
@@ -52,20 +55,20 @@
         self.drive_router(now, api::Event::RequestArrived(metadata));
     }
 
-    /// Whether a request may enter the table.
-    fn check_arrival(
+    /// Checks whether a request may enter the table.
+    fn check_admission(
         &self,
         client_request_id: &str,
         idempotency: Idempotency,
     ) -> Result<(), Rejection> {
-        // An id that is in flight is never a second request: endpoints know requests by it alone.
+        // Endpoints identify requests by the client request id alone, so no two open requests may share one.
         if self.requests.is_open(client_request_id) {
             return Err(Rejection {
                 reason: CloseReason::DuplicateId,
                 outcome: Outcome::DuplicateId,
             });
         }
-        // A client that submits an id again of which something may have run is never told that it may try again.
+        // The request may have run under this id already, so its client must not be told that retrying is harmless.
         let is_idempotent = idempotency == Idempotency::Idempotent;
         if !is_idempotent && self.requests.may_have_run(client_request_id) {
             return Err(Rejection {
@@ -73,7 +76,7 @@
                 outcome: Outcome::DuplicateId,
             });
         }
-        // A request beyond the limit never reaches the router. Nothing was sent, so it may be shed.
+        // The table is full. Nothing was sent for this request, so it may be shed.
         if self.requests.len() >= self.settings.max_requests() {
             let retry_after = self.settings.max_retry_after();
             return Err(Rejection {
@@ -97,7 +100,7 @@
             return;
         }
         request.may_have_run_reply = may_have_run_reply;
-        // A stream that has begun ends at its endpoint when its receiver is dropped, as the client's side does.
+        // A started stream needs no cancellation: the frontend drops its receiver, which ends it at its endpoint.
         if request.close() {
             request.outcome = None;
             let is_received = request.is_received;
@@ -110,7 +113,7 @@
         self.release_or_remove(now, id);
     }
 
-    /// Sheds a request, or fails it where the client must not be told that trying again is harmless.
+    /// Sheds a request, or fails it if the client must not be told that retrying is harmless.
     pub(super) fn shed_request(
         &mut self,
         now: Time,
@@ -127,7 +130,7 @@
         let mut outcome = Outcome::Failed;
         match checked {
             Err(rule) => self.report_violation(now, rule, id),
-            // A client that is shed may try again, here or elsewhere, before that attempt has ended at its endpoint.
+            // A shed client may retry, here or elsewhere, before the abandoned attempt has ended at its endpoint.
             Ok(()) if may_still_run => {}
             Ok(()) => {
                 close_reason = CloseReason::Shed(reason);
@@ -138,7 +141,7 @@
         self.release_or_remove(now, id);
     }
 
-    /// Sends the final outcome of a request that waits for it; every outcome but a stream passes here.
+    /// Closes a waiting request and sends its final outcome. Every outcome other than a stream is sent here.
     pub(super) fn close_request(
         &mut self,
         now: Time,
@@ -175,13 +178,13 @@
         }
     }
 
-    /// Counts and logs that a rule was violated, or that a violation was prevented.
+    /// Counts and logs a violation of a rule, including one that was prevented.
     pub(super) fn report_violation(&mut self, now: Time, rule: Rule, id: RequestId) {
         let request = self.requests.get(id);
         self.report.log_violation(now, rule, id, request);
     }
 
-    /// Checks every request: its deadline, and for how long something has been reserved for it.
+    /// Checks the deadline and the age of the reservation of each request that needs it.
     pub(super) fn check_deadlines(&mut self, now: Time) {
         for id in self.requests.ids_to_check() {
             self.check_deadline(now, id);
@@ -193,7 +196,7 @@
             return;
         };
         if request.is_waiting() && now >= request.deadline {
-            // The router closes requests in time by itself; this guards the client against a fault there.
+            // The router normally closes requests before their deadline; this is the fallback if it fails to.
             let slack = self.settings.response_slack();
             if now >= request.deadline.saturating_add(slack) {
                 self.report_violation(now, Rule::FinalAnswer, id);
@@ -215,7 +218,7 @@
         self.release_or_remove(now, id);
     }
 
-    /// Releases what is reserved for a request where it is due, and removes the request when it is finished.
+    /// Starts the release of a request's reservation if it is due, and removes the request if it is finished.
     pub(super) fn release_or_remove(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -227,7 +230,7 @@
         let ttl = self.settings.reservation_ttl();
         if let Some(reason) = request.reservation.start_release(now, ttl, demand) {
             self.report.log_release_started(now, id, request, reason);
-            // Any endpoint forwards the release to the one that holds the KV cache.
+            // Any running endpoint forwards the release to the one that holds the KV cache.
             let addresses = self
                 .endpoints
                 .release_addresses(request.attempted_endpoints());
--- a/src/dispatcher/core/router_actions.rs
+++ b/src/dispatcher/core/router_actions.rs
@@ -1,4 +1,6 @@
-//! The core's side of the router: it passes events to the router and executes the actions that follow.
+//! The link between core and router: passes events to the router and executes its actions.
+//!
+//! The router only decides. Actions that would break a protocol rule are rejected where they are executed.
 
 use super::Core;
 use crate::dispatcher::messages::{Command, Outcome};
@@ -9,16 +11,16 @@
 use std::time::Duration;
 
 impl Core {
-    /// Passes one event to the router and executes its actions, in order.
+    /// Passes one event to the router and executes the resulting actions in order.
     pub(super) fn drive_router(&mut self, now: Time, event: api::Event) {
         let mut actions = Vec::new();
         self.router.handle(now, event, &mut actions);
         for action in actions {
-            self.execute(now, action);
+            self.execute_action(now, action);
         }
     }
 
-    fn execute(&mut self, now: Time, action: Action) {
+    fn execute_action(&mut self, now: Time, action: Action) {
         match action {
             Action::StartAttempt {
                 id,
@@ -35,7 +37,7 @@
             Action::ReleaseReservation { id } => self.abandon_reservation(now, id),
             Action::SetTimer { at } => self.timers.push(Reverse(at)),
             Action::Probe { endpoint } => self.probe_endpoint(endpoint),
-            // Discovery is always watched.
+            // Nothing to do: discovery watches the endpoint list all the time.
             Action::WatchEndpoints => {}
         }
     }
@@ -44,7 +46,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        // A stream that has begun belongs to the client and is not cancelled.
+        // The attempt whose stream the client receives is not cancelled.
         if request.stream() != Some(attempt) && request.is_in_flight(attempt) {
             self.commands.push(Command::CancelAttempt { id, attempt });
         }
--- a/src/dispatcher/core/settings.rs
+++ b/src/dispatcher/core/settings.rs
@@ -1,4 +1,7 @@
-//! The settings in force, this process's share of the limits, and their changes.
+//! The settings in force, this process's share of the limits, and changes of both.
+//!
+//! [`SettingsState`] holds the deployment as configured and derives two values from it: the limit of open requests, and
+//! the settings that the router receives. Both are recomputed whenever the settings or the share change.
 
 use super::Core;
 use crate::config::Deployment;
@@ -10,19 +13,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The time from the command of an attempt to the arrival of its last byte, without the waits for a permit and for a
-/// connection (microseconds).
+/// The longest time from the command of an attempt to the arrival of its last byte at the endpoint, in microseconds. The
+/// waits for a permit and for a connection are not included.
 const MAX_TRANSMISSION_DELAY: Time = 100_000;
-/// The number of a class that is not in the settings any more is reused after this time at the earliest (microseconds).
+/// The shortest time before the number of a class that left the settings is reused, in microseconds.
 const CLASS_REUSE_DELAY: Time = 60_000_000;
 
-/// The settings in force and what follows from them.
+/// The settings in force and the values derived from them.
 pub(super) struct SettingsState {
     deployment: Arc<Deployment>,
     is_published: bool,
-    /// As the router received them.
+    /// The settings as passed to the router.
     routing: RoutingSettings,
-    /// When each class was last in the settings.
+    /// When each class was last in the settings, by class number.
     class_last_active: Vec<Time>,
     max_connections: usize,
     resource_share: u32,
@@ -44,12 +47,12 @@
         }
     }
 
-    /// The router's settings.
+    /// Returns the settings as passed to the router.
     pub(super) fn routing(&self) -> &RoutingSettings {
         &self.routing
     }
 
-    /// How many requests may be in the table.
+    /// Returns how many requests may be in the table.
     pub(super) fn max_requests(&self) -> usize {
         self.max_requests
     }
@@ -58,17 +61,17 @@
         Duration::from_micros(self.deployment.settings.max_retry_after)
     }
 
-    /// How long after its deadline a request may be closed (microseconds).
+    /// Returns how long after its deadline a request may still be closed, in microseconds.
     pub(super) fn response_slack(&self) -> Time {
         self.deployment.settings.response_slack
     }
 
-    /// How long endpoints may hold a reservation (microseconds).
+    /// Returns how long endpoints may hold a reservation, in microseconds.
     pub(super) fn reservation_ttl(&self) -> Time {
         self.deployment.settings.reservation_ttl
     }
 
-    /// A class that is not known counts as one whose requests must not run twice.
+    /// Returns the idempotency of a class. Requests of an unknown class must not run twice.
     pub(super) fn idempotency_of(&self, class: usize) -> Idempotency {
         let classes = &self.deployment.settings.classes;
         classes
@@ -76,7 +79,7 @@
             .map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     }
 
-    /// Replaces the deployment. `open_classes`: classes of requests in the table, whose numbers are not reused.
+    /// Replaces the deployment. The numbers of `open_classes`, the classes of requests in the table, are not reused.
     fn replace(
         &mut self,
         now: Time,
@@ -89,7 +92,7 @@
                 *last_active = now;
             }
         }
-        // A request that a frontend parsed by the old numbers may still be on its way.
+        // A request that a frontend parsed with the old class numbers may still be in the queue.
         let is_used = |class: usize| {
             let reusable_at = self.class_last_active[class].saturating_add(CLASS_REUSE_DELAY);
             open_classes.contains(&class) || now < reusable_at
@@ -104,8 +107,8 @@
         Ok(())
     }
 
-    /// Recomputes the limit of requests and the router's settings: every further process is one more dispatcher to the
-    /// endpoints.
+    /// Recomputes the limit of open requests and the router's settings. Each process of this dispatcher counts as one
+    /// dispatcher, because endpoints receive requests from each of them.
     fn update_derived(&mut self) {
         let bounds = &self.deployment.bounds;
         let max_requests = bounds.max_open_requests.min(self.max_connections) as u128;
@@ -119,8 +122,9 @@
     }
 }
 
-/// The settings for the router. A repeat is dropped if its last byte arrives within the window, and an attempt may take as
-/// long as the waits for a permit and then for a connection: the router's window is shorter by that.
+/// Returns the deployment's settings for the router, with shorter idempotency windows. An endpoint drops a repeat only if
+/// its last byte arrives within the window. The router's window is therefore shorter by the longest time that an attempt
+/// takes to arrive: the waits for a permit and for a connection, and the transmission.
 fn routing_settings(deployment: &Deployment) -> RoutingSettings {
     let mut settings = deployment.settings.clone();
     let connect_timeout = deployment.bounds.connect_timeout;
@@ -170,7 +174,7 @@
         self.drive_router(now, api::Event::SettingsChanged(routing));
     }
 
-    /// The deployment in force, if it has changed since the last call.
+    /// Returns the deployment in force if it has changed since the last call.
     pub fn take_changed_deployment(&mut self) -> Option<Arc<Deployment>> {
         if self.settings.is_published {
             return None;
--- a/src/dispatcher/endpoint_target.rs
+++ b/src/dispatcher/endpoint_target.rs
@@ -2,7 +2,8 @@
 
 use crate::routing::api::{EndpointStatus, Role};
 
-/// An endpoint as the rules see it, copied when an attempt starts.
+/// The properties of an attempt's endpoint, copied when the attempt starts: the endpoint may change or leave the list
+/// while the attempt is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EndpointTarget {
     pub role: Role,
--- a/src/dispatcher/handle.rs
+++ b/src/dispatcher/handle.rs
@@ -1,7 +1,8 @@
-//! The bounded queue in front of the core: [`DispatcherHandle`] sends events, [`EventReceiver`] receives them.
+//! The bounded event queue in front of the core: [`DispatcherHandle`] sends events, [`EventReceiver`] receives them.
 //!
-//! The receiver also owns the sending side of what the core publishes: the deployment in force, the ban records, the
-//! readiness and the number of open requests.
+//! Urgent events have a queue of their own, which the core empties first. In the other direction the receiver owns the
+//! watch channels on which the core publishes its state: the deployment in force, the ban records, the readiness and the
+//! number of open requests.
 
 use super::messages::{Event, Outcome, Readiness, ReceivedRequest, UpstreamRequest};
 use super::settings_error::SettingsError;
@@ -12,12 +13,12 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Events that may wait for the core; senders wait when the queue is full.
+/// The capacity of the event queue. Senders wait while it is full.
 const EVENT_QUEUE_CAPACITY: usize = 4096;
-/// Urgent events, such as operators' calls, that may wait for the core: they never wait behind requests.
+/// The capacity of the queue for urgent events, such as operators' commands, which must not wait behind requests.
 const URGENT_QUEUE_CAPACITY: usize = 16;
 
-/// The way to the core for connection code: cheap to clone.
+/// Sends events to the core and reads its published state. Cheap to clone.
 #[derive(Clone)]
 pub struct DispatcherHandle {
     events: mpsc::Sender<Event>,
@@ -29,7 +30,7 @@
     open_requests: watch::Receiver<usize>,
 }
 
-/// A client's request in the core. Dropping it reports that the client has disconnected.
+/// A client's request in the core. Dropping it sends [`Event::ClientDisconnected`], which ends the request if it is open.
 pub struct PendingRequest {
     id: RequestId,
     handle: DispatcherHandle,
@@ -37,7 +38,7 @@
 }
 
 impl PendingRequest {
-    /// The request's number in the core's table.
+    /// Returns the request id in the core's table.
     pub fn id(&self) -> RequestId {
         self.id
     }
@@ -53,7 +54,8 @@
 }
 
 impl DispatcherHandle {
-    /// Submits a request; its outcome is sent on the channel. Waits while the queue is full.
+    /// Submits a request and returns the channel that receives its outcome. Assigns the request id, replacing the one in
+    /// `metadata`. Waits while the queue is full.
     pub async fn submit(
         &self,
         metadata: RequestMetadata,
@@ -61,7 +63,7 @@
     ) -> (PendingRequest, oneshot::Receiver<Outcome>) {
         let id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         let (outcome_sender, outcome) = oneshot::channel();
-        // The pending request is made before the wait: a client that disconnects while the queue is full is reported too.
+        // Created before the wait, so that a client that disconnects while the queue is full is reported too.
         let pending = PendingRequest {
             id,
             handle: self.clone(),
@@ -76,8 +78,8 @@
         (pending, outcome)
     }
 
-    /// Adds a stream that another process of this dispatcher has begun to the core's table. Its request is attempt 0 of
-    /// the number that is returned, and ends there as any other does.
+    /// Adds a received stream, which another process of this dispatcher started, to the core's table. The stream is
+    /// attempt 0 of the returned request, which ends like any other request.
     pub async fn receive_stream(
         &self,
         client_request_id: Option<Arc<str>>,
@@ -98,8 +100,8 @@
         pending
     }
 
-    /// Disconnects from a request, waits until it has left the core's table and returns whether it may have run. `None`: that
-    /// is not known.
+    /// Disconnects from a request, waits until it has left the core's table and returns whether it may have run; `None` if
+    /// that is not known.
     pub async fn disconnect(&self, mut pending: PendingRequest) -> Option<bool> {
         let (reply, may_have_run) = oneshot::channel();
         pending.may_have_run = Some(reply);
@@ -107,12 +109,13 @@
         may_have_run.await.ok()
     }
 
-    /// Sends an event to the core; waits while the queue is full.
+    /// Sends an event to the core. Waits while the queue is full.
     pub async fn send(&self, event: Event) {
         let _ = self.events.send(event).await;
     }
 
-    /// Sends an event to the core from code that can't wait. A full queue loses nothing: a task waits instead.
+    /// Sends an event to the core from code that can't wait. If the queue is full, a spawned task waits and no event is
+    /// lost.
     pub fn send_detached(&self, event: Event) {
         if let Err(mpsc::error::TrySendError::Full(event)) = self.events.try_send(event) {
             let events = self.events.clone();
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Bans an endpoint, or ends its ban, ahead of all that waits in the queue. `None`: the core has ended.
+    /// Bans an endpoint or ends its ban, ahead of queued events that are not urgent. Returns `None` if the core has ended.
     pub async fn set_ban(
         &self,
         endpoint_id: Arc<str>,
@@ -140,12 +143,12 @@
         result.await.ok()
     }
 
-    /// Sends an event to the core ahead of all that waits in the queue.
+    /// Sends an event to the core ahead of queued events that are not urgent. Waits while the urgent queue is full.
     pub async fn send_urgent(&self, event: Event) {
         let _ = self.urgent_events.send(event).await;
     }
 
-    /// Applies new settings. `None`: the core has ended.
+    /// Applies new settings ahead of queued events that are not urgent. Returns `None` if the core has ended.
     pub async fn apply_settings(
         &self,
         deployment: Deployment,
@@ -161,40 +164,40 @@
         result.await.ok()
     }
 
-    /// The deployment in force.
+    /// Returns the deployment in force.
     pub fn deployment(&self) -> Arc<Deployment> {
         self.deployment.borrow().clone()
     }
 
-    /// The ban records, and their changes.
+    /// Returns a watch channel of the ban records.
     pub fn ban_records(&self) -> watch::Receiver<BanRecords> {
         self.ban_records.clone()
     }
 
-    /// The state that load balancers see.
+    /// Returns the state that load balancers see.
     pub fn readiness(&self) -> Readiness {
         *self.readiness.borrow()
     }
 
-    /// Waits until the core's state is the given one.
+    /// Waits until the core has published this readiness, or has ended.
     pub async fn wait_for_readiness(&self, readiness: Readiness) {
         let mut published = self.readiness.clone();
         let _ = published.wait_for(|current| *current == readiness).await;
     }
 
-    /// The number of requests in the core's table, with those whose reservations are being released.
+    /// Returns the number of requests in the core's table, including those whose reservations are being released.
     pub fn open_requests(&self) -> usize {
         *self.open_requests.borrow()
     }
 
-    /// Waits until the core's table is empty.
+    /// Waits until the core's table has no request, or the core has ended.
     pub async fn wait_until_idle(&self) {
         let mut published = self.open_requests.clone();
         let _ = published.wait_for(|open| *open == 0).await;
     }
 }
 
-/// The core's side of the queue, for [`run`](super::run).
+/// The core's side of the event queue and of the watch channels, for [`run`](super::run).
 pub struct EventReceiver {
     events: mpsc::Receiver<Event>,
     urgent_events: mpsc::Receiver<Event>,
@@ -205,7 +208,7 @@
 }
 
 impl EventReceiver {
-    /// The next event, urgent ones first; `None` when every handle has been dropped.
+    /// Receives the next event, urgent ones first. Returns `None` when every handle has been dropped.
     pub async fn recv(&mut self) -> Option<Event> {
         tokio::select! {
             biased;
@@ -222,7 +225,7 @@
     }
 }
 
-/// Creates the queue of a core.
+/// Creates the event queue of a core, with the watch channels of its state. `deployment` is the first one in force.
 pub fn channel(deployment: Arc<Deployment>) -> (DispatcherHandle, EventReceiver) {
     let (events, event_queue) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (urgent_events, urgent_queue) = mpsc::channel(URGENT_QUEUE_CAPACITY);
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -1,4 +1,7 @@
-//! The types that go in and out of the core: requests, outcomes, events and commands. No wire, no socket, no state.
+//! The messages between the core and its surroundings: requests, outcomes, events and commands.
+//!
+//! Frontends, discovery, gossip and the process send [`Event`]s to the core; the backend executes its [`Command`]s. The
+//! types are plain data without sockets or protocol details.
 
 use super::reasons::EndReason;
 use super::settings_error::SettingsError;
@@ -11,263 +14,265 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// The client's own request, as endpoints receive it. Cloning shares the body.
+/// The client's request as it is forwarded to endpoints. Cloning shares the body.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// The id that the client chose, by which every endpoint knows the request.
+    /// The id that the client chose. Endpoints identify the request by it.
     pub client_request_id: Arc<str>,
-    /// The client's own path and query.
+    /// The request target: path and query as the client sent them.
     pub target: Arc<str>,
-    /// The request's body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// A chunk of a response stream. Where the channel closes without `End`, the stream has broken.
+/// A chunk of a response stream. If the channel closes without `End`, the stream has broken.
 #[derive(Debug, PartialEq)]
 pub enum StreamChunk {
-    /// Bytes of the stream, as they were received.
+    /// Bytes of the stream, as received from the endpoint.
     Data(Bytes),
     /// The stream is complete.
     End,
-    /// The stream is to continue in another process: the frontend migrates this half, or drops it.
+    /// The stream is to continue in another process. The frontend migrates this upstream half, or drops it.
     Migrate(UpstreamHalf),
 }
 
-/// How many chunks of a stream may wait for a slow client before no more is read from its endpoint.
+/// The capacity of a stream's queue, in chunks. While a slow client keeps it full, nothing is read from the endpoint.
 pub const MAX_QUEUED_CHUNKS: usize = 4;
 
-/// The request of a stream that another process has begun.
+/// The request of a received stream, which another process of this dispatcher started.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The request, with the number that the handle assigned.
+    /// The request id that the handle assigned.
     pub id: RequestId,
-    /// The id that the client chose, where it is known.
+    /// The client request id; `None` if the other process did not pass it on.
     pub client_request_id: Option<Arc<str>>,
-    /// The address of the endpoint that streams, where it is known.
+    /// The address of the endpoint that sends the stream; `None` if the other process did not pass it on.
     pub address: Option<Arc<str>>,
 }
 
-/// The attempt of a stream that another process has begun: the backend goes on with it.
+/// The attempt of a received stream, which the backend continues to read.
 #[derive(Debug)]
 pub struct ReceivedAttempt {
-    /// The request in the core's table.
+    /// The request id in the core's table.
     pub id: RequestId,
     /// The upstream side of the stream.
     pub upstream: ReceivedUpstream,
-    /// Where the stream goes.
+    /// Receives the stream's chunks.
     pub chunks: mpsc::Sender<StreamChunk>,
 }
 
-/// The final outcome of a request; there is one for each.
+/// The final outcome of a request. Each request has exactly one.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An endpoint's stream, from its first event on.
+    /// The response stream of an endpoint, from its first event on.
     Stream(mpsc::Receiver<StreamChunk>),
-    /// Nothing ran; trying again is harmless.
+    /// The request did not run, or is safe to run twice: retrying is harmless.
     Shed {
-        /// How long the client should wait before it tries again.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// It failed, and may have run.
+    /// The request failed and may have run.
     Failed,
-    /// A request of this client request id is in flight, or ended recently and may have run.
+    /// A request with this client request id is in flight, or ended recently and may have run.
     DuplicateId,
-    /// An endpoint found the request itself invalid; it did not run.
+    /// An endpoint rejected the request as invalid; it did not run.
     InvalidRequest,
 }
 
 /// An endpoint of the fleet, as discovery reports it.
 #[derive(Clone, Debug)]
 pub struct DiscoveredEndpoint {
-    /// Its id, the same at every dispatcher.
+    /// The endpoint's id, which is the same at every dispatcher.
     pub id: Arc<str>,
-    /// The address on which it listens.
+    /// The address on which the endpoint listens, as host and port.
     pub address: Arc<str>,
-    /// What the router receives; the core sets its number.
+    /// The record for the router; the core fills in the endpoint id.
     pub record: EndpointRecord,
-    /// Only its id and its status could be read: the rest is as it was reported before, and an endpoint that was never
-    /// reported is ignored.
+    /// Only the id and the status could be read. The core keeps the other properties as reported before, and ignores an
+    /// endpoint that was never reported.
     pub is_partial: bool,
 }
 
-/// An event that the core handles.
+/// An input of the core.
 #[derive(Debug)]
 pub enum Event {
-    /// A client's request has arrived.
+    /// A client has submitted a request.
     RequestArrived {
-        /// What the router receives, with the number that the handle assigned.
+        /// The metadata for the router, with the request id that the handle assigned.
         metadata: RequestMetadata,
-        /// What endpoints receive.
+        /// The request as endpoints receive it.
         upstream: UpstreamRequest,
-        /// Receives the outcome.
+        /// Receives the final outcome.
         outcome: oneshot::Sender<Outcome>,
     },
-    /// A stream that another process of this dispatcher has begun goes on here. It is a request in the table from now on,
-    /// whose first attempt is this stream.
+    /// A stream that another process of this dispatcher started continues here. It becomes a request in the table, with
+    /// the stream as attempt 0.
     StreamReceived(ReceivedRequest),
-    /// The client has disconnected, or its [`PendingRequest`](super::PendingRequest) was dropped after the end.
+    /// The client has disconnected, or its [`PendingRequest`](super::PendingRequest) was dropped after the request ended.
     ClientDisconnected {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// Receives whether the request may have run, when it leaves the table.
+        /// Receives whether the request may have run, once it has left the table; `None` if nobody waits for it.
         may_have_run: Option<oneshot::Sender<bool>>,
     },
-    /// An attempt's response stream has begun.
+    /// The first event of an attempt's response stream has arrived.
     FirstEvent {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// Which of its attempts.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
-        /// The stream.
+        /// The response stream, with its first event.
         stream: mpsc::Receiver<StreamChunk>,
     },
-    /// An attempt has ended; each ends once.
+    /// An attempt has ended. This is sent exactly once per attempt.
     AttemptEnded {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// Which of its attempts.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
-        /// Why it ended.
+        /// Why the attempt ended.
         reason: EndReason,
-        /// Prompt tokens that were found cached.
+        /// Prompt tokens that the endpoint found in its prefix cache.
         cached_tokens: f64,
-        /// Tokens of the response, where they were reported; else 0.
+        /// Tokens of the response; 0 if not reported.
         completion_tokens: f64,
-        /// The endpoint's load, where it was reported.
+        /// The endpoint's load; `None` if not reported.
         load: Option<LoadReport>,
     },
-    /// A release that was commanded has completed.
+    /// A [`Command::ReleaseReservation`] has completed.
     ReleaseCompleted {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// An endpoint confirmed the release; else none did in time.
+        /// Whether an endpoint confirmed the release in time.
         confirmed: bool,
     },
     /// A probe has completed.
     ProbeCompleted {
-        /// The endpoint.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// It responded.
+        /// Whether the endpoint responded.
         is_healthy: bool,
-        /// Its load, where it was reported.
+        /// The endpoint's load; `None` if not reported.
         load: Option<LoadReport>,
     },
-    /// A gossip message from another dispatcher was received.
+    /// A gossip message from another dispatcher has arrived.
     GossipReceived {
-        /// The sender's number among the peers.
+        /// The sender's index in the list of peers.
         peer: usize,
-        /// The message, as received.
+        /// The encoded message, not validated yet.
         message: Bytes,
     },
     /// The list of endpoints has changed.
     EndpointsChanged {
-        /// The list is complete: endpoints that are absent have been removed. Else it holds only what changed.
+        /// Whether the list is complete: endpoints that it lacks have been removed. Otherwise it holds only changes.
         is_full: bool,
-        /// The endpoints.
+        /// The listed endpoints.
         endpoints: Vec<DiscoveredEndpoint>,
     },
-    /// A call for the list of endpoints failed.
+    /// A call to discovery for the list of endpoints has failed.
     EndpointListFailed,
     /// An operator bans an endpoint, or ends its ban.
     BanRequested {
         /// The endpoint's id.
         endpoint_id: Arc<str>,
-        /// Whether it is to be banned from now on.
+        /// `true` bans the endpoint, `false` ends its ban.
         banned: bool,
-        /// Receives whether the ban was applied.
+        /// Receives the result.
         reply: oneshot::Sender<Result<(), BanError>>,
     },
-    /// The settings have changed. The deployment in force is then published to those who watch it.
+    /// The settings have changed. Once applied, the deployment in force is published to its watchers.
     SettingsChanged {
-        /// The new deployment, as read, with its own class numbers.
+        /// The new deployment as read from the settings. Its class numbers may differ from those in force.
         deployment: Box<Deployment>,
-        /// Receives whether the settings were applied.
+        /// Receives the result. On an error, the settings in force stay.
         reply: oneshot::Sender<Result<(), SettingsError>>,
     },
-    /// Clients are accepted from now on.
+    /// The process has begun to accept clients. Ends the standby.
     AcceptClients,
-    /// This process's share of the limits, or the number of processes, has changed.
+    /// This process's share of the limits or the number of processes has changed.
     ResourceShareChanged {
         /// The share, in [`SHARE_UNITS`](crate::net::connection_limit::SHARE_UNITS).
         share: u32,
-        /// Processes of this dispatcher that share the limits.
+        /// The number of processes of this dispatcher that share the limits.
         processes: u32,
     },
     /// Another process of this dispatcher has published its ban records.
     BanRecordsReceived(BanRecords),
-    /// The dispatcher shuts down: load balancers stop sending, and requests that still arrive are served. Every request
-    /// that has no stream by then has its final outcome within this time.
+    /// The process shuts down. It reports [`Readiness::Draining`] to load balancers and serves requests that still arrive.
+    /// Every request without a stream gets its final outcome within this time.
     Drain(Duration),
 }
 
-/// A command to the backend.
+/// A command of the core to the backend.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Start an attempt.
+    /// Send a request to an endpoint.
     StartAttempt {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// Which of its attempts.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
         /// The endpoint's address.
         address: Arc<str>,
         /// The request to send.
         upstream: UpstreamRequest,
-        /// How long to wait for the first event.
+        /// How long to wait for the first event of the stream.
         timeout: Duration,
-        /// It must not run twice, and so must not use a pooled connection, which its endpoint may have closed: a request
-        /// whose connection breaks may have run.
+        /// Whether the attempt must not use a pooled connection. The endpoint may have closed a pooled connection already,
+        /// and a request whose connection breaks may have run. Set for requests that must not run twice,
+        /// except for their prefill.
         needs_new_connection: bool,
     },
-    /// Cancel an attempt whose first event the core has not received.
+    /// Cancel an attempt in flight whose stream doesn't go to the client.
     CancelAttempt {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// Which of its attempts.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
     },
-    /// Release what is reserved for a request, by a call to the first of these endpoints that can be reached.
+    /// Release a request's reservation, by a call to the first endpoint that can be reached.
     ReleaseReservation {
-        /// The request.
+        /// The request id.
         id: RequestId,
-        /// Its client request id.
+        /// The client request id, by which endpoints know the reservation.
         client_request_id: Arc<str>,
-        /// Addresses that accept the call, best first.
+        /// Addresses of endpoints that accept the call, in order of preference.
         addresses: Vec<Arc<str>>,
     },
-    /// Probe an endpoint for its load.
+    /// Probe an endpoint's health and load.
     Probe {
-        /// The endpoint.
+        /// The endpoint to probe.
         endpoint: EndpointId,
-        /// Its address.
+        /// The endpoint's address.
         address: Arc<str>,
     },
-    /// Block or unblock an address: nothing new is sent to a blocked address, not even what waits for a connection.
+    /// Block or unblock an address. Nothing new is sent to a blocked address, including attempts that already wait for a
+    /// connection.
     BlockAddress {
-        /// The address.
+        /// The address of an endpoint.
         address: Arc<str>,
-        /// Whether it is blocked from now on.
+        /// `true` blocks the address, `false` unblocks it.
         is_blocked: bool,
     },
 }
 
 impl Command {
-    /// Sorts blocks before all other commands, and keeps the order among each kind: an attempt that was commanded before its
-    /// endpoint began to drain is not sent there afterwards.
+    /// Sorts address blocks before all other commands and otherwise keeps the order. An attempt that was commanded before
+    /// its endpoint began to drain is then not sent there.
     pub fn sort_blocks_first(commands: &mut [Command]) {
         commands.sort_by_key(|command| !matches!(command, Command::BlockAddress { .. }));
     }
 }
 
-/// The state that load balancers see; frontends only render it.
+/// The state that load balancers see. Frontends report it as it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// Nothing can be served: no endpoint is ready for prefill, or none for decode.
     Starting,
-    /// Able to serve, but clients are not accepted yet.
+    /// Able to serve, but the process doesn't accept clients yet.
     Standby,
-    /// Able to serve.
+    /// Able to serve and accepting clients.
     Ready,
-    /// Shutting down; still serving.
+    /// Shutting down; requests that still arrive are served.
     Draining,
 }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -1,9 +1,9 @@
-//! The core: it owns the [`Router`](crate::routing::Router), the request table, the endpoint table and the timers, and knows
-//! no wire.
+//! The dispatcher core: request state, endpoint state and timers around the [`Router`](crate::routing::Router), without
+//! any I/O.
 //!
-//! [`Core`] is a plain state machine: events in, commands out. [`run`] is the one task that owns it; everything else
-//! reaches it through the bounded queue behind a [`DispatcherHandle`]. The core enforces the protocol's rules whatever the
-//! router decides: one final outcome for each request, deadlines, attempt numbers, and the release of reservations.
+//! [`Core`] is a state machine that turns events into commands. [`run`] is the only task that owns it; all other code
+//! reaches it through the bounded queue behind a [`DispatcherHandle`]. Whatever the router decides, the core enforces the
+//! protocol rules: one final outcome per request, deadlines, the limit of attempts and the release of reservations.
 
 pub mod bans;
 mod clock;
@@ -36,8 +36,8 @@
 use quartzhall_recording::Recorder;
 use tokio::sync::mpsc;
 
-/// The task that owns the core: it ends when every handle has been dropped, or when the commands' receiver is. What the core
-/// records goes to `recorder`, its gossip messages to `gossip`.
+/// Runs the core until every handle has been dropped or the receiver of `commands` has been. Trace records go to
+/// `recorder` and gossip messages to `gossip`; either is off when `None`.
 pub async fn run(
     mut core: Core,
     clock: Clock,
@@ -62,7 +62,7 @@
             },
             () = sleep => {}
         }
-        // Everything that has arrived by now is one batch, handled in the order of its arrival.
+        // Handle all queued events as one batch before any command is sent.
         let now = clock.now();
         while let Some(event) = receiver.try_recv() {
             core.handle_event(now, event);
@@ -75,7 +75,7 @@
         }
         if let Some(gossip) = &gossip {
             if let Some(message) = core.next_gossip_message(now) {
-                let _ = gossip.try_send(message); // a message that would have to wait is not worth sending
+                let _ = gossip.try_send(message); // a full channel drops it: a delayed message has no value
             }
         }
         if let Some(recorder) = &recorder {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Publishes what has changed in the core to those who watch it.
+/// Publishes the state that has changed since the last call on the watch channels.
 fn publish_changes(core: &mut Core, receiver: &EventReceiver) {
     if let Some(deployment) = core.take_changed_deployment() {
         receiver.deployment.send_replace(deployment);
