--- a/tests/dispatcher_endpoints.rs
+++ b/tests/dispatcher_endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the core: draining and removed endpoints, bans, blocks, gossip.
+//! Tests of the endpoint list in the core: draining and removed endpoints, bans, address blocks and gossip.
 
 mod dispatcher_harness;
 
@@ -24,7 +24,7 @@
     };
     assert!(
         harness.commands.iter().any(is_block),
-        "what waits for a connection is not sent"
+        "attempts that wait for a connection are not sent"
     );
     harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
     harness.advance(500 * MS);
@@ -32,8 +32,9 @@
     assert_eq!(harness.core.readiness(), Readiness::Starting);
 }
 
-/// Endpoints come and go under ever new ids and addresses: what is known of them is forgotten with them, but for one that
-/// still has an attempt in flight, and a block neither outlives its endpoint nor ends while another one there is draining.
+/// Endpoints are replaced under new ids and addresses all the time, so the tables must not keep removed ones, except for
+/// one that still has an attempt in flight. The block of an address ends with its endpoint, but not while another
+/// endpoint at that address drains.
 #[test]
 fn tables_are_bounded_while_endpoints_are_replaced() {
     let mut harness = CoreHarness::new(10);
@@ -55,7 +56,7 @@
         let endpoints = vec![
             endpoint_at("r", 1, Role::Prefill, EndpointStatus::Ready),
             endpoint_at("w", 2, Role::Decode, EndpointStatus::Ready),
-            // It drains at the address of the old decode endpoint.
+            // Drains at the address of the removed decode endpoint.
             endpoint_at("d", 2, Role::Decode, EndpointStatus::Draining),
         ];
         harness.replace_endpoints(endpoints);
@@ -74,7 +75,7 @@
             blocked.contains(&*format!("127.0.{}.{}:2", round / 200, round % 200)),
             "{blocked:?}"
         );
-        // Those of the list, and the prefill endpoint of the attempt in flight.
+        // The listed ones, and the prefill endpoint of the attempt in flight.
         assert!(
             harness.core.endpoint_count() <= 3 + 2 && blocked.len() <= 4,
             "{}, {blocked:?}",
@@ -101,7 +102,7 @@
         }
         list
     };
-    // The endpoint leaves the list and is forgotten, comes back, drains, is ready again, and moves.
+    // The endpoint is removed, returns, drains, is ready again, and then changes its address.
     harness.commands.clear();
     for status in [
         EndpointStatus::Ready,
@@ -128,12 +129,12 @@
     assert_eq!(
         harness.blocked_addresses(),
         ["127.0.0.1:7001", "127.0.0.1:7999"],
-        "where it was, where it is, and not the decode endpoint"
+        "the old and the new address of the banned endpoint, and not the decode endpoint"
     );
     let _outcome = harness.submit(1, 0, "a");
     harness.advance(200 * MS);
     assert_eq!(harness.attempt_count(), 0);
-    // While it is absent from the list too, its id is known.
+    // The id of a banned endpoint stays known while the endpoint is absent from the list.
     harness.replace_endpoints(list_with(EndpointStatus::Removed));
     assert_eq!(harness.set_ban("r", true), Ok(()));
     harness.replace_endpoints(list_with(EndpointStatus::Ready));
@@ -143,7 +144,7 @@
         (harness.attempt_count(), harness.core.readiness()),
         (1, Readiness::Ready)
     );
-    // Discovery reports it as draining: the ban's end does not hide that.
+    // The end of the ban doesn't hide that discovery reports the endpoint as draining.
     harness.replace_endpoints(list_with(EndpointStatus::Draining));
     assert_eq!(harness.core.readiness(), Readiness::Starting);
 }
@@ -168,8 +169,8 @@
     assert_eq!(harness.core.readiness(), Readiness::Ready);
 }
 
-/// The record of an endpoint that leaves may hold nothing but that: the rest is as it was reported before, and an endpoint
-/// that was never reported is ignored.
+/// The record of an endpoint that drains or is removed may be readable only in part. The core keeps the endpoint's other
+/// properties as reported before, and ignores an endpoint that was never reported.
 #[test]
 fn no_attempt_goes_to_an_endpoint_of_which_only_its_removal_could_be_read() {
     for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
@@ -192,7 +193,7 @@
         assert_eq!(
             harness.blocked_addresses(),
             blocked,
-            "a removed endpoint with no attempt in flight is forgotten, with its block"
+            "a removed endpoint without an attempt in flight leaves the table, and its block ends"
         );
         assert_eq!(harness.core.readiness(), Readiness::Starting, "{status:?}");
         let _outcome = harness.submit(1, 0, "a");
@@ -201,8 +202,9 @@
     }
 }
 
-/// An endpoint that moves leaves an address that others may have: attempts that wait for a connection there were meant for
-/// it. Of two endpoints with one address, a ready one unblocks it.
+/// After an endpoint has changed its address, another one may listen at the old address. Attempts that still wait for a
+/// connection there were chosen for the first endpoint and must not be sent. The address is unblocked once a ready endpoint
+/// has it, even if a second endpoint at the same address is not ready.
 #[test]
 fn an_address_that_an_endpoint_has_left_is_blocked_until_a_ready_one_has_it() {
     let mut harness = CoreHarness::new(10);
@@ -248,7 +250,7 @@
     }
 }
 
-/// An address is blocked before earlier commands are executed, although the block was commanded after them.
+/// A block takes effect before attempts that were commanded earlier, so none of them reaches a draining endpoint.
 #[test]
 fn blocks_come_before_earlier_commands() {
     let mut harness = CoreHarness::new(10);
@@ -284,7 +286,7 @@
     harness
 }
 
-/// Reports a load of the first endpoint.
+/// Delivers a probe result of the first endpoint with this load.
 fn report_load(harness: &mut CoreHarness, in_flight: f64) {
     let load = LoadReport {
         in_flight: Some(in_flight),
@@ -297,7 +299,7 @@
     });
 }
 
-/// The message that follows a report of this load, after requests that earn the budget for it.
+/// Returns the gossip message that follows a report of this load. The requests before it earn the message's budget.
 fn share_load(harness: &mut CoreHarness, in_flight: f64) -> Option<bytes::Bytes> {
     for id in 100..110 {
         let _outcome = harness.submit(id, 0, &format!("{in_flight}-{id}"));
@@ -306,27 +308,28 @@
     harness.core.next_gossip_message(harness.now)
 }
 
-/// What one dispatcher has observed of an endpoint, another accepts; malformed messages and unknown endpoints change
-/// nothing.
+/// One dispatcher accepts what another has observed of an endpoint. Truncated messages and observations of unknown
+/// endpoints change nothing.
 #[test]
 fn gossip_shares_observations_of_known_endpoints() {
-    let mut one = gossiping_core();
-    let mut other = gossiping_core();
-    let message = share_load(&mut one, 40.0).expect("forty requests are a surprise");
+    let mut first = gossiping_core();
+    let mut second = gossiping_core();
+    let message =
+        share_load(&mut first, 40.0).expect("a load of forty requests is worth a message");
     for length in 0..message.len() {
-        other.handle(Event::GossipReceived {
+        second.handle(Event::GossipReceived {
             peer: 3,
             message: message.slice(..length),
         });
     }
     let unknown = [&message[..3], &[9, 9, 9, 40, 0]].concat().into();
-    other.handle(Event::GossipReceived {
+    second.handle(Event::GossipReceived {
         peer: 4,
         message: unknown,
     });
     assert!(
-        share_load(&mut other, 40.0).is_some(),
-        "those messages were dropped: the load is not known there yet"
+        share_load(&mut second, 40.0).is_some(),
+        "the messages were dropped, so the load is still news"
     );
     let mut third = gossiping_core();
     third.handle(Event::GossipReceived {
@@ -337,14 +340,14 @@
     assert_eq!(
         share_load(&mut third, 40.0),
         None,
-        "all dispatchers know that by now"
+        "the load is known to all dispatchers"
     );
     for id in 200..210 {
-        drop(one.submit(id, 0, &format!("later-{id}")));
+        drop(first.submit(id, 0, &format!("later-{id}")));
     }
-    report_load(&mut one, 2.0);
+    report_load(&mut first, 2.0);
     assert!(
-        one.core.next_gossip_message(one.now).is_some(),
+        first.core.next_gossip_message(first.now).is_some(),
         "a changed load is shared again"
     );
 }
--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -1,4 +1,4 @@
-//! The core by itself, for the tests of the dispatcher: no wire, and no clock but the times that a test passes.
+//! A harness for tests of the dispatcher core alone. It performs no I/O, and time advances only as a test says.
 
 #![allow(dead_code)]
 
@@ -24,11 +24,11 @@
 /// Microseconds in a millisecond.
 pub(crate) const MS: Time = 1000;
 
-/// The part of the profile that gives the first class its meaning, and one under which its requests must not run twice.
-pub(crate) const FREE_CLASS: &str = r#""aim":1500.0,"repeat":"free""#;
+/// The profile's text for the first class, and a replacement under which its requests must not run twice.
+pub(crate) const IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"free""#;
 pub(crate) const NON_IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"single_shot""#;
 
-/// A core with its time, and what it has commanded.
+/// A core with its current time and the commands so far.
 pub(crate) struct CoreHarness {
     pub core: Core,
     pub now: Time,
@@ -56,7 +56,7 @@
     Deployment::new(&settings).unwrap()
 }
 
-/// A request of the first class that has 2 s left.
+/// A request of the first class with 2 s until its deadline.
 pub(crate) fn metadata(id: u64) -> RequestMetadata {
     RequestMetadata {
         id,
@@ -86,7 +86,7 @@
 }
 
 impl CoreHarness {
-    /// A core with one endpoint for prefill, `r`, and one for decode, `ww`.
+    /// A core with one prefill endpoint, `r`, and one decode endpoint, `ww`.
     pub(crate) fn new(max_requests: usize) -> CoreHarness {
         CoreHarness::with_deployment(deployment(profile::PROFILE), max_requests)
     }
@@ -112,7 +112,7 @@
         self.commands.extend(self.core.take_commands());
     }
 
-    /// Lets time pass, and wakes the core whenever it is due.
+    /// Advances the time by `time` microseconds and runs the core's timers as they become due.
     pub(crate) fn advance(&mut self, time: Time) {
         let until = self.now + time;
         while let Some(due) = self.core.next_wakeup().filter(|due| *due <= until) {
@@ -150,7 +150,7 @@
         outcome
     }
 
-    /// The client disconnects, and nobody waits for whether the request may have run.
+    /// Disconnects the client, without waiting for whether the request may have run.
     pub(crate) fn disconnect(&mut self, id: u64) {
         self.handle(Event::ClientDisconnected {
             id,
@@ -158,7 +158,7 @@
         });
     }
 
-    /// An attempt's first event; the stream breaks when the sender is dropped.
+    /// Delivers an attempt's first event. Dropping the returned sender breaks the stream.
     pub(crate) fn start_stream(&mut self, id: u64, attempt: u32) -> mpsc::Sender<StreamChunk> {
         let (chunks, stream) = mpsc::channel(4);
         self.handle(Event::FirstEvent {
@@ -180,7 +180,7 @@
         });
     }
 
-    /// How many attempts were started.
+    /// The number of attempts started so far.
     pub(crate) fn attempt_count(&self) -> usize {
         self.commands
             .iter()
@@ -196,7 +196,7 @@
         self.commands.iter().filter_map(cancelled).collect()
     }
 
-    /// How many releases were commanded.
+    /// The number of releases commanded so far.
     pub(crate) fn release_count(&self) -> usize {
         self.commands
             .iter()
@@ -204,7 +204,7 @@
             .count()
     }
 
-    /// An endpoint confirms the release.
+    /// Delivers an endpoint's confirmation of a release.
     pub(crate) fn complete_release(&mut self, id: u64) {
         self.handle(Event::ReleaseCompleted {
             id,
@@ -212,8 +212,8 @@
         });
     }
 
-    /// The release of a request whose attempt was abandoned just now is confirmed; it is repeated when the close of that
-    /// attempt has arrived, and confirmed again.
+    /// Confirms the release of a request whose attempt was just abandoned, and the repeat of that release. The core
+    /// repeats it because the first one may have reached the endpoint before the close of the attempt's connection.
     pub(crate) fn complete_repeated_release(&mut self, id: u64) {
         let before = self.release_count();
         self.complete_release(id);
@@ -226,7 +226,7 @@
 
 /// Endpoints, bans and settings.
 impl CoreHarness {
-    /// A complete list of endpoints.
+    /// Delivers a complete list of endpoints.
     pub(crate) fn replace_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
         self.handle(Event::EndpointsChanged {
             is_full: true,
@@ -234,7 +234,7 @@
         });
     }
 
-    /// What has changed in the list of endpoints.
+    /// Delivers changes of the endpoint list.
     pub(crate) fn update_endpoints(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
         self.handle(Event::EndpointsChanged {
             is_full: false,
@@ -252,7 +252,7 @@
         result.try_recv().unwrap()
     }
 
-    /// Addresses that were blocked (true) and unblocked (false), in order.
+    /// All commands so far that blocked (`true`) or unblocked (`false`) an address, in order.
     pub(crate) fn block_commands(&self) -> Vec<(&str, bool)> {
         let block = |command| match command {
             &Command::BlockAddress {
@@ -264,7 +264,7 @@
         self.commands.iter().filter_map(block).collect()
     }
 
-    /// Addresses that are blocked by all that was commanded, sorted.
+    /// The addresses that are blocked after all commands so far, sorted.
     pub(crate) fn blocked_addresses(&self) -> Vec<&str> {
         let mut blocked = BTreeSet::new();
         for (address, is_blocked) in self.block_commands() {
--- a/tests/dispatcher_lifecycle.rs
+++ b/tests/dispatcher_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Readiness, shutdown and the event queue.
+//! Tests of the core's readiness, its shutdown and the event queue.
 
 mod dispatcher_harness;
 
@@ -21,7 +21,7 @@
     assert_eq!(harness.attempt_count(), 1);
 }
 
-/// A full queue loses nothing: a client that disconnects then is reported all the same.
+/// Events sent while the queue is full are delivered later. A lost disconnect would leave its request running.
 #[tokio::test]
 async fn a_full_event_queue_drops_nothing() {
     let deployment = Arc::new(deployment(profile::PROFILE));
@@ -37,7 +37,8 @@
     handle.wait_for_readiness(Readiness::Draining).await;
 }
 
-/// Half a second before the process is killed nothing is reserved any more, whatever the clients would have waited.
+/// The shutdown deadline overrides later deadlines of clients. Half a second before the process is killed, every request
+/// without a stream has its final outcome and the release of its KV cache has started.
 #[test]
 fn every_request_but_streams_is_closed_when_the_process_ends() {
     let mut harness = CoreHarness::new(10);
@@ -61,7 +62,7 @@
         prefilled.try_recv(),
         Ok(Outcome::Shed { .. } | Outcome::Failed)
     ));
-    // A prefill has had no effect.
+    // A prefill has no side effects, so the request may be shed.
     assert!(matches!(
         in_prefill.try_recv(),
         Ok(Outcome::Shed { .. } | Outcome::Failed)
@@ -81,17 +82,18 @@
     assert_eq!(
         (harness.core.open_requests(), harness.release_count()),
         (4, 6),
-        "each is repeated"
+        "each release is repeated"
     );
     for id in [1, 2, 4] {
         harness.complete_release(id);
     }
-    assert_eq!(harness.core.open_requests(), 1, "the stream goes on");
+    assert_eq!(harness.core.open_requests(), 1, "the stream continues");
     harness.advance(5_000 * MS);
     assert_eq!(harness.core.open_requests(), 1);
 }
 
-/// A process that takes over accepts clients late; one that shuts down never becomes ready again.
+/// In an upgrade, the new process stays on standby until it accepts clients. A process that drains never becomes ready
+/// again.
 #[test]
 fn accepting_clients_ends_the_standby_and_not_the_draining() {
     let mut harness = CoreHarness::new(10);
--- a/tests/dispatcher_recording.rs
+++ b/tests/dispatcher_recording.rs
@@ -1,4 +1,4 @@
-//! What the core records of its requests.
+//! Tests of the records that the core writes about its requests.
 
 mod dispatcher_harness;
 
@@ -10,8 +10,8 @@
 
 const SECRET_SESSION: u64 = 0x7f3a_9c21_e0b4_d655;
 
-/// What is recorded of four requests: one is served, one breaks after its client has disconnected, one's client disconnects,
-/// one is shed.
+/// Returns the records of four requests: one is served, one's stream breaks after its client has disconnected, one's client
+/// disconnects while it waits, and one is shed.
 fn record_four_requests() -> Vec<Record> {
     let mut harness = CoreHarness::new(10);
     harness.core.set_trace_recorder(TraceRecorder::new(
@@ -77,7 +77,7 @@
     assert_eq!(
         names(Table::Node).len(),
         1,
-        "once, however often it is reported"
+        "one name per endpoint, however often it is reported"
     );
 }
 
--- a/tests/dispatcher_requests.rs
+++ b/tests/dispatcher_requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the core: outcomes, duplicates, deadlines, disconnects.
+//! Tests of requests in the core: outcomes, duplicate ids, deadlines and disconnects.
 
 mod dispatcher_harness;
 
@@ -38,7 +38,7 @@
         let mut harness = CoreHarness::new(10);
         let mut outcome = harness.submit(1, class, "a");
         harness.advance(1_980 * MS);
-        assert!(outcome.try_recv().is_err(), "not before its time");
+        assert!(outcome.try_recv().is_err(), "not before the deadline");
         harness.advance(40 * MS);
         assert!(matches!(
             outcome.try_recv(),
@@ -47,7 +47,7 @@
         for (id, attempt) in harness.cancelled_attempts() {
             harness.end_attempt(id, attempt, AttemptStatus::Cancelled);
         }
-        // The prefill may have succeeded as it was cancelled: its KV cache is released, and then the request is removed.
+        // The prefill may have succeeded before it was cancelled, so its KV cache is released before the request is removed.
         assert_eq!(
             (harness.core.open_requests(), harness.release_count()),
             (1, 1)
@@ -60,19 +60,19 @@
     }
 }
 
-/// An attempt was abandoned just now, and its endpoint may not have seen the close: to it the attempt is still in flight.
-/// Where a second copy does harm, the client is not told that it may try again.
+/// The endpoint of an attempt that was just abandoned may not have seen the close yet and may still run it. A client whose
+/// request must not run twice is therefore not told to retry.
 #[test]
 fn a_non_idempotent_request_is_not_shed_right_after_an_attempt_was_abandoned() {
     for (class, is_shed) in [(0, true), (1, false)] {
         let mut harness = CoreHarness::new(10);
         let mut outcome = harness.submit(1, class, "a");
         harness.advance(1_985 * MS);
-        // The attempt's timeout and the request's deadline pass together, and the end of the attempt is handled first.
+        // The attempt's timeout and the request's deadline pass together; the end of the attempt is handled first.
         harness.now += 8 * MS;
         harness.end_attempt(1, 0, AttemptStatus::Timeout);
         harness.advance(2 * MS);
-        let outcome = outcome.try_recv().expect("its time is up");
+        let outcome = outcome.try_recv().expect("the deadline has passed");
         assert_eq!(
             matches!(outcome, Outcome::Shed { .. }),
             is_shed,
@@ -94,7 +94,7 @@
         (1, 1)
     );
     assert!(first.try_recv().is_err());
-    // While its reservation is being released, the client request id is still in use at the endpoints.
+    // Endpoints still know the client request id until the reservation is released.
     harness.disconnect(1);
     assert!(matches!(
         harness.submit(3, 0, "same").try_recv(),
@@ -171,14 +171,15 @@
     harness.advance(2_100 * MS);
     assert!(matches!(outcome.try_recv(), Ok(Outcome::Failed)));
     let chunks = harness.start_stream(1, 1);
-    assert!(chunks.is_closed(), "its endpoint's stream is dropped");
-    // Ends of attempts that never started, or ended before, change nothing.
+    assert!(chunks.is_closed(), "the endpoint's stream is dropped");
+    // The end of an unknown attempt or of an unknown request changes nothing.
     harness.end_attempt(1, 7, AttemptStatus::Served);
     harness.end_attempt(9, 0, AttemptStatus::Served);
     assert_eq!(harness.attempt_count(), 2);
 }
 
-/// Other endpoints would find the request invalid too: it is closed there, and the endpoint is not ejected for it.
+/// Every endpoint would reject an invalid request. Retrying it would get healthy endpoints ejected, so it is closed after
+/// its first attempt.
 #[test]
 fn an_invalid_request_goes_to_no_other_endpoint() {
     let mut harness = CoreHarness::new(10);
@@ -197,19 +198,19 @@
     assert_eq!((harness.attempt_count(), harness.release_count()), (19, 0));
 }
 
-/// A client that submits an id again of which something may have run is neither served nor shed, where repeats do harm: a
-/// shed would say that trying again is harmless. A request that only had a prefill may be shed; and ids are forgotten in
-/// time.
+/// A non-idempotent request that is submitted again after it may have run is rejected as a duplicate, also while the table
+/// is full: shedding it would tell the client that retrying is harmless. An idempotent one may be shed. Ids are remembered
+/// for 30 s.
 #[test]
 fn a_client_request_id_that_may_have_run_is_not_shed_when_submitted_again() {
-    for (class, is_harmful) in [(0, false), (1, true)] {
+    for (class, is_non_idempotent) in [(0, false), (1, true)] {
         let mut harness = CoreHarness::new(1);
         let _served = harness.submit(1, class, "again");
         harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
         drop(harness.start_stream(1, 1));
         harness.end_attempt(1, 1, AttemptStatus::Served);
         assert_eq!(harness.core.open_requests(), 0);
-        // The table is full: another request is shed.
+        // The table is full, so a request with a new id is shed.
         let _other = harness.submit(2, class, "other");
         assert!(matches!(
             harness.submit(3, class, "third").try_recv(),
@@ -218,12 +219,12 @@
         let again = harness.submit(4, class, "again").try_recv();
         assert_eq!(
             matches!(again, Ok(Outcome::DuplicateId)),
-            is_harmful,
+            is_non_idempotent,
             "{again:?}"
         );
         assert_eq!(
             matches!(again, Ok(Outcome::Shed { .. })),
-            !is_harmful,
+            !is_non_idempotent,
             "{again:?}"
         );
     }
@@ -239,8 +240,5 @@
     harness.advance(31_000 * MS);
     run(&mut harness, 2, "new");
     let mut again = harness.submit(3, 1, "old");
-    assert!(
-        again.try_recv().is_err(),
-        "by then it is a request as any other"
-    );
+    assert!(again.try_recv().is_err(), "the id is no longer remembered");
 }
--- a/tests/dispatcher_reservations.rs
+++ b/tests/dispatcher_reservations.rs
@@ -1,4 +1,4 @@
-//! The release of KV caches that endpoints reserve for requests.
+//! Tests of the release of KV caches that endpoints reserve for requests.
 
 mod dispatcher_harness;
 
@@ -12,7 +12,7 @@
 fn a_kv_cache_that_a_broken_prefill_may_have_left_is_released_in_time() {
     let mut harness = CoreHarness::new(10);
     let _outcome = harness.submit(1, 1, "a");
-    // No endpoint is ready any more: the request waits without an attempt.
+    // No prefill endpoint is ready any more, so the request waits without an attempt.
     let endpoints = vec![endpoint("r", Role::Prefill, EndpointStatus::Draining)];
     harness.update_endpoints(endpoints);
     harness.end_attempt(1, 0, AttemptStatus::Reset);
@@ -21,10 +21,11 @@
     assert_eq!(harness.release_count(), 1);
 }
 
-/// While connections can't be established the time runs on: an attempt that reached no endpoint has not used the KV cache.
+/// An attempt that reached no endpoint has not used the KV cache, so it must not extend the reservation: otherwise repeated
+/// connection failures would keep the KV cache reserved for too long.
 #[test]
 fn an_attempt_that_reached_no_endpoint_gives_a_kv_cache_no_new_time() {
-    // A KV cache that the router knows of, and one that only the core suspects: a prefill that broke may have succeeded.
+    // The KV cache of a completed prefill, and one that only the core suspects: a broken prefill may have succeeded.
     for (prefill_end, ttl) in [
         (AttemptStatus::PrefillDone, 900),
         (AttemptStatus::Reset, 750),
@@ -45,7 +46,8 @@
     }
 }
 
-/// A prefill broke, and the ones that follow at once reach no endpoint: there is no moment without an attempt.
+/// A prefill breaks, and the attempts that follow at once reach no endpoint. The request is never without an attempt, so
+/// the release must be checked between two attempts.
 #[test]
 fn a_suspected_kv_cache_is_released_between_attempts_that_reach_no_endpoint() {
     let mut harness = CoreHarness::new(10);
@@ -62,8 +64,8 @@
     assert_eq!((harness.attempt_count(), harness.release_count()), (4, 1));
 }
 
-/// Nothing that is known here distinguishes an attempt that has not arrived from one that has, so that the KV cache is
-/// released in time. An endpoint that did receive the attempt keeps what it waits for.
+/// The dispatcher can't tell whether an attempt without a response has reached its endpoint, so it releases the KV cache in
+/// time. An endpoint that did receive the attempt keeps the KV cache that the attempt waits for.
 #[test]
 fn a_kv_cache_is_released_in_time_while_its_attempt_has_no_response() {
     let mut harness = CoreHarness::new(10);
@@ -71,9 +73,9 @@
     harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
     harness.advance(700 * MS);
     assert_eq!((harness.attempt_count(), harness.release_count()), (2, 0));
-    harness.advance(220 * MS); // 0.9 of the allowed time, and the interval of the core's check
+    harness.advance(220 * MS); // now beyond 0.9 of the reservation's time to live and one interval of the core's check
     assert_eq!((harness.attempt_count(), harness.release_count()), (2, 1));
-    // The attempt goes on: it may have arrived.
+    // The attempt is not cancelled, because it may have arrived.
     assert_eq!(harness.cancelled_attempts(), vec![]);
     assert!(outcome.try_recv().is_err());
     harness.complete_release(1);
@@ -86,7 +88,7 @@
     );
 }
 
-/// However many endpoints there are, a release names a bounded number of addresses, and the one that holds the KV cache.
+/// In a large fleet too, a release names a bounded number of addresses, among them the endpoint that holds the KV cache.
 #[test]
 fn a_release_names_a_bounded_number_of_addresses() {
     let mut harness = CoreHarness::new(10);
--- a/tests/dispatcher_settings.rs
+++ b/tests/dispatcher_settings.rs
@@ -1,14 +1,14 @@
-//! Changes of settings while requests are in flight.
+//! Tests of changes of the settings while requests are in flight.
 
 mod dispatcher_harness;
 
 use dispatcher_harness::{
-    deployment, metadata, profile, CoreHarness, FREE_CLASS, MS, NON_IDEMPOTENT_CLASS,
+    deployment, metadata, profile, CoreHarness, IDEMPOTENT_CLASS, MS, NON_IDEMPOTENT_CLASS,
 };
 use quartzhall::dispatcher::{Command, Outcome};
 use quartzhall::routing::api::{AttemptStatus, RequestMetadata};
 
-/// Requests in flight keep the idempotency with which they arrived, and later ones have the new one.
+/// Requests in flight keep the idempotency with which they arrived; later requests get the new one.
 #[test]
 fn requests_in_flight_keep_their_class_when_settings_change() {
     let mut harness = CoreHarness::new(10);
@@ -19,22 +19,22 @@
     let mut idempotent = harness.submit(1, 0, "before");
     harness.end_attempt(1, 0, AttemptStatus::PrefillDone);
     harness
-        .apply_settings(&profile::PROFILE.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS))
+        .apply_settings(&profile::PROFILE.replace(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS))
         .unwrap();
     let deployment = harness.core.take_changed_deployment().unwrap();
     let number = deployment.classes.lookup("status-query").unwrap() as usize;
-    assert_ne!(number, 0, "another meaning has another number");
+    assert_ne!(number, 0, "a class with changed settings gets a new number");
     assert_eq!(deployment.classes.lookup("return-request"), Some(1));
     let mut non_idempotent = harness.submit(2, number, "after");
     harness.end_attempt(2, 0, AttemptStatus::PrefillDone);
-    // A decode that may have run: the old request may be repeated, the new one fails.
+    // A decode fails and may have run: the idempotent request may run again, the other one fails.
     harness.end_attempt(1, 1, AttemptStatus::Error);
     harness.end_attempt(2, 1, AttemptStatus::Error);
     assert!(idempotent.try_recv().is_err());
     assert!(matches!(non_idempotent.try_recv(), Ok(Outcome::Failed)));
 }
 
-/// A lower limit applies to attempts that have not started, also of requests in flight.
+/// A lower limit of attempts applies to all attempts that have not started, including those of requests in flight.
 #[test]
 fn a_lower_attempt_limit_applies_to_requests_in_flight() {
     let mut harness = CoreHarness::new(10);
@@ -53,8 +53,8 @@
     ));
 }
 
-/// The number of a removed class is reused only when its requests are closed and a minute has passed; so the table of
-/// classes is bounded however often settings change.
+/// The number of a removed class is reused once its requests are closed and a minute has passed. The table of classes thus
+/// stays bounded however often the settings change.
 #[test]
 fn class_numbers_are_reused_after_a_delay() {
     let mut harness = CoreHarness::new(10);
@@ -65,31 +65,32 @@
     for round in 0..300 {
         let class = format!(r#""aim":{}.0,"repeat":"free""#, 1000 + round);
         harness
-            .apply_settings(&profile::PROFILE.replace(FREE_CLASS, &class))
+            .apply_settings(&profile::PROFILE.replace(IDEMPOTENT_CLASS, &class))
             .unwrap();
         let deployment = harness.core.take_changed_deployment().unwrap();
         largest = largest.max(deployment.classes.lookup("status-query").unwrap());
         assert_ne!(
             deployment.classes.lookup("status-query"),
             Some(0),
-            "a request of it is open"
+            "a request of the class is open"
         );
         harness.advance(10_000 * MS);
     }
     assert!(largest < 12, "{largest}");
-    // Without the time between, the limit rejects the change, and the settings in force stay.
+    // Without the minute between changes, the limit of classes rejects the change and the settings in force stay.
     let mut applied = 0;
     while harness
-        .apply_settings(
-            &profile::PROFILE.replace(FREE_CLASS, &format!(r#""aim":{applied}.5,"repeat":"free""#)),
-        )
+        .apply_settings(&profile::PROFILE.replace(
+            IDEMPOTENT_CLASS,
+            &format!(r#""aim":{applied}.5,"repeat":"free""#),
+        ))
         .is_ok()
     {
         applied += 1;
     }
     assert!((200..260).contains(&applied), "{applied}");
     let rejected =
-        harness.apply_settings(&profile::PROFILE.replace(FREE_CLASS, NON_IDEMPOTENT_CLASS));
+        harness.apply_settings(&profile::PROFILE.replace(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS));
     assert_eq!(
         rejected.unwrap_err().to_string(),
         "too many classes have come and gone while requests of theirs are open"
@@ -102,8 +103,8 @@
     );
 }
 
-/// Endpoints drop repeats for 2 s. An attempt may wait for a permit and for its connection, 250 ms each, so that none is
-/// started that may arrive later; also after a change of settings.
+/// Endpoints drop repeats within 2 s. An attempt may wait 250 ms each for a permit and for its connection, so none is
+/// started that could arrive after the 2 s. The same holds after a change of settings.
 #[test]
 fn a_repeat_arrives_within_the_idempotency_window_over_a_slow_connection() {
     let keyed = profile::PROFILE.replace(
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,5 +1,5 @@
-//! The incident of 2026-12-02 with the real program: a decode endpoint's machine accepts connections and bytes, and
-//! nothing runs there.
+//! Reproduces the incident of 2026-12-02 with the real program: a decode endpoint's machine accepts connections and bytes,
+//! but no server process runs there. The KV cache of a waiting request must still be released in time.
 
 #[path = "backend/support.rs"]
 mod support;
@@ -13,10 +13,10 @@
 use tokio::sync::mpsc;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
-/// A test that waits longer has failed.
+/// The longest wait of a test; beyond it, the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The program, which does not outlive its test.
+/// A running program with its configuration file; dropping it kills the process and deletes the file.
 struct Program {
     child: Child,
     config: std::path::PathBuf,
@@ -41,7 +41,7 @@
     None
 }
 
-/// Reads a message: its head, and its body by its length. `None` when the connection ends first.
+/// Reads one HTTP message, with as much body as its Content-Length says. Returns `None` if the connection ends first.
 async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
@@ -60,7 +60,7 @@
     }
 }
 
-/// A prefill endpoint that answers at once, and reports the request line of each release.
+/// Serves a prefill endpoint that answers at once, and sends the request line of each release to `released`.
 async fn serve_prefill_endpoint(listener: TcpListener, released: mpsc::UnboundedSender<String>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let released = released.clone();
@@ -121,11 +121,13 @@
         .expect("the program listens")
 }
 
-/// The client waits for 4 s and the KV cache may be reserved for 1 s: it is released while the client still waits.
+/// The client waits up to 4 s and a KV cache may be reserved for 1 s, so the KV cache must be released before the client
+/// has its response.
 #[tokio::test]
 async fn a_kv_cache_is_released_while_its_request_waits_at_a_silent_decode_endpoint() {
     let (prefill, prefill_address) = bind_endpoint().await;
-    let (_decode_accepts_connections_and_reads_nothing, decode_address) = bind_endpoint().await;
+    // The kernel completes connections to this listener, and nothing reads from them.
+    let (_unresponsive_decode, decode_address) = bind_endpoint().await;
     let (released, mut releases) = mpsc::unbounded_channel();
     tokio::spawn(serve_prefill_endpoint(prefill, released));
     let listen = bind_endpoint().await.1;
