--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Runs the router timers that are due, and at each check interval the deadline check and the log summary.
+    /// Runs the router timers that are due. Once per check interval, also checks deadlines and logs the summary if due.
     pub fn on_timer(&mut self, now: Time) {
         while let Some(Reverse(due)) = self.timers.peek() {
             if *due > now {
--- a/src/dispatcher/core/attempts.rs
+++ b/src/dispatcher/core/attempts.rs
@@ -159,7 +159,7 @@
         if self.requests.get(id).is_some_and(Request::is_waiting) {
             self.release_or_remove(now, id);
         }
-        // Other endpoints would reject an invalid request too. Retrying it across the fleet would get them ejected.
+        // Other endpoints would reject an invalid request too, and retries across the fleet would get them all ejected.
         if status == AttemptStatus::InvalidRequest {
             let invalid = Outcome::InvalidRequest;
             self.close_request(now, id, CloseReason::InvalidRequest, invalid);
--- a/src/dispatcher/core/requests.rs
+++ b/src/dispatcher/core/requests.rs
@@ -184,7 +184,7 @@
         self.report.log_violation(now, rule, id, request);
     }
 
-    /// Checks the deadline and the age of the reservation of each request that needs it.
+    /// Checks the deadlines and the reservations of all requests except those with nothing left but a stream in flight.
     pub(super) fn check_deadlines(&mut self, now: Time) {
         for id in self.requests.ids_to_check() {
             self.check_deadline(now, id);
--- a/src/dispatcher/handle.rs
+++ b/src/dispatcher/handle.rs
@@ -114,8 +114,8 @@
         let _ = self.events.send(event).await;
     }
 
-    /// Sends an event to the core from code that can't wait. If the queue is full, a spawned task waits and no event is
-    /// lost.
+    /// Sends an event to the core from code that can't wait. If the queue is full, a task on the current Tokio runtime
+    /// waits instead; outside a runtime the event would be lost.
     pub fn send_detached(&self, event: Event) {
         if let Err(mpsc::error::TrySendError::Full(event)) = self.events.try_send(event) {
             let events = self.events.clone();
