--- a/src/dispatcher/bans.rs
+++ b/src/dispatcher/bans.rs
@@ -1,36 +1,37 @@
-//! The endpoints that operators have banned, by endpoint id. State only: no clock, no file, no socket.
+//! The endpoints that operators have banned, by endpoint id. The module does no I/O and reads no clock.
 //!
-//! The latest record of an id counts, whichever process made it and whatever discovery reports meanwhile. What is
-//! remembered of ids that have left the endpoint list is bounded; a ban is never forgotten to make room. The
-//! [`BanList`] is owned by the endpoint table.
+//! The latest record of an id counts, whichever process made it and whatever discovery reports in the meantime. The number of
+//! remembered ids that have left the endpoint list is bounded, but a ban in force is never dropped to make room. The endpoint
+//! table owns the [`BanList`].
 
 use crate::routing::api::Time;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// How many ids that have left the list are remembered, the latest ones.
+/// Maximum number of remembered ids that have left the endpoint list; the oldest are dropped first.
 const MAX_REMOVED_IDS: usize = 4096;
-/// How many bans may be in force at once.
+/// Maximum number of bans in force; a command to ban one more endpoint is rejected.
 const MAX_BANS: usize = 4096;
-/// How long the end of a ban is remembered (microseconds): by then every process that serves has received it.
+/// How long the end of a ban is remembered (microseconds). By then every serving process has received it.
 const BAN_END_RETENTION: Time = 60_000_000;
 
-/// The latest change of an id's ban.
+/// The latest change of the ban of an endpoint id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BanRecord {
-    /// When it was made, in Unix microseconds.
+    /// When the change was made, in Unix microseconds, by the clock of the process that made it. If that clock is behind the
+    /// record that was replaced, the time is just after that record's.
     pub at: Time,
-    /// The endpoint is banned; else its ban has ended.
+    /// True if the endpoint is banned, false if its ban has ended.
     pub banned: bool,
 }
 
-/// Why a ban, or its end, was rejected.
+/// Why a command to ban an endpoint, or to end its ban, was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BanError {
-    /// The id was never listed.
+    /// The id is not in the endpoint list, and is not remembered either.
     #[error("no replica of this id was listed")]
     Unknown,
-    /// As many bans are in force as may be.
+    /// The maximum number of bans is in force.
     #[error("too many replicas are out of use")]
     TooMany,
 }
@@ -42,14 +43,16 @@
 #[derive(Default)]
 pub struct BanList {
     records: BanRecords,
-    /// When this process learned of the end of a ban, by its own clock.
-    ban_ends: BTreeMap<Arc<str>, Time>,
+    /// When this process learned of the end of each remembered ban, by its own clock.
+    ban_end_times: BTreeMap<Arc<str>, Time>,
+    /// Ids that have left the endpoint list.
     removed_ids: HashSet<Arc<str>>,
-    removed_ids_by_age: VecDeque<Arc<str>>, // the same, oldest first
+    /// The same ids, oldest first.
+    removed_ids_by_age: VecDeque<Arc<str>>,
 }
 
 impl BanList {
-    /// Remembers an id that has left the endpoint list, so that it stays known.
+    /// Remembers an id that has left the endpoint list, so that its ban can still be changed.
     pub fn on_endpoint_removed(&mut self, id: Arc<str>) {
         if self.removed_ids.insert(id.clone()) {
             self.removed_ids_by_age.push_back(id);
@@ -61,12 +64,12 @@
         }
     }
 
-    /// Bans an id, or ends its ban. `is_listed`: the endpoint list has it now. Returns whether anything changes: the same
-    /// call may be repeated.
+    /// Bans an id, or ends its ban. `is_listed` tells whether the endpoint list contains the id now. Returns whether anything
+    /// has changed; a repeated call changes nothing.
     ///
     /// # Errors
     ///
-    /// [`BanError`] where the id is not known or there are too many bans; nothing changes then.
+    /// Returns a [`BanError`] if the id is not known or there are too many bans. Nothing changes then.
     pub fn set(
         &mut self,
         now: Time,
@@ -86,7 +89,7 @@
         if banned && bans.count() >= MAX_BANS {
             return Err(BanError::TooMany);
         }
-        // A record is newer than the one that it replaces, also where another process's clock ran ahead.
+        // A record is newer than the one that it replaces, even if that one was made by a process whose clock is ahead.
         let at = self
             .records
             .get(id)
@@ -95,15 +98,16 @@
         Ok(true)
     }
 
-    /// Merges the records of another process; the newest record of each id counts. Returns the ids whose ban changed.
+    /// Merges the records of another process. The newest record of each id counts. Returns the ids that are banned now and
+    /// were not before, or the other way round.
     pub fn merge(&mut self, now: Time, others: &BanRecords) -> Vec<Arc<str>> {
         self.remove_expired(now);
         let mut changed_ids = Vec::new();
         for (id, record) in others {
-            // Other processes' clocks may be off: the end of a ban that is in force here counts, whenever it was made.
+            // Clocks of other processes may be wrong: the end of a ban that is in force here is accepted whatever its age.
             let is_old = record.at.saturating_add(BAN_END_RETENTION) < now;
             let is_stale = !record.banned && is_old && !self.is_banned(id);
-            // At the same moment the ban counts: it can do no harm that the rules forbid.
+            // Of two records with the same time, the ban counts (true > false): it can't cause a violation of the rules.
             if is_stale || self.records.get(id).is_some_and(|own| own >= record) {
                 continue;
             }
@@ -117,32 +121,32 @@
 
     fn store(&mut self, now: Time, id: &Arc<str>, record: BanRecord) {
         if record.banned {
-            self.ban_ends.remove(id);
+            self.ban_end_times.remove(id);
         } else {
-            self.ban_ends.insert(id.clone(), now);
+            self.ban_end_times.insert(id.clone(), now);
         }
         self.records.insert(id.clone(), record);
     }
 
     fn remove_expired(&mut self, now: Time) {
-        self.ban_ends
+        self.ban_end_times
             .retain(|_, ended_at| ended_at.saturating_add(BAN_END_RETENTION) >= now);
         self.records
-            .retain(|id, record| record.banned || self.ban_ends.contains_key(id));
+            .retain(|id, record| record.banned || self.ban_end_times.contains_key(id));
     }
 
-    /// Whether an id is banned.
+    /// Returns whether an id is banned.
     pub fn is_banned(&self, id: &str) -> bool {
         self.records.get(id).is_some_and(|record| record.banned)
     }
 
-    /// When this process learned of the end of an id's ban, while that is remembered: by this process's own clock, because
-    /// that of the process that made the record may be off.
+    /// Returns when this process learned of the end of an id's ban, while that is remembered. The time is by this process's
+    /// clock, because the clock of the process that made the record may be wrong.
     pub fn ended_at(&self, id: &str) -> Option<Time> {
-        self.ban_ends.get(id).copied()
+        self.ban_end_times.get(id).copied()
     }
 
-    /// The latest record of each id.
+    /// Returns the latest record of each id.
     pub fn records(&self) -> &BanRecords {
         &self.records
     }
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -1,5 +1,7 @@
-//! The endpoint table: what the list reports of each endpoint, what operators have banned, and the status that results. It
-//! does no I/O: what follows for connections is returned as commands. The core owns the table; the table owns the bans.
+//! The endpoint table: what discovery lists for each endpoint, which endpoints are banned, and the resulting status.
+//!
+//! The table does no I/O: it returns what must change for connections as commands. The core owns the table, and the table
+//! owns the bans. The number by which the router knows an endpoint is never used for another one.
 
 mod contacts;
 mod update;
@@ -15,30 +17,32 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// How many addresses a release names at most: any endpoint accepts it, and a large fleet is not to be listed for each.
+/// Maximum number of addresses that a release names. Any endpoint accepts a release, so a large fleet need not be listed for
+/// each one.
 const MAX_RELEASE_ADDRESSES: usize = 64;
-/// How many of these are the endpoints with the latest contact.
+/// Maximum number of endpoints that a release names because of their latest contact.
 const MAX_RECENT_CONTACTS: usize = 32;
 
-/// An endpoint of the table.
+/// An endpoint in the table.
 pub(super) struct Endpoint {
     pub id: Arc<str>,
     pub address: Arc<str>,
     pub role: Role,
-    /// The status in force: bans come before the list.
+    /// The status in force: a ban overrides the listed status.
     pub status: EndpointStatus,
-    /// What the list reports.
+    /// What discovery lists, with `started_at` corrected to this process's clock.
     pub listed: EndpointRecord,
-    /// When it started, as the list reports it: not corrected for the clocks of others.
-    listed_start: Option<Time>,
-    /// When its latest ban ended.
+    /// When it started, as discovery lists it: not corrected to this process's clock.
+    reported_start: Option<Time>,
+    /// When its latest ban ended, by this process's clock; `None` if no ban of it has ended.
     ban_ended_at: Option<Time>,
-    /// Its address before it moved.
+    /// Its previous address, if it has moved.
     previous_address: Option<Arc<str>>,
 }
 
 impl Endpoint {
-    /// What the router receives: an endpoint that is banned is draining, and one whose ban has ended started then.
+    /// Returns the record for the router. A banned endpoint counts as draining, and one whose ban has ended counts as started
+    /// at that time.
     pub(super) fn effective_record(&self) -> EndpointRecord {
         EndpointRecord {
             status: self.status,
@@ -48,25 +52,25 @@
     }
 }
 
-/// What a change of the table means for others.
+/// What the core must pass on after a change of the table.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
-    /// For the router.
+    /// Records for the router.
     pub router_records: Vec<EndpointRecord>,
-    /// For the recording, with their ids: endpoints whose status or address has changed.
+    /// Endpoint ids and records for the trace recording: endpoints whose status or address has changed.
     pub trace_records: Vec<(Arc<str>, EndpointRecord)>,
 }
 
-/// The table. Numbers name endpoints to the router; a number is used once.
+/// The endpoint table. The router knows endpoints by their numbers; a number is used once.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     numbers: HashMap<Arc<str>, EndpointId>,
     next_number: EndpointId,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     by_gossip_hash: HashMap<u32, BTreeSet<EndpointId>>,
-    /// Addresses that are blocked by the commands given so far.
+    /// Addresses that are blocked by the commands returned so far.
     blocked_addresses: HashSet<Arc<str>>,
-    has_list: bool,
+    has_received_list: bool,
     bans: BanList,
     has_ban_changes: bool,
     contacts: Contacts,
@@ -77,35 +81,35 @@
         self.endpoints.get(&endpoint)
     }
 
-    /// The endpoint at this address.
+    /// Returns the endpoint at this address.
     pub(super) fn by_address(&self, address: &str) -> Option<EndpointId> {
         let mut endpoints = self.endpoints.iter();
         let (number, _) = endpoints.find(|(_, endpoint)| &*endpoint.address == address)?;
         Some(*number)
     }
 
-    /// How many endpoints there are: those of the list, and removed ones with attempts in flight.
+    /// Returns the number of endpoints: those in the list, and removed ones with attempts in flight.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether an endpoint is ready that can process the prompt, alone or with others.
+    /// Returns whether any ready endpoint can prefill: one of any role but decode.
     pub(super) fn can_prefill(&self) -> bool {
-        self.is_any_ready_besides(Role::Decode)
+        self.has_ready_endpoint_other_than(Role::Decode)
     }
 
-    /// Whether an endpoint is ready that can generate the response, alone or with others.
+    /// Returns whether any ready endpoint can decode: one of any role but prefill.
     pub(super) fn can_decode(&self) -> bool {
-        self.is_any_ready_besides(Role::Prefill)
+        self.has_ready_endpoint_other_than(Role::Prefill)
     }
 
-    fn is_any_ready_besides(&self, role: Role) -> bool {
+    fn has_ready_endpoint_other_than(&self, role: Role) -> bool {
         self.endpoints
             .values()
             .any(|endpoint| endpoint.status == EndpointStatus::Ready && endpoint.role != role)
     }
 
-    /// The one endpoint that other dispatchers know by this hash; none where two share it.
+    /// Returns the endpoint that other dispatchers know by this hash; `None` if there is none, or if several share the hash.
     pub(super) fn by_gossip_hash(&self, hash: u32) -> Option<EndpointId> {
         let endpoints = self.by_gossip_hash.get(&hash)?;
         if endpoints.len() == 1 {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// What the rules depend on; `None` where the endpoint is not known.
+    /// Returns the properties of an endpoint that the protocol rules depend on; `None` if it is not in the table.
     pub(super) fn target(&self, endpoint: EndpointId) -> Option<EndpointTarget> {
         let endpoint = self.endpoints.get(&endpoint)?;
         Some(EndpointTarget {
@@ -126,15 +130,16 @@
         })
     }
 
-    /// Records that an endpoint has responded: it is running.
+    /// Records that an endpoint has responded, which shows that it is running.
     pub(super) fn record_contact(&mut self, now: Time, endpoint: EndpointId) {
         if self.endpoints.contains_key(&endpoint) {
             self.contacts.record(now, endpoint);
         }
     }
 
-    /// Addresses that may be told to release what is reserved for a request: the endpoints with the latest contact first,
-    /// which are the most likely to run; then those where the request was attempted, in that order; then some others.
+    /// Returns the addresses that a release may be sent to, best first. Endpoints with the latest contact come first, because
+    /// they are the most likely to be running. Those where the request was attempted follow in the given order, and then other
+    /// ready endpoints.
     pub(super) fn release_addresses(
         &self,
         attempted: impl Iterator<Item = EndpointId>,
@@ -163,8 +168,8 @@
         addresses
     }
 
-    /// Commands for what has changed for connections: nothing new goes to the address of an endpoint that is not ready,
-    /// nor to one that an endpoint has left, unless a ready endpoint has that address now.
+    /// Returns commands for the addresses that have become blocked or unblocked since the last call. An address is blocked if
+    /// its endpoint is not ready or has moved away, unless a ready endpoint has the address now.
     pub(super) fn take_block_commands(&mut self) -> Vec<Command> {
         let mut blocked = HashSet::new();
         for endpoint in self.endpoints.values() {
@@ -197,9 +202,9 @@
         commands
     }
 
-    /// Removes endpoints that have left the list and have no attempt in flight: ids and addresses are ever new, and the
-    /// table must not grow with them. Their blocks go too, because nothing can be sent to an endpoint that is not in the
-    /// table.
+    /// Forgets endpoints that have left the list and have no attempt in flight, and returns their numbers. New endpoints have
+    /// new ids and addresses, so the table would grow without bound otherwise. The blocks of forgotten endpoints are lifted
+    /// too, because nothing can be sent to an endpoint that is not in the table.
     pub(super) fn forget_removed(&mut self, in_use: &HashSet<EndpointId>) -> Vec<EndpointId> {
         let mut forgotten = Vec::new();
         for (number, endpoint) in &self.endpoints {
@@ -230,13 +235,13 @@
     }
 }
 
-/// Bans.
+/// Changes of bans.
 impl EndpointTable {
-    /// Bans an endpoint, or ends its ban. Nothing changes where that is in force already.
+    /// Bans an endpoint, or ends its ban. A repeated call changes nothing.
     ///
     /// # Errors
     ///
-    /// [`BanError`] where the id is not known or there are too many bans.
+    /// Returns a [`BanError`] if the id is not known or there are too many bans.
     pub(super) fn set_ban(
         &mut self,
         now: Time,
@@ -266,7 +271,7 @@
         self.apply_bans(&changed_ids, report)
     }
 
-    /// Updates the endpoints of ids whose ban has changed.
+    /// Updates the endpoints whose ban has changed.
     fn apply_bans(&mut self, ids: &[Arc<str>], report: &Report) -> EndpointChanges {
         let mut changes = EndpointChanges::default();
         for id in ids {
@@ -286,7 +291,7 @@
         changes
     }
 
-    /// All ban records, if one has changed since the last call.
+    /// Returns all ban records, if one has changed since the last call.
     pub(super) fn take_changed_bans(&mut self) -> Option<BanRecords> {
         if std::mem::take(&mut self.has_ban_changes) {
             Some(self.bans.records().clone())
@@ -296,7 +301,7 @@
     }
 }
 
-/// The status in force, by what the list reports.
+/// Returns the status in force for an endpoint with this listed status.
 fn effective_status(bans: &BanList, id: &str, listed: EndpointStatus) -> EndpointStatus {
     match listed {
         EndpointStatus::Draining if breaks(Variant::Drain) => EndpointStatus::Ready,
@@ -305,7 +310,7 @@
     }
 }
 
-/// Addresses of `set` that are not in `other`, sorted.
+/// Returns the addresses of `set` that are not in `other`, sorted.
 fn sorted_difference(set: &HashSet<Arc<str>>, other: &HashSet<Arc<str>>) -> Vec<Arc<str>> {
     let mut addresses: Vec<Arc<str>> = set.difference(other).cloned().collect();
     addresses.sort();
--- a/src/dispatcher/endpoint_table/contacts.rs
+++ b/src/dispatcher/endpoint_table/contacts.rs
@@ -1,9 +1,12 @@
-//! When each endpoint last responded.
+//! The time of the last response of each endpoint.
+//!
+//! The endpoint table uses it to send releases to endpoints that are likely to be running. Both indexes of [`Contacts`] hold
+//! the same entries.
 
 use crate::routing::api::{EndpointId, Time};
 use std::collections::{BTreeSet, HashMap};
 
-/// The latest contact with each endpoint, by endpoint and by time.
+/// The latest contact with each endpoint, indexed by endpoint and by time.
 #[derive(Default)]
 pub(super) struct Contacts {
     last_contact: HashMap<EndpointId, Time>,
@@ -11,7 +14,7 @@
 }
 
 impl Contacts {
-    /// Records a contact.
+    /// Records that an endpoint has responded. Replaces an earlier contact.
     pub(super) fn record(&mut self, now: Time, endpoint: EndpointId) {
         if let Some(previous) = self.last_contact.insert(endpoint, now) {
             self.by_time.remove(&(previous, endpoint));
@@ -19,12 +22,11 @@
         self.by_time.insert((now, endpoint));
     }
 
-    /// Endpoints, the latest contact first.
+    /// Returns the endpoints, the one with the latest contact first.
     pub(super) fn latest_first(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.by_time.iter().rev().map(|(_, endpoint)| *endpoint)
     }
 
-    /// Forgets an endpoint.
     pub(super) fn forget(&mut self, endpoint: EndpointId) {
         if let Some(time) = self.last_contact.remove(&endpoint) {
             self.by_time.remove(&(time, endpoint));
--- a/src/dispatcher/endpoint_table/update.rs
+++ b/src/dispatcher/endpoint_table/update.rs
@@ -1,4 +1,7 @@
-//! Updates of the endpoint table from the list that discovery reports.
+//! Updates of the endpoint table from the lists that discovery reports.
+//!
+//! An update keeps an endpoint's number and the end of its last ban, and corrects the reported start time to this process's
+//! clock. Endpoints that have left the list stay in the table as removed until no attempt uses them.
 
 use super::{effective_status, Endpoint, EndpointChanges, EndpointTable};
 use crate::dispatcher::messages::DiscoveredEndpoint;
@@ -8,11 +11,11 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// How long the report of a start takes at most, by the protocol (microseconds).
+/// Maximum time from the start of an endpoint to its report by discovery, as set by the protocol (microseconds).
 const MAX_START_REPORT_DELAY: Time = 6_000_000;
 
 impl EndpointTable {
-    /// Applies a complete list: endpoints that are absent have been removed.
+    /// Applies a complete list: endpoints that are absent from it have been removed.
     pub(crate) fn replace_list(
         &mut self,
         now: Time,
@@ -30,7 +33,7 @@
         changes
     }
 
-    /// Applies what has changed in the list.
+    /// Applies a list of changed endpoints: all others stay as they are.
     pub(crate) fn update_list(
         &mut self,
         now: Time,
@@ -57,11 +60,12 @@
             }
             listed.insert(self.update_endpoint(now, discovered, changes, report));
         }
-        self.has_list = true;
+        self.has_received_list = true;
         listed
     }
 
-    /// Fills in an endpoint of which only the status could be read, as it was reported before; false where it was not.
+    /// Fills in an endpoint of which only the status could be read, with what was reported before. Returns false if it was not
+    /// reported before.
     fn complete_partial(&self, discovered: &mut DiscoveredEndpoint) -> bool {
         let Some(number) = self.numbers.get(&discovered.id) else {
             return false;
@@ -84,7 +88,7 @@
         changes: &mut EndpointChanges,
         report: &Report,
     ) -> EndpointId {
-        let number = self.number_of(&discovered.id);
+        let number = self.get_or_assign_number(&discovered.id);
         let previous = self.endpoints.remove(&number);
         let endpoint = self.merge_discovered(now, number, discovered, previous.as_ref());
         let previous_status = previous.as_ref().map(|previous| previous.status);
@@ -109,7 +113,7 @@
         number
     }
 
-    fn number_of(&mut self, id: &Arc<str>) -> EndpointId {
+    fn get_or_assign_number(&mut self, id: &Arc<str>) -> EndpointId {
         if let Some(number) = self.numbers.get(id) {
             return *number;
         }
@@ -119,7 +123,7 @@
         number
     }
 
-    /// The endpoint as it is now, by what was discovered, by its bans and by what was known before.
+    /// Returns the endpoint's new entry, from what discovery reports, its bans and its previous entry.
     fn merge_discovered(
         &self,
         now: Time,
@@ -134,18 +138,18 @@
             is_partial,
         } = discovered;
         record.endpoint = number;
-        let mut listed_start = record.started_at;
+        let mut reported_start = record.started_at;
         if is_partial {
-            // Only the status could be read: the start is as it was.
-            listed_start = previous.and_then(|previous| previous.listed_start);
+            // Only the status could be read, so the start time doesn't change.
+            reported_start = previous.and_then(|previous| previous.reported_start);
         } else {
-            record.started_at = self.bound_start(now, previous, record.started_at);
+            record.started_at = self.clamp_reported_start(now, previous, record.started_at);
         }
         let known_ban_end = previous.and_then(|previous| previous.ban_ended_at);
         Endpoint {
             role: record.role,
             status: effective_status(&self.bans, &id, record.status),
-            listed_start,
+            reported_start,
             ban_ended_at: known_ban_end.max(self.bans.ended_at(&id)),
             previous_address: previous_address(previous, &address),
             listed: record,
@@ -154,10 +158,10 @@
         }
     }
 
-    /// When an endpoint started, by this process's clock: the list reports Unix time, and a wall clock may have been stepped,
-    /// there or here. A start that a list reports for an endpoint that had another one before, or none, happened at most as
-    /// long ago as its report may take.
-    fn bound_start(
+    /// Returns when an endpoint started, by this process's clock. Discovery reports Unix time, and the wall clock of either
+    /// machine may have been stepped. A start that is new since the previous list happened at most
+    /// [`MAX_START_REPORT_DELAY`] ago; in the first list, any start in the past is accepted.
+    fn clamp_reported_start(
         &self,
         now: Time,
         previous: Option<&Endpoint>,
@@ -165,11 +169,11 @@
     ) -> Option<Time> {
         let reported = reported?;
         if let Some(previous) = previous {
-            if previous.listed_start == Some(reported) {
+            if previous.reported_start == Some(reported) {
                 return previous.listed.started_at;
             }
         }
-        let earliest = if self.has_list {
+        let earliest = if self.has_received_list {
             now.saturating_sub(MAX_START_REPORT_DELAY)
         } else {
             0
@@ -178,7 +182,7 @@
     }
 }
 
-/// Where an endpoint was before it moved, also where that was an earlier move.
+/// Returns the address from which the endpoint last moved, now or earlier; `None` if it has not moved.
 fn previous_address(previous: Option<&Endpoint>, address: &Arc<str>) -> Option<Arc<str>> {
     let previous = previous?;
     if previous.address == *address {
--- a/src/dispatcher/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -1,5 +1,7 @@
-//! The check that every attempt, every shed and every start of a stream passes. It knows the request and the endpoint, and
-//! names the rule that forbids a step, whatever the router wants. Pure: no I/O, no clock, no state.
+//! Checks each attempt, each shed and each start of a stream against the protocol rules, whatever the router decides.
+//!
+//! A [`Guard`] inspects the request and the endpoint, and returns the rule that forbids the step. It does no I/O, reads no
+//! clock and keeps no state; the core creates one for each check.
 
 use super::endpoint_target::EndpointTarget;
 use super::reasons::EndReason;
@@ -10,7 +12,7 @@
     DeduplicationScope, EndpointId, EndpointStatus, Idempotency, Role, RoutingSettings, Time,
 };
 
-/// What steps are checked against: the settings in force, and the endpoints by number.
+/// What a step is checked against: the settings in force, the endpoints, and the time.
 pub(super) struct Guard<'a, F: Fn(EndpointId) -> Option<EndpointTarget>> {
     pub settings: &'a RoutingSettings,
     pub target_of: F,
@@ -18,7 +20,8 @@
 }
 
 impl<F: Fn(EndpointId) -> Option<EndpointTarget>> Guard<'_, F> {
-    /// Whether one more attempt may go to an endpoint; retries and hedged requests are treated as any other attempt.
+    /// Checks whether one more attempt may be sent to an endpoint. The same rules hold for first attempts, retries and hedged
+    /// requests.
     pub(super) fn check_attempt(
         &self,
         request: &Request,
@@ -41,13 +44,13 @@
         Ok(target)
     }
 
-    /// Whether the client may be told that trying again is harmless.
+    /// Checks whether the client may be told that it can safely retry.
     pub(super) fn check_shed(&self, request: &Request) -> Result<(), Rule> {
         self.check_repeat(request, None)
     }
 
-    /// Whether an attempt of a request that must not run twice was abandoned so recently that its endpoint may not have seen
-    /// the close yet: to that endpoint it is still in flight.
+    /// Returns whether an attempt was abandoned so recently that it may still run: its endpoint may not have seen the close of
+    /// the connection yet. Always false for a request of an idempotent class.
     pub(super) fn may_still_run(&self, request: &Request) -> bool {
         let was_abandoned_recently = |attempt: &Attempt| {
             let is_abandoned = attempt.end_reason.is_some_and(EndReason::is_abandoned);
@@ -57,7 +60,7 @@
             && request.attempts.iter().any(was_abandoned_recently)
     }
 
-    /// Whether an attempt's stream may go to the client.
+    /// Checks whether an attempt's stream may go to the client.
     pub(super) fn check_stream(&self, request: &Request, attempt: u32) -> Result<(), Rule> {
         if request.is_waiting() && request.is_in_flight(attempt) {
             Ok(())
@@ -66,7 +69,7 @@
         }
     }
 
-    /// A class that is not known counts as one whose requests must not run twice.
+    /// Returns the idempotency of a request's class. An unknown class counts as non-idempotent.
     fn idempotency_of(&self, request: &Request) -> Idempotency {
         self.settings
             .classes
@@ -74,7 +77,8 @@
             .map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     }
 
-    /// Whether the request may run once more, at `target` or wherever its client sends it, for all that its attempts did.
+    /// Checks whether the request may run once more, considering each of its attempts. `target` is the endpoint of the next
+    /// run; `None` if the client retries, which may reach any endpoint.
     fn check_repeat(&self, request: &Request, target: Option<&EndpointTarget>) -> Result<(), Rule> {
         let may_repeat = request
             .attempts
@@ -95,7 +99,7 @@
     ) -> bool {
         let previous = attempt.target;
         let is_prefill = previous.is_some_and(|previous| previous.role == Role::Prefill);
-        // However an attempt at a prefill endpoint ends, it has had no effect; while it is in flight, nothing is known.
+        // An attempt at a prefill endpoint has no effect, however it ended. While it is in flight, nothing is known.
         let is_harmless = attempt
             .end_reason
             .is_some_and(|reason| is_prefill || reason.never_ran());
@@ -113,7 +117,8 @@
     }
 }
 
-/// Whether the endpoint of an earlier attempt and that of the next one drop each other's repeats.
+/// Returns whether the endpoints of an earlier attempt and of the next one drop each other's duplicates. `None` stands for an
+/// endpoint that is not known.
 fn is_in_scope(
     scope: DeduplicationScope,
     previous: Option<EndpointTarget>,
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -1,43 +1,44 @@
-//! Typed reasons: why an attempt ended, and why a request was closed or its reservation released.
+//! Typed reasons for the end of an attempt, the close of a request and the release of a reservation.
 //!
-//! The log and the counters name them, so that the cause of an outcome can be read without a second run.
+//! The log and the counters print them in their `Debug` form, so that the cause of an outcome can be found without
+//! reproducing it.
 
 use crate::routing::api::{AttemptStatus, FailureReason};
 
-/// Why an attempt ended. Each reason belongs to one [`AttemptStatus`], which is all that the router receives.
+/// Why an attempt ended. The router receives only the [`AttemptStatus`] to which the reason maps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
-    /// A decode endpoint's stream is complete.
+    /// The stream of a decode endpoint is complete.
     Served,
-    /// A decode endpoint's stream goes on in another process of this dispatcher.
+    /// The stream of a decode endpoint continues in another process of this dispatcher.
     Migrated,
     /// A prefill endpoint has processed the prompt.
     PrefillDone,
-    /// The endpoint was overloaded or draining, and reports that the request did not run.
+    /// The endpoint was overloaded or draining, and reported that the request did not run.
     Overloaded,
     /// The endpoint found no KV cache for the request.
     KvStateMissing,
-    /// The endpoint found the request itself invalid.
+    /// The endpoint rejected the request as invalid.
     InvalidRequest,
     /// The endpoint responded with an error.
     ErrorResponse,
     /// The endpoint's response could not be parsed.
     UnreadableResponse,
-    /// The endpoint's stream held something that is not an event.
+    /// The endpoint's stream contained data that is not a valid event.
     MalformedStream,
     /// Nothing was received from the endpoint within the attempt's timeout.
     Timeout,
-    /// A stream had begun, and then no event was received for too long.
+    /// The stream had begun, and then no event was received within the idle timeout.
     StreamIdleTimeout,
     /// The connection could not be established.
     ConnectFailed,
     /// The endpoint's address was blocked before the request was written.
     EndpointBlocked,
-    /// All permits for connections were in use.
+    /// All connection permits were in use.
     NoConnectionPermit,
-    /// The connection broke before the request's last byte was written.
+    /// The connection broke before the last byte of the request was written.
     RequestNotWritten,
-    /// The request could not be encoded, or the rules forbid the attempt.
+    /// The request could not be encoded, or the rules forbade the attempt.
     NotSent,
     /// The connection broke after the request was written.
     ConnectionReset,
@@ -45,14 +46,14 @@
     StaleConnection,
     /// The core cancelled the attempt.
     Cancelled,
-    /// The client disconnected from its stream.
+    /// The client disconnected while the stream was being forwarded to it.
     ClientDisconnected,
     /// The attempt's task panicked.
     TaskPanicked,
 }
 
 impl EndReason {
-    /// The status that the router receives.
+    /// Returns the status that the router receives.
     pub fn status(self) -> AttemptStatus {
         match self {
             EndReason::Served | EndReason::Migrated => AttemptStatus::Served,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The reason for a status of which no more is known.
+    /// Returns the reason that stands for a status when nothing more is known.
     pub fn from_status(status: AttemptStatus) -> EndReason {
         match status {
             AttemptStatus::Served => EndReason::Served,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Whether a running endpoint has responded to this attempt.
+    /// Returns whether a running endpoint has responded to the attempt.
     pub fn is_response(self) -> bool {
         matches!(
             self,
@@ -108,7 +109,7 @@
         )
     }
 
-    /// Whether the attempt was ended here, by closing its connection, while an endpoint may have had it.
+    /// Returns whether this process ended the attempt by closing its connection, while an endpoint may have been handling it.
     pub fn is_abandoned(self) -> bool {
         matches!(
             self,
@@ -116,7 +117,7 @@
         )
     }
 
-    /// Whether it is certain that no endpoint had the whole request.
+    /// Returns whether it is certain that no endpoint received the whole request.
     pub fn never_arrived(self) -> bool {
         matches!(
             self.status(),
@@ -124,7 +125,7 @@
         )
     }
 
-    /// Whether it is certain that this attempt had no effect.
+    /// Returns whether it is certain that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         let was_rejected = matches!(
             self.status(),
@@ -136,13 +137,13 @@
         was_rejected || self.never_arrived()
     }
 
-    /// Whether a prefill endpoint may have completed the prefill, although it did not report that.
+    /// Returns whether a prefill endpoint may have completed the prefill without reporting it.
     pub fn may_have_prefilled(self) -> bool {
         !self.never_arrived() && (!self.is_response() || self == EndReason::ErrorResponse)
     }
 
-    /// Whether attempts end for this reason in the ordinary course of a request.
-    pub fn is_ordinary(self) -> bool {
+    /// Returns whether attempts end for this reason in normal operation. Such ends are counted, but not logged as failures.
+    pub fn is_expected(self) -> bool {
         matches!(
             self,
             EndReason::Served
@@ -154,22 +155,22 @@
     }
 }
 
-/// Why a request was closed without a stream.
+/// Why a request was closed other than by the end of its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The router shed it: nothing may have run.
+    /// The router shed it, and the client was told that it can safely retry.
     Shed(FailureReason),
-    /// The router failed it: something may have run.
+    /// The router failed it, or shed it although it may have run or may still run.
     Failed(FailureReason),
-    /// Its deadline passed, and the router had not closed it.
+    /// Its deadline passed before the router closed it.
     DeadlinePassed,
-    /// An endpoint found it invalid.
+    /// An endpoint rejected it as invalid.
     InvalidRequest,
-    /// The request table is full.
+    /// It was rejected on arrival, because the request table was full.
     TableFull,
-    /// A request of its client request id is in flight.
+    /// It was rejected on arrival, because a request with the same client request id is open.
     DuplicateId,
-    /// A request of its client request id ended recently and may have run.
+    /// It was rejected on arrival, because a request with the same client request id finished recently and may have run.
     MayHaveRun,
     /// Its client disconnected.
     ClientDisconnected,
@@ -180,8 +181,9 @@
 pub enum ReleaseReason {
     /// The request is closed, or its stream has begun.
     NoLongerNeeded,
-    /// A KV cache has waited for as long as it may, and no attempt is in flight.
+    /// The KV cache has been reserved for as long as it may, and no attempt is in flight.
     Expired,
-    /// A KV cache has waited for as long as it may, and nothing proves that the attempt in flight has arrived.
+    /// The KV cache has been reserved for as long as it may, and nothing proves that the attempt in flight has reached its
+    /// endpoint.
     AttemptUnconfirmed,
 }
--- a/src/dispatcher/report.rs
+++ b/src/dispatcher/report.rs
@@ -1,8 +1,8 @@
-//! What the core counts and logs: ends of attempts, closed requests, releases, violations of rules, changes of state.
+//! The core's counters and log: ends of attempts, closed requests, releases, rule violations and changes of state.
 //!
-//! Each counter's log lines have a budget, so that an hour of failures can't fill the log; lines beyond the budget are
-//! counted, and a summary of all counters is logged from time to time and at the end. [`Report`] owns the counters, the
-//! budgets and the core's logger; the log lines themselves are in [`log_lines`].
+//! The log lines of each counter are rate-limited, so that a long period of failures can't fill the log. Suppressed lines are
+//! counted, and a summary of all counters is logged periodically and at the end of a drain. [`Report`] owns the counters, the
+//! rate limits and the core's logger; the log lines themselves are in [`log_lines`].
 
 mod log_lines;
 
@@ -13,25 +13,25 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Lines of one counter that may be logged at once ...
+/// Maximum number of lines that one counter may log in a burst.
 const MAX_BURST_LINES: u32 = 10;
-/// ... and after that one line in each such interval (microseconds).
+/// After a burst, a counter may log one line per interval of this length (microseconds).
 const LINE_INTERVAL: Time = 1_000_000;
-/// The time between two summaries (microseconds).
+/// Minimum time between two periodic summaries (microseconds).
 const SUMMARY_INTERVAL: Time = 60_000_000;
 
-/// What is counted, and whose log lines share a budget. The summary names counters by their `Debug` form.
+/// A counter. Its log lines share one rate limit, and the summary prints its `Debug` form as its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Counter {
     /// An attempt ended.
     End(EndReason),
-    /// A further attempt follows one that ended for this reason.
+    /// An attempt was started after one that ended for this reason.
     Retry(EndReason),
-    /// A request was closed without a stream.
+    /// A request was closed other than by the end of its stream.
     Close(CloseReason),
-    /// A stream was received from another process.
+    /// A stream was received from another process of this dispatcher.
     StreamReceived,
-    /// Endpoints are told to release what they reserve.
+    /// Endpoints were told to release what they reserve for a request.
     Release(ReleaseReason),
     /// No endpoint confirmed a release in time.
     ReleaseFailed,
@@ -40,13 +40,13 @@
 }
 
 /// A token bucket for log lines.
-struct LineBudget {
+struct LogLineBudget {
     lines: u32,
     refilled_at: Time,
 }
 
-impl LineBudget {
-    /// Takes one line, if there is one left.
+impl LogLineBudget {
+    /// Takes one line from the budget; returns false if none is left.
     fn take(&mut self, now: Time) -> bool {
         let refills = now.saturating_sub(self.refilled_at) / LINE_INTERVAL;
         if refills > 0 {
@@ -62,18 +62,18 @@
     }
 }
 
-/// The counters, their budgets and the log. There are few counters, so that this is bounded.
+/// The counters, their budgets of log lines, and the log. Their number is bounded by the possible values of [`Counter`].
 pub(super) struct Report {
     log: Logger,
     counts: BTreeMap<Counter, u64>,
-    budgets: BTreeMap<Counter, LineBudget>,
+    budgets: BTreeMap<Counter, LogLineBudget>,
     suppressed_lines: u64,
     has_changed: bool,
     next_summary: Time,
 }
 
 impl Report {
-    /// A report without counts; `now` is Unix time in microseconds.
+    /// Creates a report without counts. `now` is Unix time in microseconds.
     pub(super) fn new(now: Time, log: Logger) -> Report {
         Report {
             log,
@@ -85,11 +85,11 @@
         }
     }
 
-    /// Counts one, and returns whether a line may be logged for it.
+    /// Increments a counter, and returns whether a line may be logged for it.
     pub(super) fn count(&mut self, now: Time, counter: Counter) -> bool {
         *self.counts.entry(counter).or_default() += 1;
         self.has_changed = true;
-        let budget = self.budgets.entry(counter).or_insert(LineBudget {
+        let budget = self.budgets.entry(counter).or_insert(LogLineBudget {
             lines: MAX_BURST_LINES,
             refilled_at: now,
         });
@@ -98,7 +98,7 @@
         may_log
     }
 
-    /// Violations of rules so far.
+    /// Returns the number of rule violations so far.
     pub(super) fn violations(&self) -> u64 {
         let is_violation = |counter: &Counter| matches!(counter, Counter::Violation(_));
         self.counts
@@ -108,7 +108,7 @@
             .sum()
     }
 
-    /// Logs all counters if it is time for it and one has changed.
+    /// Logs all counters if a summary is due and one has changed since the last summary.
     pub(super) fn summarize_if_due(&mut self, now: Time, open_requests: usize) {
         if now >= self.next_summary {
             self.next_summary = now.saturating_add(SUMMARY_INTERVAL);
--- a/src/dispatcher/report/log_lines.rs
+++ b/src/dispatcher/report/log_lines.rs
@@ -1,4 +1,7 @@
-//! The core's log lines: one function for each message, which also counts what is counted.
+//! The core's log messages: one method of [`Report`] for each.
+//!
+//! A method also increments the counter that belongs to its message, if there is one. Info and warning lines with a counter
+//! are limited by its budget; all other lines are always written.
 
 use super::{Counter, Report};
 use crate::dispatcher::endpoint_table::Endpoint;
@@ -10,10 +13,9 @@
 use slog::{debug, info, warn};
 use std::fmt::Debug;
 
-/// Microseconds in a millisecond.
-const MILLISECOND: Time = 1000;
+const MICROS_PER_MILLISECOND: Time = 1000;
 
-/// Lines about requests.
+/// Log lines about requests.
 impl Report {
     pub(crate) fn log_request_arrived(&self, metadata: &RequestMetadata, client_request_id: &str) {
         debug!(self.log, "request arrived"; "id" => metadata.id, "client_request_id" => client_request_id,
@@ -80,7 +82,8 @@
             "endpoint" => endpoint);
     }
 
-    /// The end of a stream that another process has begun, whatever it is: the two logs together tell its whole way.
+    /// Logs the end of a stream that another process has started, whatever the reason. The logs of both processes together
+    /// show the whole course of the stream.
     pub(crate) fn log_received_stream_ended(
         &self,
         id: RequestId,
@@ -103,7 +106,7 @@
             info!(self.log, "reservation release"; "id" => id,
                 "client_request_id" => %request.upstream.client_request_id, "reason" => ?reason,
                 "attempts" => request.attempts.len(),
-                "time_left_ms" => request.deadline.saturating_sub(now) / MILLISECOND);
+                "time_left_ms" => request.deadline.saturating_sub(now) / MICROS_PER_MILLISECOND);
         }
     }
 
@@ -111,7 +114,7 @@
         self.count(now, Counter::ReleaseFailed);
     }
 
-    /// A rule was violated, or a violation was prevented.
+    /// Counts and logs that a rule was violated, or that a violation was prevented.
     pub(crate) fn log_violation(
         &mut self,
         now: Time,
@@ -126,13 +129,14 @@
     }
 }
 
-/// Lines about attempts.
+/// Log lines about attempts.
 impl Report {
     pub(crate) fn log_attempt_started(&self, id: RequestId, attempt: u32, endpoint: EndpointId) {
         debug!(self.log, "attempt started"; "id" => id, "attempt" => attempt, "endpoint" => endpoint);
     }
 
-    /// A further attempt follows one that ended for `previous_end`; `request` has the new one already.
+    /// Counts and logs that an attempt was started after one that ended for `previous_end`. The new attempt is the last one
+    /// of `request`.
     pub(crate) fn log_retry(
         &mut self,
         now: Time,
@@ -144,7 +148,7 @@
         if self.count(now, Counter::Retry(previous_end)) {
             info!(self.log, "retry"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
                 "attempt" => request.attempts.len() - 1, "endpoint" => %endpoint.id, "previous_end" => ?previous_end,
-                "time_left_ms" => (request.deadline - now) / MILLISECOND);
+                "time_left_ms" => (request.deadline - now) / MICROS_PER_MILLISECOND);
         }
     }
 
@@ -152,7 +156,7 @@
         debug!(self.log, "first event"; "id" => id, "attempt" => attempt);
     }
 
-    /// Counts why an attempt ended, and logs it within the budget; the ordinary reasons are only counted.
+    /// Counts the end of an attempt by its reason, and logs it within the budget. Expected reasons are only counted.
     pub(crate) fn log_attempt_failure(
         &mut self,
         now: Time,
@@ -163,7 +167,7 @@
         endpoint: Option<&Endpoint>,
     ) {
         let may_log = self.count(now, Counter::End(reason));
-        if !may_log || reason.is_ordinary() {
+        if !may_log || reason.is_expected() {
             return;
         }
         let Some(request) = request else {
@@ -175,7 +179,7 @@
         let endpoint_id = endpoint.map(|endpoint| &*endpoint.id);
         info!(self.log, "attempt failed"; "id" => id, "client_request_id" => %request.upstream.client_request_id,
             "attempt" => attempt, "endpoint" => endpoint_id, "reason" => ?reason,
-            "duration_ms" => now.saturating_sub(ended.started_at) / MILLISECOND);
+            "duration_ms" => now.saturating_sub(ended.started_at) / MICROS_PER_MILLISECOND);
     }
 
     pub(crate) fn log_attempt_ended(
@@ -192,7 +196,7 @@
     }
 }
 
-/// Lines about endpoints, gossip, settings and the process.
+/// Log lines about endpoints, gossip, settings and the process.
 impl Report {
     pub(crate) fn log_endpoint_moved(&self, endpoint: EndpointId, address: &str) {
         debug!(self.log, "endpoint moved"; "endpoint" => endpoint, "address" => address);
--- a/src/dispatcher/request.rs
+++ b/src/dispatcher/request.rs
@@ -1,6 +1,7 @@
-//! One request in the table: its phase, its attempts, and its reservation at endpoints.
+//! The state of one open request: its phase, its attempts, and what endpoints may have reserved for it.
 //!
-//! A [`Request`] is owned by the request table; handlers of the core change it through the methods here.
+//! The request table owns each [`Request`], and the core's event handlers update it. The phase only moves forward, and each
+//! attempt ends once.
 
 use super::endpoint_target::EndpointTarget;
 use super::messages::{Outcome, UpstreamRequest};
@@ -11,22 +12,25 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// The class of requests that another process has begun, which is not known; no class has this number.
-const RECEIVED_CLASS: usize = usize::MAX;
+/// Class of a request whose stream was received from another process. The real class is not known, and no class of the
+/// settings has this number.
+const UNKNOWN_CLASS: usize = usize::MAX;
 
-/// One attempt for a request.
+/// One attempt to run a request at an endpoint.
 pub(super) struct Attempt {
     pub endpoint: EndpointId,
-    /// The endpoint as it was when the attempt started; `None` where the rules forbade the attempt.
+    /// The endpoint's properties when the attempt started. `None` if the rules forbade the attempt, or if another process
+    /// started it.
     pub target: Option<EndpointTarget>,
     pub started_at: Time,
-    /// Why it ended; it is in flight until then.
+    /// Why it ended; `None` while it is in flight.
     pub end_reason: Option<EndReason>,
+    /// When it ended; meaningless while it is in flight.
     pub ended_at: Time,
 }
 
 impl Attempt {
-    /// An attempt that starts now.
+    /// Creates an attempt that starts now.
     pub(super) fn new(now: Time, endpoint: EndpointId, target: Option<EndpointTarget>) -> Self {
         Attempt {
             endpoint,
@@ -46,47 +50,48 @@
     }
 }
 
-/// Where a request stands. It goes from top to bottom, and may skip the stream.
+/// The phase of a request. Phases follow each other in this order; `Streaming` may be skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It has no outcome yet.
+    /// No outcome has been sent yet.
     Waiting,
-    /// This attempt's stream goes to the client.
+    /// The stream of this attempt is being forwarded to the client.
     Streaming { attempt: u32 },
-    /// It has its final outcome, or its client has disconnected. The attempt of its stream, if it had one, may still be in
-    /// flight.
+    /// The request has its final outcome, or its client has disconnected. `stream` is the attempt whose stream went to the
+    /// client, if there was one; that attempt may still be in flight.
     Closed { stream: Option<u32> },
 }
 
-/// A request, from its arrival until it is closed, no attempt is in flight, and nothing is reserved for it.
+/// A request in the table. It is kept from its arrival until it is closed, no attempt is in flight and nothing is reserved for
+/// it.
 pub(super) struct Request {
     pub class: usize,
     pub upstream: UpstreamRequest,
-    /// It must not run twice.
+    /// The request is non-idempotent: it must not run twice.
     pub must_not_repeat: bool,
-    /// Where the outcome goes; taken when it is sent.
+    /// Receives the outcome. `None` once the outcome is sent or the client has disconnected, and for a received stream.
     pub outcome: Option<oneshot::Sender<Outcome>>,
     pub deadline: Time,
     pub attempts: Vec<Attempt>,
     pub reservation: Reservation,
-    /// An attempt other than a prefill ended without proof that it never ran.
+    /// An attempt other than a prefill has ended, and nothing proves that it never ran.
     pub may_have_run: bool,
     /// Receives `may_have_run` when the request leaves the table.
     pub may_have_run_reply: Option<oneshot::Sender<bool>>,
-    /// Another process of this dispatcher has begun its stream.
+    /// Its stream was started by another process of this dispatcher and received through stream migration.
     pub is_received: bool,
     phase: Phase,
 }
 
-/// An attempt that has ended.
+/// What [`Request::end_attempt`] reports of the attempt.
 pub(super) struct EndedAttempt {
     pub endpoint: EndpointId,
-    /// It was the client's stream, and the request was not closed before.
+    /// The attempt was the client's stream, and the request was not closed before it ended.
     pub was_open_stream: bool,
 }
 
 impl Request {
-    /// A request as it arrives.
+    /// Creates a request that has just arrived.
     pub(super) fn new(
         now: Time,
         metadata: &RequestMetadata,
@@ -109,10 +114,10 @@
         }
     }
 
-    /// A request whose stream another process has begun, and that ends with it.
+    /// Creates a request for a stream that another process has started. The stream is its only attempt.
     pub(super) fn received(now: Time, client_request_id: Arc<str>, endpoint: EndpointId) -> Self {
         Request {
-            class: RECEIVED_CLASS,
+            class: UNKNOWN_CLASS,
             upstream: UpstreamRequest {
                 client_request_id,
                 target: "".into(),
@@ -140,12 +145,12 @@
             .is_some_and(Attempt::is_in_flight)
     }
 
-    /// Why the last attempt ended; `None` where there is none or it is in flight.
+    /// Returns why the last attempt ended; `None` if there is no attempt or the last one is in flight.
     pub(super) fn last_end_reason(&self) -> Option<EndReason> {
         self.attempts.last()?.end_reason
     }
 
-    /// Endpoints of its attempts: first those that have responded, the latest before the others.
+    /// Returns the endpoints of all attempts: first those that have responded, and in each group the latest attempt first.
     pub(super) fn attempted_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         let latest_first = self.attempts.iter().rev();
         let with_response = latest_first
@@ -157,7 +162,7 @@
             .map(|attempt| attempt.endpoint)
     }
 
-    /// Whether it has no outcome yet.
+    /// Returns whether no outcome has been sent yet.
     pub(super) fn is_waiting(&self) -> bool {
         self.phase == Phase::Waiting
     }
@@ -166,7 +171,7 @@
         matches!(self.phase, Phase::Closed { .. })
     }
 
-    /// The attempt whose stream goes, or went, to the client.
+    /// Returns the attempt whose stream goes, or went, to the client.
     pub(super) fn stream(&self) -> Option<u32> {
         match self.phase {
             Phase::Waiting => None,
@@ -175,8 +180,8 @@
         }
     }
 
-    /// Who may still use what is reserved for it. A stream in flight needs no KV cache of another endpoint any more; any
-    /// other attempt may wait for one.
+    /// Returns what may still need the request's reservation. An attempt that has begun to stream needs no KV cache from
+    /// another endpoint any more; any other attempt may be waiting for one.
     pub(super) fn reservation_demand(&self) -> ReservationDemand {
         if self.stream().is_none() && self.has_attempt_in_flight() {
             ReservationDemand::AttemptInFlight
@@ -187,14 +192,15 @@
         }
     }
 
-    /// An attempt's first event has gone to the client.
+    /// Records that the first event of an attempt's stream has gone to the client.
     pub(super) fn start_stream(&mut self, attempt: u32) {
         self.phase = Phase::Streaming { attempt };
         self.reservation.on_stream_started();
-        self.upstream.body = Bytes::new(); // no further attempt will need it
+        self.upstream.body = Bytes::new(); // frees the body: no attempt will be started any more
     }
 
-    /// It has its final outcome, or its client has disconnected. False where it was closed before.
+    /// Closes the request, because its final outcome is sent or its client has disconnected. Returns false if it was closed
+    /// before.
     pub(super) fn close(&mut self) -> bool {
         let was_open = !self.is_closed();
         self.phase = Phase::Closed {
@@ -203,7 +209,8 @@
         was_open
     }
 
-    /// Records the end of an attempt, what may be reserved and what may have run by it. `None`: it was not in flight.
+    /// Records the end of an attempt, and updates the reservation and `may_have_run`. `role_of` returns the role of an
+    /// endpoint that is in the table. Returns `None` if the attempt was not in flight.
     pub(super) fn end_attempt(
         &mut self,
         now: Time,
@@ -231,7 +238,7 @@
         })
     }
 
-    /// Whether it can leave the table.
+    /// Returns whether the request can be removed from the table.
     pub(super) fn is_finished(&self) -> bool {
         self.is_closed()
             && !self.has_attempt_in_flight()
--- a/src/dispatcher/request_table.rs
+++ b/src/dispatcher/request_table.rs
@@ -1,29 +1,34 @@
-//! The request table: open requests by number and by client request id, and the ids of requests that ended recently and may
-//! have run. It is owned by the core.
+//! The request table: all open requests, by request id and by client request id.
+//!
+//! It also remembers, within limits of time and number, the client request ids of finished requests that may have run. The
+//! core uses them to reject a request that is submitted again. The core owns the table; a request stays in it until nothing
+//! is in flight or reserved for it.
 
 use super::request::{Attempt, Request};
 use crate::routing::api::{EndpointId, RequestId, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// How long the id of a request that may have run is remembered after its end (microseconds).
+/// How long the client request id of a finished request that may have run is remembered (microseconds).
 const RECENT_ID_RETENTION: Time = 30_000_000;
-/// How many ids of requests that may have run are remembered.
+/// Maximum number of client request ids of finished requests that are remembered; the oldest are dropped first.
 const MAX_RECENT_IDS: usize = 8_192;
 
-/// A request that left the table.
+/// The client request id of a finished request that may have run.
 struct RecentId {
     ended_at: Time,
     client_request_id: Arc<str>,
 }
 
-/// The table of requests.
+/// The table of open requests.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
     open_ids: HashSet<Arc<str>>,
-    recent_ids: HashSet<Arc<str>>, // of finished requests that may have run
-    recent_ids_by_age: VecDeque<RecentId>, // the same, oldest first
+    /// Client request ids of requests that finished recently and may have run.
+    recent_ids: HashSet<Arc<str>>,
+    /// The same ids, oldest first.
+    recent_ids_by_age: VecDeque<RecentId>,
 }
 
 impl RequestTable {
@@ -31,12 +36,12 @@
         self.requests.len()
     }
 
-    /// Whether a request of this client request id is in the table.
+    /// Returns whether a request with this client request id is in the table.
     pub(super) fn is_open(&self, client_request_id: &str) -> bool {
         self.open_ids.contains(client_request_id)
     }
 
-    /// Whether a request of this client request id ended recently and may have run.
+    /// Returns whether a request with this client request id finished recently and may have run.
     pub(super) fn may_have_run(&self, client_request_id: &str) -> bool {
         self.recent_ids.contains(client_request_id)
     }
@@ -72,7 +77,8 @@
         self.requests.get_mut(&id)
     }
 
-    /// Requests whose deadlines must be checked: all but those of which nothing is left but a stream in flight.
+    /// Returns the requests whose deadline or reservation must be checked: all but those that stream to their client and have
+    /// nothing reserved.
     pub(super) fn ids_to_check(&self) -> Vec<RequestId> {
         let needs_check = |request: &Request| {
             request.is_waiting() || request.is_closed() || request.reservation.may_be_held()
@@ -84,7 +90,7 @@
             .collect()
     }
 
-    /// Classes that a request in the table belongs to.
+    /// Returns the classes of all requests in the table.
     pub(super) fn classes(&self) -> HashSet<usize> {
         self.requests
             .values()
@@ -92,7 +98,7 @@
             .collect()
     }
 
-    /// Endpoints with an attempt in flight.
+    /// Returns the endpoints that have an attempt in flight.
     pub(super) fn endpoints_in_use(&self) -> HashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts
@@ -101,7 +107,7 @@
             .collect()
     }
 
-    /// Removes a request that is finished, and reports whether it may have run to whoever waits for that.
+    /// Removes a request if it is finished, and answers its `may_have_run_reply`.
     pub(super) fn remove_if_finished(&mut self, now: Time, id: RequestId) {
         if !self.requests.get(&id).is_some_and(Request::is_finished) {
             return;
