--- a/src/dispatcher/reservation.rs
+++ b/src/dispatcher/reservation.rs
@@ -11,8 +11,8 @@
 
 /// Tenths of the reservation TTL after which a KV cache is released that may exist and that no attempt needs.
 const UNCLAIMED_TTL_TENTHS: Time = 4;
-/// Tenths of the reservation TTL after which a KV cache is released while the router looks for a decode endpoint for it, or
-/// while an attempt is in flight.
+/// Tenths of the reservation TTL after which a KV cache is released that waits for a decode endpoint, or that an attempt in
+/// flight may need.
 const CLAIMED_TTL_TENTHS: Time = 9;
 
 /// Maximum time until an endpoint sees that the connection of an abandoned attempt was closed (microseconds). A release that
--- a/tests/unit/dispatcher/bans.rs
+++ b/tests/unit/dispatcher/bans.rs
@@ -1,3 +1,5 @@
+//! Tests of the ban list: its limits, and the merge of records of two processes whose clocks may differ.
+
 use super::*;
 
 fn id(name: &str) -> Arc<str> {
@@ -77,18 +79,18 @@
     two.set(11, &id("b"), true, true).unwrap();
     assert_eq!(two.merge(12, one.records()), [id("a")]);
     two.set(12, &id("a"), false, true).unwrap();
-    // The other process's records are older than what is known here: they change nothing.
+    // Records that are older than those known here change nothing.
     assert!(two.merge(13, &one.records().clone()).is_empty());
     assert_eq!(one.merge(13, two.records()), [id("a"), id("b")]);
     assert_eq!(one.records(), two.records());
     assert!(!one.is_banned("a") && one.is_banned("b"));
-    // A change here after one in the other process is the newer one, even if this clock is behind.
+    // A change that follows a merged record is newer than that record, even if this process's clock is behind.
     one.set(5, &id("b"), false, true).unwrap();
     assert_eq!(two.merge(14, one.records()), [id("b")]);
 }
 
-/// Another process's clock is an hour behind, or ahead: its latest change counts all the same, and for no longer than a
-/// change of this process.
+/// Guards against comparing times of two clocks. With another process's clock an hour behind or ahead, its latest change must
+/// still count. Its record must not outlive the retention by this process's clock.
 #[test]
 fn the_latest_change_counts_whatever_the_clock_of_the_other_process() {
     const HOUR: Time = 3_600_000_000;
@@ -106,9 +108,9 @@
         assert_eq!(
             one.ended_at("a"),
             Some(here + 2 * BAN_END_RETENTION),
-            "by the clock of the process that receives it"
+            "by the clock of the process that received the record"
         );
         one.merge(here + 4 * BAN_END_RETENTION, &BanRecords::new());
-        assert!(one.records().is_empty(), "forgotten in time");
+        assert!(one.records().is_empty(), "forgotten after the retention");
     }
 }
--- a/tests/unit/dispatcher/endpoint_table.rs
+++ b/tests/unit/dispatcher/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table by itself.
+//! Tests of the endpoint table alone: gossip hashes, and start times under clock differences.
 
 use super::*;
 use crate::dispatcher::DiscoveredEndpoint;
@@ -18,8 +18,8 @@
     }
 }
 
-/// Other dispatchers know an endpoint by a part of its key. Two that share it can't be distinguished; when one of them has
-/// been removed, the hash means the other one; and it never means one that has been removed.
+/// Other dispatchers know an endpoint by a part of its key. A hash that two endpoints share must match neither. When one of
+/// them has been removed, the hash must match the other one. It must never match a removed endpoint.
 #[test]
 fn an_endpoint_is_known_by_its_gossip_hash_while_no_other_shares_it() {
     let report = Report::new(0, Logger::root(Discard, o!()));
@@ -38,8 +38,8 @@
             .and_then(|number| endpoints.get(number))
             .map(|endpoint| endpoint.id.to_string())
     };
-    // The upper part of a key is not sent.
-    let same = 7 + (1 << 40);
+    // Gossip sends only the lower 24 bits of a key.
+    let colliding_key = 7 + (1 << 40);
     replace_list(&mut endpoints, &[("a", 7), ("bb", 9)]);
     assert_eq!(
         (
@@ -49,12 +49,15 @@
         (Some("a"), Some("bb"))
     );
     assert_eq!(name(&endpoints, 8), None);
-    replace_list(&mut endpoints, &[("a", 7), ("bb", 9), ("ccc", same)]);
+    replace_list(
+        &mut endpoints,
+        &[("a", 7), ("bb", 9), ("ccc", colliding_key)],
+    );
     assert_eq!(
         (name(&endpoints, 7), name(&endpoints, 9).as_deref()),
         (None, Some("bb"))
     );
-    replace_list(&mut endpoints, &[("bb", 9), ("ccc", same)]);
+    replace_list(&mut endpoints, &[("bb", 9), ("ccc", colliding_key)]);
     assert_eq!(name(&endpoints, 7).as_deref(), Some("ccc"));
     replace_list(&mut endpoints, &[("bb", 9)]);
     assert_eq!(name(&endpoints, 7), None);
@@ -65,8 +68,8 @@
     );
 }
 
-/// A wall clock was stepped by an hour, there or here: an endpoint that has just started is not taken for warmed up, and one
-/// that has run for long is not in slow start for an hour.
+/// A wall clock is stepped by an hour, at the endpoint or here. An endpoint that has just started must not count as warm. One
+/// that has run for long must not be in slow start for an hour.
 #[test]
 fn the_start_of_an_endpoint_is_bounded_by_when_it_was_reported() {
     const SECOND: Time = 1_000_000;
@@ -83,7 +86,7 @@
         endpoints.update_list(now, vec![discovered], &report);
     };
     let (mut endpoints, now) = (EndpointTable::default(), 100 * HOUR);
-    // At first only the list is known; a start in the future is none.
+    // The first list may report any start in the past.
     update_list(&mut endpoints, now, 99 * HOUR);
     assert_eq!(started(&endpoints), Some(99 * HOUR));
     for reported in [99 * HOUR + 7, 101 * HOUR + 7] {
@@ -93,14 +96,15 @@
             (received - 6 * SECOND..=received).contains(&started(&endpoints).unwrap()),
             "{reported}"
         );
-        // It ages by this process's clock, however often the list reports it.
+        // The corrected start doesn't change when the list reports the same start again.
         let before = started(&endpoints);
         update_list(&mut endpoints, received + 5 * SECOND, reported);
         assert_eq!(started(&endpoints), before);
     }
-    // Where the clocks agree, the reported start counts.
+    // When the clocks agree, the reported start counts.
     update_list(&mut endpoints, now + 30 * SECOND, now + 28 * SECOND);
     assert_eq!(started(&endpoints), Some(now + 28 * SECOND));
+    // A start in the future counts as now, also in the first list.
     let mut first = EndpointTable::default();
     update_list(&mut first, now, 101 * HOUR);
     assert_eq!(started(&first), Some(now));
--- a/tests/unit/dispatcher/guard.rs
+++ b/tests/unit/dispatcher/guard.rs
@@ -1,3 +1,5 @@
+//! Tests of the guard: for each kind of request, after which attempts and at which endpoints a step is allowed.
+
 use super::*;
 use crate::config::{Deployment, SettingsObject};
 use crate::dispatcher::messages::UpstreamRequest;
@@ -45,7 +47,7 @@
     settings
 }
 
-/// A request with attempts at endpoints; those without a reason are in flight. Its deadline is after 5 s.
+/// Creates a request with these attempts; those without a reason are in flight. Its deadline is at 5 s.
 fn request(attempts: &[(EndpointId, Option<EndReason>)]) -> Request {
     let (outcome, _) = tokio::sync::oneshot::channel();
     let upstream = UpstreamRequest {
@@ -144,12 +146,12 @@
         ),
         Err(Rule::Attempts)
     );
-    let alone = RoutingSettings {
+    let no_hedging = RoutingSettings {
         hedging_allowed: false,
         ..settings(Idempotency::Idempotent)
     };
     let guard = Guard {
-        settings: &alone,
+        settings: &no_hedging,
         target_of: target,
         now: 0,
     };
@@ -159,7 +161,8 @@
     );
 }
 
-/// Whether a request that must not run twice may have a further attempt at `endpoint`, or be shed, after `previous`.
+/// Asserts whether a request that must not run twice may have a further attempt at `endpoint`, and may be shed, after
+/// `previous`.
 fn assert_non_idempotent(
     endpoint: EndpointId,
     previous: (EndpointId, Option<EndReason>),
@@ -218,7 +221,7 @@
     }
 }
 
-/// While an attempt is in flight, also at a prefill endpoint, nothing proves that it had no effect.
+/// While an attempt is in flight, even at a prefill endpoint, nothing proves that it had no effect.
 #[test]
 fn a_non_idempotent_request_is_not_repeated_while_an_attempt_is_in_flight() {
     assert_non_idempotent(PREFILL, (PREFILL, None), Err(Rule::Duplicate));
@@ -226,8 +229,8 @@
 
 #[test]
 fn requests_with_idempotency_keys_are_repeated_where_and_while_repeats_are_dropped() {
-    let lost = [(DECODE, Some(EndReason::Timeout))];
-    let keyed = |scope| Idempotency::IdempotencyKey {
+    let timed_out = [(DECODE, Some(EndReason::Timeout))];
+    let idempotency_key = |scope| Idempotency::IdempotencyKey {
         scope,
         window: 1_000 * MS,
     };
@@ -244,26 +247,34 @@
             Err(Rule::Duplicate)
         };
         assert_eq!(
-            check_attempt(keyed(scope), 999 * MS, endpoint, &lost),
+            check_attempt(idempotency_key(scope), 999 * MS, endpoint, &timed_out),
             expected,
             "{scope:?} {endpoint}"
         );
         assert_eq!(
-            check_attempt(keyed(scope), 1_000 * MS, endpoint, &lost),
+            check_attempt(idempotency_key(scope), 1_000 * MS, endpoint, &timed_out),
             Err(Rule::Duplicate),
             "{scope:?} {endpoint}"
         );
     }
     assert_eq!(
-        check_shed(keyed(DeduplicationScope::AllEndpoints), 999 * MS, &lost),
+        check_shed(
+            idempotency_key(DeduplicationScope::AllEndpoints),
+            999 * MS,
+            &timed_out
+        ),
         Ok(())
     );
     assert_eq!(
-        check_shed(keyed(DeduplicationScope::AllEndpoints), 1_000 * MS, &lost),
+        check_shed(
+            idempotency_key(DeduplicationScope::AllEndpoints),
+            1_000 * MS,
+            &timed_out
+        ),
         Err(Rule::Duplicate)
     );
     assert_eq!(
-        check_shed(keyed(DeduplicationScope::Zone), 0, &lost),
+        check_shed(idempotency_key(DeduplicationScope::Zone), 0, &timed_out),
         Err(Rule::Duplicate)
     );
 }
--- a/tests/unit/dispatcher/report.rs
+++ b/tests/unit/dispatcher/report.rs
@@ -1,3 +1,5 @@
+//! Tests of the report: the rate limit of log lines, the count of violations, and the time of summaries.
+
 use super::*;
 use slog::{o, Discard};
 
--- a/tests/unit/dispatcher/reservation.rs
+++ b/tests/unit/dispatcher/reservation.rs
@@ -1,3 +1,5 @@
+//! Tests of the reservation: when a release is due, why it starts, and when it is repeated.
+
 use super::ReservationDemand::{AttemptInFlight, NotNeeded, RequestWaiting};
 use super::*;
 
@@ -6,7 +8,8 @@
 const PREFILL: Option<Role> = Some(Role::Prefill);
 const DECODE: Option<Role> = Some(Role::Decode);
 
-/// After which time a release starts, and why.
+/// Starts a release as soon as one is due, and returns after which time that was, and why. `None` if none is due within twice
+/// the TTL.
 fn start_release_when_due(
     reservation: &mut Reservation,
     from: Time,
@@ -35,15 +38,16 @@
         assert_eq!(
             start_release_when_due(&mut reservation, 900 * MS, demand),
             None,
-            "one is in progress"
+            "a release is in progress"
         );
     }
 }
 
-/// The end of an attempt without a response gives a KV cache no new time: the attempt need not have arrived.
+/// The end of an attempt without a response must not restart the TTL of a KV cache: the attempt may not have reached its
+/// endpoint.
 #[test]
 fn only_responses_give_a_kv_cache_new_time() {
-    let silent = [
+    let without_response = [
         EndReason::Timeout,
         EndReason::Cancelled,
         EndReason::ConnectionReset,
@@ -53,7 +57,7 @@
         EndReason::UnreadableResponse,
         EndReason::TaskPanicked,
     ];
-    for reason in silent {
+    for reason in without_response {
         let mut reservation = Reservation::default();
         reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
         reservation.on_attempt_ended(600 * MS, DECODE, reason);
@@ -98,8 +102,8 @@
     }
 }
 
-/// An endpoint that had received the attempt kept the KV cache when the others were told to release; when the attempt ends,
-/// the KV cache waits again.
+/// An endpoint that has received an attempt keeps the KV cache when endpoints are told to release it during the attempt. When
+/// the attempt ends, the KV cache is reserved again, and must be released.
 #[test]
 fn a_release_during_an_attempt_is_repeated_when_the_attempt_has_ended() {
     for reason in [
@@ -142,13 +146,13 @@
     assert_eq!(
         reservation.start_release(0, TTL, AttemptInFlight),
         None,
-        "its end comes soon"
+        "the attempt in flight will end soon"
     );
     assert_eq!(
         reservation.start_release(0, TTL, NotNeeded),
         Some(ReleaseReason::NoLongerNeeded)
     );
-    // What is reserved while that is in progress is released after it.
+    // A KV cache that is reserved while a release is in progress is released after it.
     reservation.on_attempt_ended(10 * MS, PREFILL, EndReason::PrefillDone);
     assert_eq!(reservation.start_release(10 * MS, TTL, NotNeeded), None);
     reservation.on_release_completed(20 * MS);
@@ -166,8 +170,8 @@
     assert!(!reservation.may_be_held());
 }
 
-/// The close of an abandoned attempt and the release go to two endpoints: the release may be processed first, while that
-/// attempt still waits there, and then it has released nothing.
+/// The close of an abandoned attempt and the release may go to different endpoints. If the release is processed first, the
+/// attempt still waits for the KV cache and nothing is released, so the release must be repeated.
 #[test]
 fn a_release_right_after_an_attempt_was_abandoned_is_repeated_once() {
     for reason in [
@@ -192,7 +196,7 @@
         reservation.on_release_completed(310 * MS);
         assert!(!reservation.may_be_held(), "{reason:?}");
     }
-    // A later release finds the attempt ended.
+    // A release that starts later finds that the attempt has ended, and is not repeated.
     let mut reservation = Reservation::default();
     reservation.on_attempt_ended(0, PREFILL, EndReason::PrefillDone);
     reservation.on_attempt_ended(200 * MS, DECODE, EndReason::Cancelled);
