--- a/src/dispatcher/reservation.rs
+++ b/src/dispatcher/reservation.rs
@@ -84,15 +84,14 @@
             EndReason::KvStateMissing => self.confirmed_since = None,
             _ if reason.never_arrived() => {}
             // The prefill may have completed just when its connection broke or was closed.
-            _ if role != Some(Role::Decode) && reason.may_have_prefilled() => {
-                self.mark_suspected(now)
-            }
-            _ if may_be_kept => self.mark_suspected(now),
+            _ if role != Some(Role::Decode) && reason.may_have_prefilled() => self.suspect(now),
+            _ if may_be_kept => self.suspect(now),
             _ => {}
         }
     }
 
-    fn mark_suspected(&mut self, now: Time) {
+    /// Records that a KV cache may be reserved, from now on at the latest.
+    fn suspect(&mut self, now: Time) {
         self.suspected_since.get_or_insert(now);
     }
 
@@ -179,7 +178,7 @@
         };
         let mut not_before = 0;
         if must_repeat {
-            self.mark_suspected(now);
+            self.suspect(now);
             not_before = now.saturating_add(MAX_CLOSE_DELAY);
         }
         self.release = ReleaseState::Idle { not_before };
