--- a/tests/backend/support.rs
+++ b/tests/backend/support.rs
@@ -1,4 +1,4 @@
-//! Commands to a backend whose dispatcher is the test, and endpoints that answer raw bytes.
+//! Commands to a backend that runs without a dispatcher core, and stand-in endpoints that read and write raw bytes.
 
 #![allow(dead_code)]
 
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::timeout;
 
-/// How many connections the backend of a test may open.
+/// The number of connections that the backend of a test may open.
 pub(crate) const CONNECTION_LIMIT: u64 = 10;
 /// The head of a stream's response.
 pub(crate) const STREAM_HEAD: &str =
@@ -30,7 +30,7 @@
 }
 
 impl AttemptSpec {
-    /// An attempt that may use an idle connection, with a timeout of 5 s.
+    /// Creates an attempt that may use an idle connection, with a timeout of 5 s.
     pub(crate) fn new(id: RequestId, address: &str) -> AttemptSpec {
         AttemptSpec {
             id,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The command that starts it. Its request is named `n` and its id.
+    /// Returns the command that starts it. The client request id is `n` followed by the request id.
     pub(crate) fn command(self) -> Command {
         Command::StartAttempt {
             id: self.id,
@@ -73,14 +73,14 @@
     }
 }
 
-/// Binds a listener for a stand-in endpoint, and gives its address.
+/// Binds a listener for a stand-in endpoint and returns it with its address.
 pub(crate) async fn bind_endpoint() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, address)
 }
 
-/// The same with a listener of the standard library, which a paused clock does not affect.
+/// Does the same as [`bind_endpoint`] with a listener of the standard library, which a paused clock does not affect.
 pub(crate) fn bind_blocking_endpoint() -> (std::net::TcpListener, String) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -98,7 +98,7 @@
     }
 }
 
-/// Answers as a prefill endpoint does.
+/// Writes the response of a prefill endpoint.
 pub(crate) async fn write_prefill_response(stream: &mut TcpStream) {
     stream
         .write_all(b"HTTP/1.1 202 OK\r\nContent-Length: 2\r\n\r\n{}")
@@ -106,14 +106,14 @@
         .unwrap();
 }
 
-/// Reads a request and answers it as a prefill endpoint does, on a connection that stays open.
+/// Reads a request and writes the response of a prefill endpoint; the connection stays open.
 pub(crate) async fn serve_prefill(stream: &mut TcpStream) {
     read_request(stream).await;
     write_prefill_response(stream).await;
 }
 
-/// Accepts a connection and reads a whole request from it, on a thread of its own: a paused clock does not advance
-/// meanwhile.
+/// Accepts a connection and reads a whole request from it, on a thread of its own. A paused clock does not advance while
+/// the thread runs.
 pub(crate) async fn accept_request_blocking(
     listener: std::net::TcpListener,
 ) -> (std::net::TcpStream, String) {
@@ -131,7 +131,7 @@
     tokio::task::spawn_blocking(accept).await.unwrap()
 }
 
-/// A backend all of whose connection permits are taken by attempts at an endpoint that does not answer.
+/// A backend without free connection permits: attempts at an endpoint that never responds hold all of them.
 pub(crate) struct ExhaustedBackend {
     pub commands: Sender<Command>,
     pub events: EventReceiver,
@@ -141,13 +141,13 @@
 impl ExhaustedBackend {
     pub(crate) async fn start() -> ExhaustedBackend {
         let (commands, events) = start_backend(&[]);
-        let (silent, address) = bind_blocking_endpoint();
+        let (listener, address) = bind_blocking_endpoint();
         for id in 0..CONNECTION_LIMIT {
             commands.send(start_attempt(id, &address)).await.unwrap();
         }
         let accept_all = move || {
             (0..CONNECTION_LIMIT)
-                .map(|_| silent.accept().unwrap())
+                .map(|_| listener.accept().unwrap())
                 .collect()
         };
         ExhaustedBackend {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Cancels one of the attempts 200 ms later, so that what waits for a connection gets its permit.
+    /// Advances the paused clock by 200 ms and cancels one of the attempts, whose permit goes to what waits for one.
     pub(crate) async fn free_a_permit_after_200_ms(&self) {
         tokio::task::yield_now().await;
         tokio::time::advance(Duration::from_millis(200)).await;
@@ -172,7 +172,7 @@
         .expect("an open queue")
 }
 
-/// The status with which the next attempt ends.
+/// Returns the status with which the next attempt ends; panics if the next event is another one.
 pub(crate) async fn next_status(events: &mut EventReceiver) -> AttemptStatus {
     match next_event(events).await {
         Event::AttemptEnded { reason, .. } => reason.status(),
--- a/tests/free_address/mod.rs
+++ b/tests/free_address/mod.rs
@@ -2,13 +2,13 @@
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Below the ports that the system gives to connections.
+/// Below the system's range of ephemeral ports.
 const PORT: u16 = 7_000;
 
-/// An address that nobody else binds: each has a loopback IP address of its own.
+/// Returns an address that no other test binds: each has a loopback IP address of its own.
 ///
-/// It is not bound here first. A listener that was closed again may still be open in a process that another test has
-/// forked at that moment, and the program would find the address in use.
+/// The address is not reserved by binding and closing a listener. A process that another test forks at that moment may
+/// still have the listener open, and the program would find the address in use.
 pub(crate) fn free_address() -> String {
     static NEXT: AtomicU8 = AtomicU8::new(2);
     let [_, _, high, low] = std::process::id().to_be_bytes();
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-in prefill and decode replicas on loopback ([`replicas`]), a dispatcher in front of them that is assembled as `main`
-//! does it ([`Fleet`]), and a client of its sessions ([`session_client`]).
+//! The test bed of the integration tests, all in one process and on loopback: stand-in prefill and decode replicas
+//! ([`replicas`]), a dispatcher in front of them that is assembled as `main` does it ([`Fleet`]), and a client of its
+//! WebSocket sessions ([`session_client`]).
 
 // Each test program uses a part of this module.
 #![allow(dead_code, unused_imports)]
@@ -27,48 +28,53 @@
 
 use replicas::StandInReplica;
 
-/// The node side alone, with a test in the core's place.
+/// Starts a backend without a dispatcher core: the test sends its commands and receives its events. The endpoints at
+/// `websocket_addresses` are called over WebSocket sessions, all others over HTTP/1.1.
 pub(crate) fn start_backend(
-    over_sessions: &[String],
+    websocket_addresses: &[String],
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
-    start_backend_with_queue(16, over_sessions)
+    start_backend_with_queue(16, websocket_addresses)
 }
 
-/// The same, and so many commands may wait for it.
+/// Does the same as [`start_backend`], with a command queue that holds `queue_length` commands.
 pub(crate) fn start_backend_with_queue(
     queue_length: usize,
-    over_sessions: &[String],
+    websocket_addresses: &[String],
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
-    let profile: SettingsObject = json::from_str(SETTINGS).unwrap();
-    let deployment = Arc::new(Deployment::new(&profile).unwrap());
+    let settings: SettingsObject = json::from_str(SETTINGS).unwrap();
+    let deployment = Arc::new(Deployment::new(&settings).unwrap());
     let bounds = deployment.bounds;
     let (dispatcher, events) = dispatcher::channel(deployment);
     let (commands, command_queue) = mpsc::channel(queue_length);
-    let session_addresses = over_sessions.iter().cloned().collect();
+    let websocket_addresses = websocket_addresses.iter().cloned().collect();
     tokio::spawn(backend::run(
         command_queue,
         dispatcher,
         bounds,
         ConnectionLimit::new(10),
-        session_addresses,
+        websocket_addresses,
         backend::StreamMigration::disabled(),
         Logger::root(Discard, o!()),
     ));
     (commands, events)
 }
 
-/// The stand-ins and the dispatcher before them.
+/// Four stand-in replicas and the dispatcher in front of them.
 pub(crate) struct Fleet {
     pub dispatcher: DispatcherHandle,
+    /// What all replicas hold and have received.
     pub activity: Arc<Mutex<ReplicaActivity>>,
+    /// Continues the streams of replicas whose behavior is to pause.
     pub resume: Arc<Notify>,
     pub http_address: String,
     pub websocket_address: String,
     pub management_address: String,
     pub shutdown: watch::Sender<ShutdownPhase>,
+    /// Finishes when all client connections and sessions are closed after `shutdown`.
     pub frontend_task: tokio::task::JoinHandle<()>,
     pub replica_addresses: Vec<String>,
     replicas: Vec<Arc<StandInReplica>>,
+    /// The copy that discovery updates are read with; the dispatcher has its own.
     deployment: Mutex<Deployment>,
     log: Logger,
 }
@@ -80,38 +86,39 @@
 }
 
 impl Fleet {
-    /// Two readers (0, 1) and two writers (2, 3), over HTTP/1.1 or sessions. Writer 3 is not told of at first.
+    /// Starts two prefill replicas (0, 1), two decode replicas (2, 3) and a dispatcher that calls them over HTTP/1.1 or
+    /// WebSocket sessions. Replica 3 is not in the endpoint list until the test adds it.
     #[expect(
         clippy::too_many_lines,
         reason = "puts a whole dispatcher together, as process does"
     )]
-    pub(crate) async fn start(over_sessions: bool) -> Fleet {
+    pub(crate) async fn start(uses_websocket: bool) -> Fleet {
         let log = Logger::root(Discard, o!());
         let (activity, resume) = (
             Arc::new(Mutex::new(ReplicaActivity::default())),
             Arc::new(Notify::new()),
         );
-        let (mut stand_ins, mut replica_addresses) = (Vec::new(), Vec::new());
+        let (mut new_replicas, mut replica_addresses) = (Vec::new(), Vec::new());
         for number in 0..4 {
             let is_prefill = number < 2;
             let replica = StandInReplica::new(number, is_prefill, activity.clone(), resume.clone());
             let routes = replica.clone().routes();
             let (listener, address) = bind().await;
             tokio::spawn(async move { axum::serve(listener, routes).await });
-            stand_ins.push(replica);
+            new_replicas.push(replica);
             replica_addresses.push(address);
         }
-        let profile: SettingsObject = json::from_str(SETTINGS).unwrap();
-        let (deployment, second) = (
-            Deployment::new(&profile).unwrap(),
-            Deployment::new(&profile).unwrap(),
+        let settings: SettingsObject = json::from_str(SETTINGS).unwrap();
+        let (deployment, discovery_deployment) = (
+            Deployment::new(&settings).unwrap(),
+            Deployment::new(&settings).unwrap(),
         );
         let clock = Clock::start();
         let deployment = Arc::new(deployment);
         let (dispatcher, events) = dispatcher::channel(deployment.clone());
         let core = Core::new(deployment.clone(), 100, 7, clock.now(), log.clone());
         let (commands, command_queue) = mpsc::channel(64);
-        let session_addresses = if over_sessions {
+        let websocket_addresses = if uses_websocket {
             replica_addresses.iter().cloned().collect()
         } else {
             Default::default()
@@ -121,19 +128,19 @@
             dispatcher.clone(),
             deployment.bounds,
             ConnectionLimit::new(100),
-            session_addresses,
+            websocket_addresses,
             backend::StreamMigration::disabled(),
             log.clone(),
         ));
         tokio::spawn(dispatcher::run(core, clock, events, commands, None, None));
         let (shutdown, shutdown_phase) = watch::channel(ShutdownPhase::Serving);
-        let options = r#"{"most_sessions":4,"most_message":4000,"reattach_ms":200,"most_requests":8,"record_text":4000}"#;
-        let options = Arc::new(SessionConfig::parse(options).unwrap());
+        let session_config = r#"{"most_sessions":4,"most_message":4000,"reattach_ms":200,"most_requests":8,"record_text":4000}"#;
+        let session_config = Arc::new(SessionConfig::parse(session_config).unwrap());
         let (listener, websocket_address) = bind().await;
         let memory_budget = BodyMemoryBudget::new(10_000);
         let session_frontend = websocket::SessionFrontend::new(
             dispatcher.clone(),
-            options,
+            session_config,
             memory_budget.clone(),
             1,
             shutdown_phase.clone(),
@@ -141,7 +148,7 @@
         );
         let routes = websocket::routes(session_frontend.clone())
             .merge(health_check::routes(dispatcher.clone()));
-        let session_listener = listener::serve(
+        let websocket_server = listener::serve(
             listener,
             routes,
             ConnectionLimit::new(50),
@@ -156,7 +163,7 @@
         ));
         let (listener, http_address) = bind().await;
         let routes = http::routes(dispatcher.clone(), memory_budget, log.clone());
-        let http_listener = listener::serve(
+        let http_server = listener::serve(
             listener,
             routes,
             ConnectionLimit::new(50),
@@ -164,11 +171,11 @@
             log.clone(),
         );
         let frontend_task = tokio::spawn(async move {
-            tokio::join!(session_listener, http_listener);
+            tokio::join!(websocket_server, http_server);
             session_frontend.wait_until_closed().await;
         });
-        let deployment = Mutex::new(second);
-        let replicas = stand_ins;
+        let deployment = Mutex::new(discovery_deployment);
+        let replicas = new_replicas;
         let fleet = Fleet {
             dispatcher,
             activity,
@@ -193,23 +200,24 @@
         fleet
     }
 
+    /// Changes how a replica behaves from its next attempt on.
     pub(crate) fn set_behavior(&self, number: usize, behavior: Behavior) {
         self.replicas[number].set_behavior(behavior);
     }
 
-    /// Discovery tells of changes.
+    /// Sends the dispatcher a discovery update with the new phases of these replicas.
     pub(crate) async fn update_discovery(&self, phases: &[(usize, &str)]) {
-        let line = |(number, phase): &(usize, &str)| {
-            let kind = if *number < 2 { "prefill" } else { "decode" };
+        let member = |(number, phase): &(usize, &str)| {
+            let machine_type = if *number < 2 { "prefill" } else { "decode" };
             let address = &self.replica_addresses[*number];
             format!(
-                r#"{{"id":"n{number}","host_port":"{address}","locality":"east","flavor":"{kind}","cell":1,"phase":"{phase}"}}"#
+                r#"{{"id":"n{number}","host_port":"{address}","locality":"east","flavor":"{machine_type}","cell":1,"phase":"{phase}"}}"#
             )
         };
-        let lines: Vec<String> = phases.iter().map(line).collect();
+        let members: Vec<String> = phases.iter().map(member).collect();
         let text = format!(
             r#"{{"revision":1,"complete":false,"members":[{}]}}"#,
-            lines.join(",")
+            members.join(",")
         );
         let list: EndpointList = discovery::parse_list(text.as_bytes()).unwrap();
         let event =
@@ -217,6 +225,7 @@
         self.dispatcher.send(event).await;
     }
 
+    /// Counts the attempts that a replica has received.
     pub(crate) fn attempts_at(&self, number: usize) -> usize {
         self.activity
             .lock()
@@ -227,45 +236,46 @@
             .count()
     }
 
-    /// Waits until something holds at the replicas.
+    /// Waits until the activity of the replicas fulfills a condition; panics with `what` after 10 s.
     pub(crate) async fn wait_until(
         &self,
         what: &str,
         condition: impl Fn(&ReplicaActivity) -> bool,
     ) {
-        let waits = async {
+        let wait = async {
             while !condition(&self.activity.lock().unwrap()) {
                 tokio::task::yield_now().await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(10), waits)
+        tokio::time::timeout(Duration::from_secs(10), wait)
             .await
-            .unwrap_or_else(|_| panic!("never: {what}"));
+            .unwrap_or_else(|_| panic!("not within 10 s: {what}"));
     }
 
-    /// Within 1 s nothing is left: no state, no place, nothing in the core's table.
+    /// Asserts that within 1 s no KV cache is reserved, no request is in flight and none is open in the dispatcher.
     pub(crate) async fn assert_all_released(&self) {
-        let waits = async {
+        let wait = async {
             self.dispatcher.wait_until_idle().await;
-            self.wait_until("nothing held", |activity| {
+            self.wait_until("all released", |activity| {
                 activity.kv_caches.is_empty() && activity.in_flight == 0
             })
             .await;
         };
-        let left = || {
+        let remaining = || {
             let activity = self.activity.lock().unwrap();
             format!(
-                "{:?}, {} places, {} open",
+                "KV caches {:?}, {} in flight, {} open",
                 activity.kv_caches,
                 activity.in_flight,
                 self.dispatcher.open_requests()
             )
         };
-        tokio::time::timeout(Duration::from_secs(1), waits)
+        tokio::time::timeout(Duration::from_secs(1), wait)
             .await
-            .unwrap_or_else(|_| panic!("left: {}", left()));
+            .unwrap_or_else(|_| panic!("not released within 1 s: {}", remaining()));
     }
 
+    /// Drains the dispatcher and tells its listeners to close.
     pub(crate) async fn drain(&self) {
         self.dispatcher
             .send(Event::Drain(std::time::Duration::from_secs(3)))
--- a/tests/testbed/profile.rs
+++ b/tests/testbed/profile.rs
@@ -1,4 +1,4 @@
-//! The settings of the tests, as JSON.
+//! The settings object of the tests, as JSON. Several of them replace parts of its text, which they match exactly.
 
 pub(crate) const SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"name":"status-query","aim":1500.0,"repeat":"free","group":"all","key_ttl":0.0,"worth":3.0},
--- a/tests/testbed/replicas.rs
+++ b/tests/testbed/replicas.rs
@@ -1,4 +1,7 @@
-//! Stand-in prefill and decode replicas, over HTTP/1.1 and over sessions.
+//! Stand-in prefill and decode replicas, each over HTTP/1.1 and over WebSocket sessions.
+//!
+//! Both transports execute an attempt in the same way ([`StandInReplica::execute`]). A decode replica rejects a request
+//! whose KV cache no prefill replica has reserved.
 
 use axum::body::Body;
 use axum::extract::ws::{Message, WebSocket, WebSocketUpgrade};
@@ -21,16 +24,16 @@
     "data: [DONE]\n\n",
 ];
 
-/// How a replica behaves.
+/// How a replica treats its attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Behavior {
-    /// It serves.
+    /// It serves the attempt completely.
     Serve,
-    /// It accepts the request and never responds.
+    /// It accepts the attempt and never responds.
     Hang,
     /// It responds with an error.
     Error,
-    /// It rejects all requests.
+    /// It rejects the attempt, with the statement that it never ran.
     Reject,
     /// It aborts the stream after a first event; in prefill, it closes the connection without a response.
     Abort,
@@ -42,19 +45,20 @@
     Malformed,
 }
 
-/// What all replicas have reserved, and what was sent to them.
+/// What all replicas of a test bed hold, and what they have received.
 #[derive(Default)]
 pub(crate) struct ReplicaActivity {
-    /// Requests whose KV cache is reserved.
+    /// Client request ids whose KV cache is reserved.
     pub kv_caches: BTreeSet<String>,
-    /// Requests in flight.
+    /// Attempts in flight.
     pub in_flight: usize,
-    /// All attempts: the replica's number and the request's id.
+    /// All attempts in the order of their arrival: the replica's number and the client request id.
     pub attempts: Vec<(usize, String)>,
-    /// Releases that were received.
+    /// Release requests that were received.
     pub release_count: usize,
 }
 
+/// A server in the place of a prefill or decode replica.
 pub(super) struct StandInReplica {
     number: usize,
     is_prefill: bool,
@@ -63,6 +67,7 @@
     resume: Arc<Notify>,
 }
 
+/// Takes an attempt off the count of those in flight when it is dropped.
 struct InFlightGuard(Arc<Mutex<ReplicaActivity>>);
 
 impl Drop for InFlightGuard {
@@ -71,7 +76,7 @@
     }
 }
 
-/// A part of a response. If the channel closes without a final one, the connection is aborted.
+/// A part of a response. If the channel closes before a final part, the connection is aborted.
 enum ResponsePart {
     Prefilled,
     Event(&'static str),
@@ -103,7 +108,7 @@
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// Its routes.
+    /// Returns its HTTP and WebSocket routes.
     pub(super) fn routes(self: Arc<Self>) -> Router {
         let release = |State(replica): State<Arc<Self>>, Path(id): Path<String>| async move {
             replica.release(&id);
@@ -119,7 +124,7 @@
             .with_state(self)
     }
 
-    /// Executes one attempt; its response is sent on the channel.
+    /// Executes one attempt and sends its response on the channel; stops when the receiver is dropped.
     async fn execute(self: Arc<Self>, id: String, parts: mpsc::Sender<ResponsePart>) {
         self.activity.lock().unwrap().in_flight += 1;
         let _in_flight = InFlightGuard(self.activity.clone());
@@ -178,6 +183,7 @@
         }
     }
 
+    /// Frees the KV cache of a request and counts the release, also if nothing was reserved.
     fn release(&self, id: &str) {
         let mut activity = self.activity.lock().unwrap();
         activity.kv_caches.remove(id);
@@ -185,6 +191,7 @@
     }
 }
 
+/// Serves one attempt over HTTP/1.1.
 async fn serve_http(State(replica): State<Arc<StandInReplica>>, request: Request) -> Response {
     let id = request.headers()["x-trace-id"].to_str().unwrap().to_owned();
     axum::body::to_bytes(request.into_body(), 1 << 20)
@@ -229,13 +236,14 @@
         }
         Some(ResponsePart::Malformed) => (StatusCode::OK, "\u{1}what?").into_response(),
         Some(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-        // The connection ends without a response.
+        // An error before the first body byte: the connection ends without a response.
         None => Response::new(Body::from_stream(futures_util::stream::once(async {
             Err::<Bytes, _>(io::Error::other("broken"))
         }))),
     }
 }
 
+/// Serves the attempts and releases of one session, one after the other.
 async fn serve_session(replica: Arc<StandInReplica>, mut socket: WebSocket) {
     while let Some(Ok(message)) = socket.recv().await {
         let Message::Text(text) = message else {
--- a/tests/testbed/session_client.rs
+++ b/tests/testbed/session_client.rs
@@ -1,4 +1,4 @@
-//! A client of the session protocol.
+//! A client of the WebSocket session protocol.
 
 use super::Fleet;
 use futures_util::{SinkExt, StreamExt};
@@ -9,10 +9,9 @@
 use tokio_tungstenite::tungstenite::Message as Frame;
 use tokio_tungstenite::{MaybeTlsStream, WebSocketStream};
 
-/// The longest wait for a message.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A client with its session.
+/// A client with one open session.
 pub(crate) struct SessionClient(pub WebSocketStream<MaybeTlsStream<TcpStream>>);
 
 impl SessionClient {
@@ -28,11 +27,12 @@
     }
 
     /// Sends a request.
-    pub(crate) async fn send_request(&mut self, id: &str, class: &str, expires: u32) {
-        self.send(&request_message(id, class, expires)).await;
+    pub(crate) async fn send_request(&mut self, id: &str, class: &str, expires_in_ms: u32) {
+        self.send(&request_message(id, class, expires_in_ms)).await;
     }
 
-    /// Receives the next message: its type, and its text.
+    /// Receives the next message and returns its type and its text. A close frame is returned as `close` with its code
+    /// (0 without one), the end of the connection as `end`.
     pub(crate) async fn receive(&mut self) -> (String, String) {
         loop {
             let next = tokio::time::timeout(MESSAGE_TIMEOUT, self.0.next())
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Receives all messages of a request: the type of the final one, and the text of the events.
+    /// Receives all messages of a request and returns the type of the final one and the joined data of the events.
     pub(crate) async fn receive_response(&mut self, id: &str) -> (String, String) {
         let mut text = String::new();
         loop {
@@ -76,9 +76,9 @@
     }
 }
 
-/// A request message.
-pub(crate) fn request_message(id: &str, class: &str, expires: u32) -> String {
+/// Formats a request message.
+pub(crate) fn request_message(id: &str, class: &str, expires_in_ms: u32) -> String {
     format!(
-        r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":{expires},"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
+        r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":{expires_in_ms},"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
     )
 }
--- a/tests/upgrade/setup.rs
+++ b/tests/upgrade/setup.rs
@@ -1,7 +1,8 @@
 // Each test program uses a part of this module.
 #![allow(dead_code)]
 
-//! A dispatcher that is upgraded, as its processes, its clients and its operators see it.
+//! The set-up of upgrade tests: processes of the program that share a listening socket and a folder, and the clients and
+//! operators that call them.
 
 use super::free_address::free_address;
 use super::testbed::{self, Fleet};
@@ -18,27 +19,29 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
 
-/// A dispatcher that is upgraded: the socket and the folder that its processes have in common, and the fleet that they
-/// use.
+/// What the processes of one upgraded dispatcher share: the listening socket, the folder, discovery and the replicas of
+/// `fleet`. The dispatcher that `fleet` itself contains is not used.
 pub(crate) struct UpgradeSetup {
     pub fleet: Fleet,
     http_listener: std::net::TcpListener,
     http_address: String,
+    /// Holds the configuration and the log files; removed on drop.
     pub folder: PathBuf,
-    /// Where its processes find each other.
+    /// The `TMPDIR` of the processes, where they find each other; at first the same as `folder`.
     pub shared_folder: PathBuf,
     pub discovery_address: String,
     /// Further command-line arguments of each process.
     pub arguments: Vec<String>,
 }
 
+/// A running process of the program; killed on drop.
 pub(crate) struct Process {
     pub child: Child,
     pub management_address: String,
     pub log_path: PathBuf,
 }
 
-/// What a client reads of a response.
+/// The parts of a response that the tests check.
 pub(crate) struct Response {
     pub status: u16,
     pub keeps_connection: bool,
@@ -57,11 +60,12 @@
     }
 }
 
+/// Formats an HTTP request with this client request id.
 pub(crate) fn request(trace_id: &str) -> String {
     format!("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace_id}\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 9000\r\nX-Props: prompt_len=500,max_out=100\r\nContent-Length: 2\r\n\r\n{{}}")
 }
 
-/// The endpoint list with two endpoints for prefill and the rest for decode.
+/// Formats an endpoint list in which the first two endpoints are for prefill and the rest for decode.
 fn endpoint_list(addresses: &[String]) -> String {
     let mut members = Vec::new();
     for (number, address) in addresses.iter().enumerate() {
@@ -76,7 +80,7 @@
     )
 }
 
-/// Serves this list; a watch for changes, which is a request with a query, is never answered.
+/// Serves this list and returns the address. A watch for changes, which is a request with a query, gets no response.
 async fn start_discovery(endpoint_list: String) -> String {
     let respond = move |uri: Uri| async move {
         if uri.query().is_some() {
@@ -111,7 +115,8 @@
         }
     }
 
-    /// A process that inherits `socket` as descriptor 5 and is told that it is `descriptor`.
+    /// Writes the configuration and returns the command of a process that inherits `socket` as descriptor 5 and gets
+    /// `descriptor` as the value of `GW_SOCKET_FD`.
     pub(crate) fn command(
         &self,
         descriptor: &str,
@@ -125,7 +130,7 @@
             self.http_address, self.discovery_address
         );
         std::fs::write(&config, text).unwrap();
-        // A shell puts the inherited socket where the platform does.
+        // The shell moves the socket from standard input to descriptor 5, where the platform passes it.
         let mut command = Command::new("sh");
         command
             .args(["-c", "exec 5<&0 0</dev/null; exec \"$0\" serve \"$@\""])
@@ -151,7 +156,7 @@
         process
     }
 
-    /// Starts one more process.
+    /// Starts one more process without waiting for it.
     pub(crate) async fn spawn_process(&self) -> Process {
         let management_address = free_address();
         let mut command = self.command("5", self.inheritable_socket(), &management_address);
@@ -168,14 +173,14 @@
         BufReader::new(TcpStream::connect(&self.http_address).await.unwrap())
     }
 
-    /// The status of one request's response, on a connection of its own; `None` without a response.
+    /// Sends a request on a new connection and returns the status of the response; `None` without a response.
     pub(crate) async fn request_status(&self, trace_id: &str) -> Option<u16> {
         let mut connection = self.connect().await;
         let response = send_request(&mut connection, trace_id).await?;
         Some(response.status)
     }
 
-    /// Whether the endpoints that were sent anything, from this entry of the activity on, are n1 and n3.
+    /// Returns whether all attempts from the index `first_entry` on were sent to n1 or n3.
     pub(crate) fn only_enabled_endpoints_were_used(&self, first_entry: usize) -> bool {
         let activity = self.fleet.activity.lock().unwrap();
         activity.attempts[first_entry..]
@@ -183,10 +188,12 @@
             .all(|(endpoint, _)| [1, 3].contains(endpoint))
     }
 
+    /// Counts the attempts that all endpoints have received.
     pub(crate) fn attempt_count(&self) -> usize {
         self.fleet.activity.lock().unwrap().attempts.len()
     }
 
+    /// Counts the announcement files of the processes.
     pub(crate) fn announcement_count(&self) -> usize {
         let mut count = 0;
         for entry in std::fs::read_dir(&self.folder).unwrap() {
@@ -200,7 +207,7 @@
     }
 }
 
-/// Sends one request on this connection and reads its response to the end; `None` if the connection ends before.
+/// Sends one request on this connection and reads its response to the end; `None` if the connection ends earlier.
 pub(crate) async fn send_request(
     connection: &mut BufReader<TcpStream>,
     trace_id: &str,
@@ -237,7 +244,7 @@
     })
 }
 
-/// A response whose first event has come, on a connection of its own.
+/// A response of which the first event has been received, on a connection of its own.
 pub(crate) struct OpenStream {
     pub connection: BufReader<TcpStream>,
     pub received: Vec<u8>,
@@ -249,7 +256,7 @@
         OpenStream::start_with(setup, &request(trace_id)).await
     }
 
-    /// The same with this request.
+    /// Does the same as [`OpenStream::start`] with the text of a request.
     pub(crate) async fn start_with(setup: &UpgradeSetup, request: &str) -> OpenStream {
         let mut connection = setup.connect().await;
         connection.write_all(request.as_bytes()).await.unwrap();
@@ -264,17 +271,17 @@
         }
     }
 
-    /// What has been received so far.
+    /// Returns what has been received so far.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.received).into_owned()
     }
 
-    /// Reads up to the last chunk, or to the connection's end where that comes first; returns all of the response.
+    /// Reads up to the last chunk, or to the connection's end if that comes first, and returns the whole response.
     pub(crate) async fn finish(self) -> String {
         self.finish_connected().await.text()
     }
 
-    /// The same, with the connection.
+    /// Does the same as [`OpenStream::finish`] and keeps the connection.
     pub(crate) async fn finish_connected(mut self) -> OpenStream {
         while !self.received.ends_with(b"0\r\n\r\n") {
             match self.connection.read_buf(&mut self.received).await {
@@ -286,7 +293,7 @@
     }
 }
 
-/// Sends a signal, named without its `SIG`.
+/// Sends a signal to a process; `signal` is its name without `SIG`.
 pub(crate) fn send_signal(process_id: u32, signal: &str) {
     let command = format!("kill -{signal} {process_id}");
     let status = Command::new("sh").arg("-c").arg(command).status().unwrap();
@@ -319,7 +326,7 @@
 }
 
 impl Process {
-    /// The response to an operator's call; `None` if the process does not accept it.
+    /// Sends an operator's command and returns the response; `None` if the connection fails.
     pub(crate) async fn call(&self, line: &str) -> Option<String> {
         let mut connection = TcpStream::connect(&self.management_address).await.ok()?;
         connection
@@ -331,6 +338,7 @@
         Some(response)
     }
 
+    /// Waits until the process reports that it accepts clients; panics after 20 s.
     pub(crate) async fn wait_until_ready(&self) {
         let until_ready = async {
             while self.call("ready").await.as_deref() != Some("ACK\n") {
@@ -342,12 +350,12 @@
             .unwrap_or_else(|_| panic!("never ready: {}", self.log()));
     }
 
-    /// What the process has logged so far.
+    /// Returns what the process has logged so far.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
-    /// Waits until the process has logged this text.
+    /// Waits until the process has logged this text; panics after 20 s.
     pub(crate) async fn wait_for_log(&self, text: &str) {
         let until_logged = async {
             while !self.log().contains(text) {
@@ -359,6 +367,7 @@
             .unwrap_or_else(|_| panic!("never logged {text:?}: {}", self.log()));
     }
 
+    /// Asserts that the process acknowledges this operator's command.
     pub(crate) async fn assert_acknowledged(&self, line: &str) {
         assert_eq!(self.call(line).await.as_deref(), Some("ACK\n"));
     }
@@ -367,6 +376,7 @@
         send_signal(self.child.id(), "TERM");
     }
 
+    /// Waits up to 20 s for the process to exit; `None` if a signal ended it.
     pub(crate) async fn exit_code(mut self) -> Option<i32> {
         let wait = tokio::task::spawn_blocking(move || self.child.wait().unwrap().code());
         tokio::time::timeout(Duration::from_secs(20), wait)
