--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -1,209 +1,211 @@
-//! The interface of the decision module: the settings that a router is given, the events that it handles, and
-//! the actions that it returns.
+//! The interface of the routing module: a router's settings, the events that it handles, and the actions that
+//! it returns.
 //!
-//! Nothing here decides anything and nothing fails: input that makes no sense is ordinary input. Every
-//! [`Time`] is in microseconds on the caller's clock. Ids are the caller's numbers and mean nothing beyond
-//! equality. The caller owns all values; a [`Router`](crate::routing::Router) keeps copies of what it needs.
+//! This file has types only and no logic. No input is an error: a router ignores ids that it doesn't know.
+//! Every [`Time`] is in microseconds on the caller's clock. Ids are assigned by the caller. The caller owns
+//! all values; a [`Router`](crate::routing::Router) copies what it needs.
 
 /// An instant or a duration, in microseconds.
 pub type Time = u64;
-/// The caller's number for one client request. Unique among the requests that are open.
+/// The caller's number for one client request. Unique among open requests.
 pub type RequestId = u64;
 /// The caller's number for an endpoint.
 pub type EndpointId = u32;
 
-/// What an endpoint does.
+/// The work that an endpoint does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Prefills prompts and reserves the KV cache until a decode endpoint takes it over.
+    /// Prefills prompts, and reserves each KV cache until a decode endpoint takes it over.
     #[default]
     Prefill,
-    /// Takes over a KV cache and streams the response.
+    /// Takes over KV caches and streams responses.
     Decode,
-    /// Does either, or both for the same request.
+    /// Does prefill and decode, for the same request or for different ones.
     Mixed,
 }
 
-/// The endpoints that together drop repeats of a request with an idempotency key.
+/// The set of endpoints that share idempotency keys and drop duplicates of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
     AllEndpoints,
-    /// Those of the zone to which the request was sent first.
+    /// The endpoints of the zone that the request was first sent to.
     Zone,
-    /// Those of the cell to which the request was sent first.
+    /// The endpoints of the cell that the request was first sent to.
     Cell,
 }
 
-/// What a repeat of a request would do.
+/// Whether a request may safely run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeat is harmless.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats are dropped within `scope` for `window` after the first send.
+    /// Endpoints in `scope` drop duplicates for `window` after the request was first sent.
     IdempotencyKey {
-        /// The endpoints that drop repeats.
+        /// The endpoints that drop duplicates.
         scope: DeduplicationScope,
-        /// For how long, in microseconds.
+        /// How long duplicates are dropped, in microseconds.
         window: Time,
     },
-    /// A repeat does harm.
+    /// It must not run twice.
     NonIdempotent,
 }
 
-/// A class of requests.
+/// A request class: objectives, priority and idempotency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// Objective for the time to first token (TTFT), in microseconds.
     pub ttft_objective: Time,
-    /// Added to the TTFT objective for each 1,000 prompt tokens, in microseconds.
+    /// Addition to the TTFT objective for each 1,000 prompt tokens, in microseconds.
     pub ttft_objective_per_1000_tokens: Time,
-    /// Objective for the mean time between tokens, in microseconds; 0 where there is none.
+    /// Objective for the mean time between output tokens, in microseconds; 0: none.
     pub inter_token_objective: Time,
-    /// Value of a request that is answered within its objective, relative to other classes.
+    /// Weight of a request that meets its objective, relative to other classes.
     pub priority_weight: f64,
-    /// What a repeat would do.
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// New requests may have this class; else only requests that are already open have it.
+    /// Whether new requests may have this class. Requests that are already open keep an inactive class.
     pub is_active: bool,
 }
 
-/// A tenant and its quota at all dispatchers together.
+/// A tenant's quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second at all dispatchers together; 0: no limit.
+    /// Requests per second over all dispatchers together; 0: no limit.
     pub requests_per_second: f64,
 }
 
 /// How endpoints report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With the ends of attempts and with the answers to probes.
+    /// With ended attempts and with probe responses.
     WithResponses,
-    /// With the answers to probes only.
+    /// With probe responses only.
     WithProbes,
-    /// Never.
+    /// Endpoints report no load.
     Never,
 }
 
 /// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Dispatchers that share the endpoints; 0 counts as 1.
+    /// Number of dispatchers that share the endpoints; 0 counts as 1.
     pub dispatchers: u32,
     /// This dispatcher's zone.
     pub zone: u32,
-    /// Classes, by index.
+    /// Request classes; [`RequestMetadata::class`] is an index into them.
     pub classes: Vec<RequestClass>,
-    /// Tenants, by index; may be empty.
+    /// Tenants; [`RequestMetadata::tenant`] is an index into them. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Factor on the priority weight of requests that exceed their tenant's quota.
+    /// Factor applied to the priority weight of a request that exceeds its tenant's quota.
     pub over_quota_weight: f64,
     /// How endpoints report their load.
     pub load_reporting: LoadReporting,
-    /// The list of endpoints must be subscribed to with [`Action::WatchEndpoints`].
+    /// Whether the router must subscribe to the endpoint list with [`Action::WatchEndpoints`]; if false, the
+    /// list is pushed without a subscription.
     pub must_poll_endpoints: bool,
-    /// [`Action::Probe`] is allowed.
+    /// Whether the router may emit [`Action::Probe`].
     pub probes_allowed: bool,
-    /// [`Action::CancelAttempt`] is allowed.
+    /// Whether the router may emit [`Action::CancelAttempt`].
     pub cancellation_allowed: bool,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging_allowed: bool,
-    /// The longest retry advice that clients follow, in microseconds; 0 where they follow none.
+    /// The longest `retry_after` of [`Action::Shed`] that clients follow, in microseconds; 0: they follow none.
     pub max_retry_after: Time,
-    /// Attempts allowed for a request; 0 counts as 1.
+    /// Maximum attempts for each request; 0 counts as 1.
     pub max_attempts: u32,
-    /// The least time between two calls of the module, in microseconds.
+    /// Minimum time between two calls of the router, in microseconds. Deadlines leave room for it.
     pub tick: Time,
-    /// A final response counts until this long after the client's deadline, in microseconds.
+    /// Grace period after the client's deadline in which a final response still counts, in microseconds.
     pub response_slack: Time,
-    /// Nothing is sent to an endpoint later than this after it began to drain, in microseconds.
+    /// Time after the start of a drain from which on nothing is sent to the endpoint, in microseconds.
     pub drain_grace: Time,
-    /// Time to live of a reserved KV cache, in microseconds: it is taken over or released within it.
+    /// Time within which a reserved KV cache is taken over or released, in microseconds.
     pub reservation_ttl: Time,
-    /// Share of its capacity that an endpoint has when it starts, 0 to 1.
+    /// Share of its full capacity that an endpoint has when it starts, 0 to 1.
     pub slow_start_initial_share: f64,
-    /// An endpoint is warm this long after its start, in microseconds.
+    /// Duration of slow start, in microseconds. Meanwhile the capacity rises linearly to the full one.
     pub slow_start_duration: Time,
-    /// An endpoint in slow start fails when it is sent this multiple of its capacity ...
+    /// Load that makes an endpoint in slow start fail, as a multiple of its capacity.
     pub overload_threshold: f64,
-    /// ... for this time, in microseconds.
+    /// How long a load of `overload_threshold` must last for the endpoint to fail, in microseconds.
     pub overload_window: Time,
     /// Cost of an attempt in another zone, as a share of the request's priority weight.
     pub cross_zone_cost: f64,
-    /// Cost of moving a KV cache out of its cell, as a share of the request's priority weight.
+    /// Cost of moving a KV cache to another cell, as a share of the request's priority weight.
     pub kv_transfer_cost: f64,
 }
 
-/// Whether a listed endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Completes what it has and takes nothing new.
+    /// Completes its requests and accepts no new ones.
     Draining,
     /// No longer in the list.
     Removed,
 }
 
-/// One line of the list of endpoints.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRecord {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// The same number for this endpoint at every dispatcher, and for no other: affinity is hashed from it.
+    /// Unique number of the endpoint, the same at every dispatcher: prefix affinity is hashed from it.
     pub key: u64,
-    /// What it does.
+    /// The work that it does.
     pub role: Role,
-    /// Capacity of its KV memory, in tokens; 0 where it is not known.
+    /// Capacity of its KV cache memory, in tokens; 0: unknown.
     pub kv_capacity_tokens: f64,
     /// Its zone.
     pub zone: u32,
-    /// Its cell, within which a KV cache moves at no cost.
+    /// Its cell. Moving a KV cache within a cell costs nothing.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None`: long enough ago that slow start is over.
     pub started_at: Option<Time>,
 }
 
-/// A load report; each value may be missing. Values that are negative, not finite or 1,000,000 and more are
-/// ignored.
+/// An endpoint's load; each value may be missing. Values that are negative, not finite, or at least 1,000,000
+/// are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests that are queued.
+    /// Requests in the endpoint's queue. Routing doesn't use this value.
     pub queued: Option<f64>,
-    /// Share of the KV memory that is reserved, 0 to 1.
+    /// Share of the KV cache memory that is reserved, 0 to 1.
     pub kv_memory_share: Option<f64>,
-    /// Prompt tokens to prefill or to fetch, in thousands.
+    /// Prompt tokens still to be prefilled or fetched, in thousands.
     pub pending_prefill_kilotokens: Option<f64>,
 }
 
-/// A request as it arrives.
+/// A request on its arrival.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
     /// Its id.
     pub id: RequestId,
-    /// Index of its class. A request of an unknown class fails with [`FailureReason::UnknownClass`].
+    /// Index into [`RoutingSettings::classes`]. A request with any other index fails with
+    /// [`FailureReason::UnknownClass`].
     pub class: usize,
-    /// Index of its tenant, where there are tenants.
+    /// Index into [`RoutingSettings::tenants`]; `None`: no quota applies.
     pub tenant: Option<usize>,
-    /// Key of its session.
+    /// Key of its session; `None`: it belongs to no session.
     pub session: Option<u64>,
-    /// Key of the shared prefix with which its prompt begins.
+    /// Key of the shared prefix that its prompt begins with; `None`: it has none.
     pub prefix: Option<u64>,
     /// Time left until the client's deadline, in microseconds.
     pub time_left: Time,
-    /// Tokens of its prompt.
+    /// Tokens in its prompt.
     pub prompt_tokens: f64,
-    /// Tokens of the shared prefix.
+    /// Tokens in the shared prefix.
     pub prefix_tokens: f64,
-    /// The most tokens that the response may have.
+    /// Maximum tokens in the response.
     pub max_output_tokens: f64,
-    /// A rough estimate of the response's time at the inter-token objective, in microseconds.
+    /// Estimated duration of the response at the inter-token objective, in microseconds; `None` or 0: unknown.
     pub output_time_hint: Option<Time>,
 }
 
@@ -212,88 +214,88 @@
 pub enum AttemptStatus {
     /// The response was complete.
     Served,
-    /// The prefill is done; the KV cache is reserved at the endpoint.
+    /// The prefill is complete, and the KV cache is reserved at the endpoint.
     PrefillDone,
-    /// An error response; it may have run.
+    /// The endpoint returned an error; the attempt may have run.
     Error,
-    /// Refused by an overloaded endpoint; it did not run.
+    /// The endpoint refused the attempt because of overload; it did not run.
     Overloaded,
-    /// The endpoint held no KV cache for the request; it did not run.
+    /// The endpoint had no KV cache for the request; the attempt did not run.
     KvStateMissing,
-    /// No response in time; it may have run.
+    /// No response arrived in time; the attempt may have run.
     Timeout,
-    /// No connection; it did not run.
+    /// No connection was established; the attempt did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the attempt may have run.
     Reset,
-    /// A pooled connection broke before anything came back: it was probably closed while it was idle, which
-    /// says nothing of the endpoint; it may have run.
+    /// A pooled connection was lost before any response byte arrived. It was probably closed while idle, which
+    /// is no sign of an unhealthy endpoint. The attempt may have run.
     StaleConnection,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// Refused because the request itself is invalid, as it would be anywhere; it did not run.
+    /// The request is invalid, and any endpoint would refuse it; the attempt did not run.
     InvalidRequest,
 }
 
 /// Why a router sheds or fails a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// Nothing is likely to serve it within its objective, and load is above usual.
+    /// No endpoint is likely to meet its objective, and load is above normal.
     Overload,
-    /// Its KV cache may be reserved no longer.
+    /// The reservation of its KV cache has reached its time limit.
     KvStateExpired,
-    /// No further attempt is allowed.
+    /// The maximum number of attempts is reached.
     AttemptsExhausted,
     /// Its deadline or the router's shutdown deadline has passed.
     DeadlineExceeded,
-    /// It may have run and must not run twice.
+    /// An attempt may have run, and the request must not run twice.
     NotRepeatable,
-    /// Its class is not known.
+    /// Its class is not in the settings.
     UnknownClass,
 }
 
-/// What a router handles.
+/// An input of a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of endpoints, in full or what changed in it.
+    /// The endpoint list, or changes to it.
     EndpointsChanged {
-        /// The list is complete: endpoints that are absent from it are removed.
+        /// Whether `endpoints` is the complete list; endpoints that are absent from it are removed then.
         is_full: bool,
-        /// Its lines.
+        /// The entries, or those that changed.
         endpoints: Vec<EndpointRecord>,
     },
-    /// New settings. A class's index keeps its meaning while requests of the class are open.
+    /// New settings. The index of a class must not change while requests of the class are open.
     SettingsChanged(RoutingSettings),
-    /// This router ends at this instant: every request needs its final response by then.
+    /// The router stops at this time; every request needs a final response by then.
     ShutdownDeadline(Time),
-    /// A request for the list of endpoints failed, or the subscription broke.
+    /// A query for the endpoint list failed, or the subscription ended.
     EndpointListFailed,
-    /// A client's request has arrived.
+    /// A client request has arrived.
     RequestArrived(RequestMetadata),
-    /// The response of an attempt has begun.
+    /// The first event of an attempt's response has arrived.
     FirstEvent {
         /// The request. Unknown ids are ignored.
         id: RequestId,
-        /// Index of the attempt, from 0. Unknown ones are ignored.
+        /// Index of the attempt, from 0. Unknown indices are ignored.
         attempt: u32,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request. For unknown ids only the load is used.
+        /// The request. For unknown ids, only the load is used.
         id: RequestId,
         /// Index of the attempt, from 0.
         attempt: u32,
-        /// The endpoint that it was sent to.
+        /// The endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the attempt ended.
         status: AttemptStatus,
-        /// The client has its final response, by this attempt or before it.
+        /// Whether the client has its final response, from this attempt or an earlier one.
         request_closed: bool,
-        /// Prompt tokens found in the prefix cache; 0 where that was not reported.
+        /// Prompt tokens found in the endpoint's prefix cache; 0: none or not reported.
         cached_tokens: f64,
-        /// The endpoint's load, where it was reported.
+        /// The endpoint's load; `None`: not reported.
         load: Option<LoadReport>,
     },
     /// The client has disconnected.
@@ -301,76 +303,77 @@
         /// The request. Unknown ids are ignored.
         id: RequestId,
     },
-    /// The instant of an [`Action::SetTimer`] has come.
+    /// The time of an [`Action::SetTimer`] has come.
     TimerFired,
-    /// A report of another dispatcher on an endpoint.
+    /// Another dispatcher's report about an endpoint.
     PeerLoadReport {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Its load; `None`: an attempt there has failed.
+        /// The endpoint's load; `None`: an attempt there has failed.
         load: Option<LoadReport>,
     },
-    /// A probe has been answered or has failed.
+    /// A probe was answered or has failed.
     ProbeCompleted {
         /// The endpoint.
         endpoint: EndpointId,
-        /// It answered.
+        /// Whether the endpoint answered.
         is_healthy: bool,
-        /// Its load, where it was reported.
+        /// The endpoint's load; `None`: not reported.
         load: Option<LoadReport>,
     },
 }
 
-/// What a router wants done.
+/// A command that the caller executes for a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. A request's attempts count from 0 in the order of their starts.
+    /// Starts an attempt. The attempts of a request are numbered from 0 in the order of their starts.
     StartAttempt {
         /// The request.
         id: RequestId,
-        /// The endpoint to send it to.
+        /// The endpoint to send the attempt to.
         endpoint: EndpointId,
         /// The attempt's timeout, in microseconds.
         timeout: Time,
     },
-    /// Cancel an attempt; its end is reported as usual.
+    /// Cancels an attempt. [`Event::AttemptEnded`] follows as for any other attempt.
     CancelAttempt {
         /// The request.
         id: RequestId,
         /// Index of the attempt.
         attempt: u32,
     },
-    /// Final response: nothing was done, and a retry is harmless.
+    /// Ends a request with a final response that tells the client that a retry is safe.
     Shed {
         /// The request.
         id: RequestId,
-        /// Advice on when to retry, in microseconds from now; 0: none.
+        /// When the client should retry, in microseconds from now; 0: no advice.
         retry_after: Time,
-        /// Why.
+        /// Why the request was not served.
         reason: FailureReason,
     },
-    /// Final response that promises nothing: the request may have run, and a retry may do harm.
+    /// Ends a request with a final response that promises nothing: the request may have run, and a retry may
+    /// be unsafe.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// Why the request was not served.
         reason: FailureReason,
     },
-    /// Release every KV cache that is reserved for the request.
+    /// Releases every KV cache that is reserved for the request.
     ReleaseReservation {
         /// The request.
         id: RequestId,
     },
-    /// Send [`Event::TimerFired`] at this instant. Replaces an earlier timer.
+    /// Requests [`Event::TimerFired`] at a given time. Replaces the previous timer.
     SetTimer {
-        /// When, in microseconds on the caller's clock.
+        /// Time at which the timer fires, in microseconds on the caller's clock.
         at: Time,
     },
-    /// Ask an endpoint for its load.
+    /// Queries an endpoint for its load. [`Event::ProbeCompleted`] follows.
     Probe {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to changes of the list of endpoints.
+    /// Subscribes to changes of the endpoint list.
     WatchEndpoints,
 }
--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -1,14 +1,13 @@
-//! The index of candidates: which endpoints are scored for a placement. Pure: no I/O and no clock, and all
-//! random draws are hashes of what the caller gives. The router owns it.
+//! The candidate index selects the endpoints that are scored for a placement.
 //!
-//! A placement that scores every endpoint costs as much as the fleet is large. In a fleet of up to
-//! [`MAX_FULLY_SCORED_ENDPOINTS`] all are candidates. In a larger one a query has a bounded number of them:
-//! the endpoints that are likely to be best by what they have cached or where they are, and some that are
-//! drawn at random, so that load is balanced by the best of several. Where none of them fits, the caller
-//! widens the query, up to all endpoints.
+//! Scoring every endpoint costs time proportional to the fleet's size. In fleets of up to
+//! [`MAX_FULLY_SCORED_ENDPOINTS`], all endpoints are candidates. In larger ones a query returns a bounded
+//! number: endpoints that are likely best by cached prefix or by location, and a random sample for load
+//! balancing. If none of them fits, the caller widens the query, up to all endpoints.
 //!
-//! The index follows each change of the list of endpoints. `docs/candidates.md` has the reasons and the
-//! measurements.
+//! The router owns the index and passes it each change of the endpoint list. The index does no I/O, reads no
+//! clock, and derives all randomness by hashing the caller's seeds. Reasons and measurements are in
+//! `docs/candidates.md`.
 
 mod hash_ring;
 mod prefix_affinity;
@@ -19,44 +18,44 @@
 use hash_ring::HashRing;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// With up to this many ready endpoints, all of them are candidates.
+/// Number of ready endpoints up to which all of them are candidates.
 pub(super) const MAX_FULLY_SCORED_ENDPOINTS: usize = 128;
-/// Each widening of a query multiplies its number of candidates by this.
+/// Factor by which each widening of a query multiplies its sample sizes.
 const WIDENING_FACTOR: usize = 4;
-/// Prefill endpoints drawn from the dispatcher's own zone ...
+/// Prefill endpoints sampled from the dispatcher's zone.
 const PREFILL_CANDIDATES_IN_ZONE: usize = 4;
-/// ... and from all zones.
+/// Prefill endpoints sampled from all zones.
 const PREFILL_CANDIDATES_ANYWHERE: usize = 2;
-/// Decode endpoints drawn from a cell that holds the KV cache, ...
+/// Decode endpoints sampled from each cell that may hold the KV cache.
 const DECODE_CANDIDATES_IN_CELL: usize = 8;
-/// ... from the dispatcher's own zone ...
+/// Decode endpoints sampled from the dispatcher's zone.
 const DECODE_CANDIDATES_IN_ZONE: usize = 8;
-/// ... and from all zones.
+/// Decode endpoints sampled from all zones.
 const DECODE_CANDIDATES_ANYWHERE: usize = 4;
-/// Endpoints in slow start at which one request makes a draw.
+/// Endpoints in slow start that are candidates for one request.
 const SLOW_START_CANDIDATES: usize = 8;
 
-/// The pool that an attempt draws its candidates from. An endpoint of mixed role is in both.
+/// The pool that an attempt's candidates come from. Endpoints of mixed role are in both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PoolKind {
-    /// Endpoints that take prompts.
+    /// Endpoints that prefill prompts.
     Prefill,
-    /// Endpoints that take KV caches and stream responses.
+    /// Endpoints that take over KV caches and stream responses.
     Decode,
 }
 
-/// A ready endpoint, as the index knows it.
+/// The index's record of a ready endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct IndexedEndpoint {
-    /// What it does.
+    /// The work that it does.
     pub role: Role,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// The same number for this endpoint at every dispatcher.
+    /// Unique number of the endpoint, the same at every dispatcher.
     pub key: u64,
-    /// It is in slow start before this instant, in microseconds.
+    /// The end of its slow start, in microseconds; 0: it isn't in slow start.
     pub warm_at: Time,
 }
 
@@ -69,7 +68,7 @@
     }
 }
 
-/// The endpoints of one pool.
+/// The endpoints of one pool, in total and by group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct RolePool {
     all: HashRing,
@@ -92,8 +91,8 @@
         remove_from_group(&mut self.cells, endpoint.cell, endpoint.key, id);
     }
 
-    /// The index in the slow-start ring at which a request's draws begin.
-    fn first_slow_start_draw(&self, seed: u64) -> usize {
+    /// Returns the index in `in_slow_start` of a request's first slow-start candidate.
+    fn slow_start_window_start(&self, seed: u64) -> usize {
         (hash_pair(seed, u64::MAX) % self.in_slow_start.len().max(1) as u64) as usize
     }
 }
@@ -108,14 +107,14 @@
     }
 }
 
-/// What candidates are looked for.
+/// The parameters of a query for candidates.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CandidateQuery {
     /// The dispatcher's zone.
     pub zone: u32,
-    /// Determines the random draws: one number for each request.
+    /// Determines the random sample. It is the same for all queries of a request.
     pub seed: u64,
-    /// How often the query was widened.
+    /// Number of times that the query was widened.
     pub widenings: u32,
 }
 
@@ -125,15 +124,17 @@
     }
 }
 
-/// The index. Two that were given the same list are equal, whatever came before.
+/// An index of the ready endpoints by pool, zone, cell and slow start. Its contents depend on the current
+/// endpoint list and the time only, not on the order of the changes that led there.
 #[derive(Clone, Debug)]
 pub(super) struct CandidateIndex {
     now: Time,
-    max_fully_scored: usize,
+    /// Number of ready endpoints up to which all of them are candidates.
+    full_scan_limit: usize,
     endpoints: BTreeMap<EndpointId, IndexedEndpoint>,
     prefill: RolePool,
     decode: RolePool,
-    /// Endpoints in slow start, by the instant at which they are warm.
+    /// Endpoints in slow start, ordered by its end.
     warming_up: BTreeSet<(Time, EndpointId)>,
 }
 
@@ -141,7 +142,7 @@
     fn default() -> Self {
         CandidateIndex {
             now: 0,
-            max_fully_scored: MAX_FULLY_SCORED_ENDPOINTS,
+            full_scan_limit: MAX_FULLY_SCORED_ENDPOINTS,
             endpoints: BTreeMap::new(),
             prefill: RolePool::default(),
             decode: RolePool::default(),
@@ -151,14 +152,14 @@
 }
 
 impl CandidateIndex {
-    /// From now on all endpoints are candidates in fleets of up to this many.
+    /// Sets the number of ready endpoints up to which all of them are candidates.
     pub(super) fn set_full_scan_limit(&mut self, endpoints: usize) {
-        self.max_fully_scored = endpoints;
+        self.full_scan_limit = endpoints;
     }
 
-    /// Whether the fleet is small enough for all endpoints to be candidates.
-    fn considers_all(&self) -> bool {
-        self.endpoints.len() <= self.max_fully_scored
+    /// Returns whether the fleet is small enough for all endpoints to be candidates.
+    fn scans_all_endpoints(&self) -> bool {
+        self.endpoints.len() <= self.full_scan_limit
     }
 
     fn pool(&self, kind: PoolKind) -> &RolePool {
@@ -168,11 +169,11 @@
         }
     }
 
-    /// Records a line of the list of endpoints. An endpoint is warm `slow_start_duration` microseconds after
-    /// its start.
+    /// Applies an entry of the endpoint list. Slow start ends `slow_start_duration` microseconds after the
+    /// endpoint's start.
     pub(super) fn update(&mut self, now: Time, record: &EndpointRecord, slow_start_duration: Time) {
         if record.status != EndpointStatus::Ready {
-            self.set(now, record.endpoint, None);
+            self.set_endpoint(now, record.endpoint, None);
             return;
         }
         let warm_at = match record.started_at {
@@ -186,11 +187,11 @@
             key: record.key,
             warm_at,
         };
-        self.set(now, record.endpoint, Some(endpoint));
+        self.set_endpoint(now, record.endpoint, Some(endpoint));
     }
 
-    /// Replaces what is known of an endpoint; `None`: it isn't ready.
-    fn set(&mut self, now: Time, id: EndpointId, endpoint: Option<IndexedEndpoint>) {
+    /// Replaces an endpoint's record; `None` removes an endpoint that isn't ready.
+    fn set_endpoint(&mut self, now: Time, id: EndpointId, endpoint: Option<IndexedEndpoint>) {
         if self.endpoints.get(&id) == endpoint.as_ref() {
             return;
         }
@@ -231,7 +232,7 @@
             .map(|(_, pool)| pool)
     }
 
-    /// Advances the clock: endpoints that are warm by `now` leave slow start.
+    /// Advances the clock to `now` and ends the slow start of endpoints that are warm by then.
     pub(super) fn advance_to(&mut self, now: Time) {
         self.now = now;
         while let Some((warm_at, id)) = self.warming_up.first().copied() {
@@ -247,8 +248,8 @@
         }
     }
 
-    /// How many endpoints serve the load of a pool, at least 1: the warm ones, or where there are none all;
-    /// and whether any is warm.
+    /// Returns the number of endpoints that serve a pool's load, and whether any of them is warm. The number
+    /// counts the warm endpoints or, if there are none, all; it is at least 1.
     pub(super) fn serving_endpoints(&self, kind: PoolKind) -> (f64, bool) {
         let pool = self.pool(kind);
         let warm = pool.all.len() - pool.in_slow_start.len();
@@ -259,14 +260,15 @@
         }
     }
 
-    /// Whether the candidates of a query are all endpoints of the pool.
+    /// Returns whether a query's candidates are all endpoints of the pool.
     pub(super) fn covers_all(&self, kind: PoolKind, query: &CandidateQuery) -> bool {
-        let min_drawn = PREFILL_CANDIDATES_IN_ZONE.min(DECODE_CANDIDATES_IN_ZONE);
-        self.considers_all() || query.widen(min_drawn) >= self.pool(kind).all.len()
+        let min_sampled = PREFILL_CANDIDATES_IN_ZONE.min(DECODE_CANDIDATES_IN_ZONE);
+        self.scans_all_endpoints() || query.widen(min_sampled) >= self.pool(kind).all.len()
     }
 
-    /// The factor for a request's draw at an endpoint in slow start. A request draws at a few such
-    /// endpoints only; with the factor, each is sent as much as if every request drew at every one.
+    /// Returns the factor for a request's random draw at an endpoint in slow start. A request draws at a few
+    /// such endpoints only. The factor gives each as many requests as if every request drew at all of them.
+    /// [`f64::MAX`]: the endpoint isn't among the request's few.
     pub(super) fn slow_start_sampling_factor(
         &self,
         kind: PoolKind,
@@ -275,7 +277,7 @@
     ) -> f64 {
         let pool = self.pool(kind);
         let count = pool.in_slow_start.len();
-        if self.considers_all() || count <= SLOW_START_CANDIDATES {
+        if self.scans_all_endpoints() || count <= SLOW_START_CANDIDATES {
             return 1.0;
         }
         let Some(endpoint) = self.endpoints.get(&id) else {
@@ -284,7 +286,7 @@
         let Some(index) = pool.in_slow_start.index_of(endpoint.key, id) else {
             return f64::MAX;
         };
-        let distance = (index + count - pool.first_slow_start_draw(query.seed)) % count;
+        let distance = (index + count - pool.slow_start_window_start(query.seed)) % count;
         if distance < SLOW_START_CANDIDATES {
             SLOW_START_CANDIDATES as f64 / count as f64
         } else {
@@ -292,27 +294,27 @@
         }
     }
 
-    /// Candidates for a prefill: those that are likely to have the prompt cached, and some that are drawn. In
-    /// order of their ids, each once.
+    /// Returns candidates for a prefill: `likely_holders`, which may have the prompt cached, and a random
+    /// sample. They are sorted by id and unique.
     pub(super) fn prefill_candidates(
         &self,
         query: &CandidateQuery,
-        mut likely: BTreeSet<EndpointId>,
+        mut likely_holders: BTreeSet<EndpointId>,
     ) -> Vec<EndpointId> {
         if self.covers_all(PoolKind::Prefill, query) {
             return self.all_endpoints(PoolKind::Prefill, |_| true);
         }
-        likely.extend(self.draw(
+        likely_holders.extend(self.sample_candidates(
             PoolKind::Prefill,
             query,
             PREFILL_CANDIDATES_IN_ZONE,
             PREFILL_CANDIDATES_ANYWHERE,
         ));
-        likely.into_iter().collect()
+        likely_holders.into_iter().collect()
     }
 
-    /// Candidates for a decode attempt whose KV cache is in one of these cells. In order of their ids, each
-    /// once.
+    /// Returns candidates for a decode attempt whose KV cache is in one of `cells`. They are sorted by id and
+    /// unique.
     pub(super) fn decode_candidates(
         &self,
         query: &CandidateQuery,
@@ -321,7 +323,7 @@
         if self.covers_all(PoolKind::Decode, query) {
             return self.all_endpoints(PoolKind::Decode, |_| true);
         }
-        let mut found = self.draw(
+        let mut candidates = self.sample_candidates(
             PoolKind::Decode,
             query,
             DECODE_CANDIDATES_IN_ZONE,
@@ -329,15 +331,14 @@
         );
         for cell in cells {
             if let Some(ring) = self.decode.cells.get(cell) {
-                found.extend(ring.sample(query.seed, query.widen(DECODE_CANDIDATES_IN_CELL)));
+                candidates.extend(ring.sample(query.seed, query.widen(DECODE_CANDIDATES_IN_CELL)));
             }
         }
-        found.into_iter().collect()
+        candidates.into_iter().collect()
     }
 
-    /// Endpoints that are drawn: from the query's zone, from all, and those in slow start at which a request
-    /// may draw.
-    fn draw(
+    /// Samples endpoints of the query's zone and of all zones, and adds the request's slow-start candidates.
+    fn sample_candidates(
         &self,
         kind: PoolKind,
         query: &CandidateQuery,
@@ -345,23 +346,23 @@
         count_anywhere: usize,
     ) -> BTreeSet<EndpointId> {
         let pool = self.pool(kind);
-        let mut found = BTreeSet::new();
+        let mut sampled = BTreeSet::new();
         if let Some(ring) = pool.zones.get(&query.zone) {
-            found.extend(ring.sample(query.seed, query.widen(count_in_zone)));
+            sampled.extend(ring.sample(query.seed, query.widen(count_in_zone)));
         }
-        found.extend(
+        sampled.extend(
             pool.all
                 .sample(hash_pair(query.seed, 0), query.widen(count_anywhere)),
         );
-        let first_draw = pool.first_slow_start_draw(query.seed);
-        found.extend(
+        let window_start = pool.slow_start_window_start(query.seed);
+        sampled.extend(
             pool.in_slow_start
-                .window_from(first_draw, SLOW_START_CANDIDATES),
+                .window_from(window_start, SLOW_START_CANDIDATES),
         );
-        found
+        sampled
     }
 
-    /// All endpoints of a pool that match, in order of their ids.
+    /// Returns all endpoints of a pool that match, sorted by id.
     fn all_endpoints(
         &self,
         kind: PoolKind,
--- a/src/routing/candidate_index/hash_ring.rs
+++ b/src/routing/candidate_index/hash_ring.rs
@@ -1,8 +1,9 @@
-//! Endpoints in the order of a hash of their keys, which is the same at every dispatcher.
+//! A hash ring of endpoints. Keys are the same at every dispatcher, and so is the order of endpoints on the
+//! ring.
 
 use crate::routing::api::EndpointId;
 
-/// A ring of endpoints. Its owner is a [`RolePool`](super::RolePool).
+/// Endpoints sorted by the hash of their keys. A [`RolePool`](super::RolePool) owns it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct HashRing {
     slots: Vec<(u64, EndpointId)>,
@@ -36,7 +37,7 @@
         self.slots.is_empty()
     }
 
-    /// At most `count` successive endpoints, from the first one at or after a position on.
+    /// Returns at most `count` successive endpoints, starting with the first one at or after `position`.
     pub(super) fn window_at(
         &self,
         position: u64,
@@ -46,7 +47,7 @@
         self.window_from(first, count)
     }
 
-    /// At most `count` successive endpoints, from an index on.
+    /// Returns at most `count` successive endpoints, starting at index `first`.
     pub(super) fn window_from(
         &self,
         first: usize,
@@ -56,7 +57,8 @@
         (first..first + count).map(|index| self.slots[index % self.len()].1)
     }
 
-    /// About `count` endpoints, drawn evenly; a larger sample of the same seed contains the smaller ones.
+    /// Returns `count` endpoints sampled uniformly with replacement, or all if there are no more. A larger
+    /// sample with the same seed contains the smaller ones.
     pub(super) fn sample(&self, seed: u64, count: usize) -> Vec<EndpointId> {
         if count >= self.len() {
             return self.window_from(0, count).collect();
@@ -70,12 +72,12 @@
     }
 }
 
-/// The position of a key on the ring.
+/// Returns the position of a key on the ring.
 pub(super) fn ring_position(key: u64) -> u64 {
     hash_pair(key, 0)
 }
 
-/// Hashes a pair of numbers evenly, such as the keys of a prefix and of an endpoint.
+/// Hashes a pair of numbers, such as the keys of a prefix and an endpoint, to a uniformly distributed one.
 pub(crate) fn hash_pair(first: u64, second: u64) -> u64 {
     let mut mixed = first ^ second.rotate_left(32);
     for _ in 0..2 {
--- a/src/routing/candidate_index/prefix_affinity.rs
+++ b/src/routing/candidate_index/prefix_affinity.rs
@@ -1,5 +1,8 @@
-//! Prefix affinity by rendezvous hashing: the prefill endpoints that a shared prefix or a session comes back
-//! to.
+//! Prefix affinity: assigns prefill endpoints to shared prefixes and sessions, so that requests return to
+//! endpoints that have their prefix cached.
+//!
+//! Endpoints are ranked by weighted rendezvous hashing. In large fleets only a window of the hash ring is
+//! ranked. Dispatchers with the same endpoint list compute the same ranks.
 
 use super::hash_ring::{hash_pair, ring_position, HashRing};
 use super::{CandidateIndex, CandidateQuery, PoolKind};
@@ -7,32 +10,34 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Prefill endpoints of a zone that have affinity for a shared prefix ...
+/// Minimum number of affinity endpoints of a shared prefix in each zone.
 pub(super) const MIN_AFFINITY_ENDPOINTS: f64 = 2.0;
-/// ... and in addition this many times the prefix's share of the traffic, of all prefill endpoints there.
+/// Multiple of a shared prefix's share of the traffic that determines its additional affinity endpoints: they
+/// are this share of the zone's prefill endpoints.
 const AFFINITY_SPREAD_FACTOR: f64 = 2.0;
-/// An endpoint's rank rises with this power of its warm share.
+/// Exponent of an endpoint's warm share in its rank.
 const WARM_SHARE_EXPONENT: f64 = 1.5;
-/// Prefill endpoints that are ranked for a prefix: with more of them, prefixes are spread more evenly.
+/// Number of successive ring endpoints that are ranked for a key. A larger number spreads prefixes more evenly.
 const RANKED_ENDPOINTS: usize = 16;
-/// Affinity endpoints of a shared prefix that one session considers: of a prefix with very many, each session
-/// has others.
+/// Maximum number of a shared prefix's affinity endpoints that one session considers. If the prefix has more,
+/// different sessions consider different ones.
 const MAX_AFFINITY_ENDPOINTS_PER_SESSION: usize = 4;
 
 /// The affinity endpoints of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PrefixAffinity {
-    /// Those of its shared prefix, or where it has none those among which the session's one was ranked.
+    /// The affinity endpoints of its shared prefix. For a request without one: the endpoints that were ranked
+    /// for its session.
     pub for_prefix: Vec<EndpointId>,
-    /// The one of its session.
+    /// The affinity endpoint of its session.
     pub for_session: Option<EndpointId>,
 }
 
 impl CandidateIndex {
-    /// The affinity endpoints of a request. All dispatchers rank prefill endpoints alike by a hash of the
-    /// prefix, so that it comes back to the same ones. `traffic_share` is the prefix's share of the traffic,
-    /// `warm_share` the share of its capacity that an endpoint has: one that warms up has affinity for what
-    /// it can take. A zone with too few prefill endpoints has further ones in the other zones.
+    /// Returns the affinity endpoints of a request. `traffic_share` is the prefix's share of the traffic, 0 to
+    /// 1. `warm_share` returns the share of its full capacity that an endpoint has, 0 to 1: an endpoint in slow
+    /// start has affinity for as many prefixes as it can serve. If the query's zone has too few prefill
+    /// endpoints, other zones supply the rest.
     pub(crate) fn prefix_affinity(
         &self,
         query: &CandidateQuery,
@@ -42,10 +47,11 @@
         warm_share: impl Fn(EndpointId) -> f64,
     ) -> PrefixAffinity {
         let zone_size = self.prefill.zones.get(&query.zone).map_or(0, HashRing::len);
-        let wanted = (MIN_AFFINITY_ENDPOINTS
+        let affinity_count = (MIN_AFFINITY_ENDPOINTS
             + AFFINITY_SPREAD_FACTOR * traffic_share * zone_size as f64)
             as usize;
-        let mut local = self.local_affinity_pool(query, prefix.or(session), session, wanted);
+        let mut local =
+            self.local_affinity_pool(query, prefix.or(session), session, affinity_count);
         let mut remote = Vec::new();
         if zone_size < MIN_AFFINITY_ENDPOINTS as usize {
             remote = self.remote_affinity_pool(query, prefix.or(session));
@@ -56,7 +62,7 @@
                     Reverse(self.rendezvous_rank(prefix, *id, &warm_share))
                 });
             }
-            local.truncate(wanted);
+            local.truncate(affinity_count);
             remote.truncate((MIN_AFFINITY_ENDPOINTS as usize).saturating_sub(local.len()));
         }
         let session_pool = if local.is_empty() { &remote } else { &local };
@@ -73,7 +79,7 @@
         }
     }
 
-    /// The rank of an endpoint for a key, weighted by its warm share.
+    /// Returns the rendezvous rank of an endpoint for a key, weighted by the endpoint's warm share.
     fn rendezvous_rank(
         &self,
         key: u64,
@@ -91,31 +97,32 @@
         };
         let rank =
             warm_share.powf(WARM_SHARE_EXPONENT) / (((1u64 << 52) as f64).ln() - uniform.ln());
-        // It is never negative, so that its bits are in the order of its values.
+        // Ranks are never negative, so their bits sort like their values.
         rank.to_bits()
     }
 
-    /// The prefill endpoints of the query's zone among which affinity endpoints are ranked, where `wanted` of
-    /// them are to have affinity. They are the same at all dispatchers, but for a prefix with very many: each
-    /// session has its own few.
+    /// Returns the prefill endpoints of the query's zone that are ranked to select `affinity_count` affinity
+    /// endpoints. They are the same at all dispatchers and for all sessions, with one exception:
+    /// in large fleets each session has its own subset if there are more than
+    /// [`MAX_AFFINITY_ENDPOINTS_PER_SESSION`].
     fn local_affinity_pool(
         &self,
         query: &CandidateQuery,
         key: Option<u64>,
         session: Option<u64>,
-        wanted: usize,
+        affinity_count: usize,
     ) -> Vec<EndpointId> {
-        if self.considers_all() {
+        if self.scans_all_endpoints() {
             return self.all_endpoints(PoolKind::Prefill, |endpoint| endpoint.zone == query.zone);
         }
         let (Some(ring), Some(key)) = (self.prefill.zones.get(&query.zone), key) else {
             return Vec::new();
         };
         let position = ring_position(key);
-        if wanted <= MAX_AFFINITY_ENDPOINTS_PER_SESSION {
+        if affinity_count <= MAX_AFFINITY_ENDPOINTS_PER_SESSION {
             return ring.window_at(position, RANKED_ENDPOINTS).collect();
         }
-        let pool: Vec<EndpointId> = ring.window_at(position, wanted).collect();
+        let pool: Vec<EndpointId> = ring.window_at(position, affinity_count).collect();
         let seed = session.unwrap_or(query.seed);
         let mut indices = BTreeSet::new();
         for number in 0..MAX_AFFINITY_ENDPOINTS_PER_SESSION as u64 {
@@ -127,9 +134,9 @@
             .collect()
     }
 
-    /// The same among prefill endpoints of other zones.
+    /// Returns the prefill endpoints of other zones that are ranked for affinity.
     fn remote_affinity_pool(&self, query: &CandidateQuery, key: Option<u64>) -> Vec<EndpointId> {
-        if self.considers_all() {
+        if self.scans_all_endpoints() {
             return self.all_endpoints(PoolKind::Prefill, |endpoint| endpoint.zone != query.zone);
         }
         let Some(key) = key else {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,7 @@
-//! The decision module: which endpoint serves a request, and what is retried, hedged or shed. Pure: no I/O
-//! and no clock. The caller owns a [`Router`], hands it events and carries out the actions that it returns.
+//! Routing: selects an endpoint for each request, and decides on retries, hedged requests and load shedding.
+//!
+//! The module does no I/O and reads no clock. The caller owns a [`Router`], passes it events with the current
+//! time, and executes the actions that it returns.
 
 pub mod api;
 mod candidate_index;
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -1,37 +1,37 @@
-//! The prefix cache index: which prompts endpoints are known to have cached, by what was prefilled there.
-//! Pure: no I/O and no clock. The router owns it.
+//! The prefix cache index estimates which prefixes each endpoint has cached, from what was prefilled there.
 //!
-//! A key is that of a shared prefix or of a session. Entries age, and each endpoint has a bounded number of
-//! them. The index is kept by endpoint and by key, so that the holders of a key are found without a scan.
+//! The key of an entry is that of a shared prefix or of a session. Entries expire, and the tokens recorded for
+//! each endpoint are bounded. The index maps both endpoints to keys and keys to endpoints, so the holders of a
+//! key are found without a scan. The router owns the index, which does no I/O and reads no clock.
 
 use crate::routing::api::{EndpointId, RequestMetadata, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Holders that are returned for one key.
+/// Maximum number of holders that a query returns for each key.
 const MAX_HOLDERS_PER_KEY: usize = 4;
-/// Recent requests by which a prefix's share of the traffic is measured.
+/// Number of recent requests over which a prefix's share of the traffic is measured.
 const TRAFFIC_SAMPLE_REQUESTS: usize = 30;
 
-/// What an endpoint has cached for a key.
+/// What an endpoint is presumed to have cached for a key.
 struct CachedPrefix {
     tokens: f64,
-    /// Those of them that count against the memory of the endpoint: a session leaves out its shared prefix,
-    /// which has an entry of its own.
+    /// The part of `tokens` that counts towards the endpoint's limit. A session's entry excludes the shared
+    /// prefix, which has an entry of its own.
     charged_tokens: f64,
     recorded_at: Time,
 }
 
-/// The index.
+/// An index of presumed cache contents by endpoint and by key, and a sample of the traffic.
 #[derive(Default)]
 pub(super) struct PrefixCacheIndex {
     by_endpoint: BTreeMap<EndpointId, BTreeMap<u64, CachedPrefix>>,
     by_key: HashMap<u64, BTreeSet<EndpointId>>,
-    /// Shared prefixes of recent requests; 0 for a request without one.
+    /// Shared prefixes of the most recent requests, oldest first; 0 for a request without one.
     recent_prefixes: VecDeque<u64>,
 }
 
 impl PrefixCacheIndex {
-    /// Counts an arrived request in the traffic sample.
+    /// Adds an arrived request to the traffic sample.
     pub(super) fn on_arrival(&mut self, request: &RequestMetadata) {
         self.recent_prefixes.push_back(request.prefix.unwrap_or(0));
         while self.recent_prefixes.len() > TRAFFIC_SAMPLE_REQUESTS {
@@ -39,7 +39,8 @@
         }
     }
 
-    /// The share of recent requests that begin with the same shared prefix, 0 to 1.
+    /// Returns the share of recent requests that have the same shared prefix, 0 to 1; 0 for a request without
+    /// one.
     pub(super) fn traffic_share(&self, request: &RequestMetadata) -> f64 {
         let Some(prefix) = request.prefix else {
             return 0.0;
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Tokens of a request's prompt that an endpoint is known to have cached.
+    /// Returns how many tokens of a request's prompt an endpoint is presumed to have cached.
     pub(super) fn cached_tokens(&self, request: &RequestMetadata, endpoint: EndpointId) -> f64 {
         let shared = self
             .tokens_for_key(request.prefix, endpoint)
@@ -70,7 +71,8 @@
             .min(request.prompt_tokens)
     }
 
-    /// Some endpoints that have a request's session or shared prefix cached; of many, others for each seed.
+    /// Returns some endpoints that are presumed to have a request's session or shared prefix cached. If there
+    /// are many, `seed` determines which.
     pub(super) fn holders(&self, request: &RequestMetadata, seed: u64) -> BTreeSet<EndpointId> {
         let mut found = BTreeSet::new();
         for key in [request.session, request.prefix].iter().flatten() {
@@ -84,8 +86,8 @@
         found
     }
 
-    /// Records that an endpoint has prefilled a request. At most `max_tokens` are recorded
-    /// for it, where that is over 0: an endpoint whose memory is full evicts the oldest.
+    /// Records that an endpoint has prefilled a request. Evicts the endpoint's oldest entries while its tokens
+    /// exceed `max_tokens`, as the endpoint does when its memory is full; 0: no limit.
     pub(super) fn record_prefill(
         &mut self,
         now: Time,
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Forgets what was recorded at this instant or before, in microseconds.
+    /// Removes entries that were recorded at or before `until`, in microseconds.
     pub(super) fn expire(&mut self, until: Time) {
         for (endpoint, entries) in &mut self.by_endpoint {
             entries.retain(|key, entry| {
@@ -147,7 +149,7 @@
         self.by_endpoint.retain(|_, entries| !entries.is_empty());
     }
 
-    /// Forgets an endpoint that was removed or has restarted.
+    /// Removes all entries of an endpoint that was removed or has restarted.
     pub(super) fn forget_endpoint(&mut self, endpoint: EndpointId) {
         let Some(entries) = self.by_endpoint.remove(&endpoint) else {
             return;
--- a/src/routing/token_bucket.rs
+++ b/src/routing/token_bucket.rs
@@ -1,21 +1,22 @@
-//! A tenant's quota as a token bucket. Pure: no I/O and no clock. The router owns one for each tenant.
+//! Token bucket for a tenant's quota. The router owns one bucket for each tenant. The bucket does no I/O and
+//! reads no clock.
 
 use crate::routing::api::Time;
 
-/// Seconds of the rate that a full bucket holds.
+/// Size of a full bucket, in seconds of its rate. The bucket holds one more token beside that.
 const BURST_SECONDS: f64 = 5.0;
 
-/// One tenant's bucket, at one dispatcher.
+/// One tenant's token bucket at one dispatcher. Each request takes one token.
 #[derive(Clone, Debug)]
 pub(super) struct TokenBucket {
-    /// Tokens a second; 0: no limit.
+    /// Tokens per second; 0: no limit.
     rate: f64,
     tokens: f64,
     refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// A bucket with a rate in requests a second; 0: no limit. `now` is in microseconds.
+    /// Creates a bucket with a rate in requests per second; 0: no limit. `now` is in microseconds.
     pub(super) fn new(rate: f64, now: Time) -> TokenBucket {
         TokenBucket {
             rate,
@@ -24,12 +25,13 @@
         }
     }
 
-    /// Changes the rate, in requests a second; 0: no limit.
+    /// Sets the rate, in requests per second; 0: no limit.
     pub(super) fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 
-    /// Takes a token for a request; true where none is left. `now` is in microseconds and never goes back.
+    /// Takes a token for a request and returns whether none was left. `now` is in microseconds and must not
+    /// decrease between calls.
     pub(super) fn is_exceeded(&mut self, now: Time) -> bool {
         let elapsed_seconds = (now - self.refilled_at) as f64 / 1e6;
         self.tokens =
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -39,7 +39,7 @@
 fn index_of(reference: &ReferenceList, now: Time) -> CandidateIndex {
     let mut index = CandidateIndex::default();
     for (id, endpoint) in &reference.endpoints {
-        index.set(now, *id, Some(endpoint.clone()));
+        index.set_endpoint(now, *id, Some(endpoint.clone()));
     }
     index
 }
@@ -56,7 +56,7 @@
             let id = rng.gen_range(0..400);
             // Joins, restarts and moves, or leaves, drains and bans: the index treats the latter alike.
             let endpoint = rng.gen_bool(0.7).then(|| endpoint(&mut rng, now, id));
-            index.set(now, id, endpoint.clone());
+            index.set_endpoint(now, id, endpoint.clone());
             match endpoint {
                 Some(endpoint) => drop(reference.endpoints.insert(id, endpoint)),
                 None => drop(reference.endpoints.remove(&id)),
@@ -78,14 +78,14 @@
     let (mut index, mut reference) = (CandidateIndex::default(), ReferenceList::default());
     for id in 0..500 {
         let endpoint = endpoint(&mut rng, 0, id);
-        index.set(0, id, Some(endpoint.clone()));
+        index.set_endpoint(0, id, Some(endpoint.clone()));
         reference.endpoints.insert(id, endpoint);
     }
     for now in 0..60 {
         index.advance_to(now);
         for id in 0..20 {
             let removed = rng.gen_range(0..500) + id;
-            index.set(now, removed, None);
+            index.set_endpoint(now, removed, None);
             reference.endpoints.remove(&removed);
         }
         for kind in [PoolKind::Prefill, PoolKind::Decode] {
@@ -142,7 +142,7 @@
         };
         let (zone, cell, key) = (id / 8 % ZONES, id / 8, u64::from(id) * 7919);
         let warm_at = if in_slow_start { 100 } else { 0 };
-        index.set(
+        index.set_endpoint(
             0,
             id,
             Some(IndexedEndpoint {
@@ -205,7 +205,7 @@
     let index = large(3_000, false);
     let mut other = CandidateIndex::default();
     for (id, endpoint) in index.endpoints.iter().rev() {
-        other.set(0, *id, Some(endpoint.clone()));
+        other.set_endpoint(0, *id, Some(endpoint.clone()));
     }
     let query = |seed| CandidateQuery {
         zone: 1,
@@ -220,7 +220,7 @@
         assert_eq!(affinity(&index, prefix, 1), affinity(&other, prefix, 2));
     }
     let removed = affinity(&index, 5, 1).for_prefix[0];
-    other.set(0, removed, None);
+    other.set_endpoint(0, removed, None);
     let changed = |prefix: &u64| {
         let (before, after) = (
             affinity(&index, *prefix, 1).for_prefix,
@@ -276,7 +276,7 @@
             seed: hash_pair(seed, 5),
             widenings: 0,
         };
-        for id in index.draw(PoolKind::Decode, &query, 0, 0) {
+        for id in index.sample_candidates(PoolKind::Decode, &query, 0, 0) {
             let draw = hash_pair(hash_pair(seed, 6), id.into()) as f64 / u64::MAX as f64;
             if draw * index.slow_start_sampling_factor(PoolKind::Decode, &query, id) < chance {
                 *won.entry(id).or_default() += 1.0;
