--- a/src/routing/candidate_index/prefix_affinity.rs
+++ b/src/routing/candidate_index/prefix_affinity.rs
@@ -12,8 +12,8 @@
 
 /// Minimum number of affinity endpoints of a shared prefix in each zone.
 pub(super) const MIN_AFFINITY_ENDPOINTS: f64 = 2.0;
-/// Multiple of a shared prefix's share of the traffic that determines its additional affinity endpoints: they
-/// are this share of the zone's prefill endpoints.
+/// Additional affinity endpoints of a shared prefix in each zone: this factor times the prefix's share of the
+/// traffic times the zone's number of prefill endpoints.
 const AFFINITY_SPREAD_FACTOR: f64 = 2.0;
 /// Exponent of an endpoint's warm share in its rank.
 const WARM_SHARE_EXPONENT: f64 = 1.5;
@@ -34,9 +34,9 @@
 }
 
 impl CandidateIndex {
-    /// Returns the affinity endpoints of a request. `traffic_share` is the prefix's share of the traffic, 0 to
-    /// 1. `warm_share` returns the share of its full capacity that an endpoint has, 0 to 1: an endpoint in slow
-    /// start has affinity for as many prefixes as it can serve. If the query's zone has too few prefill
+    /// Returns the affinity endpoints of a request. `traffic_share` is the prefix's share of the traffic, from 0
+    /// to 1. `warm_share` returns the share of its full capacity that an endpoint has, from 0 to 1: an endpoint
+    /// in slow start has affinity for as many prefixes as it can serve. If the query's zone has too few prefill
     /// endpoints, other zones supply the rest.
     pub(crate) fn prefix_affinity(
         &self,
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -1,4 +1,5 @@
-//! A small fleet for tests of the module: settings, endpoints, requests, and shorthand for events.
+//! Test harness for the routing module: settings, endpoints and requests of a small fleet, and a router with a
+//! simulated clock.
 #![allow(dead_code)]
 
 use quartzhall::routing::api::*;
@@ -69,7 +70,7 @@
     }
 }
 
-/// A router and its clock.
+/// A router and its simulated clock.
 pub(crate) struct RouterHarness {
     pub router: Router,
     pub now: Time,
@@ -80,7 +81,7 @@
         RouterHarness::seeded(settings, endpoints, 7)
     }
 
-    /// One of several routers that share the endpoints.
+    /// Creates a router with its own seed, as one of several that share the endpoints.
     pub(crate) fn seeded(
         settings: RoutingSettings,
         endpoints: Vec<EndpointRecord>,
@@ -98,7 +99,7 @@
         harness
     }
 
-    /// Handles an event and returns the actions, but for timers.
+    /// Handles an event and returns the actions except timers.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -110,15 +111,15 @@
         self.handle(Event::RequestArrived(request))
     }
 
-    /// Advances the clock in small steps and collects the actions.
-    pub(crate) fn advance(&mut self, time: Time) -> Vec<Action> {
-        let end = self.now + time;
-        let mut all = Vec::new();
+    /// Advances the clock in steps of 2 ms, fires the timer after each, and returns all actions except timers.
+    pub(crate) fn advance(&mut self, duration: Time) -> Vec<Action> {
+        let end = self.now + duration;
+        let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 2 * MS).min(end);
-            all.extend(self.handle(Event::TimerFired));
+            actions.extend(self.handle(Event::TimerFired));
         }
-        all
+        actions
     }
 
     pub(crate) fn end_attempt(
@@ -139,38 +140,45 @@
         status: AttemptStatus,
         cached_tokens: f64,
     ) -> Vec<Action> {
-        let closed = status == AttemptStatus::Served;
+        let is_served = status == AttemptStatus::Served;
         self.handle(Event::AttemptEnded {
             id,
             attempt,
             endpoint: endpoint_id,
             status,
-            request_closed: closed,
+            request_closed: is_served,
             cached_tokens,
             load: None,
         })
     }
 
-    /// Serves a request from start to end with these times, wherever it is sent; returns the endpoints.
+    /// Serves a request on the endpoints that the router selects, with the given durations, and returns those
+    /// endpoints: prefill, then decode.
     pub(crate) fn serve(
         &mut self,
         request: RequestMetadata,
         prefill_time: Time,
-        wait: Time,
-        stream: Time,
+        first_token_delay: Time,
+        stream_time: Time,
     ) -> Vec<EndpointId> {
-        self.serve_with(request, |_| prefill_time, 0.0, wait, stream)
+        self.serve_with(
+            request,
+            |_| prefill_time,
+            0.0,
+            first_token_delay,
+            stream_time,
+        )
     }
 
-    /// The same with a prefill time that depends on the endpoint, and with prompt tokens that were found
-    /// cached.
+    /// Like [`Self::serve`], with a prefill time for each endpoint, and with `cached_tokens` of the prompt found
+    /// in the prefix cache.
     pub(crate) fn serve_with(
         &mut self,
         request: RequestMetadata,
         prefill_time: impl Fn(EndpointId) -> Time,
         cached_tokens: f64,
-        wait: Time,
-        stream: Time,
+        first_token_delay: Time,
+        stream_time: Time,
     ) -> Vec<EndpointId> {
         let id = request.id;
         let actions = self.submit(request);
@@ -193,15 +201,15 @@
         else {
             return vec![prefill];
         };
-        self.advance(wait);
+        self.advance(first_token_delay);
         self.handle(Event::FirstEvent { id, attempt: 1 });
-        self.advance(stream);
+        self.advance(stream_time);
         self.end_attempt(id, 1, *decode, AttemptStatus::Served);
         vec![prefill, *decode]
     }
 }
 
-/// The endpoint to which these actions send a request.
+/// Returns the endpoint of the first attempt that `actions` start for a request.
 pub(crate) fn started_endpoint(actions: &[Action], id: RequestId) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
@@ -213,16 +221,16 @@
     })
 }
 
-/// How many final responses these actions give to a request.
+/// Counts the final responses to a request in `actions`.
 pub(crate) fn count_final_responses(actions: &[Action], of: RequestId) -> usize {
-    let ends = |action: &&Action| match action {
+    let is_final_response = |action: &&Action| match action {
         Action::Shed { id, .. } | Action::Fail { id, .. } => *id == of,
         _ => false,
     };
-    actions.iter().filter(ends).count()
+    actions.iter().filter(is_final_response).count()
 }
 
-/// Four prefill and three decode endpoints.
+/// Returns four prefill and three decode endpoints.
 pub(crate) fn fleet() -> Vec<EndpointRecord> {
     let prefill_endpoints = (1..=4).map(|id| endpoint(id, Role::Prefill));
     prefill_endpoints
@@ -240,20 +248,20 @@
     )
 }
 
-/// A router that has served 80 requests one after another, with streams of this duration.
+/// Returns a router that has served 80 requests one after another, each with a stream of the given duration.
 pub(crate) fn harness_after_serving(
     settings: RoutingSettings,
     endpoints: Vec<EndpointRecord>,
-    stream: Time,
+    stream_time: Time,
 ) -> RouterHarness {
     let mut harness = RouterHarness::new(settings, endpoints);
     for id in 0..80 {
-        harness.serve(request(id, id), 40 * MS, 30 * MS, stream);
+        harness.serve(request(id, id), 40 * MS, 30 * MS, stream_time);
     }
     harness
 }
 
-/// A router that has learned from 80 requests and is idle.
+/// Returns an idle router that has learned from 80 requests.
 pub(crate) fn trained_harness() -> RouterHarness {
     let mut harness = harness();
     for id in 0..80 {
@@ -268,7 +276,7 @@
     harness
 }
 
-/// A prefill and a decode endpoint.
+/// Returns a prefill and a decode endpoint.
 pub(crate) fn prefill_and_decode() -> Vec<EndpointRecord> {
     vec![endpoint(1, Role::Prefill), endpoint(2, Role::Decode)]
 }
--- a/tests/routing_affinity.rs
+++ b/tests/routing_affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: sessions and shared prefixes return to the endpoints that have them cached.
+//! Prefix affinity: requests of a session or with a shared prefix return to endpoints that have it cached.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -8,7 +8,7 @@
 #[test]
 fn a_session_returns_to_its_prefill_endpoint() {
     let mut harness = trained_harness();
-    let mut back = 0;
+    let mut returned = 0;
     for id in 1_000..1_050 {
         let affinity_endpoint = harness.serve(request(id, id), 40 * MS, 30 * MS, 50 * MS)[0];
         let next = RequestMetadata {
@@ -16,9 +16,12 @@
             ..request(id + 1_000, id)
         };
         let prefill = harness.serve_with(next, |_| 30 * MS, 2_000.0, 30 * MS, 50 * MS)[0];
-        back += usize::from(prefill == affinity_endpoint);
+        returned += usize::from(prefill == affinity_endpoint);
     }
-    assert!(back >= 46, "{back} of 50 came back");
+    assert!(
+        returned >= 46,
+        "{returned} of 50 sessions returned to their prefill endpoint"
+    );
 }
 
 #[test]
@@ -33,7 +36,7 @@
         is_full: false,
         endpoints: vec![restarted],
     });
-    let away = (2_000..2_040).filter(|id| {
+    let sent_elsewhere = (2_000..2_040).filter(|id| {
         let prefill = started_endpoint(
             &harness.submit(RequestMetadata {
                 prompt_tokens: 2_200.0,
@@ -45,43 +48,43 @@
         prefill != Some(affinity_endpoint)
     });
     assert!(
-        away.count() > 15,
-        "a restart clears what the prefix index lists"
+        sent_elsewhere.count() > 15,
+        "a restart must clear the endpoint's entries in the prefix cache index"
     );
 }
 
 #[test]
 fn partly_cached_sessions_keep_to_their_affinity_endpoint() {
-    // Guards against overload after a flush: with no match over the threshold all prefill endpoints counted
-    // as equal.
+    // Guards against overload after prefix caches are flushed: no endpoint's match reached the threshold, and
+    // all prefill endpoints were treated alike.
     let mut harness = harness();
     for id in 0..80 {
         harness.serve_with(request(id, id), |_| 40 * MS, 1_000.0, 30 * MS, 50 * MS);
     }
-    let mut affinity_endpoint = |session: u64, times: u64| {
-        let sent = (0..times).map(|time| {
-            let id = session * 100 + time;
+    let mut endpoints_of_session = |session: u64, turns: u64| {
+        let endpoints = (0..turns).map(|turn| {
+            let id = session * 100 + turn;
             let prefill = started_endpoint(&harness.submit(request(id, session)), id);
             harness.handle(Event::ClientDisconnected { id });
             harness.end_attempt(id, 0, prefill.unwrap_or_default(), AttemptStatus::Cancelled);
             prefill
         });
-        sent.collect::<Vec<_>>()
+        endpoints.collect::<Vec<_>>()
     };
-    let same = (1_000..1_030).filter(|session| {
-        affinity_endpoint(*session, 3)
+    let consistent = (1_000..1_030).filter(|session| {
+        endpoints_of_session(*session, 3)
             .windows(2)
             .all(|pair| pair[0] == pair[1])
     });
-    let same = same.count();
+    let consistent = consistent.count();
     assert!(
-        same >= 25,
-        "{same} of 30 sessions kept to one prefill endpoint"
+        consistent >= 25,
+        "{consistent} of 30 sessions kept to one prefill endpoint"
     );
 }
 
-/// Prefill endpoints evict the oldest prefix when their memory is full. An index that still lists it would
-/// send a session to an endpoint that has to prefill it again, behind others.
+/// Prefill endpoints evict the oldest prefix when their memory is full. Guards against an index that still
+/// lists it: sessions were sent to an endpoint that had to prefill them again, behind other requests.
 #[test]
 fn the_prefix_index_records_no_more_than_an_endpoint_can_cache() {
     let mut harness = trained_harness();
@@ -93,12 +96,12 @@
             )
         })
         .collect();
-    // 75 prompts of 2,000 tokens for each prefill endpoint, of 200,000 tokens that both routers together can
-    // cache there.
+    // 75 prompts of 2,000 tokens for each prefill endpoint, which can cache 200,000 tokens for both routers
+    // together.
     for id in 2_000..2_300 {
         harness.serve(request(id, id), 40 * MS, 30 * MS, 50 * MS);
     }
-    let back = early.into_iter().filter(|(session, prefill)| {
+    let returned = early.into_iter().filter(|(session, prefill)| {
         let next = started_endpoint(
             &harness.submit(RequestMetadata {
                 prompt_tokens: 2_200.0,
@@ -117,11 +120,11 @@
         );
         next == Some(*prefill)
     });
-    assert!(back.count() <= 12);
+    assert!(returned.count() <= 12);
 }
 
-/// How many of 60 requests go to a prefill endpoint that was flushed, among four, once it has prefixes cached
-/// again.
+/// Returns how many of 60 requests go to one of four prefill endpoints after its prefix cache was flushed and
+/// has filled again.
 fn sends_to_flushed_endpoint(seed: u64) -> usize {
     let classes = vec![
         class(3.0, Idempotency::Idempotent),
@@ -179,19 +182,19 @@
         .count()
 }
 
-/// After a flush a prefill endpoint takes long for prefixes that the index lists. That is the fault of the
-/// index: with the tokens that were really left to prefill it is as fast as ever, and must not be avoided.
+/// After a flush, a prefill endpoint is slow for prefixes that the index still lists, because it prefills more
+/// tokens than the index predicts. Its speed per token is unchanged, so routing must not avoid it.
 #[test]
 fn a_prefill_endpoint_that_was_flushed_is_not_taken_for_slow() {
-    // Over twenty draws: one alone may fall to either side, with the fault (11 of 60) and without (17).
+    // Over 20 seeds, as a single one can't tell the fault (11 of 60) from its absence (17 of 60).
     let to_flushed: usize = (0..20).map(sends_to_flushed_endpoint).sum();
     assert!(
         to_flushed >= 300,
-        "{to_flushed} of 1200 went to the prefill endpoint that was flushed"
+        "{to_flushed} of 1200 requests went to the flushed prefill endpoint"
     );
 }
 
-/// Where each prefix goes in a fleet of six prefill endpoints, two of which restarted `age` ago.
+/// Returns the endpoint of each prefix in a fleet of six prefill endpoints, two of which restarted `age` ago.
 fn endpoints_of_prefixes_during_slow_start(age: Time) -> Vec<Option<EndpointId>> {
     let in_slow_start = |id| EndpointRecord {
         started_at: Some(20 * SECOND),
@@ -204,12 +207,12 @@
         .chain([endpoint(12, Role::Decode)])
         .collect();
     let prefix = |prefix: u64| {
-        // A new router for each prefix, one of a hundred: none has sent to an endpoint in slow start before.
-        let thin = RoutingSettings {
+        // Each prefix has a new router, one of 100, that has sent nothing to an endpoint in slow start yet.
+        let settings_of_100_routers = RoutingSettings {
             dispatchers: 100,
             ..settings(vec![class(1.0, Idempotency::Idempotent)])
         };
-        let mut harness = RouterHarness::new(thin, fleet.clone());
+        let mut harness = RouterHarness::new(settings_of_100_routers, fleet.clone());
         harness.now = 20 * SECOND + age;
         let request = RequestMetadata {
             prefix: Some(quartzhall::config::fnv1a_hash(&prefix.to_string())),
@@ -221,44 +224,46 @@
     (0..400).map(prefix).collect()
 }
 
-/// Guards against slow-start draws that ignore prefixes: nineteen in twenty requests with affinity for an
-/// endpoint in slow start were prefilled wherever there was room, and cached prefixes were evicted
-/// everywhere.
+/// Guards against slow-start draws that ignore prefixes: 19 of 20 requests with affinity for an endpoint in slow
+/// start were prefilled at any endpoint with room, which evicted cached prefixes in the whole fleet.
 #[test]
 fn prefixes_move_to_an_endpoint_in_slow_start_as_it_warms_up() {
-    let young = endpoints_of_prefixes_during_slow_start(0);
-    let older = endpoints_of_prefixes_during_slow_start(5 * SECOND);
-    let count_in_slow_start = |affinity_endpoints: &[Option<EndpointId>]| {
-        affinity_endpoints
+    let endpoints_at_start = endpoints_of_prefixes_during_slow_start(0);
+    let endpoints_later = endpoints_of_prefixes_during_slow_start(5 * SECOND);
+    let count_in_slow_start = |endpoints: &[Option<EndpointId>]| {
+        endpoints
             .iter()
-            .filter(|affinity_endpoint| **affinity_endpoint > Some(4))
+            .filter(|endpoint| **endpoint > Some(4))
             .count()
     };
-    let (few, more) = (count_in_slow_start(&young), count_in_slow_start(&older));
+    let (count_at_start, count_later) = (
+        count_in_slow_start(&endpoints_at_start),
+        count_in_slow_start(&endpoints_later),
+    );
     assert!(
-        (20..=90).contains(&few),
-        "{few} of 400 prefixes went to endpoints in slow start at once"
+        (20..=90).contains(&count_at_start),
+        "{count_at_start} of 400 prefixes went to endpoints at the start of slow start"
     );
     assert!(
-        more > few + 15,
-        "{few}, then {more} of 400 prefixes went to endpoints that warm up"
+        count_later > count_at_start + 15,
+        "{count_at_start}, then {count_later} of 400 prefixes went to endpoints in slow start"
     );
-    let moved = young
+    let moved = endpoints_at_start
         .iter()
-        .zip(&older)
-        .filter(|(young, older)| young != older && **older <= Some(4))
+        .zip(&endpoints_later)
+        .filter(|(before, after)| before != after && **after <= Some(4))
         .count();
     assert!(
         moved < 40,
-        "{moved} prefixes went from one warm prefill endpoint to another"
+        "{moved} prefixes moved to a warm prefill endpoint"
     );
 }
 
-/// The one prefill endpoint of a zone can't be the only affinity endpoint of its prefixes: while it is
-/// ejected, each router would have them prefilled at an endpoint of its own choice.
+/// A zone's only prefill endpoint must not be the only affinity endpoint of a prefix. Otherwise, while it is
+/// ejected, each router has the prefix prefilled at a different endpoint.
 #[test]
 fn prefixes_of_a_zone_with_one_prefill_endpoint_have_another_in_a_remote_zone() {
-    let elsewhere = (2..=5).map(|id| EndpointRecord {
+    let remote_prefill_endpoints = (2..=5).map(|id| EndpointRecord {
         zone: 1,
         cell: 1,
         ..endpoint(id, Role::Prefill)
@@ -271,7 +276,7 @@
             ..endpoint(12, Role::Decode)
         },
     ];
-    let fleet: Vec<_> = elsewhere
+    let fleet: Vec<_> = remote_prefill_endpoints
         .chain([endpoint(1, Role::Prefill)])
         .chain(decode_endpoints)
         .collect();
@@ -284,8 +289,8 @@
         };
         let mut used = std::collections::BTreeSet::new();
         for seed in 1..=4 {
-            let rules = settings(vec![class(1.0, Idempotency::Idempotent)]);
-            let mut harness = RouterHarness::seeded(rules, fleet.clone(), seed);
+            let routing_settings = settings(vec![class(1.0, Idempotency::Idempotent)]);
+            let mut harness = RouterHarness::seeded(routing_settings, fleet.clone(), seed);
             harness.handle(Event::ProbeCompleted {
                 endpoint: 1,
                 is_healthy: false,
@@ -298,12 +303,12 @@
     }
     assert!(
         affinity_endpoints.len() > 1,
-        "prefixes are spread: {affinity_endpoints:?}"
+        "all prefixes have the same affinity endpoint: {affinity_endpoints:?}"
     );
 }
 
-/// A hedged prefill goes only to an affinity endpoint: elsewhere it evicts prefixes that other requests
-/// return for.
+/// A hedged prefill must go to an affinity endpoint: at any other it evicts prefixes that other requests return
+/// to.
 #[test]
 fn a_hedge_goes_to_an_affinity_endpoint() {
     let endpoints = (1..=8)
@@ -328,9 +333,9 @@
     let affinity_endpoints: std::collections::BTreeSet<_> =
         (0..20).map(|seed| harness(seed).1).collect();
     assert!(affinity_endpoints.len() < 4, "{affinity_endpoints:?}");
-    let away = (0..20).filter(|seed| {
+    let sent_elsewhere = (0..20).filter(|seed| {
         let (mut harness, _) = harness(*seed);
-        // The affinity endpoints are busy by now, and all others are idle.
+        // The affinity endpoints are busy, and all others are idle.
         for endpoint_id in 1..=8 {
             let in_flight = Some(if affinity_endpoints.contains(&endpoint_id) {
                 25.0
@@ -349,8 +354,8 @@
             .is_some_and(|second| !affinity_endpoints.contains(&second))
     });
     assert_eq!(
-        away.count(),
+        sent_elsewhere.count(),
         0,
-        "hedges were sent where the prefix has no affinity"
+        "hedged prefills were sent to endpoints without affinity for the prefix"
     );
 }
--- a/tests/routing_fleet_sizes.rs
+++ b/tests/routing_fleet_sizes.rs
@@ -1,4 +1,4 @@
-//! Routing at both ends of its range: from one router to hundreds, from three endpoints to a hundred.
+//! Routing at both ends of its range: from one router to hundreds, and from a few endpoints to over a hundred.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -13,11 +13,11 @@
         .collect()
 }
 
-fn harness(rules: &RoutingSettings, endpoints: Vec<EndpointRecord>, seed: u64) -> RouterHarness {
-    RouterHarness::seeded(rules.clone(), endpoints, seed)
+fn harness(settings: &RoutingSettings, endpoints: Vec<EndpointRecord>, seed: u64) -> RouterHarness {
+    RouterHarness::seeded(settings.clone(), endpoints, seed)
 }
 
-fn of(dispatchers: u32) -> RoutingSettings {
+fn settings_of_routers(dispatchers: u32) -> RoutingSettings {
     RoutingSettings {
         dispatchers,
         ..settings(vec![
@@ -39,10 +39,14 @@
 fn the_first_request_of_any_router_is_sent() {
     for dispatchers in [0, 1, 2, 40, 300] {
         for prefill_endpoints in [2, 5, 100] {
-            let mut harness = harness(&of(dispatchers), fleet(prefill_endpoints), 3);
+            let mut harness = harness(
+                &settings_of_routers(dispatchers),
+                fleet(prefill_endpoints),
+                3,
+            );
             assert!(
                 started_endpoint(&harness.submit(request(1, 1)), 1).is_some(),
-                "{dispatchers} routers, {prefill_endpoints} prefill endpoints"
+                "nothing sent: {dispatchers} routers, {prefill_endpoints} prefill endpoints"
             );
         }
     }
@@ -52,19 +56,19 @@
 fn independent_routers_agree_on_the_affinity_endpoints_of_a_prefix() {
     let mut used = std::collections::BTreeMap::new();
     for seed in 0..60 {
-        let mut harness = harness(&of(60), fleet(40), seed);
+        let mut harness = harness(&settings_of_routers(60), fleet(40), seed);
         let prefill =
             started_endpoint(&harness.submit(request_with_prefix(1, seed)), 1).expect("sent");
         *used.entry(prefill).or_insert(0) += 1;
     }
     assert!(
         used.len() <= 6,
-        "a prefix of 60 routers went to {} of 40 prefill endpoints: {used:?}",
+        "60 routers sent a prefix to {} of 40 prefill endpoints: {used:?}",
         used.len()
     );
     assert!(
         used.len() >= 2,
-        "a single affinity endpoint is no use when it fails"
+        "a prefix has a single affinity endpoint, and none when it fails"
     );
 }
 
@@ -75,7 +79,10 @@
             prompt_tokens: 4_000.0,
             ..request_with_prefix(1, 77)
         };
-        started_endpoint(&harness(&of(60), fleet(40), seed).submit(turn), 1)
+        started_endpoint(
+            &harness(&settings_of_routers(60), fleet(40), seed).submit(turn),
+            1,
+        )
     });
     let affinity_endpoints: Vec<_> = affinity_endpoints.collect();
     let max = affinity_endpoints
@@ -87,31 +94,34 @@
                 .count()
         })
         .max();
-    assert!(max >= Some(50), "at most {max:?} of 60 routers agree");
+    assert!(
+        max >= Some(50),
+        "only {max:?} of 60 routers agree on the session's endpoint"
+    );
 }
 
 #[test]
 fn affinity_endpoints_are_in_the_own_zone_while_it_has_prefill_endpoints() {
-    let entries = fleet(40).into_iter().map(|record| EndpointRecord {
+    let records = fleet(40).into_iter().map(|record| EndpointRecord {
         zone: record.endpoint % 2,
         ..record
     });
-    let entries: Vec<_> = entries.collect();
-    let own = (0..50).filter(|seed| {
-        let mut harness = harness(&of(60), entries.clone(), *seed);
+    let records: Vec<_> = records.collect();
+    let in_own_zone = (0..50).filter(|seed| {
+        let mut harness = harness(&settings_of_routers(60), records.clone(), *seed);
         started_endpoint(&harness.submit(request_with_prefix(1, *seed)), 1)
             .is_some_and(|prefill| prefill % 2 == 0)
     });
-    assert!(own.count() >= 46);
+    assert!(in_own_zone.count() >= 46);
 }
 
 #[test]
 fn endpoints_are_probed_only_where_their_load_is_unknown() {
-    let rules = RoutingSettings {
+    let probing_settings = RoutingSettings {
         probes_allowed: true,
-        ..of(200)
+        ..settings_of_routers(200)
     };
-    let mut harness = harness(&rules, fleet(40), 5);
+    let mut harness = harness(&probing_settings, fleet(40), 5);
     let probes = |actions: &[Action]| {
         actions
             .iter()
@@ -130,9 +140,10 @@
     let probed = probes(&harness.submit(request(1, 1)));
     assert!(
         (1..=3).contains(&probed.len()),
-        "few, however many endpoints there are: {probed:?}"
+        "a request causes 1 to 3 probes in a fleet of any size: {probed:?}"
     );
-    // One is idle, the others are busy: the placement waits for the answers and follows them.
+    // The first probed endpoint is idle and the others are busy: the placement waits for these reports and uses
+    // them.
     for (index, endpoint_id) in probed.iter().enumerate() {
         let pending = if index == 0 { 0.0 } else { 60.0 };
         let load = LoadReport {
@@ -147,7 +158,8 @@
             load: Some(load),
         });
     }
-    let sent = started_endpoint(&harness.advance(30 * MS), 1).expect("sent after the answers");
+    let sent =
+        started_endpoint(&harness.advance(30 * MS), 1).expect("sent after the probe responses");
     assert!(
         !probed[1..].contains(&sent),
         "sent to a prefill endpoint that reported 60,000 pending tokens"
@@ -155,19 +167,19 @@
     assert_eq!(
         probes(&harness.advance(5 * SECOND)).len(),
         0,
-        "no probes without requests"
+        "probes were sent without open requests"
     );
 }
 
 #[test]
 fn an_endpoint_that_leaves_a_probe_unanswered_is_passed_over() {
-    let rules = RoutingSettings {
+    let probing_settings = RoutingSettings {
         probes_allowed: true,
-        ..of(200)
+        ..settings_of_routers(200)
     };
-    let mut silent = 0;
+    let mut to_unresponsive = 0;
     for seed in 0..30 {
-        let mut harness = harness(&rules, fleet(6), seed);
+        let mut harness = harness(&probing_settings, fleet(6), seed);
         let actions = harness.submit(request(1, seed));
         let probed = actions.iter().find_map(|action| {
             if let Action::Probe {
@@ -179,17 +191,17 @@
                 None
             }
         });
-        silent += usize::from(started_endpoint(&harness.advance(40 * MS), 1) == probed);
+        to_unresponsive += usize::from(started_endpoint(&harness.advance(40 * MS), 1) == probed);
     }
     assert_eq!(
-        silent, 0,
-        "{silent} of 30 went to a silent prefill endpoint"
+        to_unresponsive, 0,
+        "{to_unresponsive} of 30 requests went to a prefill endpoint that didn't answer its probe"
     );
 }
 
 #[test]
 fn a_deadline_before_the_objective_counts_as_the_objective() {
-    let mut harness = harness(&of(1), fleet(2), 9);
+    let mut harness = harness(&settings_of_routers(1), fleet(2), 9);
     for id in 0..60 {
         harness.serve(request(id, id), 300 * MS, 200 * MS, 50 * MS);
     }
@@ -208,7 +220,7 @@
     }
     assert!(
         started_endpoint(&harness.submit(request(999, 999)), 999).is_some(),
-        "a patient client's request fits"
+        "a request that can meet its deadline was not sent"
     );
     let actions = harness.submit(RequestMetadata {
         time_left: 250 * MS,
@@ -220,7 +232,7 @@
             started_endpoint(&actions, 1_000)
         ),
         (1, None),
-        "prefilled for nobody"
+        "a request that can't meet its deadline was prefilled"
     );
 }
 
@@ -247,6 +259,6 @@
     });
     assert!(
         started_endpoint(&actions, 1_000).is_some(),
-        "an idle fleet prefills it: {actions:?}"
+        "an idle fleet refused a long prompt: {actions:?}"
     );
 }
--- a/tests/routing_large_fleets.rs
+++ b/tests/routing_large_fleets.rs
@@ -1,4 +1,4 @@
-//! Routing in fleets that are too large for all endpoints to be candidates.
+//! Routing in fleets that are too large for all endpoints to be candidates of each placement.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -8,7 +8,8 @@
 const DECODE_ENDPOINTS: EndpointId = 400;
 const FIRST_DECODE_ENDPOINT: EndpointId = 1_000;
 
-/// Prefill endpoints in cells of their own, and decode endpoints in cells of four.
+/// A fleet whose prefill endpoints are each in a cell of their own, and whose decode endpoints share cells of
+/// four.
 fn fleet() -> Vec<EndpointRecord> {
     let prefill_endpoints = (0..PREFILL_ENDPOINTS).map(|id| EndpointRecord {
         cell: id,
@@ -21,39 +22,41 @@
     prefill_endpoints.chain(decode_endpoints).collect()
 }
 
-fn cell_of(decode: EndpointId) -> u32 {
-    FIRST_DECODE_ENDPOINT + decode / 4
+fn cell_of(decode_index: EndpointId) -> u32 {
+    FIRST_DECODE_ENDPOINT + decode_index / 4
 }
 
-/// What may have run in one cell may be repeated only there, and the decode endpoint that ran it drains. A
-/// first query draws decode endpoints and seldom has one of the three that are left: queries are widened
-/// until one is found, while the KV cache is reserved.
+/// A request that may have run in one cell may be repeated only there, and the decode endpoint that ran it
+/// drains. The sample of a first query rarely includes one of the three other endpoints of the cell. The query
+/// must be widened until one is found, while the KV cache is still reserved.
 #[test]
 fn an_endpoint_outside_the_first_query_is_found() {
     for seed in 0..10 {
-        let keyed = Idempotency::IdempotencyKey {
+        let idempotency = Idempotency::IdempotencyKey {
             scope: DeduplicationScope::Cell,
             window: 3 * SECOND,
         };
-        let mut harness = RouterHarness::seeded(settings(vec![class(1.0, keyed)]), fleet(), seed);
+        let mut harness =
+            RouterHarness::seeded(settings(vec![class(1.0, idempotency)]), fleet(), seed);
         let actions = harness.submit(request(1, seed));
-        let prefill = started_endpoint(&actions, 1).expect("it is sent to a prefill endpoint");
+        let prefill = started_endpoint(&actions, 1).expect("sent to a prefill endpoint");
         harness.advance(20 * MS);
         let actions = harness.end_attempt(1, 0, prefill, AttemptStatus::PrefillDone);
-        let first = started_endpoint(&actions, 1).expect("it is sent to a decode endpoint");
+        let first = started_endpoint(&actions, 1).expect("sent to a decode endpoint");
         harness.advance(5 * MS);
-        let drains = EndpointRecord {
+        let draining = EndpointRecord {
             status: EndpointStatus::Draining,
             cell: cell_of(first - FIRST_DECODE_ENDPOINT),
             ..endpoint(first, Role::Decode)
         };
         harness.handle(Event::EndpointsChanged {
             is_full: false,
-            endpoints: vec![drains],
+            endpoints: vec![draining],
         });
         let mut actions = harness.end_attempt(1, 1, first, AttemptStatus::Reset);
         actions.extend(harness.advance(200 * MS));
-        let second = started_endpoint(&actions, 1).expect("it is sent again, in time");
+        let second =
+            started_endpoint(&actions, 1).expect("sent to a second decode endpoint in time");
         assert_eq!(
             cell_of(second - FIRST_DECODE_ENDPOINT),
             cell_of(first - FIRST_DECODE_ENDPOINT),
@@ -63,8 +66,8 @@
     }
 }
 
-/// All prefill endpoints but one are overloaded. A request is not shed by the candidates of the first query,
-/// and goes to that one.
+/// All prefill endpoints but one are overloaded. A request must go to that one, and must not be shed because the
+/// candidates of the first query are all overloaded.
 #[test]
 fn nothing_is_shed_that_an_endpoint_outside_the_query_would_serve() {
     for seed in 0..10 {
@@ -78,10 +81,10 @@
         }
         let idle = (seed * 17 + 3) as EndpointId % PREFILL_ENDPOINTS;
         for endpoint_id in 0..PREFILL_ENDPOINTS {
-            let part = if endpoint_id == idle { 0.0 } else { 1.0 };
+            let load_factor = if endpoint_id == idle { 0.0 } else { 1.0 };
             let load = LoadReport {
-                in_flight: Some(400.0 * part),
-                pending_prefill_kilotokens: Some(4_000.0 * part),
+                in_flight: Some(400.0 * load_factor),
+                pending_prefill_kilotokens: Some(4_000.0 * load_factor),
                 ..LoadReport::default()
             };
             harness.handle(Event::PeerLoadReport {
@@ -101,7 +104,7 @@
     }
 }
 
-/// Whatever joins, leaves, drains or moves: nothing is sent to an endpoint that is not listed as ready.
+/// While endpoints join, leave, drain and move, nothing is sent to one that isn't listed as ready.
 #[test]
 fn nothing_is_sent_to_endpoints_that_are_not_ready() {
     let mut harness =
@@ -136,25 +139,25 @@
                 ..endpoint(id, role)
             }
         });
-        let entries: Vec<EndpointRecord> = changes.collect();
-        // The last record of an endpoint is the one that counts.
-        for entry in &entries {
-            match entry.status {
-                EndpointStatus::Ready => unavailable.remove(&entry.endpoint),
-                _ => unavailable.insert(entry.endpoint),
+        let records: Vec<EndpointRecord> = changes.collect();
+        // If an endpoint has several records, the last one applies.
+        for record in &records {
+            match record.status {
+                EndpointStatus::Ready => unavailable.remove(&record.endpoint),
+                _ => unavailable.insert(record.endpoint),
             };
         }
         harness.handle(Event::EndpointsChanged {
             is_full: false,
-            endpoints: entries,
+            endpoints: records,
         });
         let id = u64::from(step) + 1;
-        let sends = harness.submit(request(id, id));
-        let prefill = started_endpoint(&sends, id).expect("a prefill endpoint is left");
+        let actions = harness.submit(request(id, id));
+        let prefill = started_endpoint(&actions, id).expect("a prefill endpoint is ready");
         assert!(!unavailable.contains(&prefill), "step {step}");
         harness.advance(10 * MS);
-        let sends = harness.end_attempt(id, 0, prefill, AttemptStatus::PrefillDone);
-        let decode = started_endpoint(&sends, id).expect("a decode endpoint is left");
+        let actions = harness.end_attempt(id, 0, prefill, AttemptStatus::PrefillDone);
+        let decode = started_endpoint(&actions, id).expect("a decode endpoint is ready");
         assert!(!unavailable.contains(&decode), "step {step}");
         harness.handle(Event::FirstEvent { id, attempt: 1 });
         harness.end_attempt(id, 1, decode, AttemptStatus::Served);
--- a/tests/unit/routing/candidate_index.rs
+++ b/tests/unit/routing/candidate_index.rs
@@ -1,4 +1,4 @@
-//! The index of candidates against a reference list, over random changes of it.
+//! The candidate index, compared with a plain list of the endpoints after random changes.
 
 use super::*;
 use rand::{Rng, SeedableRng};
@@ -6,14 +6,14 @@
 
 const ZONES: u32 = 4;
 
-/// What the index was given, as a plain list.
+/// The endpoints that the index was given, as a plain list.
 #[derive(Default)]
 struct ReferenceList {
     endpoints: BTreeMap<EndpointId, IndexedEndpoint>,
 }
 
 impl ReferenceList {
-    fn of(&self, kind: PoolKind) -> Vec<(EndpointId, &IndexedEndpoint)> {
+    fn in_pool(&self, kind: PoolKind) -> Vec<(EndpointId, &IndexedEndpoint)> {
         self.endpoints
             .iter()
             .filter(|(_, endpoint)| endpoint.is_in(kind))
@@ -22,7 +22,7 @@
     }
 }
 
-fn endpoint(rng: &mut Pcg32, now: Time, id: EndpointId) -> IndexedEndpoint {
+fn random_endpoint(rng: &mut Pcg32, now: Time, id: EndpointId) -> IndexedEndpoint {
     IndexedEndpoint {
         role: [Role::Prefill, Role::Decode, Role::Mixed][rng.gen_range(0..3)],
         zone: rng.gen_range(0..ZONES),
@@ -36,7 +36,7 @@
     }
 }
 
-fn index_of(reference: &ReferenceList, now: Time) -> CandidateIndex {
+fn build_index(reference: &ReferenceList, now: Time) -> CandidateIndex {
     let mut index = CandidateIndex::default();
     for (id, endpoint) in &reference.endpoints {
         index.set_endpoint(now, *id, Some(endpoint.clone()));
@@ -44,7 +44,7 @@
     index
 }
 
-/// After any changes the index equals the one that a new process would build from the list: nothing is stale.
+/// Guards against stale entries: after any changes, the index equals one that is built from the list alone.
 #[test]
 fn the_index_equals_one_built_from_its_list() {
     for seed in 0..8 {
@@ -54,30 +54,35 @@
             let now = step;
             index.advance_to(now);
             let id = rng.gen_range(0..400);
-            // Joins, restarts and moves, or leaves, drains and bans: the index treats the latter alike.
-            let endpoint = rng.gen_bool(0.7).then(|| endpoint(&mut rng, now, id));
+            // `Some`: the endpoint joins, restarts or moves. `None`: it leaves, drains or is banned.
+            let endpoint = rng
+                .gen_bool(0.7)
+                .then(|| random_endpoint(&mut rng, now, id));
             index.set_endpoint(now, id, endpoint.clone());
             match endpoint {
                 Some(endpoint) => drop(reference.endpoints.insert(id, endpoint)),
                 None => drop(reference.endpoints.remove(&id)),
             }
             if step % 50 == 0 {
-                let new = index_of(&reference, now);
-                assert_eq!(index.prefill, new.prefill, "seed {seed}, step {step}");
-                assert_eq!(index.decode, new.decode, "seed {seed}, step {step}");
-                assert_eq!(index.warming_up, new.warming_up, "seed {seed}, step {step}");
+                let rebuilt = build_index(&reference, now);
+                assert_eq!(index.prefill, rebuilt.prefill, "seed {seed}, step {step}");
+                assert_eq!(index.decode, rebuilt.decode, "seed {seed}, step {step}");
+                assert_eq!(
+                    index.warming_up, rebuilt.warming_up,
+                    "seed {seed}, step {step}"
+                );
             }
         }
     }
 }
 
-/// The counts of serving endpoints and the candidates agree with the reference list.
+/// Compares the number of serving endpoints, and the candidates of queries, with the reference list.
 #[test]
 fn queries_return_only_listed_endpoints_of_their_pool() {
     let mut rng = Pcg32::seed_from_u64(3);
     let (mut index, mut reference) = (CandidateIndex::default(), ReferenceList::default());
     for id in 0..500 {
-        let endpoint = endpoint(&mut rng, 0, id);
+        let endpoint = random_endpoint(&mut rng, 0, id);
         index.set_endpoint(0, id, Some(endpoint.clone()));
         reference.endpoints.insert(id, endpoint);
     }
@@ -89,13 +94,13 @@
             reference.endpoints.remove(&removed);
         }
         for kind in [PoolKind::Prefill, PoolKind::Decode] {
-            let listed = reference.of(kind);
+            let listed = reference.in_pool(kind);
             let warm = listed
                 .iter()
                 .filter(|(_, endpoint)| endpoint.warm_at <= now)
                 .count();
-            let bears = if warm > 0 { warm } else { listed.len().max(1) };
-            assert_eq!(index.serving_endpoints(kind), (bears as f64, warm > 0));
+            let serving = if warm > 0 { warm } else { listed.len().max(1) };
+            assert_eq!(index.serving_endpoints(kind), (serving as f64, warm > 0));
         }
         for seed in 0..20 {
             let query = CandidateQuery {
@@ -116,13 +121,13 @@
                     .get(id)
                     .is_some_and(|endpoint| endpoint.is_in(PoolKind::Prefill)));
             }
-            // The caller checks whether the likely ones are still listed. All others are.
-            let likely = BTreeSet::from([1, 2, 1_000]);
+            // The caller checks whether likely holders are still listed. All other candidates must be listed.
+            let likely_holders = BTreeSet::from([1, 2, 1_000]);
             let found: BTreeSet<EndpointId> = index
-                .prefill_candidates(&query, likely.clone())
+                .prefill_candidates(&query, likely_holders.clone())
                 .into_iter()
                 .collect();
-            for id in found.difference(&likely) {
+            for id in found.difference(&likely_holders) {
                 assert!(reference
                     .endpoints
                     .get(id)
@@ -132,7 +137,7 @@
     }
 }
 
-fn large(endpoint_count: EndpointId, in_slow_start: bool) -> CandidateIndex {
+fn large_index(endpoint_count: EndpointId, in_slow_start: bool) -> CandidateIndex {
     let mut index = CandidateIndex::default();
     for id in 0..endpoint_count {
         let role = if id % 4 == 0 {
@@ -157,11 +162,11 @@
     index
 }
 
-/// However large the fleet, a first query has a bounded number of candidates; widened by steps it has all.
+/// In a fleet of any size, a first query has a bounded number of candidates, and repeated widening reaches all.
 #[test]
 fn queries_are_bounded_and_widen_to_all_endpoints() {
     for endpoint_count in [300, 3_000, 11_000] {
-        let index = large(endpoint_count, false);
+        let index = large_index(endpoint_count, false);
         let mut widenings = 0;
         let mut most = 0;
         loop {
@@ -171,14 +176,14 @@
                 widenings,
             };
             let found = index.decode_candidates(&query, &BTreeSet::from([2]));
-            assert!(found.len() >= most, "a wider query has no fewer");
+            assert!(found.len() >= most, "a widened query has fewer candidates");
             most = found.len();
             if widenings == 0 {
                 assert!(
                     most <= DECODE_CANDIDATES_IN_CELL
                         + DECODE_CANDIDATES_IN_ZONE
                         + DECODE_CANDIDATES_ANYWHERE,
-                    "{most} of {endpoint_count}"
+                    "{most} candidates of {endpoint_count} endpoints"
                 );
             }
             if index.covers_all(PoolKind::Decode, &query) {
@@ -186,7 +191,10 @@
             }
             widenings += 1;
         }
-        assert!(widenings <= 6, "{widenings} steps for {endpoint_count}");
+        assert!(
+            widenings <= 6,
+            "{widenings} widenings for {endpoint_count} endpoints"
+        );
         assert!(index.covers_all(
             PoolKind::Prefill,
             &CandidateQuery {
@@ -198,11 +206,11 @@
     }
 }
 
-/// Dispatchers agree on the affinity endpoints of a prefix, in whatever order they learned of the endpoints;
-/// and when one endpoint of many is removed, few prefixes move.
+/// Dispatchers agree on the affinity endpoints of a prefix, whatever the order in which endpoints were added.
+/// Removing one of many endpoints moves few prefixes.
 #[test]
 fn affinity_endpoints_agree_and_few_prefixes_move_when_one_is_removed() {
-    let index = large(3_000, false);
+    let index = large_index(3_000, false);
     let mut other = CandidateIndex::default();
     for (id, endpoint) in index.endpoints.iter().rev() {
         other.set_endpoint(0, *id, Some(endpoint.clone()));
@@ -231,14 +239,14 @@
     let moved = prefixes.filter(changed).count();
     assert!(
         moved <= 20,
-        "{moved} of 1,000 prefixes moved that had no home there"
+        "{moved} of 1,000 prefixes moved without affinity for the removed endpoint"
     );
 }
 
-/// Prefixes are spread evenly: no endpoint has affinity for many times as many as the others.
+/// Prefixes are spread evenly: no endpoint has affinity for far more prefixes than the mean.
 #[test]
 fn prefixes_are_spread_evenly_over_affinity_endpoints() {
-    let index = large(11_000, false);
+    let index = large_index(11_000, false);
     let mut affinity_counts: BTreeMap<EndpointId, usize> = BTreeMap::new();
     let prefixes = 50_000_u64;
     for prefix in 0..prefixes {
@@ -259,16 +267,16 @@
     let most = affinity_counts.values().copied().max().unwrap_or(0);
     assert!(
         affinity_counts.len() * 100 >= prefill_endpoints * 99 && (most as f64) < 2.0 * mean,
-        "{most} where the mean is {mean}"
+        "{most} prefixes at one endpoint, where the mean is {mean}"
     );
 }
 
-/// Over many requests each endpoint in slow start wins as many draws as if every request drew at each.
+/// Over many requests, each endpoint in slow start wins as many draws as if every request drew at all of them.
 #[test]
-fn sampled_slow_start_draws_equal_lots_drawn_at_every_endpoint() {
-    let index = large(3_000, true);
-    let chance = 0.002; // that one draw wins
-    let mut won: BTreeMap<EndpointId, f64> = BTreeMap::new();
+fn sampled_slow_start_draws_equal_draws_at_every_endpoint() {
+    let index = large_index(3_000, true);
+    let win_probability = 0.002;
+    let mut wins: BTreeMap<EndpointId, f64> = BTreeMap::new();
     let requests = 200_000_u64;
     for seed in 0..requests {
         let query = CandidateQuery {
@@ -278,23 +286,25 @@
         };
         for id in index.sample_candidates(PoolKind::Decode, &query, 0, 0) {
             let draw = hash_pair(hash_pair(seed, 6), id.into()) as f64 / u64::MAX as f64;
-            if draw * index.slow_start_sampling_factor(PoolKind::Decode, &query, id) < chance {
-                *won.entry(id).or_default() += 1.0;
+            if draw * index.slow_start_sampling_factor(PoolKind::Decode, &query, id)
+                < win_probability
+            {
+                *wins.entry(id).or_default() += 1.0;
             }
         }
     }
-    let mean = requests as f64 * chance;
+    let mean = requests as f64 * win_probability;
     let decode_endpoints = index.decode.all.len() as f64;
-    let sum: f64 = won.values().sum();
+    let sum: f64 = wins.values().sum();
     assert!(
         (sum / decode_endpoints / mean - 1.0).abs() < 0.02,
-        "{} where {mean} are due",
+        "{} draws won on average, {mean} expected",
         sum / decode_endpoints
     );
-    // Six standard deviations of a count.
-    let most = won.values().copied().fold(0.0, f64::max);
+    // Six standard deviations of a Poisson count.
+    let most = wins.values().copied().fold(0.0, f64::max);
     assert!(
         most < mean + 6.0 * mean.sqrt(),
-        "{most} where {mean} are due"
+        "{most} draws won at one endpoint, {mean} expected"
     );
 }
--- a/tests/unit/routing/prefix_cache_index.rs
+++ b/tests/unit/routing/prefix_cache_index.rs
@@ -1,4 +1,4 @@
-//! The prefix index, both ways.
+//! The prefix cache index: lookups by endpoint and by key, expiry, eviction, and the traffic sample.
 
 use super::*;
 
@@ -12,7 +12,8 @@
     }
 }
 
-/// X
+/// Guards against an index whose lookups by endpoint and by key disagree after an entry expires, is evicted or
+/// is removed with its endpoint.
 #[test]
 fn cached_prefixes_are_found_by_endpoint_and_key_until_they_expire() {
     let mut index = PrefixCacheIndex::default();
@@ -27,7 +28,7 @@
     assert_eq!(index.cached_tokens(&request(3, 77), 3), 1_000.0);
     assert_eq!(index.cached_tokens(&request(3, 77), 4), 400.0);
     assert_eq!(index.cached_tokens(&request(3, 78), 4), 0.0);
-    // All that have the session cached, and some that have the shared prefix: others for another seed.
+    // The session's only holder, and some of the shared prefix's holders, which depend on the seed.
     let holders = |index: &PrefixCacheIndex, seed| index.holders(&request(3, 77), seed);
     assert!(holders(&index, 0).contains(&3) && holders(&index, 0).len() <= 1 + MAX_HOLDERS_PER_KEY);
     let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&index, seed)).collect();
@@ -39,7 +40,8 @@
     let all: BTreeSet<EndpointId> = (0..8).flat_map(|seed| holders(&index, seed)).collect();
     assert_eq!(all, BTreeSet::from([3, 4, 6, 7]));
 
-    // There is memory for the tokens of one session that are in no shared prefix, and the oldest is evicted.
+    // The limit has room for the shared prefix and the other tokens of one session; the older session is
+    // evicted.
     index.record_prefill(20, 9, 1_100.0, &request(30, 77));
     index.record_prefill(21, 9, 1_100.0, &request(31, 77));
     assert_eq!(
@@ -54,11 +56,11 @@
     index.expire(100);
     assert!(
         index.by_endpoint.is_empty() && index.by_key.is_empty(),
-        "an entry was left behind"
+        "an expired entry is still in the index"
     );
 }
 
-/// A shared prefix's share of the traffic is measured by the last requests only.
+/// The traffic share of a shared prefix depends on the most recent requests only.
 #[test]
 fn traffic_share_counts_recent_requests_only() {
     let mut index = PrefixCacheIndex::default();
--- a/tests/unit/routing/token_bucket.rs
+++ b/tests/unit/routing/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A tenant's token bucket.
+//! The token bucket of a tenant's quota.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     (0..requests).filter(|_| !bucket.is_exceeded(now)).count()
 }
 
-/// A full bucket admits a burst and then the rate; without a rate nothing is exceeded.
+/// A full bucket admits a burst and then the rate. A rate of 0 means no limit.
 #[test]
 fn a_full_bucket_admits_a_burst_and_then_the_rate() {
     let mut bucket = TokenBucket::new(10.0, 0);
