--- a/src/routing/candidate_index/prefix_affinity.rs
+++ b/src/routing/candidate_index/prefix_affinity.rs
@@ -35,7 +35,7 @@
 
 impl CandidateIndex {
     /// Returns the affinity endpoints of a request. `traffic_share` is the prefix's share of the traffic, from 0
-    /// to 1. `warm_share` returns the share of its full capacity that an endpoint has, from 0 to 1: an endpoint
+    /// to 1. `warm_share` returns the share of its full capacity that an endpoint has, from 0 to 1. An endpoint
     /// in slow start has affinity for as many prefixes as it can serve. If the query's zone has too few prefill
     /// endpoints, other zones supply the rest.
     pub(crate) fn prefix_affinity(
@@ -102,9 +102,8 @@
     }
 
     /// Returns the prefill endpoints of the query's zone that are ranked to select `affinity_count` affinity
-    /// endpoints. They are the same at all dispatchers and for all sessions, with one exception:
-    /// in large fleets each session has its own subset if there are more than
-    /// [`MAX_AFFINITY_ENDPOINTS_PER_SESSION`].
+    /// endpoints. They are the same at all dispatchers and for all sessions. The exception is a count above
+    /// [`MAX_AFFINITY_ENDPOINTS_PER_SESSION`] in a large fleet: each session has its own subset.
     fn local_affinity_pool(
         &self,
         query: &CandidateQuery,
--- a/tests/routing_affinity.rs
+++ b/tests/routing_affinity.rs
@@ -88,7 +88,7 @@
 #[test]
 fn the_prefix_index_records_no_more_than_an_endpoint_can_cache() {
     let mut harness = trained_harness();
-    let early: Vec<_> = (1_000..1_020)
+    let early_sessions: Vec<_> = (1_000..1_020)
         .map(|id| {
             (
                 id,
@@ -101,7 +101,7 @@
     for id in 2_000..2_300 {
         harness.serve(request(id, id), 40 * MS, 30 * MS, 50 * MS);
     }
-    let returned = early.into_iter().filter(|(session, prefill)| {
+    let returned = early_sessions.into_iter().filter(|(session, prefill)| {
         let next = started_endpoint(
             &harness.submit(RequestMetadata {
                 prompt_tokens: 2_200.0,
@@ -135,8 +135,8 @@
                         id: u64,
                         session: u64,
                         prompt: f64,
-                        flushed: bool,
-                        known: bool| {
+                        is_flushed: bool,
+                        is_second_turn: bool| {
         let prefill = started_endpoint(
             &harness.submit(RequestMetadata {
                 prompt_tokens: prompt,
@@ -145,13 +145,19 @@
             id,
         )
         .expect("sent");
-        let found = if known && !(flushed && prefill == 1) {
+        let cached_tokens = if is_second_turn && !(is_flushed && prefill == 1) {
             prompt - 200.0
         } else {
             0.0
         };
-        harness.advance(10 * MS + ((prompt - found) * 0.05) as u64 * MS);
-        harness.end_attempt_with_cached_tokens(id, 0, prefill, AttemptStatus::PrefillDone, found);
+        harness.advance(10 * MS + ((prompt - cached_tokens) * 0.05) as u64 * MS);
+        harness.end_attempt_with_cached_tokens(
+            id,
+            0,
+            prefill,
+            AttemptStatus::PrefillDone,
+            cached_tokens,
+        );
         harness.handle(Event::ClientDisconnected { id });
         harness.end_attempt(id, 1, 11, AttemptStatus::Cancelled);
         harness.advance(20 * MS);
@@ -224,8 +230,8 @@
     (0..400).map(prefix).collect()
 }
 
-/// Guards against slow-start draws that ignore prefixes: 19 of 20 requests with affinity for an endpoint in slow
-/// start were prefilled at any endpoint with room, which evicted cached prefixes in the whole fleet.
+/// Guards against slow-start draws that ignore prefixes. Of 20 requests with affinity for an endpoint in slow
+/// start, 19 were prefilled at any endpoint with room. That evicted cached prefixes in the whole fleet.
 #[test]
 fn prefixes_move_to_an_endpoint_in_slow_start_as_it_warms_up() {
     let endpoints_at_start = endpoints_of_prefixes_during_slow_start(0);
