--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,10 +1,11 @@
-//! The decisions of one router. The interface (settings, events, actions) is in `src/routing/api.rs`.
+//! The routing decisions of one dispatcher. Its settings, events and actions are in `src/routing/api.rs`.
 //!
-//! A request is sent to a prefill endpoint, its KV cache waits there, and a decode endpoint takes it over.
-//! [`Router`] owns all state: the tracked endpoints, the requests, the latency models and the indexes.
-//! `placement` chooses an endpoint, `outcomes` learns from ended attempts, and every action but a start
-//! passes `Router::emit`, which holds the rules. Durations named `seconds` are `f64`; instants and settings
-//! are [`Time`], in microseconds.
+//! A request is prefilled at one endpoint, which reserves its KV cache until a decode endpoint takes it
+//! over. [`Router`] owns all state: the tracked endpoints, the requests, the latency models and the
+//! indexes. `placement` selects endpoints, and `outcomes` updates the models from ended attempts. Attempts
+//! start in `Router::start_attempt`, which checks the rules. Every other action on an accepted request
+//! passes through `Router::emit`, which enforces them. Durations named `seconds` are `f64`; instants and
+//! settings are [`Time`], in microseconds.
 
 mod decode;
 mod hedging;
@@ -25,31 +26,33 @@
 use hedging::MAX_HEDGE_BUDGET;
 use latency_model::LatencyModels;
 use outcomes::AttemptEnd;
-use prefill::INITIAL_AFFINITY_MATCH;
+use prefill::INITIAL_SESSION_MATCH_RATIO;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use request::{Attempt, Request, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 use tracked_endpoint::{LoadVector, TrackedEndpoint, REQUESTS};
 
-/// Microseconds between two decays of failure rates and flow counters; endpoint subscriptions are renewed
-/// then too.
+/// Interval, in microseconds, at which failure rates and throughput counters decay. Endpoint subscriptions
+/// are renewed at the same interval.
 const DECAY_INTERVAL: Time = 1_000_000;
-/// Success probability, 0 to 1, from which on an endpoint is fit for a request.
+/// Minimum success probability, 0 to 1, of an endpoint that is feasible for a request.
 const MIN_SUCCESS_PROBABILITY: f64 = 0.6;
-/// Success probability, 0 to 1, from which on a prefill endpoint is good enough to leave the ones with a
-/// cached prefix.
+/// Success probability, 0 to 1, that a prefill endpoint needs to be preferred to endpoints that have the
+/// prompt cached. The cost of a decode attempt doesn't fall further above it.
 const HIGH_SUCCESS_PROBABILITY: f64 = 0.9;
-/// Weight of the newest value, 0 to 1, in slowdowns, failure rates and means.
+/// Weight of the newest sample, 0 to 1, in exponentially weighted moving averages. Failure rates and
+/// throughput counters decay by the same share.
 const SMOOTHING_FACTOR: f64 = 0.11;
-/// Lifetime of a prefix cache record, in multiples of the shortest TTFT objective.
-const PREFIX_LIFETIME_OBJECTIVES: Time = 60;
+/// Time to live of a prefix cache record, in multiples of the shortest TTFT objective.
+const PREFIX_TTL_IN_OBJECTIVES: Time = 60;
 
 fn seconds(time: Time) -> f64 {
     time as f64 / 1e6
 }
 
-/// The shortest nonzero objective over the active classes, in microseconds.
+/// Returns the shortest nonzero objective of the active classes, in microseconds, or [`DECAY_INTERVAL`] if
+/// there is none.
 fn shortest_objective(settings: &RoutingSettings, objective: fn(&RequestClass) -> Time) -> Time {
     settings
         .classes
@@ -61,23 +64,23 @@
         .unwrap_or(DECAY_INTERVAL)
 }
 
-/// Moves an exponentially weighted mean towards a new value.
-fn update_mean(mean: &mut f64, newest: f64) {
-    *mean += SMOOTHING_FACTOR * (newest - *mean);
+/// Updates an exponentially weighted moving average with a sample.
+fn update_mean(mean: &mut f64, sample: f64) {
+    *mean += SMOOTHING_FACTOR * (sample - *mean);
 }
 
-/// Counts of one pool's attempts; each decays by [`SMOOTHING_FACTOR`] every [`DECAY_INTERVAL`].
+/// Decaying counts of one pool's attempts: each shrinks by [`SMOOTHING_FACTOR`] every [`DECAY_INTERVAL`].
 #[derive(Clone, Copy, Default)]
-struct FlowCounters {
-    /// Prefills that are done and first tokens that were seen.
+struct ThroughputCounters {
+    /// Completed prefills and received first tokens.
     finished: f64,
-    /// The mean number of those at one warm endpoint.
+    /// Mean of `finished` over the warm endpoints, or over all endpoints while none is warm.
     finished_per_warm_endpoint: f64,
-    /// Attempts that were started.
+    /// Started attempts.
     started: f64,
 }
 
-impl FlowCounters {
+impl ThroughputCounters {
     fn decay(&mut self) {
         self.finished *= 1.0 - SMOOTHING_FACTOR;
         self.finished_per_warm_endpoint *= 1.0 - SMOOTHING_FACTOR;
@@ -85,11 +88,11 @@
     }
 }
 
-/// The decisions of one router. The caller sends [`Event::TimerFired`] after `new` and at each
-/// [`Action::SetTimer`].
+/// Makes the routing decisions of one dispatcher. The caller sends [`Event::TimerFired`] after `new` and at
+/// each [`Action::SetTimer`].
 pub struct Router {
     settings: RoutingSettings,
-    /// Dispatchers that share the endpoints, at least 1.
+    /// Number of dispatchers that share the endpoints, at least 1.
     dispatcher_count: f64,
     rng: Pcg32,
     now: Time,
@@ -100,31 +103,34 @@
     requests: BTreeMap<RequestId, Request>,
     due_requests: BTreeSet<(Time, RequestId)>,
     models: LatencyModels,
-    /// The first ejection lasts as long as the shortest TTFT objective.
+    /// Duration of a first ejection, in microseconds: the shortest TTFT objective.
     base_ejection_time: Time,
     next_decay_at: Time,
     timer_at: Option<Time>,
-    /// This router ends then, and no request lasts longer.
+    /// Latest instant for every request's final response, because this router ends then; [`Time::MAX`]
+    /// until it is set.
     shutdown_deadline: Time,
     is_watching_endpoints: bool,
-    /// Mean seconds that the best prefill endpoint takes beside the prompt itself while requests fit.
-    usual_wait: f64,
-    /// Hedges and moves that may still be made.
+    /// Baseline wait of load shedding, in seconds. It is the moving average, while feasible endpoints
+    /// exist, of the shortest predicted prefill time without the part for the prompt itself.
+    baseline_wait: f64,
+    /// Number of hedges and cancellations of overdue attempts that may still be made.
     hedge_budget: f64,
-    /// By class: share of a prompt that the session's affinity endpoint was found to have cached.
-    affinity_match: Vec<f64>,
-    /// Mean of the reported loads: of endpoints that decode, and of prefill endpoints.
+    /// By class: mean share of a prompt that a session's affinity endpoint had cached, 0 to 1.
+    session_match_ratio: Vec<f64>,
+    /// Moving averages of the reported loads: index 0 for decode and mixed endpoints, 1 for prefill
+    /// endpoints.
     mean_load: [LoadVector; 2],
-    /// By tenant: this router's share of the tenant's rate.
+    /// By tenant: token bucket with this router's share of the tenant's quota.
     tenant_buckets: Vec<TokenBucket>,
     /// By `PoolKind`.
-    flow: [FlowCounters; 2],
+    throughput: [ThroughputCounters; 2],
     hash_salt: u64,
 }
 
 impl Router {
-    /// A router that knows nothing but its settings. `seed` determines all its random draws; `now` is in
-    /// microseconds.
+    /// Creates a router that knows only its settings. `seed` determines all of its random draws; `now` is
+    /// in microseconds.
     pub fn new(settings: RoutingSettings, seed: u64, now: Time) -> Self {
         let dispatcher_count = f64::from(settings.dispatchers.max(1));
         let tenant_buckets = settings
@@ -134,7 +140,7 @@
             .collect();
         Router {
             tenant_buckets,
-            affinity_match: vec![INITIAL_AFFINITY_MATCH; settings.classes.len()],
+            session_match_ratio: vec![INITIAL_SESSION_MATCH_RATIO; settings.classes.len()],
             dispatcher_count,
             base_ejection_time: shortest_objective(&settings, |class| class.ttft_objective),
             models: LatencyModels::from_objectives(&settings),
@@ -151,20 +157,21 @@
             timer_at: None,
             shutdown_deadline: Time::MAX,
             is_watching_endpoints: false,
-            usual_wait: 0.0,
+            baseline_wait: 0.0,
             hedge_budget: MAX_HEDGE_BUDGET,
             mean_load: Default::default(),
-            flow: Default::default(),
+            throughput: Default::default(),
             hash_salt: mix(seed, 0),
         }
     }
 
-    /// Scores all endpoints in fleets of up to this many, and a sample in larger ones: for comparisons.
+    /// Makes all endpoints candidates in fleets of up to `endpoints`, instead of a sample. Used to compare
+    /// the two.
     pub fn set_full_scan_limit(&mut self, endpoints: usize) {
         self.candidates.look_at_all_up_to(endpoints);
     }
 
-    /// Handles one event at `now` (microseconds) and appends the actions that follow from it.
+    /// Handles an event at `now` (microseconds) and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         self.candidates.advance_to(self.now);
@@ -238,7 +245,8 @@
         }
     }
 
-    /// Applies a step to a request, then removes it if it is over, or else schedules its next check.
+    /// Applies a step to a request; unknown ids are ignored. A request that is complete is removed and its
+    /// reservation released; any other gets its next check scheduled.
     fn with_request(&mut self, id: RequestId, step: impl FnOnce(&mut Self, &mut Request)) {
         let Some(mut request) = self.requests.remove(&id) else {
             return;
@@ -275,7 +283,8 @@
         for record in records {
             let mut previous = self.endpoints.remove(&record.endpoint).unwrap_or_default();
             if previous.record.started_at != record.started_at {
-                // A restarted endpoint is a new one, but for what this router still has in flight there.
+                // A restarted endpoint loses its learned state, except for what this router still has in
+                // flight there.
                 previous = TrackedEndpoint {
                     own_load: previous.own_load,
                     pending: previous.pending,
@@ -304,12 +313,12 @@
         }
     }
 
-    /// Applies new settings and keeps what was learned. Requests in flight keep their class by its index.
+    /// Applies new settings and keeps the learned state. Requests in flight keep their class index.
     fn apply_settings(&mut self, settings: RoutingSettings) {
         self.dispatcher_count = f64::from(settings.dispatchers.max(1));
         self.base_ejection_time = shortest_objective(&settings, |class| class.ttft_objective);
-        self.affinity_match
-            .resize(settings.classes.len(), INITIAL_AFFINITY_MATCH);
+        self.session_match_ratio
+            .resize(settings.classes.len(), INITIAL_SESSION_MATCH_RATIO);
         self.tenant_buckets
             .resize(settings.tenants.len(), TokenBucket::new(0.0, self.now));
         for (bucket, tenant) in self.tenant_buckets.iter_mut().zip(&settings.tenants) {
@@ -359,11 +368,12 @@
         }
     }
 
-    /// Decays failure rates and flow counters, expires records, and drops removed endpoints that are idle.
+    /// Decays failure rates and throughput counters, and renews the subscription to the endpoint list.
+    /// Expires prefix cache records, and drops removed endpoints without requests in flight.
     fn decay_statistics(&mut self) {
         self.next_decay_at = self.now + DECAY_INTERVAL;
-        for flow in &mut self.flow {
-            flow.decay();
+        for counters in &mut self.throughput {
+            counters.decay();
         }
         if self.settings.must_poll_endpoints {
             if !self.is_watching_endpoints {
@@ -379,7 +389,7 @@
                 health.failure_rate *= 1.0 - SMOOTHING_FACTOR;
             }
         }
-        let lifetime = PREFIX_LIFETIME_OBJECTIVES * self.base_ejection_time;
+        let lifetime = PREFIX_TTL_IN_OBJECTIVES * self.base_ejection_time;
         self.prefixes.expire(self.now.saturating_sub(lifetime));
         let prefixes = &mut self.prefixes;
         self.endpoints.retain(|id, endpoint| {
--- a/src/routing/router/decode.rs
+++ b/src/routing/router/decode.rs
@@ -1,4 +1,9 @@
-//! Scores decode endpoints: which may take over a KV cache, and how long the first token takes there.
+//! Scoring of decode endpoints: which of them can take over a KV cache, and when the first token is
+//! expected.
+//!
+//! `selection` provides the scoring that all stages share. This module adds the wait for KV memory, the
+//! cost of a transfer between cells and the inter-token objective. Scoring doesn't change the router's
+//! state.
 
 use super::latency_model::{logistic, Inputs, MIN_SAMPLES};
 use super::selection::{ScoredEndpoint, MIN_SPREAD_SHARE};
@@ -8,12 +13,12 @@
 use crate::routing::candidate_index::PoolKind;
 use std::collections::BTreeSet;
 
-/// Standard error of what is known of a decode endpoint's memory, as a share of it.
+/// Standard error of the estimated KV memory use of a decode endpoint, as a share of its memory.
 const MEMORY_SPREAD_SHARE: f64 = 0.1;
-/// Expected output tokens as a share of the most allowed, where the request has no hint.
+/// Expected output tokens of a request without a hint, as a share of its limit.
 const DEFAULT_OUTPUT_SHARE: f64 = 0.33;
 
-/// Whether the KV cache leaves its cell on the way to a decode endpoint.
+/// Whether a KV cache leaves its cell on the way to a decode endpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum KvTransfer {
     WithinCell,
@@ -21,8 +26,8 @@
 }
 
 impl Router {
-    /// Scores the decode endpoints for a KV cache; its holder is `None` where that endpoint is no longer
-    /// known.
+    /// Scores the decode endpoints for a KV cache. `kv_holder` is `None` if the endpoint that holds the
+    /// cache is no longer known.
     pub(super) fn score_decode_endpoints(
         &self,
         request: &Request,
@@ -71,22 +76,28 @@
             prompt_kilotokens * f64::from(leaves_cell),
             prompt_kilotokens + pending_kilotokens,
         );
-        // What its memory can't take waits until running responses end; how full it is, is known in part.
+        // Tokens beyond the endpoint's memory wait until running responses end. Memory use is only an
+        // estimate, so the expected excess is smoothed over its standard error.
         let output_tokens = self.expected_output_tokens(&request.metadata);
         let seconds_per_token = self.models.inter_token.predict(&inputs);
         let tokens = request.metadata.prompt_tokens + output_tokens;
         let excess = (memory_share + endpoint.memory_share_of(tokens) - 1.0) / MEMORY_SPREAD_SHARE;
         let expected_excess =
             MEMORY_SPREAD_SHARE * (excess.max(0.0) + (-excess.abs()).exp().ln_1p());
-        let wait_for_memory = expected_excess * output_tokens * seconds_per_token;
-        let mut scored =
-            self.score_endpoint(request, endpoint, PoolKind::Decode, inputs, wait_for_memory);
+        let memory_wait_seconds = expected_excess * output_tokens * seconds_per_token;
+        let mut scored = self.score_endpoint(
+            request,
+            endpoint,
+            PoolKind::Decode,
+            inputs,
+            memory_wait_seconds,
+        );
         scored.cached_tokens = request.metadata.prompt_tokens;
         if leaves_cell {
             scored.cost += self.settings.kv_transfer_cost;
         }
         self.apply_inter_token_objective(request, endpoint, seconds_per_token, &mut scored);
-        // What is late is lost.
+        // A late first token has no value, so a higher success probability lowers the cost.
         scored.cost -= scored.success_probability.min(HIGH_SUCCESS_PROBABILITY);
         if self.models.decode.samples < MIN_SAMPLES {
             scored.headroom = 1.0 - memory_share - running / 100.0;
@@ -104,14 +115,14 @@
         let class = &self.settings.classes[request.metadata.class];
         let objective = seconds(class.inter_token_objective);
         if objective > 0.0 {
-            let warm_share = endpoint.warm_share(&self.settings, self.now).max(0.05);
-            let headroom = 1.0 - seconds_per_token / warm_share / objective;
+            let capacity_share = endpoint.capacity_share(&self.settings, self.now).max(0.05);
+            let headroom = 1.0 - seconds_per_token / capacity_share / objective;
             scored.headroom = scored.headroom.min(headroom);
             scored.success_probability *= logistic(headroom / (2.0 * MIN_SPREAD_SHARE));
         }
     }
 
-    /// Tokens that the response is expected to have, by the request's hint or by its limit.
+    /// Returns the expected number of output tokens, from the request's hint or else from its token limit.
     pub(super) fn expected_output_tokens(&self, metadata: &RequestMetadata) -> f64 {
         let objective = self.settings.classes[metadata.class].inter_token_objective;
         match metadata.output_time_hint {
--- a/src/routing/router/latency_model.rs
+++ b/src/routing/router/latency_model.rs
@@ -1,31 +1,37 @@
-//! Latency models: shared linear models of times, fitted by recursive least squares.
+//! Latency models: linear models of the prefill time, the time to first token of a decode attempt and the
+//! time per token.
+//!
+//! All endpoints share them. Each model is fitted by recursive least squares, starting from a prior that is
+//! derived from the objectives. `outcomes` provides the samples, and `selection` corrects the predictions
+//! by each endpoint's slowdown and warm-up.
 
 use super::{seconds, shortest_objective};
 use crate::routing::api::RoutingSettings;
 use crate::routing::candidate_index::PoolKind;
 use nalgebra::{SMatrix, SVector};
 
-/// Inputs of a model, the constant among them.
+/// Number of inputs of a model, including the constant.
 pub(super) const INPUT_COUNT: usize = 5;
-/// Weight that a sample retains with each later one.
+/// Factor on the weight of earlier samples with each new one.
 pub(super) const FORGETTING_FACTOR: f64 = 0.997;
-/// A model's covariance at the start, and the bound below which it grows again.
+/// Initial variance of each weight. Forgetting inflates the covariance only while the largest variance is
+/// below this.
 const INITIAL_COVARIANCE: f64 = 1.0;
-/// Samples before a model is trusted, and the number of samples that its prior counts for.
+/// Number of samples before a model is trusted, and number of samples that its prior counts for.
 pub(super) const MIN_SAMPLES: u32 = 4;
-/// Index of the prefill model's input for prompt tokens that are not cached, in thousands.
+/// Index of the prefill model's input for uncached prompt tokens, in thousands.
 pub(super) const PENDING_PROMPT: usize = 2;
 
 pub(super) type Inputs = SVector<f64, INPUT_COUNT>;
 
-/// A shared model, in seconds: recursive least squares with forgetting. Slopes count as at least 0, for more
-/// load never shortens a time.
+/// A linear model of a time in seconds, fitted by recursive least squares with forgetting. Negative slopes
+/// count as 0, because more load never shortens a time.
 pub(super) struct Model {
     pub(super) weights: Inputs,
     covariance: SMatrix<f64, INPUT_COUNT, INPUT_COUNT>,
     pub(super) samples: u32,
     mean: f64,
-    /// Mean absolute error of its predictions, in seconds.
+    /// Mean absolute prediction error, in seconds.
     pub(super) spread: f64,
 }
 
@@ -40,45 +46,46 @@
         }
     }
 
-    /// Learns that `inputs` led to a time of `observed` seconds.
+    /// Updates the model with a time of `observed` seconds for `inputs`.
     pub(super) fn learn(&mut self, inputs: &Inputs, observed: f64) {
         let error = (observed - self.predict(inputs)).abs();
         self.samples = self.samples.saturating_add(1);
-        let newest = 1.0 / f64::from(self.samples.saturating_add(MIN_SAMPLES)).min(50.0);
-        self.mean += newest * (observed - self.mean);
-        self.spread += newest * (error.min(4.0 * self.mean) - self.spread);
+        let sample_weight = 1.0 / f64::from(self.samples.saturating_add(MIN_SAMPLES)).min(50.0);
+        self.mean += sample_weight * (observed - self.mean);
+        self.spread += sample_weight * (error.min(4.0 * self.mean) - self.spread);
         let gain = self.covariance * inputs;
-        let scale = FORGETTING_FACTOR + inputs.dot(&gain);
-        self.weights += gain * ((observed - inputs.dot(&self.weights)) / scale);
-        self.covariance -= gain * gain.transpose() / scale;
+        let denominator = FORGETTING_FACTOR + inputs.dot(&gain);
+        self.weights += gain * ((observed - inputs.dot(&self.weights)) / denominator);
+        self.covariance -= gain * gain.transpose() / denominator;
         if self.covariance.diagonal().max() < INITIAL_COVARIANCE {
             self.covariance /= FORGETTING_FACTOR;
         }
     }
 
-    /// The predicted time in seconds.
+    /// Returns the predicted time in seconds.
     pub(super) fn predict(&self, inputs: &Inputs) -> f64 {
-        let slopes = self
+        let contributions = self
             .weights
             .zip_map(inputs, |weight, input| weight.max(0.0) * input);
-        (self.weights[0] * inputs[0] + slopes.sum() - slopes[0])
+        (self.weights[0] * inputs[0] + contributions.sum() - contributions[0])
             .clamp(self.mean * 0.1, self.mean * 20.0)
     }
 }
 
-/// The models that all endpoints share.
+/// The latency models that all endpoints share.
 pub(super) struct LatencyModels {
-    /// Seconds from a send to the end of the prefill.
+    /// Seconds from sending an attempt to the end of its prefill.
     pub(super) prefill: Model,
-    /// Seconds from a send to the first token at a decode endpoint.
+    /// Seconds from sending a decode attempt to its first token.
     pub(super) decode: Model,
-    /// Seconds a token.
+    /// Seconds per output token.
     pub(super) inter_token: Model,
 }
 
 impl LatencyModels {
-    /// Priors from the objectives: a prefill takes some of what the objective adds for it, and queues for a
-    /// little of it.
+    /// Creates the models with priors from the shortest objectives. The prior time for a prompt follows
+    /// from the objective's allowance for it, and the prior queueing time is a small share of the TTFT
+    /// objective.
     pub(super) fn from_objectives(settings: &RoutingSettings) -> LatencyModels {
         let ttft = seconds(shortest_objective(settings, |class| class.ttft_objective));
         let inter_token = seconds(shortest_objective(settings, |class| {
@@ -116,15 +123,15 @@
         }
     }
 
-    /// The model of the time that an attempt takes in a pool.
-    pub(super) fn of(&self, pool: PoolKind) -> &Model {
+    /// Returns the model of the time that an attempt takes in a pool.
+    pub(super) fn for_pool(&self, pool: PoolKind) -> &Model {
         match pool {
             PoolKind::Prefill => &self.prefill,
             PoolKind::Decode => &self.decode,
         }
     }
 
-    pub(super) fn of_mut(&mut self, pool: PoolKind) -> &mut Model {
+    pub(super) fn for_pool_mut(&mut self, pool: PoolKind) -> &mut Model {
         match pool {
             PoolKind::Prefill => &mut self.prefill,
             PoolKind::Decode => &mut self.decode,
--- a/src/routing/router/load_shedding.rs
+++ b/src/routing/router/load_shedding.rs
@@ -1,5 +1,8 @@
-//! Load shedding: what is shed before its prefill under overload, and what may still be shed or repeated
-//! after an attempt.
+//! Load shedding and idempotency: which requests are shed before their prefill under overload, and which
+//! may be shed or repeated after an attempt.
+//!
+//! Shedding tells the client that a retry is safe. A request is therefore shed only if none of its attempts
+//! rules out a repeat; otherwise it fails.
 
 use super::latency_model::{FORGETTING_FACTOR, MIN_SAMPLES, PENDING_PROMPT};
 use super::selection::ScoredEndpoint;
@@ -7,14 +10,16 @@
 use super::{Attempt, Request, Router, Stage, MIN_SUCCESS_PROBABILITY};
 use crate::routing::api::*;
 
-/// Load is above usual when the least wait exceeds the usual one by this share of the TTFT objective.
+/// Excess of the shortest wait over its baseline, as a share of the TTFT objective, above which requests
+/// are shed.
 const OVERLOAD_WAIT_SHARE: f64 = 0.1;
-/// In overload, no request with a lower success probability, 0 to 1, is worth its prefill.
+/// Minimum success probability, 0 to 1, of a request that is prefilled under overload, whatever its class.
 const MIN_OVERLOAD_SUCCESS_PROBABILITY: f64 = 0.4;
 
 impl Router {
-    /// Whether to shed a request before its prefill: no endpoint fits and the load is above usual, by the
-    /// fastest endpoint's time. The lowest priority weight is shed then, and all that is hopeless.
+    /// Returns whether to shed a request before its prefill: no endpoint is feasible, and the shortest wait
+    /// exceeds its baseline. Requests of the lowest priority weight are shed, and any that are unlikely to
+    /// meet their objective. While an endpoint is feasible, updates the baseline instead.
     pub(super) fn should_shed(&mut self, request: &Request, candidates: &[ScoredEndpoint]) -> bool {
         let has_decode_model = self.models.decode.samples >= MIN_SAMPLES;
         if !has_decode_model || !request.attempts.is_empty() || candidates.is_empty() {
@@ -33,7 +38,7 @@
             })
             .fold(f64::MAX, f64::min);
         if success_probability >= MIN_SUCCESS_PROBABILITY {
-            self.usual_wait += (1.0 - FORGETTING_FACTOR) * (wait - self.usual_wait);
+            self.baseline_wait += (1.0 - FORGETTING_FACTOR) * (wait - self.baseline_wait);
             return false;
         }
         let lowest_weight = self
@@ -43,12 +48,12 @@
             .filter(|class| class.is_active)
             .map(|class| class.priority_weight)
             .fold(f64::MAX, f64::min);
-        wait > self.usual_wait + OVERLOAD_WAIT_SHARE * request.ttft_objective
+        wait > self.baseline_wait + OVERLOAD_WAIT_SHARE * request.ttft_objective
             && (request.priority_weight <= lowest_weight
                 || success_probability < MIN_OVERLOAD_SUCCESS_PROBABILITY)
     }
 
-    /// Takes a token of a tenant's quota; whether none was left.
+    /// Takes a token from the tenant's bucket and returns whether none was left.
     pub(super) fn exceeds_quota(&mut self, tenant: Option<usize>) -> bool {
         let Some(tenant) = tenant else {
             return false;
@@ -59,8 +64,9 @@
         }
     }
 
-    /// Gives the final response, where none was given: the request is shed where that is true, else failed.
-    pub(super) fn finish_unserved(&mut self, request: &mut Request, reason: FailureReason) {
+    /// Cancels the attempts of a request, then sheds it if a retry is safe, or else fails it. Emits no
+    /// final response if the request has had one or has its first token.
+    pub(super) fn shed_or_fail(&mut self, request: &mut Request, reason: FailureReason) {
         self.cancel_attempts(request, |_| true);
         let id = request.metadata.id;
         let shed = Action::Shed {
@@ -73,8 +79,8 @@
         }
     }
 
-    /// Whether idempotency allows an attempt: a prefill of all but non-idempotent requests, and else a
-    /// repeat.
+    /// Returns whether idempotency allows an attempt. A prefill is allowed unless the class is
+    /// non-idempotent; any other attempt must be a permitted repeat.
     pub(super) fn idempotency_allows(
         &self,
         request: &Request,
@@ -82,20 +88,20 @@
         stage: Stage,
     ) -> bool {
         let idempotency = self.settings.classes[request.metadata.class].idempotency;
-        let is_harmless = stage == Stage::Prefill && idempotency != Idempotency::NonIdempotent;
-        is_harmless || self.may_repeat(request, Some(&endpoint.record))
+        let is_safe = stage == Stage::Prefill && idempotency != Idempotency::NonIdempotent;
+        is_safe || self.may_repeat(request, Some(&endpoint.record))
     }
 
-    /// Whether the request may run once more at `target`, or anywhere where it is `None`, whatever has run by
-    /// now.
+    /// Returns whether the request may run again at `target`, or at any endpoint if `target` is `None`,
+    /// whatever its attempts have done so far.
     pub(super) fn may_repeat(&self, request: &Request, target: Option<&EndpointRecord>) -> bool {
         let idempotency = self.settings.classes[request.metadata.class].idempotency;
         request.attempts.iter().all(|attempt| {
-            attempt.had_no_effect || self.is_repeat_harmless(idempotency, attempt, target)
+            attempt.had_no_effect || self.is_repeat_safe(idempotency, attempt, target)
         })
     }
 
-    fn is_repeat_harmless(
+    fn is_repeat_safe(
         &self,
         idempotency: Idempotency,
         attempt: &Attempt,
--- a/src/routing/router/outcomes.rs
+++ b/src/routing/router/outcomes.rs
@@ -1,19 +1,23 @@
-//! What is learned from a first token and from the end of an attempt, and what follows for the request.
+//! Outcomes of attempts: what is learned from a first token and from the end of an attempt, and what
+//! happens next to the request.
+//!
+//! Updates the latency models, the health and slowdown of endpoints, and the prefix cache index. The
+//! outcome of an attempt that has already ended is ignored.
 
 use super::latency_model::{Inputs, PENDING_PROMPT};
 use super::tracked_endpoint::subtract_load;
 use super::{seconds, update_mean, Attempt, Request, Router, Stage};
 use crate::routing::api::*;
 
-/// Share of a prefill endpoint's KV memory that the recorded prefixes may fill.
+/// Share of a prefill endpoint's KV memory that recorded prefixes may fill.
 const PREFIX_MEMORY_SHARE: f64 = 0.5;
-/// Attempts that must be left for another decode attempt after one that may have consumed the KV cache: with
-/// fewer, the prompt is prefilled again at once.
+/// Number of attempts that must remain for another decode attempt after one that may have consumed the KV
+/// cache. With fewer, the prompt is prefilled again at once.
 const MIN_ATTEMPTS_FOR_DECODE_RETRY: u32 = 3;
 
-/// The end of an attempt, as the caller reported it.
+/// The end of an attempt, as reported by the caller.
 pub(super) struct AttemptEnd {
-    /// Which of the request's attempts, from 0.
+    /// Index among the request's attempts, from 0.
     pub(super) index: usize,
     pub(super) status: AttemptStatus,
     pub(super) request_closed: bool,
@@ -21,7 +25,8 @@
     pub(super) cached_tokens: f64,
 }
 
-/// The endpoint was not reached, or refused the request as invalid: nothing ran and no time was spent there.
+/// Returns whether the endpoint was not reached, or refused the request as invalid: nothing ran, and the
+/// attempt took no time there.
 fn never_ran(status: AttemptStatus) -> bool {
     matches!(
         status,
@@ -53,8 +58,8 @@
         self.cancel_attempts(request, |attempt| attempt.first_token_at.is_none());
     }
 
-    /// A prefill is done or a first token was seen: corrects the endpoint's slowdown, and the shared model
-    /// too unless the endpoint is warming up.
+    /// Records a completed prefill or a first token. Updates the endpoint's slowdown, and also the shared
+    /// model unless the endpoint is warming up.
     fn learn_latency(
         &mut self,
         metadata: &RequestMetadata,
@@ -69,26 +74,26 @@
         endpoint.last_answered_send = endpoint.last_answered_send.max(attempt.sent_at);
         let health = endpoint.health_mut(metadata.class);
         update_mean(&mut health.failure_rate, 0.0);
-        health.ejections = 0;
+        health.consecutive_ejections = 0;
         let elapsed = seconds(self.now.saturating_sub(attempt.sent_at));
         let pool = attempt.stage.pool();
-        let model = self.models.of_mut(pool);
-        let warm_share = endpoint.warm_share(&self.settings, self.now);
-        let ratio = (elapsed * warm_share + model.spread)
+        let model = self.models.for_pool_mut(pool);
+        let capacity_share = endpoint.capacity_share(&self.settings, self.now);
+        let ratio = (elapsed * capacity_share + model.spread)
             / (model.predict(inputs) + model.spread).max(1e-6);
         update_mean(&mut endpoint.slowdown, ratio.clamp(0.2, 10.0) - 1.0);
-        let is_warm = warm_share >= 1.0;
+        let is_warm = capacity_share >= 1.0;
         if is_warm {
             model.learn(inputs, elapsed);
         }
         let (serving_endpoints, is_any_warm) = self.candidates.serving_endpoints(pool);
-        let flow = &mut self.flow[pool as usize];
-        flow.finished_per_warm_endpoint += if is_warm || !is_any_warm {
+        let counters = &mut self.throughput[pool as usize];
+        counters.finished_per_warm_endpoint += if is_warm || !is_any_warm {
             1.0 / serving_endpoints
         } else {
             0.0
         };
-        flow.finished += 1.0;
+        counters.finished += 1.0;
     }
 
     pub(super) fn on_attempt_ended(&mut self, request: &mut Request, end: &AttemptEnd) {
@@ -107,21 +112,22 @@
         }
         self.record_attempt_failure(request.metadata.class, attempt, end.status);
         if !never_ran(end.status) {
-            request.kv_idle_since = self.now; // runs on where no endpoint was reached
+            request.kv_idle_since = self.now; // not reset if no endpoint was reached
         }
         request.retry_at = self.now;
         request.probe_deadline = None;
         self.apply_outcome(request, end);
-        // What may have run and must not run twice fails at once, so that the client learns of it without
-        // delay.
-        if self.may_have_run_unrepeatably(request) {
-            self.finish_unserved(request, FailureReason::NotRepeatable);
+        // A request that may have run and must not run twice fails at once, so that its client needn't
+        // wait.
+        if self.has_unrepeatable_attempt(request) {
+            self.shed_or_fail(request, FailureReason::NotRepeatable);
         } else {
             self.place(request);
         }
     }
 
-    /// A broken connection is one failure; that of a dead endpoint is followed by one that can't be opened.
+    /// Records the failure of an endpoint, if the status shows one. A broken connection counts as a single
+    /// failure; if the endpoint is dead, the next connection fails to open, which ejects it.
     fn record_attempt_failure(&mut self, class: usize, attempt: &Attempt, status: AttemptStatus) {
         let endpoint = attempt.target.endpoint;
         match status {
@@ -130,7 +136,8 @@
                 self.record_failure(endpoint, Some(class), false);
             }
             AttemptStatus::Reset => self.record_failure(endpoint, None, false),
-            // Without having been overdue, it is the client's time that was short.
+            // If the attempt was never overdue, the client's deadline was too short; the endpoint is not at
+            // fault.
             AttemptStatus::Timeout if attempt.next_overdue_check_at > 0 => {
                 self.record_failure(endpoint, None, false);
             }
@@ -146,7 +153,7 @@
                 self.learn_from_response(&request.metadata, attempt, end.cached_tokens);
             }
             AttemptStatus::KvStateMissing => request.kv_endpoint = None,
-            // It may have consumed the KV cache.
+            // The attempt may have consumed the KV cache.
             AttemptStatus::Error | AttemptStatus::Reset | AttemptStatus::StaleConnection
                 if attempt.stage == Stage::Decode =>
             {
@@ -166,8 +173,8 @@
         let metadata = &request.metadata;
         let attempt = &request.attempts[end.index];
         let endpoint = attempt.target.endpoint;
-        // The tokens that were really left to prefill: after a flush the prefix index is wrong, and the model
-        // must not be.
+        // The model learns from the tokens that were actually left to prefill, because the prefix cache
+        // index is wrong after a cache flush.
         let mut inputs = attempt.target.inputs;
         inputs[PENDING_PROMPT] = (metadata.prompt_tokens - end.cached_tokens).max(0.0) / 1000.0;
         self.learn_latency(metadata, end.index, attempt, &inputs);
@@ -177,13 +184,14 @@
             request.kv_endpoint = Some(endpoint);
             self.cancel_attempts(request, |attempt| attempt.stage == Stage::Prefill);
         } else if request.has_first_token {
-            // A hedge; before the first token a release would take the KV cache that is being fetched.
+            // The prefill was a hedge. Before the first token, a release would also drop the KV cache that
+            // is being fetched.
             let id = request.metadata.id;
             self.emit(request, Action::ReleaseReservation { id });
         }
     }
 
-    fn may_have_run_unrepeatably(&self, request: &Request) -> bool {
+    fn has_unrepeatable_attempt(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.metadata.class];
         class.idempotency == Idempotency::NonIdempotent
             && !request.has_first_token
@@ -193,8 +201,8 @@
                 .any(|attempt| !attempt.is_in_flight && !attempt.had_no_effect)
     }
 
-    /// Records what an endpoint has cached now, and corrects what affinity endpoints are presumed to have
-    /// cached.
+    /// Records the prefix that an endpoint now has cached, and corrects the share of a prompt that affinity
+    /// endpoints are presumed to have cached.
     fn record_cached_prefix(
         &mut self,
         metadata: &RequestMetadata,
@@ -205,9 +213,9 @@
             return;
         };
         let prompt_tokens = metadata.prompt_tokens.max(1.0);
-        if attempt.target.prefix_match > metadata.prefix_tokens / prompt_tokens {
+        if attempt.target.prefix_match_ratio > metadata.prefix_tokens / prompt_tokens {
             update_mean(
-                &mut self.affinity_match[metadata.class],
+                &mut self.session_match_ratio[metadata.class],
                 cached_tokens / prompt_tokens,
             );
         }
@@ -219,7 +227,8 @@
         );
     }
 
-    /// A response ended well: learns the time per token from its presumed length.
+    /// Learns the time per token from a complete response and its expected length. Also records the cached
+    /// prefix after a combined attempt.
     fn learn_from_response(
         &mut self,
         metadata: &RequestMetadata,
--- a/src/routing/router/placement.rs
+++ b/src/routing/router/placement.rs
@@ -1,4 +1,8 @@
-//! Placement: whether a request is sent now, probed for, shed or left to wait, and to which endpoint it goes.
+//! Placement: whether a request is sent now, waits for probes, is shed or waits for a retry, and to which
+//! endpoint it goes.
+//!
+//! `prefill` and `decode` score the endpoints, and `selection` selects one of them. Every attempt starts in
+//! `Router::start_attempt`, which checks the rules.
 
 use super::selection::ScoredEndpoint;
 use super::tracked_endpoint::{add_load, PendingAttempt};
@@ -6,39 +10,39 @@
 use crate::routing::api::*;
 use rand::Rng;
 
-/// Dispatchers from which on each one's share of a slow-start budget is less than one send, which is drawn
-/// at random.
+/// Number of dispatchers from which slow-start sends are drawn at random, because each one's share of a
+/// slow-start budget is less than one send.
 const MIN_DISPATCHERS_FOR_SAMPLED_SLOW_START: f64 = 10.0;
-/// Microseconds for which a load report makes a probe needless.
+/// Age, in microseconds, below which a load report makes a probe unnecessary.
 const REPORT_FRESHNESS: Time = 1_000_000;
-/// Endpoints that are probed for their load before one placement.
+/// Maximum number of endpoints that are probed before one placement.
 const MAX_PROBES_PER_PLACEMENT: usize = 2;
-/// Share of the TTFT objective within which probes are to be answered.
+/// Time to wait for responses to probes, as a share of the TTFT objective.
 const PROBE_WAIT_SHARE: f64 = 0.01;
-/// Share of the reservation's time to live in which a decode endpoint is looked for.
+/// Share of the reservation's time to live within which the KV cache must be placed at a decode endpoint.
 const PLACEMENT_SHARE_OF_RESERVATION: f64 = 0.8;
-/// After a query of all endpoints found none, the next follows after this fraction of the overload window.
+/// A query of all endpoints that found none is repeated after the overload window divided by this.
 const EMPTY_QUERY_RETRY_DIVISOR: Time = 8;
 
 impl Router {
-    /// Decides what happens next for a request that waits for no attempt.
+    /// Decides the next step of a request that isn't waiting for an attempt.
     pub(super) fn place(&mut self, request: &mut Request) {
         if !request.is_open() || awaits_attempt(request) {
             return;
         }
         if let Some(reason) = self.placement_failure(request) {
-            self.finish_unserved(request, reason);
+            self.shed_or_fail(request, reason);
             return;
         }
         request.affinity = self.affinity_endpoints(request);
-        let candidates = self.candidates_with_fit(request);
+        let candidates = self.find_candidates(request);
         self.schedule_retry(request, &candidates);
         self.probe_before_placement(request, &candidates);
         if self.awaits_probes(request) {
             return;
         }
         let Some(mut candidates) = self.shed_or_filter(request, candidates) else {
-            self.finish_unserved(request, FailureReason::Overload);
+            self.shed_or_fail(request, FailureReason::Overload);
             return;
         };
         self.prefer_sampled_slow_start(request, &mut candidates);
@@ -61,11 +65,11 @@
         None
     }
 
-    /// Scores the candidates; where none fits, those of a wider query.
-    fn candidates_with_fit(&self, request: &mut Request) -> Vec<ScoredEndpoint> {
+    /// Scores the candidates of the request's query, or of a wider one if none of them is feasible.
+    fn find_candidates(&self, request: &mut Request) -> Vec<ScoredEndpoint> {
         let candidates = self.score_candidates(request);
-        let has_fit = candidates.iter().any(ScoredEndpoint::fits);
-        if has_fit || self.covers_all_endpoints(request) {
+        let has_feasible = candidates.iter().any(ScoredEndpoint::is_feasible);
+        if has_feasible || self.covers_all_endpoints(request) {
             return candidates;
         }
         request.widenings += 1;
@@ -76,14 +80,15 @@
         request.retry_at = self.now + self.probe_wait(request);
         let is_exhausted = candidates.is_empty() && request.widenings > 0;
         if is_exhausted && self.covers_all_endpoints(request) {
-            // A query of all endpoints is expensive: slow-start draws are repeated soon.
+            // A query of all endpoints is expensive, so it is not repeated at every check. Slow-start draws
+            // are repeated soon.
             request.retry_at = self.now + self.settings.overload_window / EMPTY_QUERY_RETRY_DIVISOR;
             request.widenings = 0;
         }
     }
 
-    /// Probes the most likely endpoints for their load, once between two attempts, where no fresh report is
-    /// known.
+    /// Probes the candidates most likely to be selected if their last load report is stale. Runs once
+    /// between two attempts.
     fn probe_before_placement(&mut self, request: &mut Request, candidates: &[ScoredEndpoint]) {
         let may_probe =
             self.settings.probes_allowed && self.settings.load_reporting != LoadReporting::Never;
@@ -93,13 +98,13 @@
         let now = self.now;
         let deadline = now + self.probe_wait(request);
         request.probe_deadline = Some(now);
-        let mut likely = Vec::with_capacity(candidates.len());
+        let mut ranked = Vec::with_capacity(candidates.len());
         for candidate in candidates {
             let rank = candidate.log_weight() + self.rng.gen::<f64>();
-            likely.push((rank, candidate.endpoint));
+            ranked.push((rank, candidate.endpoint));
         }
-        likely.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, id) in likely.into_iter().take(MAX_PROBES_PER_PLACEMENT) {
+        ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
+        for (_, id) in ranked.into_iter().take(MAX_PROBES_PER_PLACEMENT) {
             let Some(endpoint) = self.endpoints.get_mut(&id) else {
                 continue;
             };
@@ -120,13 +125,14 @@
             .is_some_and(|deadline| self.now < deadline)
     }
 
-    /// How long answers to probes are waited for, in microseconds.
+    /// Returns how long to wait for responses to probes, in microseconds.
     pub(super) fn probe_wait(&self, request: &Request) -> Time {
         ((request.ttft_objective * 1e6 * PROBE_WAIT_SHARE) as Time).max(2 * self.settings.tick)
     }
 
-    /// Before a prefill: `None` where the request is to be shed, else the candidates after the prefix-cache
-    /// filter. All endpoints are queried first, for none is shed that another endpoint would serve.
+    /// Applies load shedding and the prefix-cache filter to a request without a KV cache. Returns `None` if
+    /// the request is to be shed. All endpoints are queried first, because a request that another endpoint
+    /// would serve must not be shed.
     fn shed_or_filter(
         &mut self,
         request: &mut Request,
@@ -145,20 +151,20 @@
         Some(self.prefer_cached_prefix(candidates, request))
     }
 
-    /// A sampled send to a fitting endpoint in slow start is used, or the warm ones would queue; a budget of
-    /// whole sends need not be.
+    /// Keeps only feasible endpoints in slow start, if there are any and sends to them are drawn at random.
+    /// An unused draw would add to the queues of warm endpoints; a budget of whole sends may stay unused.
     fn prefer_sampled_slow_start(&self, request: &Request, candidates: &mut Vec<ScoredEndpoint>) {
         let is_sampled = request.affinity.is_empty() || request.kv_endpoint.is_some();
         if self.dispatcher_count < MIN_DISPATCHERS_FOR_SAMPLED_SLOW_START || !is_sampled {
             return;
         }
-        let is_fitting_in_slow_start = |candidate: &ScoredEndpoint| {
-            candidate.fits()
+        let is_feasible_in_slow_start = |candidate: &ScoredEndpoint| {
+            candidate.is_feasible()
                 && self.endpoints[&candidate.endpoint].warmup_progress(&self.settings, self.now)
                     < 1.0
         };
-        if candidates.iter().any(is_fitting_in_slow_start) {
-            candidates.retain(is_fitting_in_slow_start);
+        if candidates.iter().any(is_feasible_in_slow_start) {
+            candidates.retain(is_feasible_in_slow_start);
         }
     }
 
@@ -219,10 +225,10 @@
                 class: request.metadata.class,
             },
         );
-        self.flow[stage.pool() as usize].started += 1.0;
+        self.throughput[stage.pool() as usize].started += 1.0;
         request.widenings = 0;
-        // `had_no_effect` is false for a prefill too: while one is in flight, nothing proves that it had no
-        // effect.
+        // `had_no_effect` starts as false for a prefill too: while the attempt is in flight, nothing proves
+        // that it has no effect.
         request.attempts.push(Attempt {
             target,
             stage,
@@ -239,7 +245,8 @@
     }
 }
 
-/// Whether an attempt in flight is waited for. With a KV cache at hand, a second prefill in flight is not.
+/// Returns whether the request waits for an attempt in flight. Once it has a KV cache, it doesn't wait for
+/// a second prefill.
 fn awaits_attempt(request: &Request) -> bool {
     request.attempts.iter().any(|attempt| {
         attempt.is_in_flight && (attempt.stage != Stage::Prefill || request.kv_endpoint.is_none())
--- a/src/routing/router/prefill.rs
+++ b/src/routing/router/prefill.rs
@@ -1,5 +1,8 @@
-//! Scores prefill endpoints: which may take a prompt, what they are presumed to have cached, and what follows
-//! after.
+//! Scoring of prefill endpoints: which of them can take a prompt, how much of it they are presumed to have
+//! cached, and what is forecast for the decode attempt.
+//!
+//! The prefix-cache filter keeps requests at endpoints that have their prompt cached. It draws one random
+//! number for each call, whatever it decides.
 
 use super::decode::KvTransfer;
 use super::latency_model::{Inputs, MIN_SAMPLES};
@@ -12,27 +15,28 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An endpoint whose prefix match, as a share of the prompt, is above this has the prompt cached.
-const CACHED_PREFIX_MATCH: f64 = 0.80;
-/// Where none is above it, the best prefix match counts from this one on.
-const MIN_PREFIX_MATCH: f64 = 0.1;
-/// The prefix-cache filter is skipped when the best endpoint that it leaves is slower than the best of all by
-/// this share of the TTFT objective.
+/// Prefix match ratio above which an endpoint counts as having the prompt cached.
+const CACHED_PROMPT_MATCH_RATIO: f64 = 0.80;
+/// Where no endpoint has the prompt cached, the threshold is relative to the best ratio if that is at least
+/// this.
+const MIN_PREFIX_MATCH_RATIO: f64 = 0.1;
+/// Maximum additional predicted time at the fastest endpoint that the prefix-cache filter keeps, as a share
+/// of the TTFT objective. Above it the filter may be skipped.
 const MAX_CACHED_DELAY_SHARE: f64 = 0.25;
-/// Share of the TTFT objective that a prefill leaves for the errors of the models together.
+/// Margin for the combined prediction errors of the models, as a share of the TTFT objective.
 const PREDICTION_MARGIN_SHARE: f64 = 0.15;
-/// Share of a prompt that a session's affinity endpoint is presumed to have cached at first.
-pub(super) const INITIAL_AFFINITY_MATCH: f64 = 0.85;
+/// Share of a prompt that a session's affinity endpoint is initially presumed to have cached.
+pub(super) const INITIAL_SESSION_MATCH_RATIO: f64 = 0.85;
 
-/// What is expected of the decode attempt after a prefill.
+/// The forecast for the decode attempt after a prefill.
 #[derive(Clone, Copy)]
 struct DecodeForecast {
-    /// To the first token.
+    /// Predicted time to the first token.
     seconds: f64,
     success_probability: f64,
 }
 
-/// A decode endpoint, by its index in a list of available ones, and what is expected of it.
+/// The forecast for a decode endpoint, with its index in a list of available endpoints.
 #[derive(Clone, Copy)]
 struct RankedDecode {
     index: usize,
@@ -40,7 +44,7 @@
 }
 
 impl RankedDecode {
-    /// The better one is greater.
+    /// Compares by success probability, then by index. The better endpoint is greater.
     fn compare(&self, other: &RankedDecode) -> Ordering {
         self.forecast
             .success_probability
@@ -53,36 +57,38 @@
     endpoint.record.role == Role::Prefill
 }
 
-fn by_prediction(a: &&ScoredEndpoint, b: &&ScoredEndpoint) -> Ordering {
+fn by_predicted_seconds(a: &&ScoredEndpoint, b: &&ScoredEndpoint) -> Ordering {
     a.predicted_seconds.total_cmp(&b.predicted_seconds)
 }
 
 impl Router {
-    /// The prefix-cache filter: leaves the endpoints that have the prompt cached, but for an exploration
-    /// share and where a much faster one is likely to succeed. In overload that is not so: prefilling
+    /// Applies the prefix-cache filter: keeps the endpoints that have the prompt cached. An exploration
+    /// share of the selections skips the filter, and so does a request for which a much faster endpoint is
+    /// likely to succeed. Under overload no endpoint is likely to, and the filter applies: a prefill
     /// elsewhere would add to the load.
     pub(super) fn prefer_cached_prefix(
         &mut self,
         mut candidates: Vec<ScoredEndpoint>,
         request: &Request,
     ) -> Vec<ScoredEndpoint> {
-        let best_match = candidates
+        let best_match_ratio = candidates
             .iter()
-            .map(|candidate| candidate.prefix_match)
+            .map(|candidate| candidate.prefix_match_ratio)
             .fold(0.0, f64::max);
-        // After a flush no endpoint has enough of a prompt cached: taken for equal, each would prefill it
-        // again.
-        let match_factor = if (MIN_PREFIX_MATCH..CACHED_PREFIX_MATCH).contains(&best_match) {
-            best_match
-        } else {
-            1.0
-        };
-        let min_match = CACHED_PREFIX_MATCH * match_factor;
+        // After a cache flush no endpoint has enough of a prompt cached. If all counted as equal, each of
+        // them would prefill the prompt again.
+        let threshold_factor =
+            if (MIN_PREFIX_MATCH_RATIO..CACHED_PROMPT_MATCH_RATIO).contains(&best_match_ratio) {
+                best_match_ratio
+            } else {
+                1.0
+            };
+        let min_match_ratio = CACHED_PROMPT_MATCH_RATIO * threshold_factor;
         let fastest_cached = candidates
             .iter()
-            .filter(|candidate| candidate.prefix_match > min_match)
-            .min_by(by_prediction);
-        let fastest = candidates.iter().min_by(by_prediction);
+            .filter(|candidate| candidate.prefix_match_ratio > min_match_ratio)
+            .min_by(by_predicted_seconds);
+        let fastest = candidates.iter().min_by(by_predicted_seconds);
         let max_delay = MAX_CACHED_DELAY_SHARE * request.ttft_objective;
         let should_filter = match (fastest_cached, fastest) {
             (Some(cached), Some(fastest)) => {
@@ -94,16 +100,16 @@
         // Drawn in any case: the sequence of random draws must not depend on the filter.
         let explores = self.rng.gen::<f64>() < EXPLORATION_SHARE;
         if should_filter && !explores {
-            candidates.retain(|candidate| candidate.prefix_match > min_match);
+            candidates.retain(|candidate| candidate.prefix_match_ratio > min_match_ratio);
         }
         candidates
     }
 
     pub(super) fn score_prefill_endpoints(&self, request: &Request) -> Vec<ScoredEndpoint> {
         let query = self.candidate_query(request);
-        let mut likely = self.prefixes.holders(&request.metadata, query.seed);
-        likely.extend(request.affinity.keys());
-        let ids = self.candidates.prefill_endpoints(&query, likely);
+        let mut preferred = self.prefixes.holders(&request.metadata, query.seed);
+        preferred.extend(request.affinity.keys());
+        let ids = self.candidates.prefill_endpoints(&query, preferred);
         let available = self.available_endpoints(request, Stage::Prefill, &ids);
         let cells = available
             .iter()
@@ -113,14 +119,14 @@
         let forecasts = self.forecast_decode(request, &cells);
         let mut candidates = Vec::with_capacity(available.len());
         for endpoint in available {
-            // A mixed endpoint does both itself.
+            // A mixed endpoint needs no separate decode attempt.
             let mut forecast = DecodeForecast {
                 seconds: 0.0,
                 success_probability: 1.0,
             };
             if is_prefill_endpoint(endpoint) {
-                if let Some(after) = forecasts.get(&endpoint.record.cell) {
-                    forecast = *after;
+                if let Some(cell_forecast) = forecasts.get(&endpoint.record.cell) {
+                    forecast = *cell_forecast;
                 }
             }
             candidates.push(self.score_prefill_endpoint(request, endpoint, forecast));
@@ -128,7 +134,7 @@
         candidates
     }
 
-    /// The best decode attempt after a prefill in each cell.
+    /// Forecasts the best decode attempt after a prefill, for each cell of the prefill endpoint.
     fn forecast_decode(
         &self,
         request: &Request,
@@ -166,7 +172,7 @@
                 .map(|index| rank(*index, KvTransfer::WithinCell))
                 .chain(best_across)
                 .max_by(RankedDecode::compare);
-            // Without any available, the prefill is judged by itself.
+            // Without an available decode endpoint, the prefill is scored on its own.
             let forecast = best.map_or(
                 DecodeForecast {
                     seconds: 0.0,
@@ -179,14 +185,14 @@
         forecasts
     }
 
-    /// Prefix-affinity endpoints, and the prompt tokens that each is presumed to have cached where the prefix
-    /// index can't know.
+    /// Returns the affinity endpoints of the request's prefix and session, with the prompt tokens that each
+    /// is presumed to have cached even if the prefix cache index has no record of them.
     pub(super) fn affinity_endpoints(&self, request: &Request) -> BTreeMap<EndpointId, f64> {
         let metadata = &request.metadata;
         let traffic_share = self.prefixes.traffic_share(metadata);
-        let warm_share = |id| {
+        let capacity_share = |id| {
             self.endpoints.get(&id).map_or(0.0, |endpoint| {
-                endpoint.warm_share(&self.settings, self.now)
+                endpoint.capacity_share(&self.settings, self.now)
             })
         };
         let found = self.candidates.prefix_affinity(
@@ -194,9 +200,9 @@
             metadata.prefix,
             metadata.session,
             traffic_share,
-            warm_share,
+            capacity_share,
         );
-        let session_tokens = (self.affinity_match[metadata.class] * metadata.prompt_tokens)
+        let session_tokens = (self.session_match_ratio[metadata.class] * metadata.prompt_tokens)
             .max(metadata.prefix_tokens);
         let mut affinity = BTreeMap::new();
         if metadata.prefix_tokens > 0.0 {
@@ -225,7 +231,7 @@
             .prefixes
             .cached_tokens(metadata, id)
             .max(affinity_tokens.min(metadata.prompt_tokens));
-        let prefix_match = cached_tokens / metadata.prompt_tokens.max(1.0);
+        let prefix_match_ratio = cached_tokens / metadata.prompt_tokens.max(1.0);
         let running = self.estimate_load(endpoint, REQUESTS);
         let pending_kilotokens = self.estimate_load(endpoint, PENDING_KILOTOKENS);
         let memory_share = self.estimate_load(endpoint, MEMORY_SHARE);
@@ -236,16 +242,21 @@
             running / 10.0,
             pending_kilotokens,
         );
-        let later_seconds = decode.seconds + PREDICTION_MARGIN_SHARE * request.ttft_objective;
-        let mut scored =
-            self.score_endpoint(request, endpoint, PoolKind::Prefill, inputs, later_seconds);
+        let downstream_seconds = decode.seconds + PREDICTION_MARGIN_SHARE * request.ttft_objective;
+        let mut scored = self.score_endpoint(
+            request,
+            endpoint,
+            PoolKind::Prefill,
+            inputs,
+            downstream_seconds,
+        );
         scored.success_probability *=
             (decode.success_probability / MIN_SUCCESS_PROBABILITY).min(1.0);
         scored.cached_tokens = cached_tokens;
-        scored.prefix_match = prefix_match;
+        scored.prefix_match_ratio = prefix_match_ratio;
         if self.models.prefill.samples < MIN_SAMPLES {
             scored.headroom =
-                1.0 + prefix_match - memory_share - (running + pending_kilotokens) / 10.0;
+                1.0 + prefix_match_ratio - memory_share - (running + pending_kilotokens) / 10.0;
         }
         scored
     }
--- a/src/routing/router/request.rs
+++ b/src/routing/router/request.rs
@@ -1,5 +1,7 @@
-//! The lifecycle of a request: its arrival, its attempts, its next check, and the rules on what is sent for
-//! it. `Router::requests` owns each [`Request`].
+//! The lifecycle of a request: its arrival, its attempts and its next check.
+//!
+//! `Router::requests` owns each [`Request`]. `Router::may_send` has the rules on starting an attempt, and
+//! `Router::emit` the rules on all other actions of an accepted request.
 
 use super::hedging::{HEDGE_BUDGET_PER_REQUEST, MAX_HEDGE_BUDGET};
 use super::selection::ScoredEndpoint;
@@ -9,15 +11,15 @@
 use crate::routing::candidate_index::PoolKind;
 use std::collections::BTreeMap;
 
-/// What an attempt does for its request.
+/// The work that an attempt does for its request.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Reads the prompt and reserves the KV cache.
+    /// Prefills the prompt and reserves the KV cache.
     #[default]
     Prefill,
     /// Takes over a KV cache and streams the response.
     Decode,
-    /// Both, at one endpoint.
+    /// Prefills and decodes at the same endpoint.
     Combined,
 }
 
@@ -35,49 +37,52 @@
     pub(super) target: ScoredEndpoint,
     pub(super) stage: Stage,
     pub(super) sent_at: Time,
-    /// The load that it adds at its endpoint while it is in flight.
+    /// Load that the attempt adds to its endpoint while it is in flight.
     pub(super) load: LoadVector,
     pub(super) is_in_flight: bool,
-    /// It ended without effect: a prefill has none, and some outcomes prove that it never ran.
+    /// Whether the attempt has ended without effect. That holds for any prefill, and for an outcome that
+    /// proves that the attempt never ran.
     pub(super) had_no_effect: bool,
     pub(super) first_token_at: Option<Time>,
-    /// After it was found overdue it is not checked before this; 0 until then.
+    /// Earliest instant of the next check after the attempt was found overdue; 0 until then.
     pub(super) next_overdue_check_at: Time,
 }
 
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) metadata: RequestMetadata,
-    /// The last instant for a final response: a little before the client's deadline.
+    /// Latest instant for a final response, shortly before the client's deadline.
     pub(super) response_deadline: Time,
-    /// The class's TTFT objective without its prompt share, in seconds.
+    /// TTFT objective of the class without its addition for the prompt, in seconds.
     pub(super) ttft_objective: f64,
     pub(super) first_token_deadline: Time,
     pub(super) priority_weight: f64,
-    /// Prefix-affinity endpoints, and how many prompt tokens each is presumed to have cached.
+    /// Affinity endpoints, with the prompt tokens that each is presumed to have cached.
     pub(super) affinity: BTreeMap<EndpointId, f64>,
     pub(super) attempts: Vec<Attempt>,
-    /// The prefill endpoint that holds the request's KV cache.
+    /// Prefill endpoint that holds the request's KV cache.
     pub(super) kv_endpoint: Option<EndpointId>,
-    /// Since when no attempt that reached an endpoint was in flight.
+    /// When the last attempt that reached an endpoint ended. The placement of a KV cache is limited from
+    /// here.
     pub(super) kv_idle_since: Time,
-    /// The client has its final response or has left. Independent of `has_first_token`: a client can leave
-    /// before or after the first token, and a late prefill is released differently in the two cases.
+    /// Whether the client has its final response or has disconnected. Independent of `has_first_token`: a
+    /// client can disconnect before or after the first token, and a late prefill is released differently in
+    /// the two cases.
     pub(super) has_final_response: bool,
     pub(super) has_first_token: bool,
-    /// Some endpoint may hold a KV cache for it.
+    /// Whether an endpoint may hold a reserved KV cache for the request.
     pub(super) may_have_reservation: bool,
-    /// Endpoints were probed for this placement; when their answers are due.
+    /// When responses to the probes of this placement are due; `None` before probing.
     pub(super) probe_deadline: Option<Time>,
-    /// The instant of its entry in `Router::due_requests`.
+    /// Instant of the request's entry in `Router::due_requests`.
     pub(super) due_at: Time,
     pub(super) retry_at: Time,
-    /// How often its candidate query was widened.
+    /// How often the candidate query was widened; `u32::MAX` covers all endpoints.
     pub(super) widenings: u32,
 }
 
 impl Request {
-    /// Whether an attempt of this stage was sent to an endpoint.
+    /// Returns whether an attempt of this stage was sent to an endpoint.
     pub(super) fn was_tried_at(&self, endpoint: &TrackedEndpoint, stage: Stage) -> bool {
         self.attempts.iter().any(|attempt| {
             attempt.target.endpoint == endpoint.record.endpoint && attempt.stage == stage
@@ -88,12 +93,12 @@
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 
-    /// Neither a first token nor a final response was given.
+    /// Returns whether the request has neither a first token nor a final response.
     pub(super) fn is_open(&self) -> bool {
         !self.has_final_response && !self.has_first_token
     }
 
-    /// The pool that its next attempt goes to.
+    /// Returns the pool of the request's next attempt.
     pub(super) fn next_pool(&self) -> PoolKind {
         if self.kv_endpoint.is_some() {
             PoolKind::Decode
@@ -143,23 +148,23 @@
         self.with_request(id, Self::place);
     }
 
-    /// Cancels the attempts in flight for which `is_useless` holds.
+    /// Cancels the attempts in flight for which `should_cancel` holds.
     pub(super) fn cancel_attempts(
         &mut self,
         request: &mut Request,
-        is_useless: impl Fn(&Attempt) -> bool,
+        should_cancel: impl Fn(&Attempt) -> bool,
     ) {
         let id = request.metadata.id;
         for index in 0..request.attempts.len() {
             let attempt = &request.attempts[index];
-            if attempt.is_in_flight && is_useless(attempt) {
+            if attempt.is_in_flight && should_cancel(attempt) {
                 let attempt = index as u32;
                 self.emit(request, Action::CancelAttempt { id, attempt });
             }
         }
     }
 
-    /// Whether the rules allow an attempt of this request at an endpoint now.
+    /// Returns whether the rules allow an attempt of this request at an endpoint now.
     pub(super) fn may_send(
         &self,
         request: &Request,
@@ -178,12 +183,12 @@
             && self.slow_start_allows(request, endpoint, stage)
     }
 
-    /// Every action of a request but starts passes here; false where a rule or the request's state forbids
-    /// it.
+    /// Emits an action and returns true, unless a rule or the request's state forbids it. Every action on
+    /// an accepted request passes through here, except for starts of attempts.
     pub(super) fn emit(&mut self, request: &mut Request, action: Action) -> bool {
         let is_allowed = match action {
             Action::CancelAttempt { .. } => self.settings.cancellation_allowed,
-            // Shedding tells the client that a retry is harmless.
+            // Shedding tells the client that a retry is safe.
             Action::Shed { .. } => request.is_open() && self.may_repeat(request, None),
             Action::Fail { .. } => request.is_open(),
             _ => true,
@@ -196,7 +201,8 @@
         is_allowed
     }
 
-    /// When the request is to be checked again, in microseconds; [`Time::MAX`]: not before an event.
+    /// Returns the instant of the request's next check, in microseconds, or [`Time::MAX`] if the request
+    /// waits only for events.
     pub(super) fn next_check_at(&self, request: &Request) -> Time {
         if !request.is_open() {
             return Time::MAX;
@@ -215,7 +221,7 @@
 
     pub(super) fn check_due_request(&mut self, request: &mut Request) {
         if self.now >= request.response_deadline {
-            self.finish_unserved(request, FailureReason::DeadlineExceeded);
+            self.shed_or_fail(request, FailureReason::DeadlineExceeded);
             return;
         }
         let overdue = request
--- a/src/routing/router/selection.rs
+++ b/src/routing/router/selection.rs
@@ -1,5 +1,8 @@
-//! The selection of an endpoint: which ones may be sent to, how each is scored, and the weighted random
-//! selection.
+//! Selection of an endpoint: which endpoints are available for a request, how each is scored, and the
+//! weighted random selection.
+//!
+//! `prefill` and `decode` extend the scoring that is shared here. An infeasible endpoint is selected only
+//! for exploration or if no candidate is feasible.
 
 use super::latency_model::{logistic, Inputs};
 use super::tracked_endpoint::TrackedEndpoint;
@@ -9,51 +12,51 @@
 use rand::distributions::{Distribution, WeightedIndex};
 use rand::Rng;
 
-/// Share of selections that ignore the prefix-cache filter, or choose among endpoints that don't fit.
+/// Share of selections that skip the prefix-cache filter, and share that select among infeasible endpoints.
 pub(super) const EXPLORATION_SHARE: f64 = 0.02;
-/// The least spread of a prediction, as a share of its objective.
+/// Minimum spread of a prediction, as a share of its objective.
 pub(super) const MIN_SPREAD_SHARE: f64 = 0.05;
-/// Seconds in which a load report loses half of its weight against own counts.
+/// Half-life, in seconds, of a load report's weight.
 const REPORT_HALF_LIFE_SECONDS: f64 = 1.5;
-/// Weight of the fleet's mean load against own counts that see all of it.
+/// Weight of the fleet's mean load relative to own counts that cover the whole fleet's traffic.
 const MEAN_LOAD_WEIGHT: f64 = 0.15;
-/// Headroom, as a share of the objective, that makes a selection e times as likely.
+/// Additional headroom, as a share of the objective, that multiplies the selection weight by e.
 const HEADROOM_SCALE: f64 = 0.15;
-/// Cost, as a share of the priority weight, that makes a selection e times less likely.
+/// Additional cost, as a share of the priority weight, that divides the selection weight by e.
 const COST_SCALE: f64 = 0.007;
 
-/// An endpoint that a request may be sent to, and what is expected of it there.
+/// A candidate endpoint for an attempt, with its predictions.
 #[derive(Default)]
 pub(super) struct ScoredEndpoint {
     pub(super) endpoint: EndpointId,
     pub(super) inputs: Inputs,
-    /// Seconds to the end of the prefill, or to the first token of a decode attempt.
+    /// Predicted seconds to the end of a prefill, or to the first token of a decode attempt.
     pub(super) predicted_seconds: f64,
-    /// Prompt tokens that it is presumed to have cached.
+    /// Prompt tokens that the endpoint is presumed to have cached.
     pub(super) cached_tokens: f64,
     /// `cached_tokens` as a share of the prompt.
-    pub(super) prefix_match: f64,
-    /// Time that is left of the objective, as a share of it.
+    pub(super) prefix_match_ratio: f64,
+    /// Predicted time left until the objective, as a share of the objective.
     pub(super) headroom: f64,
-    /// Probability of a first token within the objective, 0 to 1.
+    /// Probability, 0 to 1, of a first token within the objective.
     pub(super) success_probability: f64,
-    /// As a share of the request's priority weight.
+    /// Cost of the attempt, as a share of the request's priority weight.
     pub(super) cost: f64,
 }
 
 impl ScoredEndpoint {
-    /// Logarithm of its weight in a random selection.
+    /// Returns the logarithm of the endpoint's weight in the random selection.
     pub(super) fn log_weight(&self) -> f64 {
         self.headroom / HEADROOM_SCALE - self.cost / COST_SCALE
     }
 
-    pub(super) fn fits(&self) -> bool {
+    pub(super) fn is_feasible(&self) -> bool {
         self.success_probability >= MIN_SUCCESS_PROBABILITY
     }
 }
 
 impl Router {
-    /// Scores the endpoints for the request's next attempt.
+    /// Scores the candidates for the request's next attempt.
     pub(super) fn score_candidates(&self, request: &Request) -> Vec<ScoredEndpoint> {
         match request.kv_endpoint {
             Some(prefill) => self.score_decode_endpoints(request, self.endpoints.get(&prefill)),
@@ -66,28 +69,29 @@
             .covers_all(request.next_pool(), &self.candidate_query(request))
     }
 
-    /// Scores an endpoint by the shared model, its slowdown, and what is overdue there. `later_seconds` is
-    /// what follows before the first token.
+    /// Scores an endpoint by the shared model, its slowdown and its overdue attempts. `downstream_seconds`
+    /// is the further time expected before the first token.
     pub(super) fn score_endpoint(
         &self,
         request: &Request,
         endpoint: &TrackedEndpoint,
         pool: PoolKind,
         inputs: Inputs,
-        later_seconds: f64,
+        downstream_seconds: f64,
     ) -> ScoredEndpoint {
-        let model = self.models.of(pool);
+        let model = self.models.for_pool(pool);
         let base = model.predict(&inputs);
-        let warm_share = endpoint.warm_share(&self.settings, self.now).max(0.05);
-        let slowdown = (1.0 + endpoint.slowdown) / warm_share;
+        let capacity_share = endpoint.capacity_share(&self.settings, self.now).max(0.05);
+        let slowdown = (1.0 + endpoint.slowdown) / capacity_share;
         let corrected = ((base + model.spread) * slowdown - model.spread).max(0.1 * base);
         let overdue = endpoint.overdue_seconds(self.now, 2.0 * model.spread);
         let time_left = seconds(request.first_token_deadline)
             - seconds(self.now)
-            - later_seconds
+            - downstream_seconds
             - corrected
             - overdue;
-        // How long a stall will last is not known: a waiting KV cache goes elsewhere before it is hopeless.
+        // The duration of a stall is unknown. A larger spread sends a waiting KV cache elsewhere while
+        // another endpoint can still serve it in time.
         let stall_spread = if request.kv_endpoint.is_some() {
             overdue
         } else {
@@ -110,25 +114,25 @@
         }
     }
 
-    /// Estimates one value of an endpoint's load: the reported one, updated by own counts. As the report
-    /// ages, the fleet's mean replaces it, with own counts added for as much as they cover: little for one
-    /// dispatcher of hundreds.
-    pub(super) fn estimate_load(&self, endpoint: &TrackedEndpoint, quantity: usize) -> f64 {
-        let own = endpoint.own_load[quantity];
+    /// Estimates one dimension of an endpoint's load from its last report and own counts. As the report
+    /// ages, an estimate from the fleet's mean and own counts replaces it. Own counts weigh as much as the
+    /// traffic that they cover: little for one dispatcher among hundreds.
+    pub(super) fn estimate_load(&self, endpoint: &TrackedEndpoint, dimension: usize) -> f64 {
+        let own = endpoint.own_load[dimension];
         let is_prefill = endpoint.record.role == Role::Prefill;
-        let mean = self.mean_load[usize::from(is_prefill)][quantity];
-        let guess = ((MEAN_LOAD_WEIGHT * mean + own)
+        let mean = self.mean_load[usize::from(is_prefill)][dimension];
+        let fallback_estimate = ((MEAN_LOAD_WEIGHT * mean + own)
             / (MEAN_LOAD_WEIGHT + 1.0 / self.dispatcher_count))
             .max(own);
         let (Some(reported), Some(reported_at)) =
-            (endpoint.reported[quantity], endpoint.reported_at)
+            (endpoint.reported[dimension], endpoint.reported_at)
         else {
-            return guess;
+            return fallback_estimate;
         };
         let age = seconds(self.now.saturating_sub(reported_at));
-        let trust = 0.5f64.powf(age / REPORT_HALF_LIFE_SECONDS);
-        let updated = reported + own - endpoint.own_load_at_report[quantity];
-        (trust * updated + (1.0 - trust) * guess).max(own)
+        let report_weight = 0.5f64.powf(age / REPORT_HALF_LIFE_SECONDS);
+        let extrapolated = reported + own - endpoint.own_load_at_report[dimension];
+        (report_weight * extrapolated + (1.0 - report_weight) * fallback_estimate).max(own)
     }
 
     pub(super) fn candidate_query(&self, request: &Request) -> CandidateQuery {
@@ -139,8 +143,8 @@
         }
     }
 
-    /// The best tier of the endpoints that may be sent this request now: healthy ones before ejected ones and
-    /// those with a trial in flight, and among them those that were not tried before those that were.
+    /// Returns the best tier of the endpoints that may be sent this request now. Healthy endpoints come
+    /// before deprioritized ones, and within both, untried endpoints come before tried ones.
     pub(super) fn available_endpoints(
         &self,
         request: &Request,
@@ -151,7 +155,7 @@
         for id in ids {
             if let Some(endpoint) = self.endpoints.get(id) {
                 if self.may_send(request, endpoint, stage) {
-                    let is_unhealthy = self.is_passed_over(request, endpoint);
+                    let is_unhealthy = self.is_deprioritized(request, endpoint);
                     let tier = (is_unhealthy, request.was_tried_at(endpoint, stage));
                     allowed.push((tier, endpoint));
                 }
@@ -162,35 +166,36 @@
         allowed.into_iter().map(|(_, endpoint)| endpoint).collect()
     }
 
-    /// Whether an endpoint is ejected, has a trial after an ejection in flight, or leaves a probe unanswered.
-    fn is_passed_over(&self, request: &Request, endpoint: &TrackedEndpoint) -> bool {
+    /// Returns whether an endpoint is ejected, has a trial after an ejection in flight, or has left a probe
+    /// unanswered.
+    fn is_deprioritized(&self, request: &Request, endpoint: &TrackedEndpoint) -> bool {
         let class = request.metadata.class;
         let health = endpoint.health(class);
-        let has_trial_in_flight = health.ejections > 0
+        let has_trial_in_flight = health.consecutive_ejections > 0
             && endpoint
                 .pending
                 .values()
                 .any(|attempt| attempt.class == class);
-        let is_silent = endpoint
+        let has_overdue_probe = endpoint
             .probe_sent_at
             .is_some_and(|sent_at| sent_at + self.probe_wait(request) <= self.now);
-        self.now < health.ejected_until || has_trial_in_flight || is_silent
+        self.now < health.ejected_until || has_trial_in_flight || has_overdue_probe
     }
 
-    /// Selects one of the fitting endpoints at random, weighted by headroom and cost. Most headroom is
-    /// favoured: to favour the least piles work on the endpoint that is nearest to its limit until prefills
-    /// queue.
+    /// Selects a feasible endpoint at random, weighted by headroom and cost. Endpoints with more headroom
+    /// are preferred: preferring less headroom concentrates work on the endpoint nearest to its limit until
+    /// prefills queue.
     pub(super) fn select_weighted(
         &mut self,
         mut candidates: Vec<ScoredEndpoint>,
     ) -> Option<ScoredEndpoint> {
-        let fitting = candidates
+        let feasible_count = candidates
             .iter()
-            .filter(|candidate| candidate.fits())
+            .filter(|candidate| candidate.is_feasible())
             .count();
-        let selects_fitting = fitting > 0
-            && (fitting == candidates.len() || self.rng.gen::<f64>() >= EXPLORATION_SHARE);
-        candidates.retain(|candidate| candidate.fits() == selects_fitting);
+        let selects_feasible = feasible_count > 0
+            && (feasible_count == candidates.len() || self.rng.gen::<f64>() >= EXPLORATION_SHARE);
+        candidates.retain(|candidate| candidate.is_feasible() == selects_feasible);
         let max_weight = candidates
             .iter()
             .map(ScoredEndpoint::log_weight)
--- a/src/routing/router/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -1,18 +1,21 @@
-//! Slow start: how much this router sends to an endpoint that has started of late.
+//! Slow start: limits what this router sends to an endpoint that has started recently.
+//!
+//! Each router uses its share of the endpoint's budget, so that all routers together don't overload the
+//! endpoint. Draws are hashes, not numbers from the router's random generator.
 
 use super::tracked_endpoint::TrackedEndpoint;
 use super::{Request, Router, Stage, DECAY_INTERVAL, SMOOTHING_FACTOR};
 use crate::routing::api::{EndpointId, Time};
 use crate::routing::candidate_index::mix;
 
-/// Share of a slow-start budget that is used. The budget is computed as if the endpoint's capacity stayed the
-/// initial one.
+/// Share of a slow-start budget that is used. The budget is computed as if the endpoint kept its initial
+/// capacity.
 const SLOW_START_BUDGET_SHARE: f64 = 0.8;
 
 impl Router {
-    /// Whether slow start allows an attempt. In any overload window an endpoint that warms up gets this
-    /// router's share of what it can take, by what warm ones serve for this router; a fraction of one send is
-    /// drawn at random (docs/candidates.md).
+    /// Returns whether slow start allows an attempt. In any overload window, an endpoint that warms up gets
+    /// this router's share of its capacity, estimated from what warm endpoints serve for this router. A
+    /// fraction of one send is drawn at random (docs/candidates.md).
     pub(super) fn slow_start_allows(
         &self,
         request: &Request,
@@ -29,7 +32,7 @@
             .iter()
             .filter(|sent_at| **sent_at >= window_start)
             .count() as f64;
-        // Turns a decaying counter into the count of one overload window.
+        // Converts a decaying counter to the count of one overload window.
         let counter_scale = SMOOTHING_FACTOR * window as f64 / DECAY_INTERVAL as f64;
         let capacity = self.settings.overload_threshold
             * self.settings.slow_start_initial_share
@@ -42,20 +45,20 @@
             &self.candidate_query(request),
             endpoint_id,
         );
-        let flow = &self.flow[pool as usize];
+        let counters = &self.throughput[pool as usize];
         let draw = self.slow_start_draw(request, endpoint_id, stage) as f64 / u64::MAX as f64
             * sampling_factor
             * counter_scale
-            * (flow.started + 1.0);
+            * (counters.started + 1.0);
         let budget = SLOW_START_BUDGET_SHARE
             * capacity
-            * (flow.finished_per_warm_endpoint + 1.0 / serving_endpoints);
-        sent + 1.0 <= capacity * flow.finished / serving_endpoints || draw < budget - sent
+            * (counters.finished_per_warm_endpoint + 1.0 / serving_endpoints);
+        sent + 1.0 <= capacity * counters.finished / serving_endpoints || draw < budget - sent
     }
 
-    /// A request's draw at an endpoint, of all `u64`. One that waits draws again after each overload window.
-    /// A prefill with affinity endpoints draws none: an endpoint that warms up has affinity for as many
-    /// prefixes as it can take.
+    /// Returns a request's draw at an endpoint, uniform over `u64`. A waiting request draws again after
+    /// each overload window. A prefill with affinity endpoints takes the lowest draw there and the highest
+    /// elsewhere: an endpoint that warms up has affinity for as many prefixes as it can take.
     fn slow_start_draw(&self, request: &Request, endpoint: EndpointId, stage: Stage) -> u64 {
         if stage != Stage::Decode && !request.affinity.is_empty() {
             let has_affinity = request.affinity.contains_key(&endpoint);
--- a/src/routing/router/tracked_endpoint.rs
+++ b/src/routing/router/tracked_endpoint.rs
@@ -1,5 +1,8 @@
-//! What a router knows of one endpoint: its load, its pending attempts, its outlier detection and its
-//! warm-up. `Router::endpoints` owns each [`TrackedEndpoint`].
+//! The state that a router keeps for one endpoint: its load, its pending attempts, its outlier detection
+//! and its warm-up.
+//!
+//! `Router::endpoints` owns each [`TrackedEndpoint`]. Health is kept per class, because an endpoint may
+//! refuse one class and serve the others.
 
 use super::{seconds, update_mean, Router};
 use crate::routing::api::*;
@@ -7,16 +10,16 @@
 
 /// Failure rate, 0 to 1, above which an endpoint is ejected for a class.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
-/// An ejection lasts for the base ejection time, doubled at most so often.
+/// Maximum number of times that the base ejection time is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
-/// An endpoint's load: by [`REQUESTS`], [`PENDING_KILOTOKENS`] and [`MEMORY_SHARE`].
+/// Load of an endpoint, indexed by [`REQUESTS`], [`PENDING_KILOTOKENS`] and [`MEMORY_SHARE`].
 pub(super) type LoadVector = [f64; 3];
-/// Index of the requests in flight.
+/// Index of the number of requests in flight.
 pub(super) const REQUESTS: usize = 0;
 /// Index of the prompt tokens to prefill or to fetch, in thousands.
 pub(super) const PENDING_KILOTOKENS: usize = 1;
-/// Index of the share of the KV memory that is reserved, 0 to 1.
+/// Index of the reserved share of the KV memory, 0 to 1.
 pub(super) const MEMORY_SHARE: usize = 2;
 
 pub(super) fn add_load(total: &mut LoadVector, load: &LoadVector) {
@@ -31,17 +34,17 @@
     }
 }
 
-/// Outlier detection of one endpoint for one class.
+/// Outlier detection state of one endpoint for one class.
 #[derive(Clone, Copy, Default)]
 pub(super) struct EndpointHealth {
     /// Share of recent attempts that failed, 0 to 1.
     pub(super) failure_rate: f64,
     pub(super) ejected_until: Time,
     /// Ejections since the last success.
-    pub(super) ejections: u32,
+    pub(super) consecutive_ejections: u32,
 }
 
-/// An attempt that has neither finished its prefill nor had a first token.
+/// An attempt in flight that has neither completed its prefill nor received a first token.
 pub(super) struct PendingAttempt {
     pub(super) sent_at: Time,
     pub(super) predicted_seconds: f64,
@@ -49,7 +52,8 @@
 }
 
 impl PendingAttempt {
-    /// Seconds by which it is later than predicted and a tolerance; negative while it isn't.
+    /// Returns the seconds by which the attempt exceeds its predicted time and a tolerance; negative while
+    /// it isn't overdue.
     fn overdue_seconds(&self, now: Time, tolerance: f64) -> f64 {
         seconds(now.saturating_sub(self.sent_at)) - self.predicted_seconds - tolerance
     }
@@ -58,29 +62,29 @@
 #[derive(Default)]
 pub(super) struct TrackedEndpoint {
     pub(super) record: EndpointRecord,
-    /// The last load report.
+    /// Values of the last load report, indexed like a [`LoadVector`]; `None` if missing or invalid.
     pub(super) reported: [Option<f64>; 3],
     pub(super) reported_at: Option<Time>,
-    /// The load of this router's own attempts in flight.
+    /// Load of this router's own attempts in flight.
     pub(super) own_load: LoadVector,
     pub(super) own_load_at_report: LoadVector,
-    /// By request and index of the attempt.
+    /// Pending attempts, by request id and attempt index.
     pub(super) pending: BTreeMap<(RequestId, usize), PendingAttempt>,
-    /// When the latest of the attempts was sent that are no longer pending because they succeeded.
+    /// Latest send time among the attempts that completed their prefill or received a first token.
     pub(super) last_answered_send: Time,
-    /// By what share times are longer than by the shared model.
+    /// Mean relative excess of observed times over the shared model's predictions; 0 if they agree.
     pub(super) slowdown: f64,
     /// By class.
     pub(super) health: BTreeMap<usize, EndpointHealth>,
-    /// When a probe was sent that has no answer yet.
+    /// When the probe without a response so far was sent, if there is one.
     pub(super) probe_sent_at: Option<Time>,
-    /// When attempts were sent to it during slow start.
+    /// Send times of recent attempts during slow start.
     pub(super) recent_sends: VecDeque<Time>,
 }
 
 impl TrackedEndpoint {
-    /// Its health for a class. An endpoint may refuse one class and serve the rest; a class that was not
-    /// tried there is presumed to fare like the best that was.
+    /// Returns the health for a class. An endpoint may refuse one class and serve the others; a class that
+    /// was not tried there is presumed to have the lowest failure rate of those that were.
     pub(super) fn health(&self, class: usize) -> EndpointHealth {
         if let Some(health) = self.health.get(&class) {
             return *health;
@@ -97,7 +101,8 @@
         self.health.entry(class).or_insert(presumed)
     }
 
-    /// Seconds by which its latest pending attempt is overdue: a stalled endpoint shows before it answers.
+    /// Returns the seconds by which the most overdue pending attempt is late, at least 0. This detects a
+    /// stalled endpoint before it responds.
     pub(super) fn overdue_seconds(&self, now: Time, tolerance: f64) -> f64 {
         self.pending
             .values()
@@ -105,7 +110,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// The share of its KV memory that some tokens take; 0 where its capacity is not known.
+    /// Returns the share of the endpoint's KV memory that `tokens` take; 0 if its capacity is unknown.
     pub(super) fn memory_share_of(&self, tokens: f64) -> f64 {
         let capacity = self.record.kv_capacity_tokens;
         if capacity > 0.0 {
@@ -115,13 +120,13 @@
         }
     }
 
-    /// The share of its full capacity that it has now, up to 1.
-    pub(super) fn warm_share(&self, settings: &RoutingSettings, now: Time) -> f64 {
+    /// Returns the share of its full capacity that the endpoint has now, up to 1.
+    pub(super) fn capacity_share(&self, settings: &RoutingSettings, now: Time) -> f64 {
         1.0 - (1.0 - settings.slow_start_initial_share)
             * (1.0 - self.warmup_progress(settings, now))
     }
 
-    /// Time since its start as a share of the slow-start duration, up to 1.
+    /// Returns the time since the endpoint's start as a share of the slow-start duration, up to 1.
     pub(super) fn warmup_progress(&self, settings: &RoutingSettings, now: Time) -> f64 {
         let age = self
             .record
@@ -132,8 +137,8 @@
 }
 
 impl Router {
-    /// Records a failure for a class, or for all where it is `None`. The endpoint is ejected for a high
-    /// failure rate, for a failure in the trial after an ejection, or at once.
+    /// Records a failure for a class, or for all classes if `class` is `None`. Ejects the endpoint for a
+    /// high failure rate, for a failure in the trial after an ejection, or if `must_eject_now` is set.
     pub(super) fn record_failure(
         &mut self,
         id: EndpointId,
@@ -152,11 +157,11 @@
             update_mean(&mut health.failure_rate, 1.0);
             let should_eject = must_eject_now
                 || health.failure_rate > EJECTION_FAILURE_RATE
-                || health.ejections > 0;
+                || health.consecutive_ejections > 0;
             if should_eject && self.now >= health.ejected_until {
-                let doublings = health.ejections.min(MAX_EJECTION_DOUBLINGS);
+                let doublings = health.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
                 health.ejected_until = self.now + (self.base_ejection_time << doublings);
-                health.ejections += 1;
+                health.consecutive_ejections += 1;
             }
         }
     }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,5 @@
-//! The ordinary path: placement, decode endpoints, load shedding, and the same decisions from the same seed.
+//! Normal operation of a router: placement, decode endpoints and load shedding. The same seed and events
+//! give the same decisions.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -6,32 +7,33 @@
 
 #[test]
 fn a_kv_cache_leaves_its_cell_before_a_stalled_decode_endpoint_there_is_hopeless() {
-    // Guards against the transfer cost keeping KV caches at decode endpoints with full memory until all were
-    // late.
-    let cell = |id, role, cell| EndpointRecord {
+    // Guards against a transfer cost that kept KV caches at decode endpoints with full memory until all of
+    // them were late.
+    let in_cell = |id, role, cell| EndpointRecord {
         cell,
         ..endpoint(id, role)
     };
     let fleet = [
-        cell(1, Role::Prefill, 0),
-        cell(11, Role::Decode, 0),
-        cell(12, Role::Decode, 1),
+        in_cell(1, Role::Prefill, 0),
+        in_cell(11, Role::Decode, 0),
+        in_cell(12, Role::Decode, 1),
     ];
-    let alone = RoutingSettings {
+    let settings = RoutingSettings {
         kv_transfer_cost: 0.08,
         load_reporting: LoadReporting::Never,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
-    let mut harness = harness_after_serving(alone, fleet.to_vec(), 50 * MS);
-    let mut decode_after = |id, after| {
-        let prefill = started_endpoint(&harness.submit(request(id, id)), id).expect("read");
+    let mut harness = harness_after_serving(settings, fleet.to_vec(), 50 * MS);
+    let mut decode_after = |id, wait| {
+        let prefill =
+            started_endpoint(&harness.submit(request(id, id)), id).expect("a prefill attempt");
         harness.advance(40 * MS);
         let decode = started_endpoint(
             &harness.end_attempt(id, 0, prefill, AttemptStatus::PrefillDone),
             id,
         )
-        .expect("written");
-        harness.advance(after);
+        .expect("a decode attempt");
+        harness.advance(wait);
         decode
     };
     let in_own_cell = (1_000..1_004)
@@ -39,18 +41,19 @@
         .count();
     assert_eq!(in_own_cell, 4, "nothing is late yet");
     decode_after(2_000, 400 * MS);
-    let away = (3_000..3_010)
+    let in_other_cell = (3_000..3_010)
         .filter(|id| decode_after(*id, MS) == 12)
         .count();
     assert!(
-        away >= 8,
-        "{away} of 10 left a decode endpoint that has been silent for 0.4 s of an objective of 1 s"
+        in_other_cell >= 8,
+        "{in_other_cell} of 10 avoided a decode endpoint that has been silent for 0.4 s of an objective of 1 s"
     );
 }
 
 #[test]
 fn a_decode_endpoint_is_not_filled_beyond_its_memory() {
-    // Without reports, own counts estimate how full a decode endpoint is: 20 of these prompts fill one.
+    // Without load reports, the router's own counts estimate the memory use of a decode endpoint: 20 of
+    // these prompts fill one.
     let in_cell = |id, role, cell| EndpointRecord {
         cell,
         kv_capacity_tokens: 50_000.0,
@@ -70,13 +73,14 @@
     let mut harness = harness_after_serving(settings, fleet.to_vec(), 2 * SECOND);
     let mut decode_endpoints = vec![];
     for id in 1_000..1_040 {
-        let prefill = started_endpoint(&harness.submit(request(id, id)), id).expect("read");
+        let prefill =
+            started_endpoint(&harness.submit(request(id, id)), id).expect("a prefill attempt");
         harness.advance(40 * MS);
         let decode = started_endpoint(
             &harness.end_attempt(id, 0, prefill, AttemptStatus::PrefillDone),
             id,
         )
-        .expect("written");
+        .expect("a decode attempt");
         harness.advance(30 * MS);
         harness.handle(Event::FirstEvent { id, attempt: 1 });
         decode_endpoints.push(decode);
@@ -84,26 +88,26 @@
     let in_own_cell = decode_endpoints.iter().filter(|id| **id == 11).count();
     assert!(
         (20..=32).contains(&in_own_cell),
-        "{in_own_cell} of 40 in the prefill endpoint's cell, where 24 find room"
+        "{in_own_cell} of 40 in the prefill endpoint's cell, where there is memory for 24"
     );
-    let early = decode_endpoints[..14]
+    let early_in_own_cell = decode_endpoints[..14]
         .iter()
         .filter(|id| **id == 11)
         .count();
     assert!(
-        early >= 12,
-        "{early} of the first 14: the cell is left only when it is nearly full"
+        early_in_own_cell >= 12,
+        "{early_in_own_cell} of the first 14: the cell is left only when its memory is nearly full"
     );
 }
 
-/// The actions for a request whose prefill endpoint falls silent, where later requests there are answered or
-/// are not.
+/// Returns the actions for a request whose prefill endpoint falls silent. `others_are_answered` is whether
+/// later requests at that endpoint are answered.
 fn actions_after_silence(hedging_allowed: bool, others_are_answered: bool) -> Vec<Action> {
-    let alone = RoutingSettings {
+    let settings = RoutingSettings {
         hedging_allowed,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
-    let mut harness = harness_after_serving(alone, fleet(), 50 * MS);
+    let mut harness = harness_after_serving(settings, fleet(), 50 * MS);
     let prefill = started_endpoint(&harness.submit(request(1_000, 1_000)), 1_000).expect("sent");
     harness.advance(2 * MS);
     let later = (2_000..2_020)
@@ -111,7 +115,7 @@
     let later: Vec<RequestId> = later.collect();
     assert!(
         !later.is_empty(),
-        "some are sent to the same prefill endpoint"
+        "some requests are sent to the same prefill endpoint"
     );
     let mut actions = harness.advance(40 * MS);
     for id in later.into_iter().filter(|_| others_are_answered) {
@@ -119,20 +123,20 @@
     }
     actions.extend(harness.advance(SECOND));
     actions.extend(harness.end_attempt(1_000, 0, prefill, AttemptStatus::Cancelled));
-    let is_for_it = |action: &Action| {
+    let concerns_request = |action: &Action| {
         matches!(
             action,
             Action::CancelAttempt { id: 1_000, .. } | Action::StartAttempt { id: 1_000, .. }
         )
     };
-    actions.retain(is_for_it);
+    actions.retain(concerns_request);
     actions
 }
 
 #[test]
 fn a_prefill_whose_response_is_lost_is_cancelled_where_hedging_is_not_allowed() {
-    // Guards against a silent connection holding its request until the client's deadline: no hedge may be
-    // sent, and nothing ended the first attempt.
+    // Guards against a silent connection that held its request until the client's deadline: no hedge was
+    // allowed, and nothing ended the first attempt.
     let lost = actions_after_silence(false, true);
     assert!(
         matches!(
@@ -146,14 +150,15 @@
     );
     assert!(
         matches!(lost[1], Action::StartAttempt { id: 1_000, .. }),
-        "elsewhere, once the first has ended: {lost:?}"
+        "sent elsewhere once the first attempt has ended: {lost:?}"
     );
     let hedged = actions_after_silence(true, true);
     assert!(
         matches!(hedged[0], Action::StartAttempt { id: 1_000, .. }),
-        "a hedge where that is allowed: {hedged:?}"
+        "hedged where that is allowed: {hedged:?}"
     );
-    // A prefill endpoint that is only slow answers in order: what is queued there is not sent elsewhere.
+    // A prefill endpoint that is only slow responds in order, so requests that are queued there are not
+    // sent elsewhere.
     let queued = actions_after_silence(false, false);
     assert!(
         !matches!(queued[0], Action::CancelAttempt { .. }),
@@ -204,7 +209,7 @@
 #[test]
 fn overload_sheds_the_lowest_weight_before_its_prefill() {
     let mut harness = trained_harness();
-    let (mut shed, mut last) = ([0; 2], 0);
+    let (mut shed, mut late_unsent) = ([0; 2], 0);
     for id in 1_000..1_400 {
         let class = (id % 2) as usize;
         let actions = harness.submit(RequestMetadata {
@@ -212,13 +217,13 @@
             ..request(id, id)
         });
         shed[class] += count_final_responses(&actions, id);
-        last += usize::from(id >= 1_350 && started_endpoint(&actions, id).is_none());
+        late_unsent += usize::from(id >= 1_350 && started_endpoint(&actions, id).is_none());
         harness.advance(4 * MS);
     }
     assert!(shed[1] > shed[0], "{shed:?}");
     assert!(
-        last > 25,
-        "nearly nothing is prefilled once nothing could be in time"
+        late_unsent > 25,
+        "nearly no request is prefilled once none could meet its objective"
     );
 }
 
@@ -235,11 +240,11 @@
 
 #[test]
 fn a_broken_subscription_is_renewed() {
-    let rules = RoutingSettings {
+    let settings = RoutingSettings {
         must_poll_endpoints: true,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
-    let mut harness = RouterHarness::new(rules, fleet());
+    let mut harness = RouterHarness::new(settings, fleet());
     harness.handle(Event::EndpointListFailed);
     let watches = harness
         .advance(2 * SECOND)
--- a/tests/routing_limits.rs
+++ b/tests/routing_limits.rs
@@ -1,13 +1,15 @@
-//! The decision code is read during outages: its modules and lines stay short, and its entry names the
-//! interface.
+//! Size limits of the decision code, which is read during outages: modules and lines stay short, and the
+//! entry module names the interface file.
 
 use std::path::Path;
 
-/// The most lines that are not blank in one decision module; it is split by concern before that.
+/// Maximum number of non-blank lines in one decision module. A module is split by concern before it exceeds
+/// this.
 const MAX_MODULE_LINES: usize = 500;
 const MAX_LINE_CHARACTERS: usize = 110;
 
-/// The files that the deploy file lists as decision logic, and all files of the folders that it lists.
+/// Returns path and text of the files that the deploy file lists as decision logic, and of all files in the
+/// folders that it lists.
 fn decision_files() -> Vec<(String, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("a deploy file");
@@ -40,7 +42,7 @@
     files
 }
 
-/// The operators lifted the limit on the lines of all modules together: each module still has one.
+/// The operators lifted the limit on the total number of lines; each module still has one.
 #[test]
 fn each_decision_module_keeps_its_line_limits() {
     let files = decision_files();
--- a/tests/routing_outlier_detection.rs
+++ b/tests/routing_outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: slow, stalled and failing endpoints are avoided or ejected, and others are not.
+//! Outlier detection: slow, stalled and failing endpoints are avoided or ejected, and no others are.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -6,18 +6,21 @@
 
 #[test]
 fn a_slow_prefill_endpoint_is_learned_and_avoided() {
-    let alone = RoutingSettings {
+    let settings = RoutingSettings {
         hedging_allowed: false,
         ..settings(vec![class(3.0, Idempotency::Idempotent)])
     };
-    let mut harness = harness_after_serving(alone, fleet(), 50 * MS);
-    let mut slow = 0;
+    let mut harness = harness_after_serving(settings, fleet(), 50 * MS);
+    let mut sent_to_slow = 0;
     for id in 1_000..1_100 {
-        let took = |prefill| if prefill == 1 { 700 * MS } else { 40 * MS };
-        let prefill = harness.serve_with(request(id, id), took, 0.0, 30 * MS, 50 * MS)[0];
-        slow += usize::from(prefill == 1);
+        let prefill_time = |prefill| if prefill == 1 { 700 * MS } else { 40 * MS };
+        let prefill = harness.serve_with(request(id, id), prefill_time, 0.0, 30 * MS, 50 * MS)[0];
+        sent_to_slow += usize::from(prefill == 1);
     }
-    assert!(slow < 15, "{slow} of 100 went to the slow prefill endpoint");
+    assert!(
+        sent_to_slow < 15,
+        "{sent_to_slow} of 100 went to the slow prefill endpoint"
+    );
 }
 
 #[test]
@@ -42,9 +45,9 @@
             harness.end_attempt(id, 0, 1, AttemptStatus::ConnectFailed);
         }
     }
-    let none =
+    let is_avoided =
         (2_000..2_040).all(|id| started_endpoint(&harness.submit(request(id, id)), id) != Some(1));
-    assert!(none, "nothing is sent there during its ejection");
+    assert!(is_avoided, "nothing is sent there during its ejection");
     harness.advance(10 * SECOND);
     let trials = (3_000..3_060)
         .filter(|id| started_endpoint(&harness.submit(request(*id, *id)), *id) == Some(1))
@@ -85,8 +88,8 @@
     );
 }
 
-/// Responses that are lost at all endpoints alike say nothing of any one of them: ejecting one after another
-/// would send everything to the rest.
+/// Responses that are lost at all endpoints alike don't show an outlier. Ejecting one endpoint after
+/// another would send everything to the rest.
 #[test]
 fn failures_at_all_endpoints_alike_eject_none() {
     let mut harness = trained_harness();
@@ -110,22 +113,22 @@
     assert_eq!(used.len(), 4, "{used:?}");
 }
 
-/// An endpoint may refuse one class and serve the others. Their success says nothing of the refused class,
-/// and where most of the fleet refuses it, the rest is what is left for that class.
+/// An endpoint may refuse one class and serve the others, whose success says nothing about the refused
+/// class. Where most of the fleet refuses a class, its requests go to the rest.
 #[test]
 fn a_class_that_most_prefill_endpoints_refuse_goes_to_the_rest() {
     let mut harness = trained_harness();
-    let (mut refused_attempts, mut others) = (0, std::collections::BTreeSet::new());
+    let (mut refused_attempts, mut other_class_endpoints) = (0, std::collections::BTreeSet::new());
     for id in 1_000..1_400 {
-        let classed = RequestMetadata {
+        let metadata = RequestMetadata {
             class: (id % 2) as usize,
             ..request(id, id)
         };
-        if classed.class == 1 {
-            others.insert(harness.serve(classed, 40 * MS, 30 * MS, 50 * MS)[0]);
+        if metadata.class == 1 {
+            other_class_endpoints.insert(harness.serve(metadata, 40 * MS, 30 * MS, 50 * MS)[0]);
             continue;
         }
-        let mut sent = started_endpoint(&harness.submit(classed), id);
+        let mut sent = started_endpoint(&harness.submit(metadata), id);
         for attempt in 0.. {
             let Some(endpoint_id) = sent else { break };
             harness.advance(40 * MS);
@@ -153,17 +156,17 @@
     }
     assert!(
         refused_attempts <= 10,
-        "{refused_attempts} attempts for the last 50 went where their class is refused"
+        "{refused_attempts} attempts for the last 50 requests went to endpoints that refuse their class"
     );
     assert_eq!(
-        others.len(),
+        other_class_endpoints.len(),
         4,
-        "the other class goes to all prefill endpoints: {others:?}"
+        "the other class goes to all prefill endpoints: {other_class_endpoints:?}"
     );
 }
 
-/// A pooled connection that the endpoint has closed says nothing of the endpoint. Were it ejected for that,
-/// its connections would be idle for longer still, and it would stay ejected.
+/// A pooled connection that the endpoint has closed says nothing about the endpoint's health. If the
+/// endpoint were ejected for it, its connections would be idle for even longer, and it would stay ejected.
 #[test]
 fn a_stale_connection_ejects_no_endpoint() {
     let mut harness = trained_harness();
@@ -183,16 +186,18 @@
     assert_eq!(used.len(), 4, "{used:?}");
 }
 
-/// Where one attempt in seven is lost by chance, three in a row at one endpoint are chance too; ten are not.
+/// Where one attempt in seven is lost by chance, three losses in a row at one endpoint are chance too; ten
+/// are not.
 #[test]
 fn a_few_failures_by_chance_eject_no_endpoint() {
-    for (failures, max) in [(3, true), (10, false)] {
+    for (failures, is_still_used) in [(3, true), (10, false)] {
         let mut harness = trained_harness();
-        let alone = RequestMetadata {
+        let metadata = RequestMetadata {
             prompt_tokens: 2_000.0,
             ..request(0, 1_000)
         };
-        let affinity_endpoint = started_endpoint(&harness.submit(alone.clone()), 0).expect("sent");
+        let affinity_endpoint =
+            started_endpoint(&harness.submit(metadata.clone()), 0).expect("sent");
         harness.end_attempt(0, 0, affinity_endpoint, AttemptStatus::Cancelled);
         harness.handle(Event::ClientDisconnected { id: 0 });
         let mut failed = 0;
@@ -201,7 +206,7 @@
                 &harness.submit(RequestMetadata {
                     id,
                     session: Some(id),
-                    ..alone.clone()
+                    ..metadata.clone()
                 }),
                 id,
             )
@@ -223,20 +228,19 @@
                 break;
             }
         }
-        let probed =
-            (3_000..3_060).map(|id| started_endpoint(&harness.submit(request(id, id)), id));
+        let sent = (3_000..3_060).map(|id| started_endpoint(&harness.submit(request(id, id)), id));
         assert_eq!(
-            probed
-                .filter(|prefill| *prefill == Some(affinity_endpoint))
+            sent.filter(|prefill| *prefill == Some(affinity_endpoint))
                 .count()
                 > 0,
-            max,
+            is_still_used,
             "{failures}"
         );
     }
 }
 
-/// One of a hundred routers sees a failing decode endpoint once a minute; the others have seen it too.
+/// One of a hundred routers sees a failing decode endpoint only once a minute, but its peers have seen the
+/// failures too and report them.
 #[test]
 fn a_decode_endpoint_that_fails_for_peers_is_avoided() {
     let mut harness = trained_harness();
--- a/tests/routing_rules.rs
+++ b/tests/routing_rules.rs
@@ -1,11 +1,12 @@
-//! Each of the five rules of the interface at its edge.
+//! Edge cases of the five rules of the interface: on final responses, reservations, repeats, hedges and
+//! draining endpoints.
 
 mod router_harness;
 use quartzhall::routing::api::*;
 use router_harness::*;
 
-/// Two mixed endpoints in different zones and cells.
-fn mixed() -> Vec<EndpointRecord> {
+/// Returns two mixed endpoints in different zones and cells.
+fn mixed_endpoints() -> Vec<EndpointRecord> {
     vec![
         endpoint(1, Role::Mixed),
         EndpointRecord {
@@ -42,8 +43,8 @@
     assert_eq!(started_endpoint(&late, 1), None);
 }
 
-/// Each attempt at an unreachable decode endpoint takes the whole connect timeout: none starts when the
-/// reservation is about to expire.
+/// Each attempt at an unreachable decode endpoint takes the whole connect timeout, so none may start
+/// shortly before the reservation expires.
 #[test]
 fn an_unreachable_decode_endpoint_is_not_tried_beyond_the_reservation_ttl() {
     let mut harness = harness_with(Idempotency::Idempotent, prefill_and_decode());
@@ -105,7 +106,7 @@
         AttemptStatus::Timeout,
         AttemptStatus::Cancelled,
     ] {
-        let mut harness = harness_with(Idempotency::NonIdempotent, mixed());
+        let mut harness = harness_with(Idempotency::NonIdempotent, mixed_endpoints());
         let sent = started_endpoint(&harness.submit(request(1, 1)), 1).expect("sent");
         let mut actions = harness.end_attempt(1, 0, sent, status);
         actions.extend(harness.advance(4 * SECOND));
@@ -121,7 +122,7 @@
 #[test]
 fn a_non_idempotent_request_that_never_ran_is_repeated() {
     for status in [AttemptStatus::Overloaded, AttemptStatus::ConnectFailed] {
-        let mut harness = harness_with(Idempotency::NonIdempotent, mixed());
+        let mut harness = harness_with(Idempotency::NonIdempotent, mixed_endpoints());
         let sent = started_endpoint(&harness.submit(request(1, 1)), 1).expect("sent");
         let again = harness.end_attempt(1, 0, sent, status);
         assert!(started_endpoint(&again, 1).is_some(), "{status:?}");
@@ -137,7 +138,10 @@
         (DeduplicationScope::Cell, 0, false),
         (DeduplicationScope::AllEndpoints, 2 * SECOND, false),
     ] {
-        let mut harness = harness_with(Idempotency::IdempotencyKey { scope, window }, mixed());
+        let mut harness = harness_with(
+            Idempotency::IdempotencyKey { scope, window },
+            mixed_endpoints(),
+        );
         let sent = started_endpoint(&harness.submit(request(1, 1)), 1).expect("sent");
         harness.advance(wait);
         // The first endpoint is removed, so only the other one could take the repeat.
@@ -165,12 +169,12 @@
             .any(|action| matches!(action, Action::Shed { .. }));
         assert!(
             !shed,
-            "repeats are no longer dropped by then: a retry would do harm"
+            "repeats are no longer dropped by then, so a retry is not safe"
         );
     }
 }
 
-/// Shedding tells the client that a retry is harmless. After an attempt that may have run, that is true only
+/// Shedding tells the client that a retry is safe. After an attempt that may have run, that is true only
 /// while all endpoints drop repeats.
 #[test]
 fn what_may_have_run_is_shed_only_while_repeats_are_dropped() {
@@ -185,7 +189,7 @@
                 scope,
                 window: SECOND,
             },
-            mixed(),
+            mixed_endpoints(),
         );
         started_endpoint(&harness.submit(request(1, 1)), 1).expect("sent");
         let end = harness.now + time_to_shutdown;
@@ -205,12 +209,12 @@
 
 #[test]
 fn no_hedge_where_hedging_is_not_allowed() {
-    let rules = RoutingSettings {
+    let settings = RoutingSettings {
         hedging_allowed: false,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
     let mut harness = RouterHarness::new(
-        rules,
+        settings,
         vec![
             endpoint(1, Role::Prefill),
             endpoint(3, Role::Prefill),
@@ -286,8 +290,8 @@
     let second =
         started_endpoint(&harness.advance(SECOND), 100).expect("an overdue prefill is hedged");
     assert_ne!(first, second);
-    let taken = harness.end_attempt(100, 1, second, AttemptStatus::PrefillDone);
-    assert!(taken.contains(&Action::CancelAttempt {
+    let actions = harness.end_attempt(100, 1, second, AttemptStatus::PrefillDone);
+    assert!(actions.contains(&Action::CancelAttempt {
         id: 100,
         attempt: 0
     }));
@@ -300,8 +304,8 @@
         .contains(&Action::ReleaseReservation { id: 100 }));
 }
 
-/// An overdue prefill of an idempotent request is hedged. A non-idempotent one waits, for nothing proves that
-/// the prefill in flight had no effect.
+/// An overdue prefill of an idempotent request is hedged. A non-idempotent one waits, because nothing
+/// proves that the prefill in flight had no effect.
 #[test]
 fn no_hedged_prefill_of_a_non_idempotent_request() {
     for (idempotency, hedges) in [
@@ -315,17 +319,18 @@
         ];
         let mut harness = harness_with(idempotency, endpoints);
         assert!(started_endpoint(&harness.submit(request(1, 1)), 1).is_some());
-        let later = harness.advance(3_900 * MS);
-        let sends = later
+        let actions = harness.advance(3_900 * MS);
+        let sends = actions
             .iter()
             .filter(|action| matches!(action, Action::StartAttempt { id: 1, .. }))
             .count();
-        assert_eq!(sends, hedges, "{idempotency:?}: {later:?}");
+        assert_eq!(sends, hedges, "{idempotency:?}: {actions:?}");
     }
 }
 
-/// The KV cache of one prefill is being fetched by a decode endpoint when the hedge ends: a release then
-/// would drop both, and the decode endpoint would find none. What is left is released with the first token.
+/// Guards against the release of a KV cache that a decode endpoint is still fetching. The hedged prefill
+/// ends during that time: a release would drop both KV caches, and the decode endpoint would find none.
+/// What is left is released with the first token.
 #[test]
 fn a_hedged_prefill_that_ends_releases_nothing_before_the_first_token() {
     let endpoints = vec![
@@ -345,7 +350,8 @@
     );
 }
 
-/// Nothing more can be done for it, and its client can act on that now rather than near its deadline.
+/// Nothing more can be done for such a request, and its client can act on that at once instead of near its
+/// deadline.
 #[test]
 fn what_may_have_run_and_must_not_run_again_fails_at_once() {
     for status in [
@@ -376,12 +382,13 @@
     }
 }
 
-/// A decode endpoint that failed may have consumed the KV cache. With three attempts left another is tried;
-/// with two they are for a new prefill and its decode, and none is spent on finding the KV cache missing.
+/// A decode endpoint that failed may have consumed the KV cache. With three attempts left, another decode
+/// endpoint is tried. The last two are kept for a new prefill and its decode attempt, so that none is spent
+/// on finding the KV cache missing.
 #[test]
 fn the_last_two_attempts_are_a_new_prefill_and_its_decode() {
     for (max_attempts, next_role) in [(5, Role::Decode), (4, Role::Prefill)] {
-        let tight = RoutingSettings {
+        let settings = RoutingSettings {
             max_attempts,
             ..settings(vec![class(1.0, Idempotency::Idempotent)])
         };
@@ -390,7 +397,7 @@
             vec![endpoint(3, Role::Decode), endpoint(4, Role::Prefill)],
         ]
         .concat();
-        let mut harness = RouterHarness::new(tight, endpoints);
+        let mut harness = RouterHarness::new(settings, endpoints);
         let prefill =
             started_endpoint(&harness.submit(request(1, 1)), 1).expect("a prefill endpoint");
         let decode = started_endpoint(
--- a/tests/routing_slow_start.rs
+++ b/tests/routing_slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what endpoints that have started of late are sent, by one router and by many.
+//! Slow start: what recently started endpoints are sent, by one router and by many.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -22,7 +22,7 @@
     let sends = (100..150)
         .filter(|id| started_endpoint(&harness.submit(request(*id, *id)), *id).is_some())
         .count();
-    // The warm endpoint had about 16 prefills a second; one in slow start may get 0.3 x 2.5 of that in a
+    // The warm endpoint served about 16 prefills a second. One in slow start may get 0.3 x 2.5 of that in a
     // second.
     assert!(
         (1..=12).contains(&sends),
@@ -30,8 +30,9 @@
     );
 }
 
-/// A slow-start budget follows from the endpoints that serve the load. With draining ones counted too, their
-/// successors were idle through a deployment while the rest was overloaded.
+/// A slow-start budget is computed from the endpoints that serve the load. Guards against counting draining
+/// ones as well: their successors were then idle during a deployment while the other endpoints were
+/// overloaded.
 #[test]
 fn draining_endpoints_do_not_reduce_a_slow_start_budget() {
     let prefill_endpoints = (1..=6).map(|id| endpoint(id, Role::Prefill));
@@ -41,7 +42,7 @@
             .chain([endpoint(12, Role::Decode)])
             .collect(),
     );
-    let leaving = (2..=6)
+    let draining = (2..=6)
         .map(|id| EndpointRecord {
             status: EndpointStatus::Draining,
             ..endpoint(id, Role::Prefill)
@@ -49,7 +50,7 @@
         .collect();
     harness.handle(Event::EndpointsChanged {
         is_full: false,
-        endpoints: leaving,
+        endpoints: draining,
     });
     for id in 0..300 {
         harness.serve(request(id, id), 20 * MS, 20 * MS, 20 * MS);
@@ -69,17 +70,18 @@
         prefill == 7
     });
     let sent = sent.count();
-    // Endpoint 1 had about 16 prefills a second; 0.3 x 2.5 of that in a second is 12, and a sixth of it 2.
+    // Endpoint 1 served about 16 prefills a second. 0.3 x 2.5 of that is 12 in a second, and a sixth of it
+    // is 2.
     assert!(
         (8..=12).contains(&sent),
         "{sent} sent to the endpoint in slow start"
     );
 }
 
-/// Requests of a whole fleet of routers, a hundred a second in turn, with half of eight prefill endpoints
-/// restarted after 20 s. Returns what each of the restarted ones was sent in each second from then on.
+/// Sends a hundred requests a second to a fleet of routers, and restarts half of eight prefill endpoints
+/// after 20 s. Returns how many requests each restarted endpoint was sent in each second from then on.
 fn sends_in_slow_start(dispatchers: u32) -> Vec<[usize; 4]> {
-    let rules = RoutingSettings {
+    let settings = RoutingSettings {
         dispatchers,
         ..settings(vec![class(1.0, Idempotency::Idempotent)])
     };
@@ -88,8 +90,8 @@
         .chain([endpoint(12, Role::Decode)])
         .collect();
     let router = |seed| {
-        let mut harness = RouterHarness::new(rules.clone(), fleet.clone());
-        harness.router = Router::new(rules.clone(), u64::from(seed), 0);
+        let mut harness = RouterHarness::new(settings.clone(), fleet.clone());
+        harness.router = Router::new(settings.clone(), u64::from(seed), 0);
         harness.handle(Event::TimerFired);
         harness.handle(Event::EndpointsChanged {
             is_full: true,
@@ -101,7 +103,7 @@
     let mut sent = vec![[0; 4]; 8];
     for id in 0..2_800 {
         let now = id * 10 * MS;
-        let turn =
+        let router_index =
             (quartzhall::config::fnv1a_hash(&id.to_string()) % u64::from(dispatchers)) as usize;
         if now == 20 * SECOND {
             let in_slow_start = |id| EndpointRecord {
@@ -117,7 +119,7 @@
                 });
             });
         }
-        let harness = &mut harnesses[turn];
+        let harness = &mut harnesses[router_index];
         harness.advance(now.saturating_sub(harness.now));
         let without_session = RequestMetadata {
             session: None,
@@ -131,15 +133,15 @@
     sent
 }
 
-/// A fraction of one send is drawn at random, so that a hundred routers neither all send nor all hold back.
-/// When a draw was valid for an overload window, it mostly lapsed where requests are few, and endpoints in
-/// slow start were idle while the warm ones were overloaded.
+/// A fraction of one send is drawn at random, so that a hundred routers neither all send nor all wait.
+/// Guards against draws that hold for a whole overload window: where requests were few, most draws lapsed,
+/// and endpoints in slow start were idle while warm ones were overloaded.
 #[test]
 fn routers_together_use_slow_start_budgets_and_no_more() {
     for dispatchers in [2, 20, 200] {
         let sent = sends_in_slow_start(dispatchers);
-        // A warm endpoint had 12 to 13 prefills a second; one in slow start may get 0.3 x 2.5 of its warm
-        // capacity.
+        // A warm endpoint served 12 to 13 prefills a second. One in slow start may get 0.3 x 2.5 of its
+        // warm capacity.
         let max = sent.iter().flatten().max();
         assert!(
             max <= Some(&16),
@@ -153,15 +155,15 @@
     }
 }
 
-/// When the fleet's first four prefill endpoints restart.
+/// Instant at which the fleet's first four prefill endpoints restart.
 const RESTART_AT: Time = 20 * SECOND;
 
-/// A fleet of routers, eight prefill endpoints and one decode endpoint. The first four prefill endpoints
-/// restart.
+/// A fleet of routers with eight prefill endpoints, of which the first four restart, and one decode
+/// endpoint.
 struct RestartedFleet {
-    rules: RoutingSettings,
+    settings: RoutingSettings,
     seed: u64,
-    before: Vec<EndpointRecord>,
+    initial_endpoints: Vec<EndpointRecord>,
     restarted: Vec<EndpointRecord>,
 }
 
@@ -173,12 +175,12 @@
             ..endpoint(id, Role::Prefill)
         });
         RestartedFleet {
-            rules: RoutingSettings {
+            settings: RoutingSettings {
                 dispatchers,
                 ..settings(vec![class(1.0, Idempotency::Idempotent)])
             },
             seed,
-            before: prefill_endpoints
+            initial_endpoints: prefill_endpoints
                 .chain([endpoint(12, Role::Decode)])
                 .collect(),
             restarted: restarted.collect(),
@@ -190,22 +192,23 @@
     }
 
     fn router(&self, now: Time, number: u32) -> RouterHarness {
-        let mut harness = RouterHarness::new(self.rules.clone(), Vec::new());
+        let mut harness = RouterHarness::new(self.settings.clone(), Vec::new());
         harness.now = now;
         let seed = self.hash(u64::from(number) + now);
-        harness.router = Router::new(self.rules.clone(), seed, now);
+        harness.router = Router::new(self.settings.clone(), seed, now);
         harness.handle(Event::TimerFired);
         harness.handle(Event::EndpointsChanged {
             is_full: true,
-            endpoints: self.before.clone(),
+            endpoints: self.initial_endpoints.clone(),
         });
         harness
     }
 
-    /// The router of a request: a quarter of them has two thirds of the traffic.
+    /// Returns the router that receives a request: a quarter of the routers receive two thirds of the
+    /// traffic.
     fn router_of(&self, id: RequestId) -> usize {
         let draw = self.hash(1_000_000 + id);
-        let all = u64::from(self.rules.dispatchers);
+        let all = u64::from(self.settings.dispatchers);
         if draw % 3 < 2 {
             (draw / 3 % all.div_ceil(4)) as usize
         } else {
@@ -213,7 +216,7 @@
         }
     }
 
-    /// When a router is notified of the restart: a third of them a second late.
+    /// Returns when a router is notified of the restart: a third of the routers a second late.
     fn notified_at(&self, router: usize) -> Time {
         if self.hash(2_000_000 + router as u64).is_multiple_of(3) {
             RESTART_AT + SECOND
@@ -222,10 +225,10 @@
         }
     }
 
-    /// When notified routers sent requests to each restarted endpoint, a hundred requests a second in all.
-    /// Seven in ten routers restart at the same instant as the endpoints.
+    /// Returns when notified routers sent requests to each restarted endpoint, at a hundred requests a
+    /// second in all. Seven in ten routers restart at the same instant as the endpoints.
     fn sends_after_restart(&self) -> Vec<Vec<Time>> {
-        let dispatchers = self.rules.dispatchers;
+        let dispatchers = self.settings.dispatchers;
         let mut harnesses: Vec<(RouterHarness, bool)> = (0..dispatchers)
             .map(|number| (self.router(0, number), false))
             .collect();
@@ -261,45 +264,46 @@
         sent
     }
 
-    /// The overload threshold times the capacity that a restarted endpoint has in the overload window from
-    /// `start`.
+    /// Returns the overload threshold times the capacity that a restarted endpoint has in the overload
+    /// window from `start`.
     fn budget(&self, start: Time) -> f64 {
-        let rules = &self.rules;
-        let age = ((start - RESTART_AT) as f64 / rules.slow_start_duration as f64).min(1.0);
-        // Eight warm prefill endpoints serve a hundred requests a second between them.
+        let settings = &self.settings;
+        let age = ((start - RESTART_AT) as f64 / settings.slow_start_duration as f64).min(1.0);
+        // Eight warm prefill endpoints share a hundred requests a second.
         let capacity = 100.0 / 8.0
-            * (rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age);
-        rules.overload_threshold * capacity * rules.overload_window as f64 / SECOND as f64
+            * (settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age);
+        settings.overload_threshold * capacity * settings.overload_window as f64 / SECOND as f64
     }
 }
 
-/// The most by which sends of notified routers to a restarted endpoint exceeded `N + 2 sqrt(N) + 2` in any
-/// overload window, where `N` is the budget of the endpoint then.
+/// Returns the maximum excess over `N + 2 sqrt(N) + 2` of the requests that notified routers sent to a
+/// restarted endpoint in an overload window. `N` is the endpoint's budget in that window.
 fn max_excess_in_slow_start(dispatchers: u32, seed: u64) -> f64 {
     let fleet = RestartedFleet::new(dispatchers, seed);
-    let mut worst = f64::MIN;
+    let mut max_excess = f64::MIN;
     for times in fleet.sends_after_restart() {
         for (index, start) in times.iter().enumerate() {
             let sent = times[index..]
                 .iter()
-                .take_while(|time| **time < start + fleet.rules.overload_window)
+                .take_while(|time| **time < start + fleet.settings.overload_window)
                 .count() as f64;
             let budget = fleet.budget(*start);
-            worst = worst.max(sent - budget - 2.0 * budget.sqrt() - 2.0);
+            max_excess = max_excess.max(sent - budget - 2.0 * budget.sqrt() - 2.0);
         }
     }
-    worst
+    max_excess
 }
 
-/// However many routers there are, however uneven their traffic, and though most of them have just restarted.
+/// Holds for any number of routers and for uneven traffic, also when most of the routers have just
+/// restarted.
 #[test]
 fn no_endpoint_in_slow_start_is_overloaded_by_all_routers_together() {
     for (dispatchers, seeds) in [(2, 12), (5, 12), (30, 4), (300, 1)] {
         for seed in 0..seeds {
-            let worst = max_excess_in_slow_start(dispatchers, seed);
+            let max_excess = max_excess_in_slow_start(dispatchers, seed);
             assert!(
-                worst <= 0.0,
-                "{dispatchers} routers, seed {seed}: {worst} requests too many"
+                max_excess <= 0.0,
+                "{dispatchers} routers, seed {seed}: {max_excess} requests too many"
             );
         }
     }
