--- a/src/routing/router/outcomes.rs
+++ b/src/routing/router/outcomes.rs
@@ -117,8 +117,8 @@
         request.retry_at = self.now;
         request.probe_deadline = None;
         self.apply_outcome(request, end);
-        // A request that may have run and must not run twice fails at once, so that its client needn't
-        // wait.
+        // A request that may have run and must not run twice fails at once, so that its client learns of it
+        // without delay.
         if self.has_unrepeatable_attempt(request) {
             self.shed_or_fail(request, FailureReason::NotRepeatable);
         } else {
--- a/src/routing/router/placement.rs
+++ b/src/routing/router/placement.rs
@@ -245,8 +245,8 @@
     }
 }
 
-/// Returns whether the request waits for an attempt in flight. Once it has a KV cache, it doesn't wait for
-/// a second prefill.
+/// Returns whether the request waits for an attempt in flight. A request with a KV cache doesn't wait for a
+/// second prefill.
 fn awaits_attempt(request: &Request) -> bool {
     request.attempts.iter().any(|attempt| {
         attempt.is_in_flight && (attempt.stage != Stage::Prefill || request.kv_endpoint.is_none())
--- a/src/routing/router/prefill.rs
+++ b/src/routing/router/prefill.rs
@@ -62,10 +62,10 @@
 }
 
 impl Router {
-    /// Applies the prefix-cache filter: keeps the endpoints that have the prompt cached. An exploration
-    /// share of the selections skips the filter, and so does a request for which a much faster endpoint is
-    /// likely to succeed. Under overload no endpoint is likely to, and the filter applies: a prefill
-    /// elsewhere would add to the load.
+    /// Applies the prefix-cache filter, which keeps only the endpoints that have the prompt cached. It is
+    /// skipped for an exploration share of the selections, and where a much faster endpoint is likely to
+    /// succeed. Under overload no endpoint is likely to succeed, so the filter applies: a prefill elsewhere
+    /// would add to the load.
     pub(super) fn prefer_cached_prefix(
         &mut self,
         mut candidates: Vec<ScoredEndpoint>,
@@ -134,7 +134,7 @@
         candidates
     }
 
-    /// Forecasts the best decode attempt after a prefill, for each cell of the prefill endpoint.
+    /// Forecasts the best decode attempt after a prefill in each of `cells`.
     fn forecast_decode(
         &self,
         request: &Request,
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -223,7 +223,7 @@
     assert!(shed[1] > shed[0], "{shed:?}");
     assert!(
         late_unsent > 25,
-        "nearly no request is prefilled once none could meet its objective"
+        "hardly any request is prefilled once none could meet its objective"
     );
 }
 
--- a/tests/routing_limits.rs
+++ b/tests/routing_limits.rs
@@ -8,8 +8,8 @@
 const MAX_MODULE_LINES: usize = 500;
 const MAX_LINE_CHARACTERS: usize = 110;
 
-/// Returns path and text of the files that the deploy file lists as decision logic, and of all files in the
-/// folders that it lists.
+/// Returns the path and text of each file that the deploy file lists as decision logic, and of all files in
+/// the folders that it lists.
 fn decision_files() -> Vec<(String, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("a deploy file");
--- a/tests/routing_rules.rs
+++ b/tests/routing_rules.rs
@@ -328,9 +328,9 @@
     }
 }
 
-/// Guards against the release of a KV cache that a decode endpoint is still fetching. The hedged prefill
-/// ends during that time: a release would drop both KV caches, and the decode endpoint would find none.
-/// What is left is released with the first token.
+/// Guards against the release of a KV cache that a decode endpoint is still fetching. The hedge completes
+/// its prefill during that time: a release would drop both KV caches, and the decode endpoint would find
+/// none. What is left is released with the first token.
 #[test]
 fn a_hedged_prefill_that_ends_releases_nothing_before_the_first_token() {
     let endpoints = vec![
