--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at an endpoint, on either wire protocol: what is sent, how it ended, and the forwarding of its stream.
 
-use super::event_stream::{EventStream, MalformedEvent};
+use super::event_stream::{EventSplitter, MalformedEvent};
 use crate::dispatcher::{
     DispatcherHandle, EndReason, Event, StreamChunk, UpstreamRequest, MAX_QUEUED_CHUNKS,
 };
@@ -101,7 +101,7 @@
     key: AttemptKey,
     chunks: Option<mpsc::Sender<StreamChunk>>,
     is_committed: Arc<AtomicBool>,
-    events: EventStream,
+    events: EventSplitter,
     last_event_at: Instant,
     /// A stream does not try to migrate before this.
     next_migration_at: Instant,
@@ -122,7 +122,7 @@
             key,
             chunks: None,
             is_committed: Arc::default(),
-            events: EventStream::default(),
+            events: EventSplitter::default(),
             last_event_at: Instant::now(),
             next_migration_at: Instant::now(),
             migration,
@@ -133,7 +133,7 @@
     /// A forwarder that goes on with a stream which another process has begun. It has started, and the time since its
     /// last event counts on.
     pub fn resume(mut self, chunks: mpsc::Sender<StreamChunk>, state: &UpstreamState) -> Self {
-        self.events = EventStream::resume(&state.partial_event);
+        self.events = EventSplitter::resume(&state.partial_event);
         self.chunks = Some(chunks);
         self.is_committed.store(true, Ordering::Relaxed);
         if let Some(last_event_at) = self.last_event_at.checked_sub(state.silent_for) {
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -5,7 +5,7 @@
 
 use super::blocked_endpoints::ConnectionGate;
 use super::transport::Transport;
-use crate::net::connection_limit::ConnectionLimit;
+use crate::net::adjustable_semaphore::AdjustableSemaphore;
 use crate::net::system_errors::is_local_shortage;
 use std::collections::HashMap;
 use std::future::Future;
@@ -87,14 +87,14 @@
 #[derive(Clone)]
 pub struct Connector {
     connect_timeout: Duration,
-    permits: ConnectionLimit,
+    permits: AdjustableSemaphore,
     gate: ConnectionGate,
     late: Arc<Mutex<LateConnections>>,
 }
 
 impl Connector {
     /// Opens as many connections as there are permits, each within `connect_timeout`.
-    pub fn new(connect_timeout: Duration, permits: ConnectionLimit) -> Self {
+    pub fn new(connect_timeout: Duration, permits: AdjustableSemaphore) -> Self {
         Connector {
             connect_timeout,
             permits,
@@ -112,7 +112,7 @@
     }
 
     /// The limit on connections.
-    pub fn limit(&self) -> &ConnectionLimit {
+    pub fn limit(&self) -> &AdjustableSemaphore {
         &self.permits
     }
 
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -12,7 +12,7 @@
 
 /// Splits a stream at the ends of its events and changes nothing in it.
 #[derive(Default)]
-pub struct EventStream {
+pub struct EventSplitter {
     buffer: BytesMut,     // what came since the last event's end
     checked_bytes: usize, // how many of them are lines that were checked
     has_started: bool,
@@ -35,13 +35,13 @@
     }
 }
 
-impl EventStream {
+impl EventSplitter {
     /// Continues a stream whose first event has been forwarded, and of whose next one these bytes have come.
-    pub fn resume(partial_event: &[u8]) -> EventStream {
-        EventStream {
+    pub fn resume(partial_event: &[u8]) -> EventSplitter {
+        EventSplitter {
             buffer: partial_event.into(),
             has_started: true,
-            ..EventStream::default()
+            ..EventSplitter::default()
         }
     }
 
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -11,11 +11,11 @@
 mod stream_source;
 mod usage;
 
-pub use usage::{parse_tail, StreamReport};
+pub use usage::{parse_stream_tail, StreamReport};
 
 use super::attempt::{AttemptRequest, AttemptResult, ConnectionPolicy, StreamForwarder};
 use super::connector::Connector;
-use super::load_report::parse_load;
+use super::load_report::parse_load_report;
 use crate::dispatcher::EndReason;
 use crate::routing::api::LoadReport;
 use crate::upgrade::stream_migration::ReceivedUpstream;
@@ -227,7 +227,7 @@
         let is_healthy = response.status() == StatusCode::OK;
         let header_load = load_from_headers(response.headers());
         let body = read_short_body(response).await?;
-        let body_load = || parse_load(std::str::from_utf8(&body).ok()?);
+        let body_load = || parse_load_report(std::str::from_utf8(&body).ok()?);
         Some(ProbeResult {
             is_healthy,
             load: header_load.or_else(body_load),
--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -4,7 +4,7 @@
 
 use super::exchange::{CloseGuard, ResponseHead};
 use super::stream_source::{ClientSource, ReceivedSource, SourcePosition, StreamSource};
-use super::usage::{load_from_headers, parse_tail};
+use super::usage::{load_from_headers, parse_stream_tail};
 use crate::backend::attempt::{AttemptResult, StreamForwarder};
 use crate::dispatcher::EndReason;
 use crate::routing::api::LoadReport;
@@ -125,7 +125,7 @@
                 ..reason.into()
             };
         }
-        let report = parse_tail(&self.tail);
+        let report = parse_stream_tail(&self.tail);
         AttemptResult {
             reason: EndReason::Served,
             cached_tokens: report.cached_tokens,
--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -123,7 +123,7 @@
     fn position(&self) -> Option<SourcePosition> {
         let connection = self.connection.as_ref()?;
         let (chunks, read_bytes) = connection.response_body()?;
-        if chunks.ended() {
+        if chunks.has_ended() {
             return None;
         }
         if read_bytes != self.returned_bytes {
@@ -163,7 +163,7 @@
 
     async fn next_data(&mut self) -> Option<Result<Bytes, EndReason>> {
         let mut buffer = [0; READ_BUFFER_BYTES];
-        while !self.chunks.ended() {
+        while !self.chunks.has_ended() {
             let read_bytes = match self.socket.read(&mut buffer).await {
                 Ok(0) | Err(_) => return Some(Err(EndReason::ConnectionReset)),
                 Ok(read_bytes) => read_bytes,
@@ -183,7 +183,7 @@
     }
 
     fn position(&self) -> Option<SourcePosition> {
-        if self.chunks.ended() {
+        if self.chunks.has_ended() {
             return None;
         }
         Some(SourcePosition::Reached {
--- a/src/backend/http/usage.rs
+++ b/src/backend/http/usage.rs
@@ -1,7 +1,7 @@
 //! Reads what endpoints report beside the completion: token counts and load, in headers, prefill responses and the
 //! last lines of a stream.
 
-use crate::backend::load_report::parse_load;
+use crate::backend::load_report::parse_load_report;
 use crate::routing::api::LoadReport;
 use hyper::HeaderMap;
 use miniserde::{json, Deserialize};
@@ -36,11 +36,11 @@
 }
 
 /// Reads the last bytes of a stream, which may begin in the middle of a line.
-pub fn parse_tail(tail: &[u8]) -> StreamReport {
+pub fn parse_stream_tail(tail: &[u8]) -> StreamReport {
     let mut report = StreamReport::default();
     for line in String::from_utf8_lossy(tail).lines() {
         if let Some(comment) = line.strip_prefix(':') {
-            report.load = parse_load(comment).or(report.load);
+            report.load = parse_load_report(comment).or(report.load);
         } else if let Some(data) = line.strip_prefix("data:") {
             if data.contains("\"usage\"") {
                 read_usage(data.trim(), &mut report);
@@ -74,5 +74,5 @@
 
 /// The load report in a response's headers.
 pub(super) fn load_from_headers(headers: &HeaderMap) -> Option<LoadReport> {
-    parse_load(headers.get("endpoint-load-metrics")?.to_str().ok()?)
+    parse_load_report(headers.get("endpoint-load-metrics")?.to_str().ok()?)
 }
--- a/src/backend/load_report.rs
+++ b/src/backend/load_report.rs
@@ -4,7 +4,7 @@
 
 /// Reads a load report such as `TEXT inflight=7, queue=2`. Unknown names and unreadable values are skipped; `None` when
 /// no known value is left.
-pub fn parse_load(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let text = text.trim();
     let text = text
         .strip_prefix("Endpoint-Load-Metrics:")
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::config::Bounds;
 use crate::dispatcher::{Command, DispatcherHandle, EndReason, Event, ReceivedAttempt};
-use crate::net::connection_limit::ConnectionLimit;
+use crate::net::adjustable_semaphore::AdjustableSemaphore;
 use crate::routing::api::{EndpointId, RequestId};
 use crate::upgrade::stream_migration::{migration_signal, MigrationSignal};
 use attempt::{AttemptKey, AttemptRequest, AttemptResult, ConnectionPolicy, StreamForwarder};
@@ -266,7 +266,7 @@
     mut commands: mpsc::Receiver<Command>,
     dispatcher: DispatcherHandle,
     bounds: Bounds,
-    connections: ConnectionLimit,
+    connections: AdjustableSemaphore,
     websocket_endpoints: HashSet<String>,
     migration: StreamMigration,
     log: Logger,
--- a/src/backend/transport.rs
+++ b/src/backend/transport.rs
@@ -2,7 +2,7 @@
 //! what it reads and writes in a [`TrackedConnection`].
 
 use super::tracked_connection::TrackedConnection;
-use crate::net::connection_limit::ConnectionPermit;
+use crate::net::adjustable_semaphore::Permit;
 use socket2::SockRef;
 use std::io;
 use std::net::Shutdown;
@@ -16,12 +16,12 @@
 pub struct Transport {
     stream: Arc<TcpStream>,
     connection: Arc<TrackedConnection>,
-    _permit: ConnectionPermit,
+    _permit: Permit,
 }
 
 impl Transport {
     /// Wraps a connected socket.
-    pub(super) fn new(stream: TcpStream, permit: ConnectionPermit) -> Self {
+    pub(super) fn new(stream: TcpStream, permit: Permit) -> Self {
         let stream = Arc::new(stream);
         let connection = Arc::new(TrackedConnection::new(&stream));
         Transport {
--- a/src/backend/websocket/messages.rs
+++ b/src/backend/websocket/messages.rs
@@ -1,7 +1,7 @@
 //! The messages of a WebSocket session with an endpoint.
 
 use crate::backend::attempt::AttemptResult;
-use crate::backend::load_report::parse_load;
+use crate::backend::load_report::parse_load_report;
 use crate::dispatcher::EndReason;
 use bytes::Bytes;
 use miniserde::{json, Deserialize};
@@ -37,7 +37,7 @@
 
 /// Reads an endpoint's message. One that can't be read, or belongs to another request, counts as an error of the
 /// endpoint.
-pub fn parse(text: &str, client_request_id: &str) -> EndpointMessage {
+pub fn parse_message(text: &str, client_request_id: &str) -> EndpointMessage {
     let Ok(message) = json::from_str::<MessageFields>(text) else {
         return EndReason::UnreadableResponse.into();
     };
@@ -63,7 +63,7 @@
         reason,
         cached_tokens,
         completion_tokens: 0.0,
-        load: message.load.as_deref().and_then(parse_load),
+        load: message.load.as_deref().and_then(parse_load_report),
     })
 }
 
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -6,7 +6,7 @@
 
 mod messages;
 
-pub use messages::{parse, EndpointMessage};
+pub use messages::{parse_message, EndpointMessage};
 
 use super::attempt::{AttemptRequest, AttemptResult, ConnectionPolicy, StreamForwarder};
 use super::connector::{ConnectError, Connector};
@@ -284,7 +284,7 @@
             Message::Binary(_) => return Err(EndReason::UnreadableResponse),
         };
         break_reason = EndReason::ConnectionReset;
-        match parse(&text, &request.upstream.client_request_id) {
+        match parse_message(&text, &request.upstream.client_request_id) {
             EndpointMessage::Data(data) => forwarder.forward(&data).await?,
             EndpointMessage::End(result) => return Ok(result),
         }
--- a/src/dispatcher/core/settings.rs
+++ b/src/dispatcher/core/settings.rs
@@ -6,7 +6,7 @@
 use super::Core;
 use crate::config::Deployment;
 use crate::dispatcher::settings_error::SettingsError;
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 use crate::routing::api::{self, Idempotency, RoutingSettings, Time};
 use std::collections::HashSet;
 use std::sync::Arc;
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -191,7 +191,7 @@
     AcceptClients,
     /// This process's share of the limits or the number of processes has changed.
     ResourceShareChanged {
-        /// The share, in [`SHARE_UNITS`](crate::net::connection_limit::SHARE_UNITS).
+        /// The share, in [`SHARE_UNITS`](crate::net::adjustable_semaphore::SHARE_UNITS).
         share: u32,
         /// The number of processes of this dispatcher that share the limits.
         processes: u32,
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -4,7 +4,7 @@
 
 use crate::dispatcher::bans::BanError;
 use crate::dispatcher::{DispatcherHandle, Readiness};
-use crate::net::system_errors::AcceptPauses;
+use crate::net::system_errors::AcceptBackoff;
 use slog::{info, warn, Logger};
 use std::collections::VecDeque;
 use std::io;
@@ -203,7 +203,7 @@
 /// Serves operators for as long as the process runs.
 pub async fn serve(listener: TcpListener, dispatcher: DispatcherHandle, log: Logger) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
-    let mut pauses = AcceptPauses::default();
+    let mut pauses = AcceptBackoff::default();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/src/frontend/admission.rs
+++ b/src/frontend/admission.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{ClientConnection, REPLACEABLE_IDLE_TIME, REPLACEABLE_SILENT_TIME};
 use super::ShutdownPhase;
-use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
 use crate::upgrade::stream_migration::MigrationSender;
 use std::collections::HashMap;
 use std::pin::pin;
@@ -14,7 +14,7 @@
 /// What a listener and its connections share. Cheap to clone.
 #[derive(Clone)]
 pub(super) struct ListenerState {
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     /// When a new connection last had to wait although none could be closed for it.
     last_full_at: Arc<Mutex<Option<Instant>>>,
     shutdown: watch::Receiver<ShutdownPhase>,
@@ -23,7 +23,7 @@
 
 impl ListenerState {
     pub(super) fn new(
-        connection_limit: ConnectionLimit,
+        connection_limit: AdjustableSemaphore,
         shutdown: watch::Receiver<ShutdownPhase>,
         migration_sender: MigrationSender,
     ) -> Self {
@@ -112,7 +112,7 @@
 
     /// A permit for a connection that another process has handed over. Where it is beyond the limit, an idle connection is
     /// closed for it.
-    pub(super) fn acquire_for_received(&self) -> Option<ConnectionPermit> {
+    pub(super) fn acquire_for_received(&self) -> Option<Permit> {
         let connection_limit = &self.listener_state.connection_limit;
         let permit = connection_limit.acquire_beyond_limit();
         if connection_limit.over_limit() > 0 {
@@ -124,13 +124,13 @@
     }
 
     /// A permit if one is free now.
-    pub(super) fn try_acquire_permit(&self) -> Option<ConnectionPermit> {
+    pub(super) fn try_acquire_permit(&self) -> Option<Permit> {
         self.listener_state.connection_limit.try_acquire(1)
     }
 
     /// Waits for a permit for a new connection. At the limit a silent connection, or the one that has been idle for
     /// longest, is closed for it; where none has been so for long enough, the new one waits in the listener's queue.
-    pub(super) async fn acquire_permit(&self) -> Option<ConnectionPermit> {
+    pub(super) async fn acquire_permit(&self) -> Option<Permit> {
         let connection_limit = &self.listener_state.connection_limit;
         let mut permit = pin!(connection_limit.acquire(1));
         loop {
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -169,7 +169,8 @@
 
     /// Whether a complete request has no complete response yet. If so, the task is woken when it has.
     pub(super) fn is_response_pending(&self, context: &Context<'_>) -> bool {
-        let is_pending = self.framing().ended() > self.completed_responses.load(Ordering::Relaxed);
+        let is_pending =
+            self.framing().completed_requests() > self.completed_responses.load(Ordering::Relaxed);
         *self.read_waker() = if is_pending {
             Some(context.waker().clone())
         } else {
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -4,7 +4,7 @@
 
 use super::ShutdownPhase;
 use crate::dispatcher::{DispatcherHandle, Readiness};
-use crate::net::system_errors::AcceptPauses;
+use crate::net::system_errors::AcceptBackoff;
 use axum::extract::State;
 use axum::http::StatusCode;
 use axum::routing::get;
@@ -60,7 +60,7 @@
     mut shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
-    let mut pauses = AcceptPauses::default();
+    let mut pauses = AcceptBackoff::default();
     loop {
         let accepted = tokio::select! {
             _ = shutdown.wait_for(|phase| *phase == ShutdownPhase::Closing) => return,
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -9,8 +9,8 @@
 use super::http::StreamResumer;
 use super::request_service::{serve_connection, ResumedConnection};
 use super::ShutdownPhase;
-use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
-use crate::net::system_errors::AcceptPauses;
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
+use crate::net::system_errors::AcceptBackoff;
 use crate::upgrade::stream_migration::{MigrationSender, ReceivedStream};
 use crate::variants::{breaks, Variant};
 use axum::Router;
@@ -56,7 +56,7 @@
 
 impl ConnectionTasks {
     /// Serves a connection in a task of its own, which holds the permit.
-    fn spawn(&mut self, stream: TcpStream, permit: ConnectionPermit) {
+    fn spawn(&mut self, stream: TcpStream, permit: Permit) {
         let client = ClientConnection::new();
         let serving = serve_connection(
             stream,
@@ -147,7 +147,7 @@
 
 /// What a listener takes next.
 enum Incoming {
-    Accepted(Option<ConnectionPermit>, io::Result<TcpStream>),
+    Accepted(Option<Permit>, io::Result<TcpStream>),
     Received(ReceivedStream),
 }
 
@@ -156,7 +156,7 @@
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
@@ -168,7 +168,7 @@
 pub async fn serve_beside_peers(
     listener: TcpListener,
     routes: Router,
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     mut shutdown: watch::Receiver<ShutdownPhase>,
     streams: PeerStreams,
     log: Logger,
@@ -231,7 +231,7 @@
         connections: &mut ConnectionTasks,
         mut shutdown: watch::Receiver<ShutdownPhase>,
     ) {
-        let mut pauses = AcceptPauses::default();
+        let mut pauses = AcceptBackoff::default();
         loop {
             connections.remove_finished();
             let incoming = tokio::select! {
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,6 +1,6 @@
 //! The memory that the bodies of requests may take, in all frontends together.
 
-use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
 use bytes::Bytes;
 
 /// The longest body that is accepted.
@@ -11,11 +11,11 @@
 
 /// The budget, in kilobytes. Cheap to clone; clones share it.
 #[derive(Clone)]
-pub struct BodyMemoryBudget(ConnectionLimit);
+pub struct BodyMemoryBudget(AdjustableSemaphore);
 
 /// Memory of the budget that is reserved for one body, and released when this is dropped.
 pub struct MemoryReservation {
-    permit: ConnectionPermit,
+    permit: Permit,
 }
 
 /// A body and the memory that is reserved for it.
@@ -37,12 +37,12 @@
 impl BodyMemoryBudget {
     /// A budget of so many kilobytes, but enough for one body at least.
     pub fn new(budget_kilobytes: usize) -> Self {
-        BodyMemoryBudget(ConnectionLimit::new(
+        BodyMemoryBudget(AdjustableSemaphore::new(
             budget_kilobytes.max(MIN_BUDGET_KILOBYTES),
         ))
     }
 
-    /// Limits the budget to this process's share, in the units of [`ConnectionLimit::set_share`], but to enough for one
+    /// Limits the budget to this process's share, in the units of [`AdjustableSemaphore::set_share`], but to enough for one
     /// body at least.
     pub fn set_share(&self, share_units: u32) {
         self.0.set_share(share_units, MIN_BUDGET_KILOBYTES);
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -64,7 +64,7 @@
     if !request.headers().contains_key(header::TRANSFER_ENCODING) {
         return false;
     }
-    declared.is_none_or(|declared| !declared.chunked || declared.length.is_some())
+    declared.is_none_or(|declared| !declared.is_chunked || declared.length.is_some())
 }
 
 fn reject_ambiguous_body() -> Response {
--- a/src/net/connection_limit.rs
+++ b/src/net/adjustable_semaphore.rs
@@ -1,6 +1,6 @@
 //! Counted resources with a limit that may change while they are in use: connections, kilobytes of memory.
 //!
-//! The owner of a resource holds a [`ConnectionLimit`]; whoever uses the resource holds a [`ConnectionPermit`].
+//! The owner of a resource holds a [`AdjustableSemaphore`]; whoever uses the resource holds a [`Permit`].
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -11,8 +11,8 @@
 /// More permits than this are never in use beyond a limit.
 const MAX_EXCESS_PERMITS: usize = 1 << 20;
 
-/// The right to use what was acquired of a [`ConnectionLimit`]. Dropping it makes that available again.
-pub type ConnectionPermit = OwnedSemaphorePermit;
+/// The right to use what was acquired of a [`AdjustableSemaphore`]. Dropping it makes that available again.
+pub type Permit = OwnedSemaphorePermit;
 
 struct LimitState {
     limit: usize,
@@ -22,7 +22,7 @@
 
 /// A number of permits that changes with the process's share of it. Clones share the same permits.
 #[derive(Clone)]
-pub struct ConnectionLimit {
+pub struct AdjustableSemaphore {
     capacity: usize,
     permits: Arc<Semaphore>,
     /// The permits for use beyond the limit; all of them are available while nothing is.
@@ -30,14 +30,14 @@
     state: Arc<Mutex<LimitState>>,
 }
 
-impl ConnectionLimit {
+impl AdjustableSemaphore {
     /// A limit of `capacity` permits, all of them available.
-    pub fn new(capacity: usize) -> ConnectionLimit {
+    pub fn new(capacity: usize) -> AdjustableSemaphore {
         let state = LimitState {
             limit: capacity,
             excess_permits: 0,
         };
-        ConnectionLimit {
+        AdjustableSemaphore {
             capacity,
             permits: Arc::new(Semaphore::new(capacity)),
             excess: Arc::new(Semaphore::new(MAX_EXCESS_PERMITS)),
@@ -55,18 +55,18 @@
     }
 
     /// Waits for `count` permits, which are released together.
-    pub async fn acquire(&self, count: u32) -> Option<ConnectionPermit> {
+    pub async fn acquire(&self, count: u32) -> Option<Permit> {
         self.permits.clone().acquire_many_owned(count).await.ok()
     }
 
     /// Acquires `count` permits, if they are available now.
-    pub fn try_acquire(&self, count: u32) -> Option<ConnectionPermit> {
+    pub fn try_acquire(&self, count: u32) -> Option<Permit> {
         self.permits.clone().try_acquire_many_owned(count).ok()
     }
 
     /// Acquires a permit for a resource that is in use already, whatever the limit. It counts as one in use; `None` only
     /// where far more than any limit are.
-    pub fn acquire_beyond_limit(&self) -> Option<ConnectionPermit> {
+    pub fn acquire_beyond_limit(&self) -> Option<Permit> {
         self.try_acquire(1)
             .or_else(|| self.excess.clone().try_acquire_owned().ok())
     }
@@ -90,7 +90,7 @@
     }
 
     /// Sets the limit to `share_units` of [`SHARE_UNITS`], and at least to `min_limit`. Permits in use beyond it are
-    /// removed as they become available: call again until [`ConnectionLimit::over_limit`] is zero.
+    /// removed as they become available: call again until [`AdjustableSemaphore::over_limit`] is zero.
     pub fn set_share(&self, share_units: u32, min_limit: usize) {
         let share_units = share_units.min(SHARE_UNITS) as usize;
         let new_limit = (self.capacity * share_units / SHARE_UNITS as usize)
@@ -110,5 +110,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/net/connection_limit.rs"]
+#[path = "../../tests/unit/net/adjustable_semaphore.rs"]
 mod tests;
--- a/src/net/message_framing/chunked.rs
+++ b/src/net/message_framing/chunked.rs
@@ -50,7 +50,7 @@
 
 impl ChunkedDecoder {
     /// The length of what [`ChunkedDecoder::to_bytes`] returns.
-    pub const BYTES: usize = 10;
+    pub const ENCODED_BYTES: usize = 10;
 
     /// Reads on and passes data to `on_data`. Returns how many of the bytes belong to the body: fewer than all where the
     /// body has ended.
@@ -64,7 +64,7 @@
         mut on_data: impl FnMut(&[u8]),
     ) -> Result<usize, FramingError> {
         let mut consumed = 0;
-        while consumed < bytes.len() && !self.ended() {
+        while consumed < bytes.len() && !self.has_ended() {
             if self.state != ChunkedState::Data {
                 self.state = self.next_state(bytes[consumed])?;
                 consumed += 1;
@@ -114,7 +114,7 @@
     }
 
     /// The decoder's state as another process takes it over with [`ChunkedDecoder::from_bytes`].
-    pub fn to_bytes(self) -> [u8; ChunkedDecoder::BYTES] {
+    pub fn to_bytes(self) -> [u8; ChunkedDecoder::ENCODED_BYTES] {
         let (code, count) = match self.state {
             ChunkedState::Size(digits) => (0, digits),
             ChunkedState::Extension => (1, 0),
@@ -126,7 +126,7 @@
             ChunkedState::TrailerEnd => (7, 0),
             ChunkedState::End => (8, 0),
         };
-        let mut bytes = [0; ChunkedDecoder::BYTES];
+        let mut bytes = [0; ChunkedDecoder::ENCODED_BYTES];
         bytes[0] = code;
         bytes[1] = count;
         bytes[2..].copy_from_slice(&self.remaining.to_be_bytes());
@@ -134,7 +134,7 @@
     }
 
     /// The decoder whose state these bytes are; `None` where they are none.
-    pub fn from_bytes(bytes: &[u8; ChunkedDecoder::BYTES]) -> Option<ChunkedDecoder> {
+    pub fn from_bytes(bytes: &[u8; ChunkedDecoder::ENCODED_BYTES]) -> Option<ChunkedDecoder> {
         let [code, count, remaining @ ..] = bytes;
         let state = match (code, count) {
             (0, 0..=MAX_SIZE_DIGITS) => ChunkedState::Size(*count),
@@ -155,7 +155,7 @@
     }
 
     /// Whether all of the body was read.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.state == ChunkedState::End
     }
 }
--- a/src/net/message_framing/request.rs
+++ b/src/net/message_framing/request.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeclaredBody {
     /// The body is chunked.
-    pub chunked: bool,
+    pub is_chunked: bool,
     /// The declared length, in bytes.
     pub length: Option<u64>,
     /// The head declares a transfer encoding, followed here or not.
@@ -42,15 +42,15 @@
     /// What the current head declares so far.
     declared: DeclaredBody,
     pending_heads: VecDeque<DeclaredBody>,
-    ended: u64,
+    completed_requests: u64,
 }
 
 impl RequestFraming {
     /// Reads on, to the end of a request at most. Returns how many of the bytes were read.
     pub fn feed(&mut self, bytes: &[u8]) -> usize {
-        let ended_before = self.ended;
+        let completed_before = self.completed_requests;
         let mut consumed = 0;
-        while consumed < bytes.len() && self.ended == ended_before {
+        while consumed < bytes.len() && self.completed_requests == completed_before {
             match self.feed_state(&bytes[consumed..]) {
                 Ok(length) => consumed += length,
                 Err(FramingError) => {
@@ -79,7 +79,7 @@
             }
             RequestState::Chunked(decoder) => {
                 let length = decoder.feed(bytes, |_| {})?;
-                if decoder.ended() {
+                if decoder.has_ended() {
                     self.on_request_end();
                 }
                 Ok(length)
@@ -89,12 +89,12 @@
 
     fn on_request_end(&mut self) {
         self.state = RequestState::Head;
-        self.ended += 1;
+        self.completed_requests += 1;
     }
 
     /// The number of requests that were read to their end.
-    pub fn ended(&self) -> u64 {
-        self.ended
+    pub fn completed_requests(&self) -> u64 {
+        self.completed_requests
     }
 
     /// Stops following: the bytes from now on are no requests, or can't be followed.
@@ -142,12 +142,12 @@
     fn on_head_end(&mut self) -> Result<(), FramingError> {
         self.line_count = 0;
         let declared = std::mem::take(&mut self.declared);
-        let has_unknown_encoding = declared.has_transfer_encoding && !declared.chunked;
+        let has_unknown_encoding = declared.has_transfer_encoding && !declared.is_chunked;
         if self.pending_heads.len() >= MAX_PENDING_HEADS || has_unknown_encoding {
             return Err(FramingError);
         }
         self.pending_heads.push_back(declared);
-        if declared.chunked {
+        if declared.is_chunked {
             self.state = RequestState::Chunked(ChunkedDecoder::default());
             return Ok(());
         }
@@ -172,7 +172,7 @@
             // Only a single field with the single encoding `chunked` is followed.
             let is_repeated = self.declared.has_transfer_encoding;
             self.declared.has_transfer_encoding = true;
-            self.declared.chunked = !is_repeated && value.eq_ignore_ascii_case("chunked");
+            self.declared.is_chunked = !is_repeated && value.eq_ignore_ascii_case("chunked");
         }
         Ok(())
     }
--- a/src/net/message_framing/response.rs
+++ b/src/net/message_framing/response.rs
@@ -138,7 +138,7 @@
     pub fn is_over(&self) -> bool {
         match &self.state {
             ResponseState::Complete => true,
-            ResponseState::Chunked(decoder) => decoder.ended(),
+            ResponseState::Chunked(decoder) => decoder.has_ended(),
             ResponseState::Head | ResponseState::Length(_) | ResponseState::Lost => false,
         }
     }
--- a/src/net/system_errors.rs
+++ b/src/net/system_errors.rs
@@ -1,5 +1,5 @@
 //! The errors of system calls: which ones concern one connection, and which ones this machine. Does no I/O; each listener
-//! owns its [`AcceptPauses`].
+//! owns its [`AcceptBackoff`].
 
 use rustix::io::Errno;
 use std::io;
@@ -58,24 +58,24 @@
 
 /// The delays of one listener after a failed `accept`.
 #[derive(Debug)]
-pub struct AcceptPauses {
+pub struct AcceptBackoff {
     next_delay: Duration,
     immediate_retries: u32,
 }
 
-impl Default for AcceptPauses {
+impl Default for AcceptBackoff {
     fn default() -> Self {
-        AcceptPauses {
+        AcceptBackoff {
             next_delay: MIN_ACCEPT_DELAY,
             immediate_retries: 0,
         }
     }
 }
 
-impl AcceptPauses {
+impl AcceptBackoff {
     /// Records an accepted connection.
     pub fn reset(&mut self) {
-        *self = AcceptPauses::default();
+        *self = AcceptBackoff::default();
     }
 
     /// Records an error, and returns the delay before the next `accept`. Zero where only the connection has broken: others
--- a/src/process/frontends.rs
+++ b/src/process/frontends.rs
@@ -7,7 +7,7 @@
 use crate::dispatcher::DispatcherHandle;
 use crate::frontend::listener::PeerStreams;
 use crate::frontend::{health_check, http, listener, websocket, ShutdownPhase};
-use crate::net::connection_limit::ConnectionLimit;
+use crate::net::adjustable_semaphore::AdjustableSemaphore;
 use slog::Logger;
 use std::sync::Arc;
 use tokio::net::TcpListener;
@@ -92,7 +92,7 @@
         if let Some(listener) = session_listener {
             let health_checks = health_check::routes(dispatcher.clone());
             let routes = websocket::routes(sessions.clone()).merge(health_checks);
-            let connections = ConnectionLimit::new(session_budget.handshake_sockets);
+            let connections = AdjustableSemaphore::new(session_budget.handshake_sockets);
             let (phase, log) = (phase.clone(), log.clone());
             tasks.spawn(async move {
                 if let Some(listener) = listener.listener(phase.clone()).await {
--- a/src/process/limits.rs
+++ b/src/process/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Config, SessionBudget, SessionConfig, SocketBudgets};
 use crate::frontend::memory_budget::BodyMemoryBudget;
-use crate::net::connection_limit::{ConnectionLimit, SHARE_UNITS};
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, SHARE_UNITS};
 use crate::upgrade::ResourceLimits;
 
 /// The fewest connections of either side, however small a process's share is.
@@ -40,9 +40,9 @@
 #[derive(Clone)]
 pub(super) struct SharedLimits {
     /// Connections from clients of the platform's listener.
-    pub clients: ConnectionLimit,
+    pub clients: AdjustableSemaphore,
     /// Connections to endpoints.
-    pub endpoints: ConnectionLimit,
+    pub endpoints: AdjustableSemaphore,
     /// Memory for request bodies.
     pub body_memory: BodyMemoryBudget,
 }
@@ -52,8 +52,8 @@
     pub(super) fn new(budgets: &ResourceBudgets, session_sockets: usize) -> Self {
         let body_memory_kilobytes = budgets.memory_bytes / 1024 / BODY_MEMORY_DIVISOR;
         SharedLimits {
-            clients: ConnectionLimit::new(budgets.sockets.clients - session_sockets),
-            endpoints: ConnectionLimit::new(budgets.sockets.endpoints),
+            clients: AdjustableSemaphore::new(budgets.sockets.clients - session_sockets),
+            endpoints: AdjustableSemaphore::new(budgets.sockets.endpoints),
             body_memory: BodyMemoryBudget::new(body_memory_kilobytes),
         }
     }
--- a/src/process/takeover.rs
+++ b/src/process/takeover.rs
@@ -1,7 +1,7 @@
 //! The start beside another process of the same dispatcher: the announcement, and the wait until this one can take over.
 
 use crate::dispatcher::{Clock, DispatcherHandle, Event, Readiness};
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 use crate::upgrade::{PeerProcesses, UpgradeCoordinator};
 use slog::{warn, Logger};
 use std::path::Path;
--- a/src/upgrade/announcements.rs
+++ b/src/upgrade/announcements.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerProcesses {
     /// The share of the limits that this process uses, in units of
-    /// [`SHARE_UNITS`](crate::net::connection_limit::SHARE_UNITS).
+    /// [`SHARE_UNITS`](crate::net::adjustable_semaphore::SHARE_UNITS).
     pub share: u32,
     /// How many processes of this dispatcher live, this one included.
     pub processes: u32,
--- a/src/upgrade/coordinator.rs
+++ b/src/upgrade/coordinator.rs
@@ -29,7 +29,7 @@
 
 /// The limits that the processes of a dispatcher share.
 pub trait ResourceLimits {
-    /// Lowers or raises the limits to this share, in units of [`crate::net::connection_limit::SHARE_UNITS`]. Returns
+    /// Lowers or raises the limits to this share, in units of [`crate::net::adjustable_semaphore::SHARE_UNITS`]. Returns
     /// the share that is in use, rounded up; it is larger for a while after the limits were lowered.
     fn apply_share(&self, share: u32) -> u32;
 }
--- a/src/upgrade/process_announcement.rs
+++ b/src/upgrade/process_announcement.rs
@@ -1,7 +1,7 @@
 //! What a process announces to the other processes of its dispatcher, and the line of text that carries it. Pure: no
 //! clock, no file.
 
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 
 const FORMAT_VERSION: &str = "1";
 
--- a/src/upgrade/resource_shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -11,7 +11,7 @@
 //! it, until the second has lowered its share; a start is expected only when the previous upgrade is over.
 
 pub use super::process_announcement::{ProcessAnnouncement, ProcessState};
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 
 /// The share of a process that starts beside another one, which leaves it free for that.
 pub const STARTING_SHARE: u32 = 1;
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -15,11 +15,11 @@
 const MAGIC_BYTES: usize = 4;
 const LENGTH_BYTES: usize = size_of::<u32>();
 /// What both versions begin with: magic, position in the chunked body, length of the partial event.
-pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::BYTES + LENGTH_BYTES;
+pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::ENCODED_BYTES + LENGTH_BYTES;
 /// What the second version adds to the header: flags, three lengths and the silence in milliseconds.
 pub(super) const EXTENSION_BYTES: usize = 1 + 4 * LENGTH_BYTES;
 
-/// No event that has not ended is longer, as in [`EventStream`](crate::backend::event_stream::EventStream).
+/// No event that has not ended is longer, as in [`EventSplitter`](crate::backend::event_stream::EventSplitter).
 const MAX_PARTIAL_EVENT_BYTES: u32 = 64 * 1024;
 /// More than a connection keeps back of either.
 const MAX_BUFFERED_BYTES: u32 = 4 << 20;
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -5,7 +5,7 @@
     ACCEPTED, EXTENSION_BYTES, HEADER_BYTES,
 };
 use super::MigrationError;
-use crate::net::system_errors::AcceptPauses;
+use crate::net::system_errors::AcceptBackoff;
 use bytes::Bytes;
 use rustix::net::{recvmsg, send, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendFlags};
 use slog::{info, warn, Logger};
@@ -49,7 +49,7 @@
     queue: mpsc::Sender<ReceivedStream>,
     log: Logger,
 ) {
-    let mut pauses = AcceptPauses::default();
+    let mut pauses = AcceptBackoff::default();
     let mut tasks = JoinSet::new();
     loop {
         let accepted = tokio::select! {
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -6,7 +6,7 @@
 use axum::routing::{get, post};
 use axum::Router;
 use quartzhall::frontend::{listener, ShutdownPhase};
-use quartzhall::net::connection_limit::ConnectionLimit;
+use quartzhall::net::adjustable_semaphore::AdjustableSemaphore;
 use slog::{o, Discard, Logger};
 use std::time::Duration;
 use testbed::{Behavior, Fleet, STREAM_EVENTS};
@@ -63,7 +63,7 @@
     let task = tokio::spawn(listener::serve(
         listener,
         routes,
-        ConnectionLimit::new(max_connections),
+        AdjustableSemaphore::new(max_connections),
         shutdown_receiver,
         Logger::root(Discard, o!()),
     ));
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -6,7 +6,7 @@
 use quartzhall::dispatcher::{self, Event, Outcome, Readiness, StreamChunk};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{http, listener, ShutdownPhase};
-use quartzhall::net::connection_limit::ConnectionLimit;
+use quartzhall::net::adjustable_semaphore::AdjustableSemaphore;
 use slog::{o, Discard, Logger};
 use std::sync::Arc;
 use std::time::Duration;
@@ -328,7 +328,7 @@
     tokio::spawn(listener::serve(
         listener,
         routes,
-        ConnectionLimit::new(4),
+        AdjustableSemaphore::new(4),
         shutdown,
         log,
     ));
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -33,8 +33,8 @@
 /// Gives every parser the bytes; true where one of the JSON parsers took them.
 fn feed(site: &Deployment, bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
-    backend_http::parse_tail(bytes);
-    load_report::parse_load(&text);
+    backend_http::parse_stream_tail(bytes);
+    load_report::parse_load_report(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
     identifiers::is_name(&text);
     identifiers::parse_key(&text);
@@ -43,7 +43,7 @@
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
-    let told = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
+    let told = !matches!(backend_websocket::parse_message(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
     let said = websocket::parse(&text, site).is_ok();
     told || said
         || discovery::parse_list(bytes).is_ok()
@@ -91,7 +91,7 @@
 
 #[test]
 fn what_is_valid_is_read_as_it_is_meant() {
-    let report = backend_http::parse_tail(TAIL.as_bytes());
+    let report = backend_http::parse_stream_tail(TAIL.as_bytes());
     let load = report.load.expect("a report");
     assert_eq!(report.completion_tokens, 200.0);
     assert_eq!(
@@ -104,10 +104,10 @@
         (4096.0, Some(7.0), Some(0.5), None)
     );
     assert!(
-        load_report::parse_load("TEXT what=7").is_none()
-            && load_report::parse_load("JSON inflight=7").is_none()
+        load_report::parse_load_report("TEXT what=7").is_none()
+            && load_report::parse_load_report("JSON inflight=7").is_none()
     );
-    assert!(load_report::parse_load("TEXT inflight=inf").is_none());
+    assert!(load_report::parse_load_report("TEXT inflight=inf").is_none());
     let mut ask = RequestMetadata::default();
     http::parse_props(
         "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1",
@@ -199,7 +199,7 @@
     let mut random = Gen::from_size_and_seed(40, 5);
     for _ in 0..500 {
         let (mut events, mut rest, mut out) = (
-            event_stream::EventStream::default(),
+            event_stream::EventSplitter::default(),
             stream.as_bytes(),
             Vec::new(),
         );
@@ -218,11 +218,11 @@
 
         let mut garbage = Vec::<u8>::arbitrary(&mut random);
         garbage.insert(0, b'?');
-        let mut events = event_stream::EventStream::default();
+        let mut events = event_stream::EventSplitter::default();
         assert_eq!(events.push(b"data: 1\n\n").unwrap(), "data: 1\n\n");
         assert_eq!(events.push(&garbage), Err(event_stream::MalformedEvent));
     }
-    let mut events = event_stream::EventStream::default();
+    let mut events = event_stream::EventSplitter::default();
     let took = (0..70)
         .map(|_| events.push(&[b':'; 1024]))
         .take_while(Result::is_ok)
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -12,7 +12,7 @@
 use quartzhall::frontend::listener::{self, PeerStreams};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{http, ShutdownPhase};
-use quartzhall::net::connection_limit::ConnectionLimit;
+use quartzhall::net::adjustable_semaphore::AdjustableSemaphore;
 use quartzhall::net::message_framing::ChunkedDecoder;
 use quartzhall::upgrade::stream_migration::{
     self, migration_signal, ClientState, ConnectionState, MigratingStream, MigrationHandle,
@@ -40,8 +40,8 @@
 struct Receiver {
     streams: mpsc::Sender<ReceivedStream>,
     dispatcher: DispatcherHandle,
-    clients: ConnectionLimit,
-    endpoints: ConnectionLimit,
+    clients: AdjustableSemaphore,
+    endpoints: AdjustableSemaphore,
     shutdown: watch::Sender<ShutdownPhase>,
     set_migration_due: watch::Sender<bool>,
     migrating: mpsc::Receiver<MigratingStream>,
@@ -60,7 +60,7 @@
         tokio::spawn(dispatcher::run(core, clock, events, commands, None, None));
         let (set_migration_due, signal) = migration_signal();
         let (attempts, received_attempts) = mpsc::channel(4);
-        let endpoints = ConnectionLimit::new(MAX_CONNECTIONS);
+        let endpoints = AdjustableSemaphore::new(MAX_CONNECTIONS);
         tokio::spawn(backend::run(
             backend_commands,
             dispatcher.clone(),
@@ -89,7 +89,7 @@
             // It does not accept clients yet.
             accepts: watch::channel(false).1,
         };
-        let clients = ConnectionLimit::new(MAX_CONNECTIONS);
+        let clients = AdjustableSemaphore::new(MAX_CONNECTIONS);
         let body_memory = BodyMemoryBudget::new(1_000);
         let served = tokio::spawn(listener::serve_beside_peers(
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -14,7 +14,7 @@
 use quartzhall::dispatcher::{self, Clock, Core, DispatcherHandle, Event};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{admin, health_check, http, listener, websocket, ShutdownPhase};
-use quartzhall::net::connection_limit::ConnectionLimit;
+use quartzhall::net::adjustable_semaphore::AdjustableSemaphore;
 use quartzhall::{backend, discovery};
 use slog::{o, Discard, Logger};
 use std::sync::{Arc, Mutex};
@@ -51,7 +51,7 @@
         command_queue,
         dispatcher,
         bounds,
-        ConnectionLimit::new(10),
+        AdjustableSemaphore::new(10),
         websocket_addresses,
         backend::StreamMigration::disabled(),
         Logger::root(Discard, o!()),
@@ -127,7 +127,7 @@
             command_queue,
             dispatcher.clone(),
             deployment.bounds,
-            ConnectionLimit::new(100),
+            AdjustableSemaphore::new(100),
             websocket_addresses,
             backend::StreamMigration::disabled(),
             log.clone(),
@@ -151,7 +151,7 @@
         let websocket_server = listener::serve(
             listener,
             routes,
-            ConnectionLimit::new(50),
+            AdjustableSemaphore::new(50),
             shutdown_phase.clone(),
             log.clone(),
         );
@@ -166,7 +166,7 @@
         let http_server = listener::serve(
             listener,
             routes,
-            ConnectionLimit::new(50),
+            AdjustableSemaphore::new(50),
             shutdown_phase,
             log.clone(),
         );
--- a/tests/unit/net/connection_limit.rs
+++ b/tests/unit/net/adjustable_semaphore.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn limit_changes_while_permits_are_in_use() {
-    let limit = ConnectionLimit::new(32);
+    let limit = AdjustableSemaphore::new(32);
     let permits: Vec<_> = (0..20).map(|_| limit.try_acquire(1).unwrap()).collect();
     limit.set_share(8, 1);
     assert_eq!(
--- a/tests/unit/net/message_framing/chunked.rs
+++ b/tests/unit/net/message_framing/chunked.rs
@@ -13,7 +13,7 @@
                 .unwrap();
         }
         assert_eq!(
-            (data.as_slice(), consumed, decoder.ended()),
+            (data.as_slice(), consumed, decoder.has_ended()),
             (b"abc0123456789".as_slice(), text.len() - 4, true)
         );
     }
--- a/tests/unit/net/message_framing/request.rs
+++ b/tests/unit/net/message_framing/request.rs
@@ -5,11 +5,11 @@
 /// Reads all bytes, request by request.
 fn feed_all(requests: &mut RequestFraming, mut bytes: &[u8]) {
     while !bytes.is_empty() {
-        let ended_before = requests.ended();
+        let completed_before = requests.completed_requests();
         let consumed = requests.feed(bytes);
-        assert!(consumed > 0 && requests.ended() <= ended_before + 1);
+        assert!(consumed > 0 && requests.completed_requests() <= completed_before + 1);
         assert!(
-            consumed == bytes.len() || requests.ended() == ended_before + 1,
+            consumed == bytes.len() || requests.completed_requests() == completed_before + 1,
             "reading stops at the end of a request only"
         );
         bytes = &bytes[consumed..];
@@ -40,7 +40,7 @@
 fn heads_are_in_order_wherever_the_bytes_are_split() {
     let unsplit = declared_bodies(PIPELINED.as_bytes(), &[]);
     let chunked = DeclaredBody {
-        chunked: true,
+        is_chunked: true,
         length: None,
         has_transfer_encoding: true,
     };
--- a/tests/unit/net/message_framing/response.rs
+++ b/tests/unit/net/message_framing/response.rs
@@ -24,7 +24,7 @@
             decoder.feed(&text[split..], |data| data_after += data.len() as u64),
             Ok(text.len() - split)
         );
-        assert_eq!((data_before + data_after, decoder.ended()), (36, true));
+        assert_eq!((data_before + data_after, decoder.has_ended()), (36, true));
     }
     for invalid in [
         "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -36,7 +36,7 @@
         assert_eq!(response.body(), None);
     }
     assert_eq!(
-        ChunkedDecoder::from_bytes(&[9; ChunkedDecoder::BYTES]),
+        ChunkedDecoder::from_bytes(&[9; ChunkedDecoder::ENCODED_BYTES]),
         None
     );
 }
--- a/tests/unit/net/system_errors.rs
+++ b/tests/unit/net/system_errors.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn broken_connection_delays_no_other() {
-    let mut pauses = AcceptPauses::default();
+    let mut pauses = AcceptBackoff::default();
     for errno in [
         Errno::CONNABORTED,
         Errno::INTR,
@@ -29,7 +29,7 @@
 
 #[test]
 fn delays_grow_during_a_local_shortage() {
-    let mut pauses = AcceptPauses::default();
+    let mut pauses = AcceptBackoff::default();
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         assert!(
             pauses.delay_after(&error(errno)) > Duration::ZERO,
