--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -166,14 +166,14 @@
             (deadline, EndReason::Timeout)
         };
         tokio::select! {
-            next = timeout_at(limit, next) => next.map_err(|_| self.abandon("idle timeout", reason)),
+            next = timeout_at(limit, next) => next.map_err(|_| self.log_abandoned("idle timeout", reason)),
             () = self.client_disconnected() => Err(EndReason::ClientDisconnected),
         }
     }
 
     /// Waits until the stream is to migrate and it is its turn. Does not borrow the forwarder, so that events may be
     /// forwarded meanwhile and the stream keeps its place among those that wait.
-    pub fn migration_turn(&self) -> impl Future<Output = OwnedSemaphorePermit> + use<> {
+    pub fn migration_permit(&self) -> impl Future<Output = OwnedSemaphorePermit> + use<> {
         let signal = self.migration.clone();
         let next_migration_at = self.next_migration_at;
         async move {
@@ -226,7 +226,7 @@
     }
 
     /// Logs why the client of a stream that has started gets no complete response, where no connection broke.
-    fn abandon(&self, cause: &str, reason: EndReason) -> EndReason {
+    fn log_abandoned(&self, cause: &str, reason: EndReason) -> EndReason {
         if self.has_started() {
             info!(self.log, "stream abandoned"; "id" => self.key.id, "attempt" => self.key.attempt, "cause" => cause,
                 "since_last_event_ms" => self.last_event_at.elapsed().as_millis() as u64);
@@ -245,7 +245,7 @@
     /// or the stream is malformed.
     pub async fn forward(&mut self, data: &[u8]) -> Result<(), EndReason> {
         let events = self.events.push(data).map_err(|MalformedEvent| {
-            self.abandon("malformed event", EndReason::MalformedStream)
+            self.log_abandoned("malformed event", EndReason::MalformedStream)
         })?;
         self.send_chunk(events).await
     }
@@ -284,8 +284,9 @@
     /// counts as broken. A stream without an event is no valid response.
     pub async fn finish(mut self) -> Result<(), EndReason> {
         let rest = std::mem::take(&mut self.events).finish();
-        let rest = rest
-            .map_err(|MalformedEvent| self.abandon("malformed end", EndReason::MalformedStream))?;
+        let rest = rest.map_err(|MalformedEvent| {
+            self.log_abandoned("malformed end", EndReason::MalformedStream)
+        })?;
         if !self.has_started() {
             return Err(EndReason::UnreadableResponse);
         }
--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -10,16 +10,16 @@
 
 /// Decides whether new requests may go to an address. Cheap to clone; clones share their state.
 #[derive(Clone)]
-pub struct ConnectionGate {
+pub struct BlockedEndpoints {
     blocked: Arc<Mutex<HashSet<Arc<str>>>>,
     open_connections: Arc<Mutex<OpenConnections>>,
     changed: watch::Sender<()>,
 }
 
-impl ConnectionGate {
+impl BlockedEndpoints {
     /// A gate that blocks no address.
     pub fn new() -> Self {
-        ConnectionGate {
+        BlockedEndpoints {
             blocked: Arc::default(),
             open_connections: Arc::default(),
             changed: watch::Sender::new(()),
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -3,7 +3,7 @@
 //! A connection that came up too late for the request that opened it is retained for a moment, for the request that
 //! replaces that one. The connector owns those; all others belong to their users.
 
-use super::blocked_endpoints::ConnectionGate;
+use super::blocked_endpoints::BlockedEndpoints;
 use super::transport::Transport;
 use crate::net::adjustable_semaphore::AdjustableSemaphore;
 use crate::net::system_errors::is_local_shortage;
@@ -88,7 +88,7 @@
 pub struct Connector {
     connect_timeout: Duration,
     permits: AdjustableSemaphore,
-    gate: ConnectionGate,
+    blocked_endpoints: BlockedEndpoints,
     late: Arc<Mutex<LateConnections>>,
 }
 
@@ -98,7 +98,7 @@
         Connector {
             connect_timeout,
             permits,
-            gate: ConnectionGate::new(),
+            blocked_endpoints: BlockedEndpoints::new(),
             late: Arc::new(Mutex::new(LateConnections {
                 by_address: HashMap::new(),
                 max_age: connect_timeout,
@@ -107,8 +107,8 @@
     }
 
     /// Which addresses new requests may go to.
-    pub fn gate(&self) -> &ConnectionGate {
-        &self.gate
+    pub fn blocked_endpoints(&self) -> &BlockedEndpoints {
+        &self.blocked_endpoints
     }
 
     /// The limit on connections.
@@ -152,7 +152,8 @@
         // Without it small writes wait a little, which is no reason to fail the connection.
         let _ = stream.set_nodelay(true);
         let transport = Transport::new(stream, permit);
-        self.gate.register(target, transport.connection());
+        self.blocked_endpoints
+            .register(target, transport.connection());
         Ok(transport)
     }
 }
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -19,19 +19,19 @@
 }
 
 /// The fields that a line can have.
-const FIELDS: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
+const FIELD_NAMES: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
 
 /// Whether a line is valid: a comment, whatever it contains, or one of the fields.
-fn is_line(line: &[u8]) -> bool {
+fn is_valid_line(line: &[u8]) -> bool {
     let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
-    name.is_empty() || FIELDS.contains(&name) && std::str::from_utf8(line).is_ok()
+    name.is_empty() || FIELD_NAMES.contains(&name) && std::str::from_utf8(line).is_ok()
 }
 
 /// Whether a line that has not ended can become a valid one.
-fn may_be_line(line: &[u8]) -> bool {
+fn is_valid_line_start(line: &[u8]) -> bool {
     match line.iter().position(|byte| *byte == b':') {
-        Some(colon) => colon == 0 || FIELDS.contains(&&line[..colon]),
-        None => line == b"\r" || FIELDS.iter().any(|field| field.starts_with(line)),
+        Some(colon) => colon == 0 || FIELD_NAMES.contains(&&line[..colon]),
+        None => line == b"\r" || FIELD_NAMES.iter().any(|field| field.starts_with(line)),
     }
 }
 
@@ -59,31 +59,31 @@
     /// they are returned with the first event.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, MalformedEvent> {
         self.buffer.extend_from_slice(data);
-        let mut whole_bytes = 0;
+        let mut complete_bytes = 0;
         while let Some(length) = self.unchecked().iter().position(|byte| *byte == b'\n') {
             let line = &self.unchecked()[..length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let is_event_end = line.is_empty();
-            if !is_event_end && !is_line(line) {
+            if !is_event_end && !is_valid_line(line) {
                 return Err(MalformedEvent);
             }
             self.has_started |= !is_event_end && !line.starts_with(b":");
             self.checked_bytes += length + 1;
             if is_event_end && self.has_started {
-                whole_bytes = self.checked_bytes;
+                complete_bytes = self.checked_bytes;
             }
         }
-        let is_too_long = self.buffer.len() - whole_bytes > MAX_EVENT_BYTES;
-        if is_too_long || !may_be_line(self.unchecked()) {
+        let is_too_long = self.buffer.len() - complete_bytes > MAX_EVENT_BYTES;
+        if is_too_long || !is_valid_line_start(self.unchecked()) {
             return Err(MalformedEvent);
         }
-        self.checked_bytes -= whole_bytes;
-        Ok(self.buffer.split_to(whole_bytes).freeze())
+        self.checked_bytes -= complete_bytes;
+        Ok(self.buffer.split_to(complete_bytes).freeze())
     }
 
     /// What came after the last event, when the stream has ended without an error.
     pub fn finish(self) -> Result<Bytes, MalformedEvent> {
-        if !is_line(self.unchecked()) {
+        if !is_valid_line(self.unchecked()) {
             return Err(MalformedEvent);
         }
         Ok(self.buffer.freeze())
--- a/src/backend/http/exchange.rs
+++ b/src/backend/http/exchange.rs
@@ -82,8 +82,8 @@
         })
     }
 
-    /// How the attempt has ended. `is_taken`: a connection has taken the request's body.
-    pub(super) fn end_reason(&self, is_taken: bool) -> EndReason {
+    /// How the attempt has ended. `is_body_taken`: a connection has taken the request's body.
+    pub(super) fn end_reason(&self, is_body_taken: bool) -> EndReason {
         let (source, may_be_stale, has_unwritten_bytes) = match self {
             ExchangeError::InvalidRequest(_) => return EndReason::NotSent,
             ExchangeError::Failed {
@@ -92,13 +92,13 @@
                 has_unwritten_bytes,
             } => (source, *may_be_stale, *has_unwritten_bytes),
         };
-        if source.is_connect() || !is_taken {
-            return reason_never_ran(source);
+        if source.is_connect() || !is_body_taken {
+            return end_reason_before_send(source);
         }
         if has_unwritten_bytes {
             return EndReason::RequestNotWritten; // the endpoint is reachable: it accepted the connection
         }
-        match reason_may_have_run(source) {
+        match end_reason_after_send(source) {
             EndReason::ConnectionReset if may_be_stale => EndReason::StaleConnection,
             reason => reason,
         }
@@ -185,7 +185,7 @@
 
 /// How an exchange that may have run has ended: with a response that can't be read, which says nothing about the
 /// endpoint's health, or with a connection that broke.
-pub(super) fn reason_may_have_run(error: &(dyn Error + 'static)) -> EndReason {
+pub(super) fn end_reason_after_send(error: &(dyn Error + 'static)) -> EndReason {
     if has_cause(error, is_unreadable_response) {
         EndReason::UnreadableResponse
     } else {
@@ -195,7 +195,7 @@
 
 /// How an exchange that never ran has ended: the endpoint can't be reached, or it was not even tried, for want of a
 /// connection permit.
-fn reason_never_ran(error: &(dyn Error + 'static)) -> EndReason {
+fn end_reason_before_send(error: &(dyn Error + 'static)) -> EndReason {
     let is_no_permit = |cause: &(dyn Error + 'static)| {
         matches!(cause.downcast_ref(), Some(ConnectError::NoPermit))
     };
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -115,15 +115,15 @@
         deadline: Instant,
         guard: &mut CloseGuard,
     ) -> Result<ResponseHead, EndReason> {
-        let is_taken = Arc::new(AtomicBool::new(false));
-        let make_request = || build_request(request, deadline, &is_taken);
+        let is_body_taken = Arc::new(AtomicBool::new(false));
+        let make_request = || build_request(request, deadline, &is_body_taken);
         let exchange = exchange(&self.pool, make_request, request.connection, guard);
-        let is_waiting = || !is_taken.load(Ordering::Relaxed);
+        let is_waiting = || !is_body_taken.load(Ordering::Relaxed);
         let result = tokio::select! {
             biased;
             // Draining counts from a request's first byte: one that still waits for a connection when its endpoint is
             // blocked is not sent. One that was sent goes on.
-            () = self.connector.gate().wait_until_blocked(&request.address, is_waiting) => {
+            () = self.connector.blocked_endpoints().wait_until_blocked(&request.address, is_waiting) => {
                 return Err(EndReason::EndpointBlocked);
             }
             result = timeout_at(deadline, exchange) => result,
@@ -131,7 +131,7 @@
         match result {
             Ok(Ok(head)) => Ok(head),
             Ok(Err(error)) => {
-                let reason = error.end_reason(is_taken.load(Ordering::Relaxed));
+                let reason = error.end_reason(is_body_taken.load(Ordering::Relaxed));
                 debug!(self.log, "attempt failed"; "id" => request.id, "attempt" => request.attempt,
                     "address" => %request.address, "reason" => ?reason, "error" => ?error);
                 Err(reason)
@@ -239,7 +239,7 @@
 fn build_request(
     request: &AttemptRequest,
     deadline: Instant,
-    is_taken: &Arc<AtomicBool>,
+    is_body_taken: &Arc<AtomicBool>,
 ) -> hyper::http::Result<Request<SingleFrameBody>> {
     let upstream = &request.upstream;
     let surplus = if breaks(Variant::ToldTime) {
@@ -256,7 +256,7 @@
         .header(header::CONTENT_TYPE, "application/json")
         .body(SingleFrameBody::new(
             upstream.body.clone(),
-            is_taken.clone(),
+            is_body_taken.clone(),
         ))
 }
 
--- a/src/backend/http/request_body.rs
+++ b/src/backend/http/request_body.rs
@@ -11,15 +11,15 @@
 /// A body of at most one frame. It sets its flag when a connection takes it: before that nothing can have run.
 pub(super) struct SingleFrameBody {
     data: Option<Bytes>,
-    is_taken: Arc<AtomicBool>,
+    is_body_taken: Arc<AtomicBool>,
 }
 
 impl SingleFrameBody {
-    /// A body with this data, which sets `is_taken`.
-    pub(super) fn new(data: Bytes, is_taken: Arc<AtomicBool>) -> Self {
+    /// A body with this data, which sets `is_body_taken`.
+    pub(super) fn new(data: Bytes, is_body_taken: Arc<AtomicBool>) -> Self {
         SingleFrameBody {
             data: Some(data),
-            is_taken,
+            is_body_taken,
         }
     }
 
@@ -27,7 +27,7 @@
     pub(super) fn empty() -> Self {
         SingleFrameBody {
             data: None,
-            is_taken: Arc::default(),
+            is_body_taken: Arc::default(),
         }
     }
 }
@@ -40,7 +40,7 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.is_taken.store(true, Ordering::Relaxed);
+        self.is_body_taken.store(true, Ordering::Relaxed);
         Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
     }
 
--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -3,7 +3,7 @@
 //! responses to requests of this process and those that another one has handed over.
 
 use super::exchange::{CloseGuard, ResponseHead};
-use super::stream_source::{ClientSource, ReceivedSource, SourcePosition, StreamSource};
+use super::stream_source::{HttpClientSource, ReceivedSource, SourcePosition, StreamSource};
 use super::usage::{load_from_headers, parse_stream_tail};
 use crate::backend::attempt::{AttemptResult, StreamForwarder};
 use crate::dispatcher::EndReason;
@@ -18,7 +18,7 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Bytes read from an endpoint pass through the HTTP client within this time.
-const MAX_CLIENT_DELAY: Duration = Duration::from_millis(30);
+const MAX_HTTP_CLIENT_DELAY: Duration = Duration::from_millis(30);
 /// How many of a stream's last bytes are buffered for the usage and the load report in them.
 const TAIL_BYTES: usize = 4096;
 
@@ -66,7 +66,7 @@
             ..EndReason::UnreadableResponse.into()
         };
     }
-    let source = StreamSource::Client(ClientSource::new(head, log.clone()));
+    let source = StreamSource::HttpClient(HttpClientSource::new(head, log.clone()));
     let stream = ResponseStream::new(source, forwarder);
     stream.forward_to_end(deadline, guard, header_load).await
 }
@@ -142,12 +142,12 @@
     ) -> Result<StreamEnd, EndReason> {
         loop {
             // A turn that was waited for is kept over the data that comes meanwhile.
-            let mut turn = pin!(self.forwarder.migration_turn());
+            let mut permit = pin!(self.forwarder.migration_permit());
             loop {
                 let step = tokio::select! {
                     biased;
                     data = self.forwarder.next(deadline, self.source.next_data()) => StreamStep::Data(data?),
-                    turn = turn.as_mut(), if self.forwarder.has_started() => StreamStep::Migrate(turn),
+                    permit = permit.as_mut(), if self.forwarder.has_started() => StreamStep::Migrate(permit),
                 };
                 match step {
                     StreamStep::Data(data) => {
@@ -158,7 +158,7 @@
                             guard.disarm();
                         }
                     }
-                    StreamStep::Migrate(_turn) => {
+                    StreamStep::Migrate(_permit) => {
                         if self.migrate().await? {
                             return Ok(StreamEnd::Migrated);
                         }
@@ -191,10 +191,10 @@
     /// Returns whether the stream goes on there; reading is still paused then.
     async fn migrate(&mut self) -> Result<bool, EndReason> {
         self.source.pause();
-        let deadline = Instant::now() + MAX_CLIENT_DELAY;
+        let deadline = Instant::now() + MAX_HTTP_CLIENT_DELAY;
         loop {
             match self.source.position() {
-                SourcePosition::Reached { upstream, chunks } => {
+                SourcePosition::CaughtUp { upstream, chunks } => {
                     return Ok(self.forwarder.migrate(upstream, chunks).await);
                 }
                 // While the client is stalled a forward would wait for it, and others for this stream's turn.
--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -1,7 +1,7 @@
 //! Where the data of a streamed response comes from: a connection on which this process has sent the request, or one that
 //! another process has handed over in the middle of its stream. Owns the connection's reading.
 
-use super::exchange::{reason_may_have_run, ResponseHead};
+use super::exchange::{end_reason_after_send, ResponseHead};
 use crate::backend::tracked_connection::TrackedConnection;
 use crate::dispatcher::EndReason;
 use crate::net::message_framing::ChunkedDecoder;
@@ -22,7 +22,7 @@
 /// The source of a stream's data.
 pub(super) enum StreamSource {
     /// The HTTP client reads the response.
-    Client(ClientSource),
+    HttpClient(HttpClientSource),
     /// Another process has sent the request and read the response's beginning.
     Received(ReceivedSource),
 }
@@ -30,7 +30,7 @@
 /// Where a source stands that has been paused.
 pub(super) enum SourcePosition {
     /// All bytes that were read from the connection have been returned: another process can go on from here.
-    Reached {
+    CaughtUp {
         /// A duplicate of the connection's descriptor.
         upstream: OwnedFd,
         /// The position in the chunked body.
@@ -46,14 +46,14 @@
     /// The next data; `None` at the end of the body. Nothing is lost where this is dropped before it returns.
     pub(super) async fn next_data(&mut self) -> Option<Result<Bytes, EndReason>> {
         match self {
-            StreamSource::Client(source) => source.next_data().await,
+            StreamSource::HttpClient(source) => source.next_data().await,
             StreamSource::Received(source) => source.next_data().await,
         }
     }
 
     /// Reads no more from the connection until [`StreamSource::resume`].
     pub(super) fn pause(&self) {
-        if let StreamSource::Client(source) = self {
+        if let StreamSource::HttpClient(source) = self {
             if let Some(connection) = &source.connection {
                 connection.pause_reading();
             }
@@ -62,7 +62,7 @@
 
     /// Reads again.
     pub(super) fn resume(&self) {
-        if let StreamSource::Client(source) = self {
+        if let StreamSource::HttpClient(source) = self {
             if let Some(connection) = &source.connection {
                 connection.resume_reading();
             }
@@ -79,7 +79,7 @@
     /// Where a paused source stands.
     pub(super) fn position(&self) -> SourcePosition {
         let position = match self {
-            StreamSource::Client(source) => source.position(),
+            StreamSource::HttpClient(source) => source.position(),
             StreamSource::Received(source) => source.position(),
         };
         position.unwrap_or(SourcePosition::Unknown)
@@ -87,16 +87,16 @@
 }
 
 /// A response that the HTTP client reads.
-pub(super) struct ClientSource {
+pub(super) struct HttpClientSource {
     body: Incoming,
     connection: Option<Arc<TrackedConnection>>,
     returned_bytes: u64,
     log: Logger,
 }
 
-impl ClientSource {
-    pub(super) fn new(head: ResponseHead, log: Logger) -> ClientSource {
-        ClientSource {
+impl HttpClientSource {
+    pub(super) fn new(head: ResponseHead, log: Logger) -> HttpClientSource {
+        HttpClientSource {
             body: head.response.into_body(),
             connection: head.connection,
             returned_bytes: 0,
@@ -110,7 +110,7 @@
                 Ok(frame) => frame,
                 Err(error) => {
                     debug!(self.log, "response stream broken"; "error" => ?error);
-                    return Some(Err(reason_may_have_run(&error)));
+                    return Some(Err(end_reason_after_send(&error)));
                 }
             };
             if let Ok(data) = frame.into_data() {
@@ -129,7 +129,7 @@
         if read_bytes != self.returned_bytes {
             return Some(SourcePosition::Behind);
         }
-        Some(SourcePosition::Reached {
+        Some(SourcePosition::CaughtUp {
             upstream: connection.duplicate_descriptor()?,
             chunks,
         })
@@ -186,7 +186,7 @@
         if self.chunks.has_ended() {
             return None;
         }
-        Some(SourcePosition::Reached {
+        Some(SourcePosition::CaughtUp {
             upstream: self.socket.as_fd().try_clone_to_owned().ok()?,
             chunks: self.chunks,
         })
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -110,8 +110,8 @@
 
 /// Runs the commands, and the tasks that they start.
 struct Backend {
-    cancels: HashMap<AttemptKey, oneshot::Sender<()>>,
-    attempts: HashMap<tokio::task::Id, AttemptKey>,
+    cancel_senders: HashMap<AttemptKey, oneshot::Sender<()>>,
+    attempts_by_task: HashMap<tokio::task::Id, AttemptKey>,
     tasks: JoinSet<()>,
     client: EndpointClient,
     connector: Connector,
@@ -156,7 +156,7 @@
             Command::BlockAddress {
                 address,
                 is_blocked: false,
-            } => self.connector.gate().unblock(&address),
+            } => self.connector.blocked_endpoints().unblock(&address),
         }
     }
 
@@ -176,8 +176,8 @@
         let task = self
             .tasks
             .spawn(client.run_attempt(request, forwarder, cancelled));
-        self.attempts.insert(task.id(), key);
-        self.cancels.insert(key, cancel);
+        self.attempts_by_task.insert(task.id(), key);
+        self.cancel_senders.insert(key, cancel);
     }
 
     /// Goes on with a stream that another process has begun, as an attempt like any other.
@@ -197,7 +197,7 @@
             drop(permit);
             client.dispatcher.send(attempt_ended(key, result)).await;
         });
-        self.attempts.insert(task.id(), key);
+        self.attempts_by_task.insert(task.id(), key);
     }
 
     fn forwarder(&self, key: AttemptKey) -> StreamForwarder {
@@ -210,7 +210,7 @@
     }
 
     fn cancel_attempt(&mut self, key: AttemptKey) {
-        if let Some(cancel) = self.cancels.remove(&key) {
+        if let Some(cancel) = self.cancel_senders.remove(&key) {
             let _ = cancel.send(()); // the attempt may have ended
         }
     }
@@ -237,7 +237,7 @@
 
     fn block_address(&self, address: Arc<str>) {
         self.client.sessions.close_idle(&address);
-        self.connector.gate().block(address);
+        self.connector.blocked_endpoints().block(address);
     }
 
     fn on_task_finished(&mut self, finished: Result<(tokio::task::Id, ()), JoinError>) {
@@ -245,10 +245,10 @@
             Ok((task, ())) => *task,
             Err(error) => error.id(),
         };
-        let Some(key) = self.attempts.remove(&task) else {
+        let Some(key) = self.attempts_by_task.remove(&task) else {
             return;
         };
-        self.cancels.remove(&key);
+        self.cancel_senders.remove(&key);
         if let Err(error) = finished {
             // A task that panicked has reported nothing, and the dispatcher must not wait for it.
             error!(self.client.log, "attempt task panicked"; "id" => key.id, "attempt" => key.attempt,
@@ -292,8 +292,8 @@
         log,
     };
     let mut backend = Backend {
-        cancels: HashMap::new(),
-        attempts: HashMap::new(),
+        cancel_senders: HashMap::new(),
+        attempts_by_task: HashMap::new(),
         tasks: JoinSet::new(),
         client,
         connector,
--- a/src/backend/reservation_release.rs
+++ b/src/backend/reservation_release.rs
@@ -1,7 +1,7 @@
 //! Releases the reservation of a request at the endpoints.
 //!
 //! Any endpoint passes a release on to the others. A call counts when a replica that runs has read it, and which ones
-//! run is not known. So more and more endpoints are called, until one confirms: all of them within a few steps.
+//! run is not known. So more and more endpoints are called_count, until one confirms: all of them within a few steps.
 
 use super::attempt::ConnectionPolicy;
 use super::EndpointClient;
@@ -15,7 +15,7 @@
 
 /// How long one call waits for its endpoint's answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// After this more endpoints are called: one at first, and each time as many as were called before.
+/// After this more endpoints are called_count: one at first, and each time as many as were called_count before.
 const FAN_OUT_INTERVAL: Duration = Duration::from_millis(30);
 /// A release is tried for so long in all; endpoints release by themselves what is left then.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -29,14 +29,14 @@
         let mut calls = FuturesUnordered::new();
         let mut policy = ConnectionPolicy::AllowPooled;
         while Instant::now() < deadline && !addresses.is_empty() {
-            let mut called = 0;
-            while called < addresses.len() {
-                let count = called.max(1).min(addresses.len() - called);
-                for address in &addresses[called..called + count] {
+            let mut called_count = 0;
+            while called_count < addresses.len() {
+                let batch_size = called_count.max(1).min(addresses.len() - called_count);
+                for address in &addresses[called_count..called_count + batch_size] {
                     let call = self.release_at(client_request_id, address, policy);
                     calls.push(timeout(CALL_TIMEOUT, call));
                 }
-                called += count;
+                called_count += batch_size;
                 if is_confirmed_before(&mut calls, Instant::now() + FAN_OUT_INTERVAL).await {
                     return true;
                 }
--- a/src/backend/tracked_connection.rs
+++ b/src/backend/tracked_connection.rs
@@ -16,7 +16,7 @@
 
 /// Whether reading is paused, and the task that reads.
 #[derive(Default)]
-struct ReadGate {
+struct ReadState {
     is_paused: bool,
     waker: Option<Waker>,
 }
@@ -29,7 +29,7 @@
     has_unwritten_bytes: AtomicBool,
     response: Mutex<ResponseFraming>,
     stream: Weak<TcpStream>,
-    read_gate: Mutex<ReadGate>,
+    read_state: Mutex<ReadState>,
     closes_when_idle: AtomicBool,
     was_duplicated: AtomicBool,
 }
@@ -47,8 +47,8 @@
         self.response.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn read_gate(&self) -> MutexGuard<'_, ReadGate> {
-        self.read_gate
+    fn read_state(&self) -> MutexGuard<'_, ReadState> {
+        self.read_state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -56,7 +56,7 @@
     /// Closes the connection if it is idle; otherwise its exchange goes on, and the connection is closed after that.
     pub(super) fn close_when_idle(&self) {
         self.closes_when_idle.store(true, Ordering::Relaxed);
-        let waker = self.read_gate().waker.take();
+        let waker = self.read_state().waker.take();
         if let Some(waker) = waker {
             waker.wake();
         }
@@ -89,11 +89,11 @@
     }
 
     fn set_reading_paused(&self, is_paused: bool) {
-        let gate = ReadGate {
+        let state = ReadState {
             is_paused,
             waker: None,
         };
-        let previous = std::mem::replace(&mut *self.read_gate(), gate);
+        let previous = std::mem::replace(&mut *self.read_state(), state);
         if let Some(waker) = previous.waker {
             waker.wake();
         }
@@ -101,14 +101,14 @@
 
     /// Whether reading is paused now.
     pub(super) fn is_reading_paused(&self) -> bool {
-        self.read_gate().is_paused
+        self.read_state().is_paused
     }
 
     /// Registers the task that reads, to be woken when it should read again, and tells whether reading is paused now.
     pub(super) fn register_reader(&self, waker: &Waker) -> bool {
-        let mut gate = self.read_gate();
-        gate.waker = Some(waker.clone());
-        gate.is_paused
+        let mut state = self.read_state();
+        state.waker = Some(waker.clone());
+        state.is_paused
     }
 
     /// The decoder's position in the body of the last response by all bytes read, and the number of data bytes in them.
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -84,7 +84,7 @@
     }
 
     fn return_idle(&self, address: &Arc<str>, session: Session) {
-        if self.connector.gate().is_blocked(address) {
+        if self.connector.blocked_endpoints().is_blocked(address) {
             return;
         }
         let mut idle = self.idle();
@@ -115,7 +115,7 @@
             Err(_) => return Err(EndReason::ConnectFailed),
         };
         // Draining counts from a request's first byte: one that waited for its session is checked again.
-        if self.connector.gate().is_blocked(address) {
+        if self.connector.blocked_endpoints().is_blocked(address) {
             return Err(EndReason::EndpointBlocked);
         }
         Ok(session)
@@ -134,7 +134,11 @@
         mut forwarder: StreamForwarder,
     ) -> AttemptResult {
         let deadline = Instant::now() + request.timeout;
-        if self.connector.gate().is_blocked(&request.address) {
+        if self
+            .connector
+            .blocked_endpoints()
+            .is_blocked(&request.address)
+        {
             return EndReason::NotSent.into();
         }
         let (mut session, break_reason) = match self.session_for(&request, deadline).await {
@@ -156,7 +160,7 @@
             Ok(result) => result,
             Err(reason) => return reason.into(),
         };
-        let result = complete(result, forwarder).await;
+        let result = finish_stream(result, forwarder).await;
         if !matches!(
             result.reason.status(),
             AttemptStatus::Error | AttemptStatus::Reset
@@ -292,7 +296,7 @@
 }
 
 /// Ends the forwarded stream as the endpoint ended the attempt.
-async fn complete(result: AttemptResult, forwarder: StreamForwarder) -> AttemptResult {
+async fn finish_stream(result: AttemptResult, forwarder: StreamForwarder) -> AttemptResult {
     match result.reason {
         EndReason::Served => match forwarder.finish().await {
             Ok(()) => result,
--- a/src/net/message_framing/request.rs
+++ b/src/net/message_framing/request.rs
@@ -28,7 +28,7 @@
     /// In a chunked body.
     Chunked(ChunkedDecoder),
     /// The bytes could not be followed: nothing is known of any later request.
-    Lost,
+    Untracked,
 }
 
 /// The framing of the requests on one connection.
@@ -65,7 +65,7 @@
     /// Reads on within the current state, and returns how many of the bytes were read.
     fn feed_state(&mut self, bytes: &[u8]) -> Result<usize, FramingError> {
         match &mut self.state {
-            RequestState::Lost => Ok(bytes.len()),
+            RequestState::Untracked => Ok(bytes.len()),
             RequestState::Head => self.feed_head(bytes),
             RequestState::Length(remaining) => {
                 let length = usize::try_from(*remaining)
@@ -99,7 +99,7 @@
 
     /// Stops following: the bytes from now on are no requests, or can't be followed.
     pub fn stop(&mut self) {
-        self.state = RequestState::Lost;
+        self.state = RequestState::Untracked;
         self.line = Vec::new();
     }
 
--- a/src/net/message_framing/response.rs
+++ b/src/net/message_framing/response.rs
@@ -15,7 +15,7 @@
     /// Behind a response without a body, or with one of a declared length.
     Complete,
     /// The bytes could not be followed: nothing is known any more.
-    Lost,
+    Untracked,
 }
 
 /// What a status line says of the message.
@@ -67,11 +67,11 @@
                     let data_bytes = &mut self.chunk_data_bytes;
                     let fed = decoder.feed(bytes, |data| *data_bytes += data.len() as u64);
                     if fed.is_err() {
-                        self.state = ResponseState::Lost;
+                        self.state = ResponseState::Untracked;
                     }
                     return;
                 }
-                ResponseState::Complete | ResponseState::Lost => return,
+                ResponseState::Complete | ResponseState::Untracked => return,
             }
         }
     }
@@ -82,7 +82,7 @@
         let (line, rest) = bytes.split_at(line_length.unwrap_or(bytes.len()));
         self.line.extend_from_slice(line);
         if self.line.len() > MAX_HEAD_LINE_BYTES {
-            self.state = ResponseState::Lost;
+            self.state = ResponseState::Untracked;
         }
         if line_length.is_some() {
             let line = std::mem::take(&mut self.line);
@@ -117,7 +117,7 @@
         self.state = if line.starts_with(b"HTTP/1.1 ") {
             ResponseState::Head
         } else {
-            ResponseState::Lost
+            ResponseState::Untracked
         };
     }
 
@@ -130,7 +130,7 @@
             (StatusKind::Final, false, Some(0)) => ResponseState::Complete,
             (StatusKind::Final, false, Some(length)) => ResponseState::Length(length),
             // The body ends with the connection, which is not followed.
-            (StatusKind::Final, false, None) => ResponseState::Lost,
+            (StatusKind::Final, false, None) => ResponseState::Untracked,
         };
     }
 
@@ -139,7 +139,7 @@
         match &self.state {
             ResponseState::Complete => true,
             ResponseState::Chunked(decoder) => decoder.has_ended(),
-            ResponseState::Head | ResponseState::Length(_) | ResponseState::Lost => false,
+            ResponseState::Head | ResponseState::Length(_) | ResponseState::Untracked => false,
         }
     }
 
--- a/tests/unit/net/system_errors.rs
+++ b/tests/unit/net/system_errors.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn broken_connection_delays_no_other() {
-    let mut pauses = AcceptBackoff::default();
+    let mut backoff = AcceptBackoff::default();
     for errno in [
         Errno::CONNABORTED,
         Errno::INTR,
@@ -15,33 +15,33 @@
         Errno::PROTO,
     ] {
         assert_eq!(
-            pauses.delay_after(&error(errno)),
+            backoff.delay_after(&error(errno)),
             Duration::ZERO,
             "{errno:?}"
         );
     }
     // Where such errors never end, the listener does not spin.
     let delayed = (0..200)
-        .filter(|_| pauses.delay_after(&error(Errno::CONNABORTED)) > Duration::ZERO)
+        .filter(|_| backoff.delay_after(&error(Errno::CONNABORTED)) > Duration::ZERO)
         .count();
     assert!(delayed >= 100, "{delayed}");
 }
 
 #[test]
 fn delays_grow_during_a_local_shortage() {
-    let mut pauses = AcceptBackoff::default();
+    let mut backoff = AcceptBackoff::default();
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         assert!(
-            pauses.delay_after(&error(errno)) > Duration::ZERO,
+            backoff.delay_after(&error(errno)) > Duration::ZERO,
             "{errno:?}"
         );
     }
     let delays: Vec<Duration> = (0..20)
-        .map(|_| pauses.delay_after(&error(Errno::NFILE)))
+        .map(|_| backoff.delay_after(&error(Errno::NFILE)))
         .collect();
     assert_eq!(delays.last(), Some(&MAX_ACCEPT_DELAY));
-    pauses.reset();
-    assert_eq!(pauses.delay_after(&error(Errno::NFILE)), MIN_ACCEPT_DELAY);
+    backoff.reset();
+    assert_eq!(backoff.delay_after(&error(Errno::NFILE)), MIN_ACCEPT_DELAY);
 }
 
 #[test]
