--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -1,4 +1,7 @@
-//! One attempt at an endpoint, on either wire protocol: what is sent, how it ended, and the forwarding of its stream.
+//! One attempt at an endpoint, over either wire protocol: its request, its result, and the forwarding of its stream.
+//!
+//! The [`StreamForwarder`] reports the first event to the dispatcher, which then decides whether this attempt serves
+//! the client. Only complete events are forwarded.
 
 use super::event_stream::{EventSplitter, MalformedEvent};
 use crate::dispatcher::{
@@ -17,22 +20,22 @@
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-/// A stream without a whole event for so long has broken, whether its endpoint is silent or sends bytes that make no
-/// event. A client may wait 5 s for that. A busy endpoint may be silent for nearly as long, and a stream that goes on
-/// must not be cut.
+/// A stream that yields no complete event within this time counts as broken, even if bytes still arrive. Clients must
+/// learn of it within 5 s. A busy endpoint may pause for nearly as long, and such a stream must not be cut.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4700);
 
-/// An offer to migrate that nobody has taken after so long is withdrawn: no event may be held back by 0.3 s.
+/// An offer to migrate that is not claimed within this time is withdrawn. Events wait during the offer, and no event
+/// may be delayed by 0.3 s.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(80);
-/// A stream that could not migrate tries again after this.
+/// The delay before a stream that could not migrate tries again.
 const MIGRATION_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Names one attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
-    /// The request.
+    /// The request's id in this process.
     pub id: RequestId,
-    /// The number of the attempt, among those of the request.
+    /// The attempt's number within the request, from 0.
     pub attempt: u32,
 }
 
@@ -41,28 +44,28 @@
 pub enum ConnectionPolicy {
     /// An idle connection or session, or a new one.
     AllowPooled,
-    /// Only a new one: the endpoint may have closed an idle one already, and what breaks there may have run.
+    /// Only a new one. The endpoint may be closing an idle one, and a request that fails there may have run.
     RequireNew,
 }
 
-/// One attempt, as the dispatcher commanded it.
+/// One attempt, as requested by the dispatcher.
 pub struct AttemptRequest {
-    /// The request.
+    /// The request's id in this process.
     pub id: RequestId,
-    /// The number of the attempt, among those of the request.
+    /// The attempt's number within the request, from 0.
     pub attempt: u32,
-    /// The endpoint's address.
+    /// The endpoint's socket address.
     pub address: Arc<str>,
     /// What is sent to the endpoint.
     pub upstream: UpstreamRequest,
-    /// How long the first event is waited for.
+    /// The time limit from the attempt's start to its first event, or to its whole prefill response.
     pub timeout: Duration,
-    /// Which connection it may use.
+    /// Which connection the attempt may use.
     pub connection: ConnectionPolicy,
 }
 
 impl AttemptRequest {
-    /// The attempt's key.
+    /// Returns the attempt's key.
     pub fn key(&self) -> AttemptKey {
         AttemptKey {
             id: self.id,
@@ -73,13 +76,13 @@
 
 /// How an attempt ended.
 pub struct AttemptResult {
-    /// Why it ended, and with which outcome.
+    /// Why the attempt ended; also gives its status.
     pub reason: EndReason,
-    /// Prompt tokens found in the prefix cache; 0 where that was not reported.
+    /// The prompt tokens found in the prefix cache; 0 if not reported.
     pub cached_tokens: f64,
-    /// Tokens of the completion; 0 where that was not reported.
+    /// The tokens of the completion; 0 if not reported.
     pub completion_tokens: f64,
-    /// The endpoint's load, where it was reported.
+    /// The endpoint's load; `None` if not reported.
     pub load: Option<LoadReport>,
 }
 
@@ -94,8 +97,8 @@
     }
 }
 
-/// Forwards a stream event by event, as they come. The first event is reported to the dispatcher, which decides which
-/// attempt serves the client. Bytes that make no event yet may never make one, and commit nothing.
+/// Forwards the complete events of a stream as they arrive. The first event is reported to the dispatcher, which
+/// decides which attempt serves the client. Bytes before the first complete event don't commit the attempt.
 pub struct StreamForwarder {
     dispatcher: DispatcherHandle,
     key: AttemptKey,
@@ -103,14 +106,14 @@
     is_committed: Arc<AtomicBool>,
     events: EventSplitter,
     last_event_at: Instant,
-    /// A stream does not try to migrate before this.
+    /// The stream does not try to migrate before this time.
     next_migration_at: Instant,
     migration: MigrationSignal,
     log: Logger,
 }
 
 impl StreamForwarder {
-    /// A forwarder for this attempt, whose stream has not started.
+    /// Creates a forwarder for an attempt whose stream has not started.
     pub fn new(
         dispatcher: DispatcherHandle,
         key: AttemptKey,
@@ -130,8 +133,8 @@
         }
     }
 
-    /// A forwarder that goes on with a stream which another process has begun. It has started, and the time since its
-    /// last event counts on.
+    /// Turns this into the forwarder of a received stream. The stream counts as started, and the time since its last
+    /// event includes the time in the other process.
     pub fn resume(mut self, chunks: mpsc::Sender<StreamChunk>, state: &UpstreamState) -> Self {
         self.events = EventSplitter::resume(&state.partial_event);
         self.chunks = Some(chunks);
@@ -142,18 +145,20 @@
         self
     }
 
-    /// Whether a first event has come. It ends the attempt's timeout.
+    /// Whether the first event has arrived. From then on the attempt's timeout no longer applies.
     pub fn has_started(&self) -> bool {
         self.chunks.is_some()
     }
 
-    /// A flag that is set when the first event is reported to the dispatcher: from then on a cancel comes too late.
+    /// Returns a flag that is set when the first event is reported to the dispatcher. From then on a cancel must not
+    /// end the stream.
     pub fn committed_flag(&self) -> Arc<AtomicBool> {
         self.is_committed.clone()
     }
 
-    /// What `next` gives, or how the attempt has ended instead. Before the first event the attempt's deadline holds;
-    /// after it, the time within which each event has to come, and the stream ends when its client has left.
+    /// Returns the output of `next`, or why the attempt ended before `next` completed. Before the first event
+    /// `deadline` applies. After it, each event must follow within `STREAM_IDLE_TIMEOUT`, and the attempt ends when
+    /// the client disconnects.
     pub async fn next<T>(
         &self,
         deadline: Instant,
@@ -171,8 +176,8 @@
         }
     }
 
-    /// Waits until the stream is to migrate and it is its turn. Does not borrow the forwarder, so that events may be
-    /// forwarded meanwhile and the stream keeps its place among those that wait.
+    /// Waits until the stream should migrate and has one of the permits that limit how many migrate at once. The future
+    /// does not borrow the forwarder, so that it keeps its place in the queue while events are forwarded.
     pub fn migration_permit(&self) -> impl Future<Output = OwnedSemaphorePermit> + use<> {
         let signal = self.migration.clone();
         let next_migration_at = self.next_migration_at;
@@ -182,19 +187,19 @@
         }
     }
 
-    /// The stream does not try to migrate for a while.
+    /// Delays the next try to migrate by `MIGRATION_RETRY_INTERVAL`.
     pub fn postpone_migration(&mut self) {
         self.next_migration_at = Instant::now() + MIGRATION_RETRY_INTERVAL;
     }
 
-    /// Whether a chunk can be forwarded without a wait for the client.
+    /// Whether a chunk can be forwarded without waiting for the client.
     pub fn can_forward_now(&self) -> bool {
         let chunks = self.chunks.as_ref();
         chunks.is_some_and(|chunks| chunks.capacity() > 0)
     }
 
-    /// Offers the upstream connection, behind all chunks forwarded so far. Returns whether the stream has migrated;
-    /// nothing of it is left here then. Otherwise it goes on here, and tries again later.
+    /// Offers the upstream connection for migration, queued after all chunks forwarded so far. Returns whether the
+    /// stream has migrated. Otherwise it continues in this process, and tries again later.
     pub async fn migrate(&mut self, upstream: OwnedFd, chunks: ChunkedDecoder) -> bool {
         let (migrated, mut was_migrated) = oneshot::channel();
         let claim = OfferClaim::default();
@@ -216,16 +221,16 @@
         };
         let has_migrated = match timeout(OFFER_TIMEOUT, offer).await {
             Ok(has_migrated) => has_migrated,
-            // A client that reads slowly has not come to the offer yet.
+            // The offer is still queued, because the client reads slowly. Claiming it here withdraws it.
             Err(_) if claim.claim() => false,
-            // It is on its way: whoever sends it withdraws it in time, or has handed it over.
+            // The offer is being sent. Its sender either completes the migration or withdraws the offer in time.
             Err(_) => was_migrated.await.unwrap_or(false),
         };
         self.postpone_migration();
         has_migrated
     }
 
-    /// Logs why the client of a stream that has started gets no complete response, where no connection broke.
+    /// Logs why a started stream stays incomplete although its connection did not break, and returns `reason`.
     fn log_abandoned(&self, cause: &str, reason: EndReason) -> EndReason {
         if self.has_started() {
             info!(self.log, "stream abandoned"; "id" => self.key.id, "attempt" => self.key.attempt, "cause" => cause,
@@ -241,8 +246,8 @@
         }
     }
 
-    /// Forwards the events that are whole with these bytes. An error is how the attempt has ended: the client has left,
-    /// or the stream is malformed.
+    /// Adds bytes and forwards the events that they complete. An error is the reason for which the attempt ended: the
+    /// client disconnected, or the stream is malformed.
     pub async fn forward(&mut self, data: &[u8]) -> Result<(), EndReason> {
         let events = self.events.push(data).map_err(|MalformedEvent| {
             self.log_abandoned("malformed event", EndReason::MalformedStream)
@@ -266,7 +271,7 @@
         Ok(())
     }
 
-    /// Reports the first event to the dispatcher, with the channel on which the stream follows.
+    /// Reports the first event to the dispatcher, with the receiver of the stream's chunks.
     async fn start(&mut self, first_chunk: StreamChunk) {
         let (chunks, stream) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let _ = chunks.try_send(first_chunk); // the channel is new and empty
@@ -280,8 +285,8 @@
         self.dispatcher.send(event).await;
     }
 
-    /// Forwards what came after the last event, and that the stream is complete; without that the stream
-    /// counts as broken. A stream without an event is no valid response.
+    /// Forwards the bytes after the last event, then [`StreamChunk::End`], without which the stream counts as broken. A
+    /// stream without any event is not a valid response.
     pub async fn finish(mut self) -> Result<(), EndReason> {
         let rest = std::mem::take(&mut self.events).finish();
         let rest = rest.map_err(|MalformedEvent| {
--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -1,4 +1,5 @@
-//! Which endpoint addresses are blocked, and the open connections that are closed when one becomes so.
+//! The endpoint addresses that get no new requests, and the open connections of every address. Blocking an address also
+//! closes its idle connections.
 
 use super::tracked_connection::TrackedConnection;
 use std::collections::{HashMap, HashSet};
@@ -8,7 +9,7 @@
 
 type OpenConnections = HashMap<SocketAddr, Vec<Weak<TrackedConnection>>>;
 
-/// Decides whether new requests may go to an address. Cheap to clone; clones share their state.
+/// The blocked addresses. Cheap to clone; clones share their state.
 #[derive(Clone)]
 pub struct BlockedEndpoints {
     blocked: Arc<Mutex<HashSet<Arc<str>>>>,
@@ -17,7 +18,7 @@
 }
 
 impl BlockedEndpoints {
-    /// A gate that blocks no address.
+    /// Creates an empty set.
     pub fn new() -> Self {
         BlockedEndpoints {
             blocked: Arc::default(),
@@ -36,10 +37,10 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records an open connection, which is closed once it is idle when its address is blocked.
+    /// Records an open connection. If its address becomes blocked, the connection closes once it is idle.
     pub fn register(&self, target: SocketAddr, connection: &Arc<TrackedConnection>) {
         let mut open = self.open_connections();
-        // Closed connections are removed here, also those to endpoints that have left the list.
+        // Removes closed connections, including those of endpoints that no longer exist.
         open.retain(|_, connections| {
             connections.retain(|connection| connection.strong_count() > 0);
             !connections.is_empty()
@@ -49,7 +50,8 @@
             .push(Arc::downgrade(connection));
     }
 
-    /// Stops new requests to this address, also those that wait for a connection, and closes its idle connections.
+    /// Blocks new requests to this address, including those that wait for a connection. Its connections close once they
+    /// are idle.
     pub fn block(&self, address: Arc<str>) {
         if let Ok(target) = address.parse() {
             let connections = self.open_connections().remove(&target);
@@ -71,7 +73,7 @@
         self.blocked().contains(address)
     }
 
-    /// Waits until the address is blocked while `is_waiting` holds; for ever if it does not hold by then.
+    /// Completes when the address is blocked while `is_waiting` returns true. Otherwise it waits forever.
     pub async fn wait_until_blocked(&self, address: &str, is_waiting: impl Fn() -> bool) {
         let mut changed = self.changed.subscribe();
         while !(self.is_blocked(address) && is_waiting()) {
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -1,7 +1,8 @@
-//! Opens connections to endpoints, within the connect timeout and the number of descriptors allowed.
+//! Opens connections to endpoints, within the connect timeout and the connection limit.
 //!
-//! A connection that came up too late for the request that opened it is retained for a moment, for the request that
-//! replaces that one. The connector owns those; all others belong to their users.
+//! A request declares the time it has left, so it must not be sent on a connection that took long to establish. Such a
+//! late connection is retained briefly for the request that is built anew. The connector owns late connections; all
+//! others belong to their users.
 
 use super::blocked_endpoints::BlockedEndpoints;
 use super::transport::Transport;
@@ -17,27 +18,27 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// A connection that took longer than this to come up has used time that its request declares as left.
+/// A connection that took longer to establish is late: the time left that its request declares is no longer true.
 const LATE_CONNECT_THRESHOLD: Duration = Duration::from_millis(50);
-/// Between two tries while this machine is short of a resource.
+/// The delay between two tries while this machine is short of a resource.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How many connections that came up late are retained for each address.
+/// The number of late connections retained for each address.
 const MAX_LATE_CONNECTIONS_PER_ADDRESS: usize = 8;
 
-/// Why no connection is there for a request.
+/// Why a request got no connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
     /// The endpoint's address is not a socket address.
     #[error("invalid endpoint address")]
     InvalidAddress(#[source] AddrParseError),
-    /// No permit or no local resource came free within the connect timeout. This says nothing about the endpoint.
+    /// No permit or local resource became available within the connect timeout. This says nothing about the endpoint.
     #[error("no connection permit within the connect timeout")]
     NoPermit,
-    /// The connection did not come up within the connect timeout.
+    /// The connection was not established within the connect timeout.
     #[error("connect timeout")]
     Timeout,
-    /// The connection came up late and is retained: a request that declares the time left now gets it at once.
-    #[error("the connection came up late")]
+    /// The connection was established late and is retained. A request built now gets it at once.
+    #[error("connection established too late for its request")]
     Late,
     /// The operating system reported an error.
     #[error("connect failed")]
@@ -49,7 +50,7 @@
     connected_at: Instant,
 }
 
-/// Connections that came up late, by address, for the requests that replace those that opened them.
+/// The late connections by address, until they are taken or older than `max_age`.
 struct LateConnections {
     by_address: HashMap<SocketAddr, Vec<LateConnection>>,
     max_age: Duration,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Opens connections. Cheap to clone; clones share the permits, the blocked addresses and the late connections.
+/// Opens connections to endpoints. Cheap to clone; clones share the permits, blocked addresses and late connections.
 #[derive(Clone)]
 pub struct Connector {
     connect_timeout: Duration,
@@ -93,7 +94,8 @@
 }
 
 impl Connector {
-    /// Opens as many connections as there are permits, each within `connect_timeout`.
+    /// Creates a connector. Each connection holds one of the `permits` and must be established within
+    /// `connect_timeout`.
     pub fn new(connect_timeout: Duration, permits: AdjustableSemaphore) -> Self {
         Connector {
             connect_timeout,
@@ -106,17 +108,17 @@
         }
     }
 
-    /// Which addresses new requests may go to.
+    /// Returns the addresses that get no new requests.
     pub fn blocked_endpoints(&self) -> &BlockedEndpoints {
         &self.blocked_endpoints
     }
 
-    /// The limit on connections.
+    /// Returns the limit on open connections.
     pub fn limit(&self) -> &AdjustableSemaphore {
         &self.permits
     }
 
-    /// How long a connection may take to come up.
+    /// Returns the time limit for establishing a connection.
     pub fn connect_timeout(&self) -> Duration {
         self.connect_timeout
     }
@@ -125,8 +127,8 @@
         self.late.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a connection for a request that declares the time it has left. [`ConnectError::Late`] means that the
-    /// connection came up so late that the declared time is wrong; a second call gets that connection.
+    /// Opens a connection for a request that declares the time it has left. After [`ConnectError::Late`] the request
+    /// must be built anew, with the time that is left by then; a second call returns the late connection.
     pub async fn connect_in_time(&self, address: &str) -> Result<Transport, ConnectError> {
         let target: SocketAddr = address.parse().map_err(ConnectError::InvalidAddress)?;
         let late_connection = self.late().take(target);
@@ -142,14 +144,14 @@
         Err(ConnectError::Late)
     }
 
-    /// Opens a connection. A permit and the connection itself may each take the connect timeout.
+    /// Opens a connection. Waiting for a permit and connecting may each take up to the connect timeout.
     pub async fn connect(&self, address: &str) -> Result<Transport, ConnectError> {
         let target: SocketAddr = address.parse().map_err(ConnectError::InvalidAddress)?;
         let Ok(Some(permit)) = timeout(self.connect_timeout, self.permits.acquire(1)).await else {
             return Err(ConnectError::NoPermit);
         };
         let stream = connect_within(self.connect_timeout, || TcpStream::connect(target)).await?;
-        // Without it small writes wait a little, which is no reason to fail the connection.
+        // Without TCP_NODELAY small writes are only delayed, which is no reason to fail the connection.
         let _ = stream.set_nodelay(true);
         let transport = Transport::new(stream, permit);
         self.blocked_endpoints
@@ -158,7 +160,7 @@
     }
 }
 
-/// Connects within `limit`. While this machine itself is short of a resource it tries again, and where that lasts the
+/// Connects within `limit`. Tries again while this machine itself is short of a resource; if the shortage lasts, the
 /// error is [`ConnectError::NoPermit`].
 async fn connect_within<T, C>(
     limit: Duration,
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -1,33 +1,33 @@
-//! Splits an endpoint's stream (`text/event-stream`) into its events, and finds where it is malformed.
+//! Splits an endpoint's `text/event-stream` into events, and detects malformed ones. Does no I/O.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes that are buffered without an event's end; no valid event is longer.
+/// The maximum length of an event, and of the bytes buffered while its end is missing.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// Bytes that can't be an event: the rest of the stream is of no use.
+/// The stream contains bytes that can't be part of an event. The rest of the stream is unusable.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed event in a stream")]
 pub struct MalformedEvent;
 
-/// Splits a stream at the ends of its events and changes nothing in it.
+/// Splits a stream after its events, without changing any byte.
 #[derive(Default)]
 pub struct EventSplitter {
-    buffer: BytesMut,     // what came since the last event's end
-    checked_bytes: usize, // how many of them are lines that were checked
+    buffer: BytesMut,     // the bytes since the last event's end
+    checked_bytes: usize, // the length of the buffer's lines that were validated
     has_started: bool,
 }
 
-/// The fields that a line can have.
+/// The field names of the event stream format.
 const FIELD_NAMES: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
 
-/// Whether a line is valid: a comment, whatever it contains, or one of the fields.
+/// Whether a line is valid: a comment with any content, or a known field in UTF-8.
 fn is_valid_line(line: &[u8]) -> bool {
     let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
     name.is_empty() || FIELD_NAMES.contains(&name) && std::str::from_utf8(line).is_ok()
 }
 
-/// Whether a line that has not ended can become a valid one.
+/// Whether an incomplete line can still become a valid one.
 fn is_valid_line_start(line: &[u8]) -> bool {
     match line.iter().position(|byte| *byte == b':') {
         Some(colon) => colon == 0 || FIELD_NAMES.contains(&&line[..colon]),
@@ -36,7 +36,7 @@
 }
 
 impl EventSplitter {
-    /// Continues a stream whose first event has been forwarded, and of whose next one these bytes have come.
+    /// Continues a stream that has started. `partial_event` are the bytes since its last event's end.
     pub fn resume(partial_event: &[u8]) -> EventSplitter {
         EventSplitter {
             buffer: partial_event.into(),
@@ -45,18 +45,18 @@
         }
     }
 
-    /// The bytes since the last event's end.
+    /// Returns the bytes since the last event's end.
     pub fn partial_event(&self) -> Bytes {
         Bytes::copy_from_slice(&self.buffer)
     }
 
-    /// The bytes whose lines were not checked yet.
+    /// Returns the bytes that were not validated yet.
     fn unchecked(&self) -> &[u8] {
         &self.buffer[self.checked_bytes..]
     }
 
-    /// Adds bytes and returns the whole events, with the comments between them. Comments alone don't start a stream:
-    /// they are returned with the first event.
+    /// Adds bytes and returns the complete events, with the comments between them. Comments alone don't start a stream;
+    /// they are returned together with the first event.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, MalformedEvent> {
         self.buffer.extend_from_slice(data);
         let mut complete_bytes = 0;
@@ -81,7 +81,7 @@
         Ok(self.buffer.split_to(complete_bytes).freeze())
     }
 
-    /// What came after the last event, when the stream has ended without an error.
+    /// Returns the bytes after the last event, once the stream has ended without an error.
     pub fn finish(self) -> Result<Bytes, MalformedEvent> {
         if !is_valid_line(self.unchecked()) {
             return Err(MalformedEvent);
--- a/src/backend/http/connection_pool.rs
+++ b/src/backend/http/connection_pool.rs
@@ -1,7 +1,7 @@
-//! The pool of idle HTTP connections, and when it is not used.
+//! The pool of idle HTTP connections.
 //!
-//! The pool owns the HTTP clients. Where an idle connection broke under a request, all idle ones are dropped and none
-//! is pooled for a time.
+//! The pool owns the HTTP clients. When a request fails on a pooled connection that had broken while idle, all idle
+//! connections are dropped and pooling pauses.
 
 use super::request_body::SingleFrameBody;
 use crate::backend::attempt::ConnectionPolicy;
@@ -15,12 +15,12 @@
 
 /// The size of a connection's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
-/// No connection is pooled for so long after a pooled one has broken under a request ...
+/// The first pause of pooling after a request failed on a stale connection.
 const INITIAL_POOLING_PAUSE: Duration = Duration::from_secs(5);
-/// ... and for twice as long each time that this happens again soon, up to this.
+/// The maximum pause. A pause doubles if another stale connection follows soon after it.
 const MAX_POOLING_PAUSE: Duration = Duration::from_secs(60);
 
-/// hyper-util's client over this process's connections.
+/// hyper-util's client, which opens connections with the [`Connector`].
 pub(super) type HttpClient = Client<Connector, SingleFrameBody>;
 
 struct PooledClient {
@@ -29,7 +29,7 @@
     last_pause: Duration,
 }
 
-/// The clients with and without pooled connections. Cheap to clone; clones share the pool.
+/// An HTTP client that pools its connections and one that does not. Cheap to clone; clones share the pool.
 #[derive(Clone)]
 pub(super) struct ConnectionPool {
     pooled: Arc<Mutex<PooledClient>>,
@@ -41,8 +41,8 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. A connection that was idle for `idle_timeout` is not used again, and no more than
-    /// `max_idle_per_endpoint` are pooled for each endpoint, so that the other endpoints have permits left.
+    /// Creates an empty pool. Connections that were idle for `idle_timeout` are not reused. At most
+    /// `max_idle_per_endpoint` are pooled for each endpoint, so that permits are left for the other endpoints.
     pub(super) fn new(
         connector: Connector,
         idle_timeout: Duration,
@@ -69,7 +69,7 @@
         self.pooled.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The client for a request.
+    /// Returns the client for a request: the pooling one, unless `policy` forbids it or pooling is paused.
     pub(super) fn client(&self, policy: ConnectionPolicy) -> HttpClient {
         let pooled = self.pooled();
         if policy == ConnectionPolicy::RequireNew || Instant::now() < pooled.paused_until {
@@ -79,13 +79,14 @@
         }
     }
 
-    /// A pooled connection has broken under a request. Then others will: the endpoints, or something on the network
-    /// path, close them early. All are dropped, and none is pooled for a time that grows while this goes on.
+    /// Drops all pooled connections and pauses pooling after a request failed on a stale connection. Others are likely
+    /// to be stale too: the endpoints, or a middlebox, close idle connections early. Repeated failures lengthen the
+    /// pause.
     pub(super) fn on_stale_connection(&self) {
         let now = Instant::now();
         let mut pooled = self.pooled();
         if now < pooled.paused_until {
-            return; // this request was in flight when the first one failed
+            return; // this request was in flight when the pause began
         }
         let is_recurrence = now < pooled.paused_until + pooled.last_pause;
         pooled.last_pause = if is_recurrence {
@@ -109,13 +110,13 @@
     max_idle_per_endpoint: usize,
 ) -> HttpClient {
     Client::builder(TokioExecutor::new())
-        // A resend is an attempt of its own, which only the dispatcher may order.
+        // A resend would be another attempt, which only the dispatcher may start.
         .retry_canceled_requests(false)
         .set_host(true)
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(idle_timeout)
         .pool_max_idle_per_host(max_idle_per_endpoint)
-        // A response's head must fit. A head without an end is found out sooner, and takes no more memory.
+        // A response head must fit into the buffer. This bounds the memory and the time that an endless head takes.
         .http1_max_buf_size(READ_BUFFER_BYTES)
         .build(connector.clone())
 }
--- a/src/backend/http/exchange.rs
+++ b/src/backend/http/exchange.rs
@@ -1,4 +1,5 @@
-//! One request and the head of its response, and how an exchange that failed is classified.
+//! One exchange: a request, and the head of its response. A failed exchange is classified by whether the request may
+//! have run.
 
 use super::connection_pool::ConnectionPool;
 use super::request_body::SingleFrameBody;
@@ -16,8 +17,8 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Closes the connection of an exchange that has not been answered, at the moment it is dropped. The HTTP client would
-/// close it some scheduler turns later, and what follows from the end of an attempt must not come before the close.
+/// Closes the connection of an incomplete exchange when it is dropped. The HTTP client alone would close it only after
+/// some further task switches, but the attempt's end must not be reported before its connection is closed.
 #[derive(Default)]
 pub(super) struct CloseGuard {
     capture: Option<CaptureConnection>,
@@ -34,7 +35,7 @@
         extras.remove::<Arc<TrackedConnection>>()
     }
 
-    /// The exchange has come to its end, and its connection may be used again.
+    /// Makes the drop of this guard leave the connection open.
     pub(super) fn disarm(&mut self) {
         self.capture = None;
     }
@@ -48,31 +49,31 @@
     }
 }
 
-/// The head of a response, and the connection that it came on.
+/// The head of a response, and the connection on which it arrived.
 pub(super) struct ResponseHead {
     pub response: Response<Incoming>,
     pub connection: Option<Arc<TrackedConnection>>,
 }
 
-/// Why no head of a response came.
+/// Why an exchange got no response head.
 #[derive(Debug, Error)]
 pub(super) enum ExchangeError {
-    /// The request can't be written as HTTP. Nothing was sent.
+    /// The request is not valid HTTP. Nothing was sent.
     #[error("invalid request")]
     InvalidRequest(#[source] hyper::http::Error),
-    /// The exchange failed on its way.
+    /// The connection could not be established, or failed during the exchange.
     #[error("exchange failed")]
     Failed {
         source: ClientError,
-        /// The connection came from the pool, and nothing came back on it.
+        /// The connection came from the pool, and no byte of a response arrived.
         may_be_stale: bool,
-        /// The endpoint has not received the request's last byte.
+        /// The request's last byte was not written to the socket.
         has_unwritten_bytes: bool,
     },
 }
 
 impl ExchangeError {
-    /// Whether the connection came up, but late: nothing was written, and it waits for the request to be made anew.
+    /// Whether the connection was established late. Nothing was written then, and the connection is retained.
     fn is_late_connect(&self) -> bool {
         let ExchangeError::Failed { source, .. } = self else {
             return false;
@@ -82,7 +83,7 @@
         })
     }
 
-    /// How the attempt has ended. `is_body_taken`: a connection has taken the request's body.
+    /// Returns why the attempt ended. `is_body_taken` tells whether a connection has taken the request's body.
     pub(super) fn end_reason(&self, is_body_taken: bool) -> EndReason {
         let (source, may_be_stale, has_unwritten_bytes) = match self {
             ExchangeError::InvalidRequest(_) => return EndReason::NotSent,
@@ -96,7 +97,7 @@
             return end_reason_before_send(source);
         }
         if has_unwritten_bytes {
-            return EndReason::RequestNotWritten; // the endpoint is reachable: it accepted the connection
+            return EndReason::RequestNotWritten; // not ConnectFailed: the endpoint accepted the connection
         }
         match end_reason_after_send(source) {
             EndReason::ConnectionReset if may_be_stale => EndReason::StaleConnection,
@@ -105,8 +106,8 @@
     }
 }
 
-/// Sends a request and waits for the head of its response. The request is made when its connection is up, and is made
-/// anew where the connection came up late, for nothing was written then.
+/// Sends a request and waits for the head of its response. If the connection was established late, nothing was written,
+/// and `make_request` builds the request anew.
 pub(super) async fn exchange(
     pool: &ConnectionPool,
     make_request: impl Fn() -> hyper::http::Result<Request<SingleFrameBody>>,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Whether an error, or one that it comes from, is such a cause.
+/// Whether `is_cause` holds for an error or for one of its sources.
 fn has_cause(
     error: &(dyn Error + 'static),
     is_cause: impl Fn(&(dyn Error + 'static)) -> bool,
@@ -183,8 +184,8 @@
     )
 }
 
-/// How an exchange that may have run has ended: with a response that can't be read, which says nothing about the
-/// endpoint's health, or with a connection that broke.
+/// Returns why a request ended that may have run: its response is unreadable, which says nothing about the endpoint's
+/// health, or its connection broke.
 pub(super) fn end_reason_after_send(error: &(dyn Error + 'static)) -> EndReason {
     if has_cause(error, is_unreadable_response) {
         EndReason::UnreadableResponse
@@ -193,8 +194,7 @@
     }
 }
 
-/// How an exchange that never ran has ended: the endpoint can't be reached, or it was not even tried, for want of a
-/// connection permit.
+/// Returns why a request ended that never ran: its endpoint can't be reached, or there was no connection permit to try.
 fn end_reason_before_send(error: &(dyn Error + 'static)) -> EndReason {
     let is_no_permit = |cause: &(dyn Error + 'static)| {
         matches!(cause.downcast_ref(), Some(ConnectError::NoPermit))
--- a/src/backend/http/hyper_connector.rs
+++ b/src/backend/http/hyper_connector.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A transport as hyper-util's client requires it.
+/// Wraps a [`Transport`] with the traits that hyper-util's client requires.
 pub struct HttpTransport(TokioIo<Transport>);
 
 impl Connection for HttpTransport {
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 to endpoints: attempts, releases and probes, on hyper-util's client.
+//! Calls endpoints over HTTP/1.1 with hyper-util's client: attempts, releases and probes.
 //!
-//! An attempt is reported as never run only where that is certain: the connection never came up, the endpoint said so,
-//! or the last byte was never written to a connection.
+//! An attempt is reported as never run only if that is certain: the connection was never established, the endpoint said
+//! so, or the request's last byte was never written.
 
 mod connection_pool;
 mod exchange;
@@ -35,18 +35,18 @@
 use tokio::time::{timeout_at, Instant};
 use usage::{load_from_headers, parse_cached_tokens};
 
-/// A short response (a prefill result, a load report) is not read beyond so many bytes.
+/// The maximum body length of a short response, such as a prefill result or a load report.
 const MAX_SHORT_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// What an endpoint answered to a probe.
+/// An endpoint's response to a probe.
 pub struct ProbeResult {
-    /// Whether the endpoint answered that it is healthy.
+    /// Whether the response's status was 200 OK.
     pub is_healthy: bool,
-    /// Its load, where it reported one.
+    /// The endpoint's load; `None` if not reported.
     pub load: Option<LoadReport>,
 }
 
-/// The HTTP side of the backend. Cheap to clone; clones share the connection pool.
+/// The HTTP client of the backend. Cheap to clone; clones share the connection pool.
 #[derive(Clone)]
 pub struct HttpBackend {
     pool: ConnectionPool,
@@ -55,7 +55,7 @@
 }
 
 impl HttpBackend {
-    /// A backend without connections. One that was idle for `idle_timeout` is not used again, and no more than
+    /// Creates a backend without connections. Connections that were idle for `idle_timeout` are not reused, and at most
     /// `max_idle_per_endpoint` are pooled for each endpoint.
     pub fn new(
         connector: Connector,
@@ -88,7 +88,7 @@
             Ok(head) => head,
             Err(reason) => return reason.into(),
         };
-        request.upstream.body = Bytes::new(); // not needed any more, and a stream may be long
+        request.upstream.body = Bytes::new(); // frees the body: the stream may take long
         match head.response.status() {
             StatusCode::OK => forward_stream(head, deadline, forwarder, guard, &self.log).await,
             StatusCode::ACCEPTED => read_prefill_response(head.response, deadline, guard).await,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Goes on with an attempt that another process has begun, to its end.
+    /// Forwards a received stream to its end.
     pub async fn resume(
         &self,
         upstream: ReceivedUpstream,
@@ -108,7 +108,7 @@
         forward_received_stream(upstream, forwarder).await
     }
 
-    /// Sends an attempt's request and waits for the head of the response, until the deadline.
+    /// Sends an attempt's request and waits for the head of the response until the deadline.
     async fn send(
         &self,
         request: &AttemptRequest,
@@ -121,8 +121,8 @@
         let is_waiting = || !is_body_taken.load(Ordering::Relaxed);
         let result = tokio::select! {
             biased;
-            // Draining counts from a request's first byte: one that still waits for a connection when its endpoint is
-            // blocked is not sent. One that was sent goes on.
+            // A blocked endpoint gets no new requests. One that still waits for a connection is not sent; one that was
+            // sent continues.
             () = self.connector.blocked_endpoints().wait_until_blocked(&request.address, is_waiting) => {
                 return Err(EndReason::EndpointBlocked);
             }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// How a response that is neither a stream nor a prefill result ends its attempt.
+    /// Returns how a response that is neither a stream nor a prefill result ends its attempt.
     fn classify_error_response(
         &self,
         request: &AttemptRequest,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sends a request without a body and returns its response, or `None` where none came.
+    /// Sends a request without a body and returns its response; `None` if the exchange failed.
     async fn call(
         &self,
         method: Method,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Requests that an endpoint release a request's reservation. Returns whether it confirmed that it has.
+    /// Asks an endpoint to release a request's reservation. Returns whether the endpoint confirmed the release.
     pub async fn release(
         &self,
         client_request_id: &str,
@@ -209,12 +209,12 @@
             return false;
         };
         let is_confirmed = response.status().is_success();
-        // Read to its end, so that its connection can be used again.
+        // The connection can be reused only after the whole body was read.
         let _ = read_short_body(response).await;
         is_confirmed
     }
 
-    /// Requests an endpoint's load report. `None` where no whole response came.
+    /// Requests an endpoint's load report. Returns `None` if no complete response arrived.
     pub async fn probe(&self, address: &str) -> Option<ProbeResult> {
         let response = self
             .call(
@@ -235,7 +235,7 @@
     }
 }
 
-/// An attempt's request, which declares the time that is left now.
+/// Builds an attempt's request, which declares the time left until `deadline`.
 fn build_request(
     request: &AttemptRequest,
     deadline: Instant,
--- a/src/backend/http/request_body.rs
+++ b/src/backend/http/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request to an endpoint, which records whether a connection has taken it.
+//! The body of a request to an endpoint. It records whether a connection has started to send it.
 
 use bytes::Bytes;
 use http_body::Frame;
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// A body of at most one frame. It sets its flag when a connection takes it: before that nothing can have run.
+/// A body of at most one frame. It sets a flag when a connection takes it; before that the request can't have run.
 pub(super) struct SingleFrameBody {
     data: Option<Bytes>,
     is_body_taken: Arc<AtomicBool>,
 }
 
 impl SingleFrameBody {
-    /// A body with this data, which sets `is_body_taken`.
+    /// Creates a body with this data. `is_body_taken` is set when a connection takes it.
     pub(super) fn new(data: Bytes, is_body_taken: Arc<AtomicBool>) -> Self {
         SingleFrameBody {
             data: Some(data),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A body without data.
+    /// Creates a body without data.
     pub(super) fn empty() -> Self {
         SingleFrameBody {
             data: None,
@@ -44,7 +44,7 @@
         Poll::Ready(self.data.take().map(|data| Ok(Frame::data(data))))
     }
 
-    /// Also an empty body is polled, so that the flag is set.
+    /// Returns false even for an empty body, so that it is polled and sets the flag.
     fn is_end_stream(&self) -> bool {
         false
     }
--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -1,6 +1,7 @@
-//! A streamed response: its data goes to the [`StreamForwarder`], its last lines are buffered for the usage and the
-//! load that they report, and it can migrate to another process between two pieces of data. One implementation serves
-//! responses to requests of this process and those that another one has handed over.
+//! Forwards a streamed response to the [`StreamForwarder`], for requests of this process and for received streams.
+//!
+//! The last lines are buffered for the usage and the load that they report. Between two reads the stream can migrate to
+//! another process.
 
 use super::exchange::{CloseGuard, ResponseHead};
 use super::stream_source::{HttpClientSource, ReceivedSource, SourcePosition, StreamSource};
@@ -17,29 +18,30 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{timeout_at, Instant};
 
-/// Bytes read from an endpoint pass through the HTTP client within this time.
+/// The time within which the HTTP client returns bytes that were read from the socket. A migration waits no longer for
+/// them.
 const MAX_HTTP_CLIENT_DELAY: Duration = Duration::from_millis(30);
-/// How many of a stream's last bytes are buffered for the usage and the load report in them.
+/// The number of a stream's last bytes that are buffered, to parse the usage and the load report in them.
 const TAIL_BYTES: usize = 4096;
 
-/// What the source gave next: data, its end, or an error.
+/// The next data of a source: bytes, an error, or `None` at the end of the body.
 type NextData = Option<Result<Bytes, EndReason>>;
 
-/// What a stream does next.
+/// The next step of a stream.
 enum StreamStep {
     Data(NextData),
-    /// It is this stream's turn to migrate. The turn ends when the permit is dropped.
+    /// The stream should try to migrate, and holds the permit meanwhile.
     Migrate(OwnedSemaphorePermit),
 }
 
-/// Whether a stream goes on here.
+/// Whether a stream continues after a step.
 #[derive(PartialEq)]
 enum StreamProgress {
     Continues,
     Ended,
 }
 
-/// Where a stream has ended well.
+/// How a stream ended without an error.
 enum StreamEnd {
     Completed,
     Migrated,
@@ -51,7 +53,7 @@
     tail: Vec<u8>,
 }
 
-/// Forwards a streamed response to its end. The guard is disarmed when the first event has come.
+/// Forwards a streamed response to its end. Disarms the guard once the first event has arrived.
 pub(super) async fn forward_stream(
     head: ResponseHead,
     deadline: Instant,
@@ -71,18 +73,18 @@
     stream.forward_to_end(deadline, guard, header_load).await
 }
 
-/// Goes on with a streamed response that another process has begun. Its first event has come there.
+/// Forwards a received stream to its end. The other process has already forwarded its first event.
 pub(super) async fn forward_received_stream(
     upstream: ReceivedUpstream,
     forwarder: StreamForwarder,
 ) -> AttemptResult {
     let source = ReceivedSource::new(upstream.socket, upstream.state.chunks);
     let mut stream = ResponseStream::new(StreamSource::Received(source), forwarder);
-    // The frame's partial event may hold whole ones, where the sender's version did not forward them.
+    // The received partial event may contain complete events that the sender's version did not forward.
     if let Err(reason) = stream.forwarder.forward(&[]).await {
         return reason.into();
     }
-    let no_deadline = Instant::now(); // it holds before the first event only
+    let no_deadline = Instant::now(); // unused: it applies only before the first event
     stream
         .forward_to_end(no_deadline, CloseGuard::default(), None)
         .await
@@ -141,7 +143,7 @@
         guard: &mut CloseGuard,
     ) -> Result<StreamEnd, EndReason> {
         loop {
-            // A turn that was waited for is kept over the data that comes meanwhile.
+            // Data does not restart the wait for the permit, so that the stream keeps its place in the queue.
             let mut permit = pin!(self.forwarder.migration_permit());
             loop {
                 let step = tokio::select! {
@@ -187,8 +189,8 @@
         self.tail.drain(..excess);
     }
 
-    /// Hands the connection to another process: nothing more is read from it, and what was read is forwarded first.
-    /// Returns whether the stream goes on there; reading is still paused then.
+    /// Tries to migrate the stream: pauses reading, forwards the bytes already read, then offers the connection.
+    /// Returns whether the stream has migrated; reading stays paused in either case.
     async fn migrate(&mut self) -> Result<bool, EndReason> {
         self.source.pause();
         let deadline = Instant::now() + MAX_HTTP_CLIENT_DELAY;
@@ -197,14 +199,14 @@
                 SourcePosition::CaughtUp { upstream, chunks } => {
                     return Ok(self.forwarder.migrate(upstream, chunks).await);
                 }
-                // While the client is stalled a forward would wait for it, and others for this stream's turn.
+                // With a stalled client, forwarding would block and keep the permit from other streams.
                 SourcePosition::Behind if self.forwarder.can_forward_now() => {}
                 SourcePosition::Behind | SourcePosition::Unknown => {
                     self.forwarder.postpone_migration();
                     return Ok(false);
                 }
             }
-            // Bytes that were read and have not come here yet need only the connection's own task.
+            // Bytes that were read already arrive without further I/O, through the connection's own task.
             let Ok(data) = timeout_at(deadline, self.source.next_data()).await else {
                 self.forwarder.postpone_migration();
                 return Ok(false);
--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -1,5 +1,6 @@
-//! Where the data of a streamed response comes from: a connection on which this process has sent the request, or one that
-//! another process has handed over in the middle of its stream. Owns the connection's reading.
+//! The source of a streamed response's data: the HTTP client, or the socket of a received stream.
+//!
+//! For a migration the source can pause reading and report the exact position in the body.
 
 use super::exchange::{end_reason_after_send, ResponseHead};
 use crate::backend::tracked_connection::TrackedConnection;
@@ -16,34 +17,34 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Bytes read at once from a connection that was handed over.
+/// The size of the read buffer for a received stream's socket.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The source of a stream's data.
 pub(super) enum StreamSource {
-    /// The HTTP client reads the response.
+    /// The HTTP client reads the response to a request of this process.
     HttpClient(HttpClientSource),
-    /// Another process has sent the request and read the response's beginning.
+    /// Another process has sent the request and read the beginning of the response.
     Received(ReceivedSource),
 }
 
-/// Where a source stands that has been paused.
+/// The position of a paused source in its body.
 pub(super) enum SourcePosition {
-    /// All bytes that were read from the connection have been returned: another process can go on from here.
+    /// All bytes read from the connection were returned. Another process can continue from here.
     CaughtUp {
         /// A duplicate of the connection's descriptor.
         upstream: OwnedFd,
-        /// The position in the chunked body.
+        /// The decoder's state at this position of the chunked body.
         chunks: ChunkedDecoder,
     },
-    /// Bytes that were read are still to be returned by [`StreamSource::next_data`].
+    /// [`StreamSource::next_data`] has not returned all bytes read from the connection.
     Behind,
-    /// The body has ended, or its framing can't be followed.
+    /// The body has ended, its framing is unknown, or its descriptor can't be duplicated.
     Unknown,
 }
 
 impl StreamSource {
-    /// The next data; `None` at the end of the body. Nothing is lost where this is dropped before it returns.
+    /// Returns the next data; `None` at the end of the body. Cancel safe: no data is lost if the future is dropped.
     pub(super) async fn next_data(&mut self) -> Option<Result<Bytes, EndReason>> {
         match self {
             StreamSource::HttpClient(source) => source.next_data().await,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Reads no more from the connection until [`StreamSource::resume`].
+    /// Stops reading from the connection until [`StreamSource::resume`].
     pub(super) fn pause(&self) {
         if let StreamSource::HttpClient(source) = self {
             if let Some(connection) = &source.connection {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Reads again.
+    /// Resumes reading from the connection.
     pub(super) fn resume(&self) {
         if let StreamSource::HttpClient(source) = self {
             if let Some(connection) = &source.connection {
@@ -69,14 +70,14 @@
         }
     }
 
-    /// The connection belongs to another process from now on: it is not ended here.
+    /// Gives the connection to another process. Dropping this source then does not shut it down.
     pub(super) fn release(&mut self) {
         if let StreamSource::Received(source) = self {
             source.is_released = true;
         }
     }
 
-    /// Where a paused source stands.
+    /// Returns the position of a paused source.
     pub(super) fn position(&self) -> SourcePosition {
         let position = match self {
             StreamSource::HttpClient(source) => source.position(),
@@ -86,7 +87,7 @@
     }
 }
 
-/// A response that the HTTP client reads.
+/// A response body read by the HTTP client.
 pub(super) struct HttpClientSource {
     body: Incoming,
     connection: Option<Arc<TrackedConnection>>,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A connection that another process has handed over.
+/// The socket of a received stream.
 pub(super) struct ReceivedSource {
     socket: TcpStream,
     chunks: ChunkedDecoder,
@@ -145,9 +146,10 @@
 
 impl Drop for ReceivedSource {
     fn drop(&mut self) {
-        // A process that an offer was withdrawn from may still have a descriptor, so that a close alone ends nothing.
+        // After a withdrawn offer another process may still hold a duplicate of the descriptor, so closing this one
+        // alone would not end the connection.
         if !self.is_released {
-            let _ = SockRef::from(&self.socket).shutdown(Shutdown::Both); // it may be closed already
+            let _ = SockRef::from(&self.socket).shutdown(Shutdown::Both); // fails if it is closed already
         }
     }
 }
--- a/src/backend/http/usage.rs
+++ b/src/backend/http/usage.rs
@@ -1,12 +1,12 @@
-//! Reads what endpoints report beside the completion: token counts and load, in headers, prefill responses and the
-//! last lines of a stream.
+//! Parses the token counts and load reports that endpoints send in headers, in prefill responses and in the last lines
+//! of a stream.
 
 use crate::backend::load_report::parse_load_report;
 use crate::routing::api::LoadReport;
 use hyper::HeaderMap;
 use miniserde::{json, Deserialize};
 
-/// Prompt tokens found in the prefix cache, in a prefill response and in a stream's usage chunk.
+/// The prompt tokens found in the prefix cache, as reported in prefill responses and in a stream's usage chunk.
 #[derive(Deserialize)]
 struct CachedTokens {
     cached_tokens: Option<f64>,
@@ -18,24 +18,24 @@
     prompt_tokens_details: Option<CachedTokens>,
 }
 
-/// The last chunk of a stream, which carries the usage.
+/// A stream's last chunk, which reports the usage.
 #[derive(Deserialize)]
 struct UsageChunk {
     usage: Option<CompletionUsage>,
 }
 
-/// What the last lines of a stream report.
+/// The values reported in the last lines of a stream.
 #[derive(Default)]
 pub struct StreamReport {
-    /// Prompt tokens found in the prefix cache; 0 where that is not reported.
+    /// The prompt tokens found in the prefix cache; 0 if not reported.
     pub cached_tokens: f64,
-    /// Tokens of the completion; 0 where that is not reported.
+    /// The tokens of the completion; 0 if not reported.
     pub completion_tokens: f64,
-    /// The endpoint's load.
+    /// The endpoint's load; `None` if not reported.
     pub load: Option<LoadReport>,
 }
 
-/// Reads the last bytes of a stream, which may begin in the middle of a line.
+/// Parses the last bytes of a stream, which may start in the middle of a line.
 pub fn parse_stream_tail(tail: &[u8]) -> StreamReport {
     let mut report = StreamReport::default();
     for line in String::from_utf8_lossy(tail).lines() {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The prefix-cache hit that a prefill response reports, in tokens; 0 where it reports none.
+/// Returns the number of cached prompt tokens that a prefill response reports; 0 if it reports none.
 pub(super) fn parse_cached_tokens(body: &[u8]) -> f64 {
     let Ok(text) = std::str::from_utf8(body) else {
         return 0.0;
@@ -72,7 +72,7 @@
     parsed.and_then(|body| body.cached_tokens).unwrap_or(0.0)
 }
 
-/// The load report in a response's headers.
+/// Returns the load report in a response's headers.
 pub(super) fn load_from_headers(headers: &HeaderMap) -> Option<LoadReport> {
     parse_load_report(headers.get("endpoint-load-metrics")?.to_str().ok()?)
 }
--- a/src/backend/load_report.rs
+++ b/src/backend/load_report.rs
@@ -1,9 +1,9 @@
-//! Reads the load reports that endpoints send with responses, streams, session messages and probes.
+//! Parses the load reports that endpoints send in response headers, streams, session messages and probe responses.
 
 use crate::routing::api::LoadReport;
 
-/// Reads a load report such as `TEXT inflight=7, queue=2`. Unknown names and unreadable values are skipped; `None` when
-/// no known value is left.
+/// Parses a load report such as `TEXT inflight=7, queue=2`. Skips unknown names and invalid values. Returns `None` if
+/// the report has another format or no valid value.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let text = text.trim();
     let text = text
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,7 +1,8 @@
-//! The backend: runs the dispatcher's commands at the endpoints, and reports how each attempt, release and probe ended.
+//! The backend executes the dispatcher's commands at the endpoints, and reports how each attempt, release and probe
+//! ended.
 //!
-//! Endpoints use HTTP/1.1, or WebSocket sessions where the session file names them. [`run`] owns the tasks, one for
-//! each attempt, release and probe; ending it ends them.
+//! Endpoints are called over HTTP/1.1, or over WebSocket sessions if the session file lists them. [`run`] owns one task
+//! for each attempt, release and probe, and aborts them when it ends.
 
 pub mod attempt;
 mod blocked_endpoints;
@@ -33,12 +34,12 @@
 use tokio::task::{JoinError, JoinSet};
 use websocket::SessionPool;
 
-/// One in so many of all connections to endpoints may be idle at one of them.
+/// The connection limit divided by this is the number of idle connections that one endpoint may have.
 const IDLE_CONNECTION_DIVISOR: usize = 12;
-/// How many commands are taken from the queue at once.
+/// The number of commands taken from the queue at once.
 const MAX_COMMAND_BATCH: usize = 1024;
 
-/// The clients for both wire protocols, and the dispatcher that gets the results. Each task has a clone.
+/// The clients for both wire protocols, and the handle of the dispatcher that gets the results. Each task has a clone.
 #[derive(Clone)]
 struct EndpointClient {
     http: HttpBackend,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Runs an attempt to its end or to its cancel, and reports how it ended.
+    /// Runs an attempt until it ends or is cancelled, and reports how it ended.
     async fn run_attempt(
         self,
         request: AttemptRequest,
@@ -72,7 +73,7 @@
         let result = tokio::select! {
             biased;
             result = self.attempt(request, forwarder) => result,
-            // This drops the exchange, which closes its connection.
+            // Dropping the other future closes the attempt's connection.
             () = cancelled => EndReason::Cancelled.into(),
         };
         self.dispatcher.send(attempt_ended(key, result)).await;
@@ -90,16 +91,16 @@
     }
 }
 
-/// What the backend is told of streams that go to another process or come from one.
+/// Connects the backend to stream migration: streams handed to another process, and streams received from one.
 pub struct StreamMigration {
-    /// When streams are to migrate.
+    /// Tells when streams should migrate.
     pub signal: MigrationSignal,
-    /// The streams that another process has begun.
+    /// The streams that another process started and handed to this one.
     pub received_attempts: mpsc::Receiver<ReceivedAttempt>,
 }
 
 impl StreamMigration {
-    /// For a process that is alone.
+    /// Creates a value for a process that neither hands over nor receives streams.
     pub fn disabled() -> StreamMigration {
         StreamMigration {
             signal: migration_signal().1,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Runs the commands, and the tasks that they start.
+/// Executes commands, and tracks the tasks that they start.
 struct Backend {
     cancel_senders: HashMap<AttemptKey, oneshot::Sender<()>>,
     attempts_by_task: HashMap<tokio::task::Id, AttemptKey>,
@@ -167,8 +168,8 @@
         let forwarder = self.forwarder(key);
         let is_committed = forwarder.committed_flag();
         let cancelled = async move {
-            // A cancel may cross with the first event. The dispatcher has then given the stream to the client, and
-            // cutting it would lose the request: it ends when the dispatcher drops it.
+            // A cancel may arrive after the first event was reported. The dispatcher has then given the stream to the
+            // client, and cutting it would fail the request. Such a stream ends when its receiver is dropped.
             if cancelled.await.is_err() || is_committed.load(Ordering::Relaxed) {
                 std::future::pending::<()>().await;
             }
@@ -180,7 +181,7 @@
         self.cancel_senders.insert(key, cancel);
     }
 
-    /// Goes on with a stream that another process has begun, as an attempt like any other.
+    /// Continues a received stream as an attempt like any other.
     fn resume_attempt(&mut self, attempt: ReceivedAttempt) {
         let ReceivedAttempt {
             id,
@@ -190,7 +191,8 @@
         let key = AttemptKey { id, attempt: 0 };
         let client = self.client.clone();
         let forwarder = self.forwarder(key).resume(chunks, &upstream.state);
-        // Streams that are handed over count, also beyond the limit: the process that had them has closed theirs.
+        // A received connection counts even beyond the limit: it is open already, and the process that sent it closes
+        // its own descriptor.
         let permit = self.connector.limit().acquire_beyond_limit();
         let task = self.tasks.spawn(async move {
             let result = client.http.resume(upstream, forwarder).await;
@@ -211,7 +213,7 @@
 
     fn cancel_attempt(&mut self, key: AttemptKey) {
         if let Some(cancel) = self.cancel_senders.remove(&key) {
-            let _ = cancel.send(()); // the attempt may have ended
+            let _ = cancel.send(()); // fails if the attempt has ended
         }
     }
 
@@ -250,7 +252,7 @@
         };
         self.cancel_senders.remove(&key);
         if let Err(error) = finished {
-            // A task that panicked has reported nothing, and the dispatcher must not wait for it.
+            // A task that panicked has reported no end, for which the dispatcher would wait forever.
             error!(self.client.log, "attempt task panicked"; "id" => key.id, "attempt" => key.attempt,
                 "error" => %error);
             let event = attempt_ended(key, EndReason::TaskPanicked.into());
@@ -259,9 +261,9 @@
     }
 }
 
-/// Runs the dispatcher's commands until their channel is closed. `connections` limits the connections to endpoints;
-/// `websocket_endpoints` are the addresses of endpoints that use WebSocket sessions. Streams migrate to another process
-/// and come from one as `migration` tells.
+/// Executes the dispatcher's commands until their channel is closed. `connections` limits the connections to endpoints.
+/// `websocket_endpoints` are the addresses of the endpoints that use WebSocket sessions. `migration` controls the
+/// streams that are handed to another process or received from one.
 pub async fn run(
     mut commands: mpsc::Receiver<Command>,
     dispatcher: DispatcherHandle,
@@ -277,7 +279,8 @@
     } = migration;
     let max_idle_per_endpoint = (connections.capacity() / IDLE_CONNECTION_DIVISOR).max(1);
     let connector = Connector::new(Duration::from_micros(bounds.connect_timeout), connections);
-    // Endpoints close connections that were idle for the settings' time; a request written then would be lost.
+    // Endpoints close connections that were idle for `endpoint_idle_timeout`; a request written at that moment is lost.
+    // Connections are therefore not reused in the last 30 % of that time.
     let idle_timeout = Duration::from_micros(bounds.endpoint_idle_timeout * 7 / 10);
     let client = EndpointClient {
         http: HttpBackend::new(
@@ -306,7 +309,7 @@
                 if count == 0 {
                     return;
                 }
-                // All waiting commands are taken at once, and addresses are blocked before any attempt starts.
+                // All queued commands are taken at once, so that addresses are blocked before any attempt starts.
                 Command::sort_blocks_first(&mut batch);
                 for command in batch.drain(..) {
                     backend.execute(command);
--- a/src/backend/probe.rs
+++ b/src/backend/probe.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A probe that takes longer has failed.
+/// A probe that takes longer counts as failed.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl EndpointClient {
-    /// Probes an endpoint and reports the result to the dispatcher. Probes use HTTP/1.1 also where requests use
-    /// sessions, whose messages carry load reports of their own.
+    /// Probes an endpoint and reports the result to the dispatcher. Probes always use HTTP/1.1, also at endpoints whose
+    /// requests use WebSocket sessions: session messages carry load reports of their own.
     pub(super) async fn probe(&self, endpoint: EndpointId, address: &str) {
         let answered = timeout(PROBE_TIMEOUT, self.http.probe(address)).await;
         let (is_healthy, load) = match answered {
--- a/src/backend/reservation_release.rs
+++ b/src/backend/reservation_release.rs
@@ -1,7 +1,8 @@
 //! Releases the reservation of a request at the endpoints.
 //!
-//! Any endpoint passes a release on to the others. A call counts when a replica that runs has read it, and which ones
-//! run is not known. So more and more endpoints are called_count, until one confirms: all of them within a few steps.
+//! Any endpoint forwards a release to the others, but only a running replica reads the call, and the dispatcher does
+//! not know which ones run. So the number of called endpoints doubles at short intervals until one confirms the
+//! release.
 
 use super::attempt::ConnectionPolicy;
 use super::EndpointClient;
@@ -13,17 +14,17 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// How long one call waits for its endpoint's answer.
+/// The time limit for one call to an endpoint.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// After this more endpoints are called_count: one at first, and each time as many as were called_count before.
+/// The interval at which more endpoints are called: one at first, then each time as many as were called before.
 const FAN_OUT_INTERVAL: Duration = Duration::from_millis(30);
-/// A release is tried for so long in all; endpoints release by themselves what is left then.
+/// The time limit for a whole release. Reservations not released by then expire at the endpoints.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two rounds of calls to all endpoints.
+/// The pause between two rounds of calls to all endpoints.
 const ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
 impl EndpointClient {
-    /// Has the endpoints release a request's reservation. Returns whether one confirmed it.
+    /// Asks the endpoints to release a request's reservation. Returns whether one of them confirmed it.
     pub(super) async fn release(&self, client_request_id: &str, addresses: &[Arc<str>]) -> bool {
         let deadline = Instant::now() + RELEASE_TIMEOUT;
         let mut calls = FuturesUnordered::new();
@@ -41,7 +42,7 @@
                     return true;
                 }
             }
-            // Idle connections may have broken without a sign of it.
+            // The pooled connections may be broken.
             policy = ConnectionPolicy::RequireNew;
             sleep(ROUND_INTERVAL).await;
         }
@@ -69,8 +70,8 @@
     }
 }
 
-/// Whether one of these calls is confirmed before the deadline. It returns no earlier than that otherwise, and drops
-/// the calls that have failed.
+/// Waits for a confirmation from one of these calls, and returns whether it came before the deadline. Without one it
+/// returns at the deadline, even if all calls fail before. Calls that end are removed.
 async fn is_confirmed_before<C>(calls: &mut FuturesUnordered<C>, deadline: Instant) -> bool
 where
     C: Future<Output = Result<bool, Elapsed>>,
--- a/src/backend/tracked_connection.rs
+++ b/src/backend/tracked_connection.rs
@@ -1,8 +1,8 @@
-//! What is known of one connection to an endpoint: what it has carried, whether its reading is paused, and whether
-//! it is to be closed once it is idle.
+//! The state of one connection to an endpoint: its traffic so far, whether reading is paused, and whether it closes
+//! once it is idle.
 //!
-//! The [`Transport`](super::transport::Transport) records each read and write here; the HTTP client uses
-//! the record to classify how an exchange broke. The socket itself belongs to the transport.
+//! The [`Transport`](super::transport::Transport) owns the socket and records each read and write here. The HTTP client
+//! uses the record to classify how an exchange failed.
 
 use crate::net::message_framing::{ChunkedDecoder, ResponseFraming};
 use socket2::SockRef;
@@ -14,14 +14,14 @@
 use std::task::{Poll, Waker};
 use tokio::net::TcpStream;
 
-/// Whether reading is paused, and the task that reads.
+/// Whether reading is paused, and the task to wake when it resumes.
 #[derive(Default)]
 struct ReadState {
     is_paused: bool,
     waker: Option<Waker>,
 }
 
-/// The record of one connection, shared by its transport and the exchange that runs on it.
+/// The state of one connection, shared by its transport and the exchange that uses it.
 #[derive(Default)]
 pub struct TrackedConnection {
     request_count: AtomicU32,
@@ -35,7 +35,7 @@
 }
 
 impl TrackedConnection {
-    /// The record of a connection that has carried nothing yet.
+    /// Creates the state of a new connection.
     pub(super) fn new(stream: &Arc<TcpStream>) -> Self {
         TrackedConnection {
             stream: Arc::downgrade(stream),
@@ -53,7 +53,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes the connection if it is idle; otherwise its exchange goes on, and the connection is closed after that.
+    /// Closes the connection now if it is idle, otherwise after its current exchange.
     pub(super) fn close_when_idle(&self) {
         self.closes_when_idle.store(true, Ordering::Relaxed);
         let waker = self.read_state().waker.take();
@@ -62,15 +62,15 @@
         }
     }
 
-    /// Whether the connection is idle and was asked to close once it is.
+    /// Whether the connection is idle and [`close_when_idle`](Self::close_when_idle) was called.
     pub(super) fn should_close(&self) -> bool {
         self.closes_when_idle.load(Ordering::Relaxed) && self.is_idle()
     }
 
-    /// Closes the connection at this moment, whatever runs on it.
+    /// Closes the connection at once, even during an exchange.
     pub fn close(&self) {
         if let Some(stream) = self.stream.upgrade() {
-            let _ = SockRef::from(&*stream).shutdown(Shutdown::Both); // it may be closed already
+            let _ = SockRef::from(&*stream).shutdown(Shutdown::Both); // fails if it is closed already
         }
     }
 
@@ -78,12 +78,12 @@
         !self.awaits_response.load(Ordering::Relaxed) && self.response().is_over()
     }
 
-    /// Reads no more bytes until [`resume_reading`](Self::resume_reading).
+    /// Stops reading from the socket until [`resume_reading`](Self::resume_reading).
     pub fn pause_reading(&self) {
         self.set_reading_paused(true);
     }
 
-    /// Reads again.
+    /// Resumes reading from the socket.
     pub fn resume_reading(&self) {
         self.set_reading_paused(false);
     }
@@ -99,32 +99,34 @@
         }
     }
 
-    /// Whether reading is paused now.
+    /// Whether reading is paused.
     pub(super) fn is_reading_paused(&self) -> bool {
         self.read_state().is_paused
     }
 
-    /// Registers the task that reads, to be woken when it should read again, and tells whether reading is paused now.
+    /// Registers the reading task, to be woken when reading is paused or resumed or the connection should close.
+    /// Returns whether reading is paused.
     pub(super) fn register_reader(&self, waker: &Waker) -> bool {
         let mut state = self.read_state();
         state.waker = Some(waker.clone());
         state.is_paused
     }
 
-    /// The decoder's position in the body of the last response by all bytes read, and the number of data bytes in them.
+    /// Returns the decoder of the current response's chunked body, after all bytes read from the socket, and the number
+    /// of data bytes among them. `None` if there is no such body, or its framing is unknown.
     pub fn response_body(&self) -> Option<(ChunkedDecoder, u64)> {
         self.response().body()
     }
 
-    /// A duplicate of the connection's descriptor.
+    /// Duplicates the connection's descriptor. `None` if the connection is closed or no descriptor is available.
     pub fn duplicate_descriptor(&self) -> Option<OwnedFd> {
         let duplicate = self.stream.upgrade()?.as_fd().try_clone_to_owned().ok()?;
         self.was_duplicated.store(true, Ordering::Relaxed);
         Some(duplicate)
     }
 
-    /// Whether another process may have the connection's descriptor although the connection belongs to this one, so
-    /// that a close alone does not end it.
+    /// Whether another process may share the socket although the connection belongs to this one. Closing this process's
+    /// descriptor then does not end the connection.
     pub(super) fn needs_shutdown(&self) -> bool {
         self.was_duplicated.load(Ordering::Relaxed) && !self.is_reading_paused()
     }
@@ -135,7 +137,7 @@
         self.response().feed(bytes);
     }
 
-    /// Records a write of `length` bytes. The first one after a response begins the next request.
+    /// Records a write of `length` bytes. The first write after a response starts the next request.
     pub(super) fn on_write(&self, written: &Poll<io::Result<usize>>, length: usize) {
         if !self.awaits_response.swap(true, Ordering::Relaxed) {
             self.request_count.fetch_add(1, Ordering::Relaxed);
@@ -146,8 +148,8 @@
             .store(!is_complete, Ordering::Relaxed);
     }
 
-    /// Whether the last request was not the connection's first, and nothing came back: the endpoint may have closed
-    /// the connection while it was idle.
+    /// Whether the last request was not the connection's first, and got no byte of a response. The endpoint may have
+    /// closed the connection while it was idle.
     pub fn may_be_stale(&self) -> bool {
         self.request_count.load(Ordering::Relaxed) > 1
             && self.awaits_response.load(Ordering::Relaxed)
--- a/src/backend/transport.rs
+++ b/src/backend/transport.rs
@@ -1,5 +1,5 @@
-//! The byte stream of one connection to an endpoint. It owns the socket and the permit for its descriptor, and records
-//! what it reads and writes in a [`TrackedConnection`].
+//! The byte stream of one connection to an endpoint. The [`Transport`] owns the socket and its connection permit, and
+//! records its reads and writes in a [`TrackedConnection`].
 
 use super::tracked_connection::TrackedConnection;
 use crate::net::adjustable_semaphore::Permit;
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection and its permit among the descriptors that may be open.
+/// A connected socket with its connection permit. Dropping it frees both.
 pub struct Transport {
     stream: Arc<TcpStream>,
     connection: Arc<TrackedConnection>,
@@ -20,7 +20,7 @@
 }
 
 impl Transport {
-    /// Wraps a connected socket.
+    /// Wraps a connected socket, which holds `permit` until it is dropped.
     pub(super) fn new(stream: TcpStream, permit: Permit) -> Self {
         let stream = Arc::new(stream);
         let connection = Arc::new(TrackedConnection::new(&stream));
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The record of what this connection carries.
+    /// Returns the record of this connection's traffic.
     pub fn connection(&self) -> &Arc<TrackedConnection> {
         &self.connection
     }
@@ -68,7 +68,7 @@
         if self.connection.register_reader(context.waker()) {
             return Poll::Pending;
         }
-        // The connection pool sees an end of stream, as if the endpoint had closed the connection.
+        // Reports an end of stream, so that the connection pool drops the connection as if the endpoint had closed it.
         if self.connection.should_close() {
             return Poll::Ready(Ok(()));
         }
@@ -104,8 +104,8 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Reading stays paused on a connection whose stream has migrated. Its descriptor is then open in another
-        // process too, where a shutdown here would take effect.
+        // Reading stays paused on a connection whose stream has migrated. Another process shares the socket then, and a
+        // shutdown here would break it there.
         if self.connection.is_reading_paused() {
             return Poll::Ready(Ok(()));
         }
--- a/src/backend/websocket/messages.rs
+++ b/src/backend/websocket/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of a WebSocket session with an endpoint.
+//! Builds and parses the messages of a WebSocket session with an endpoint.
 
 use crate::backend::attempt::AttemptResult;
 use crate::backend::load_report::parse_load_report;
@@ -7,7 +7,7 @@
 use miniserde::{json, Deserialize};
 use std::time::Duration;
 
-/// The fields of all messages that an endpoint sends.
+/// The fields of an endpoint's message. Each type of message has only some of them.
 #[derive(Deserialize)]
 struct MessageFields {
     #[serde(rename = "type")]
@@ -21,11 +21,11 @@
     load: Option<String>,
 }
 
-/// What an endpoint's message means for the attempt in flight.
+/// The effect of an endpoint's message on the current attempt.
 pub enum EndpointMessage {
-    /// Bytes of the stream.
+    /// The next bytes of the stream.
     Data(Bytes),
-    /// The attempt has ended.
+    /// The attempt has ended with this result.
     End(AttemptResult),
 }
 
@@ -35,8 +35,8 @@
     }
 }
 
-/// Reads an endpoint's message. One that can't be read, or belongs to another request, counts as an error of the
-/// endpoint.
+/// Parses an endpoint's message. A message that is malformed or belongs to another request ends the attempt with
+/// [`EndReason::UnreadableResponse`].
 pub fn parse_message(text: &str, client_request_id: &str) -> EndpointMessage {
     let Ok(message) = json::from_str::<MessageFields>(text) else {
         return EndReason::UnreadableResponse.into();
@@ -74,7 +74,7 @@
     })
 }
 
-/// An attempt's request, which declares the time that is left.
+/// Builds an attempt's request, which declares the time that is left.
 pub(super) fn request_message(
     client_request_id: &str,
     target: &str,
@@ -90,7 +90,7 @@
     )
 }
 
-/// The request to release a reservation.
+/// Builds the request to release a reservation.
 pub(super) fn release_message(client_request_id: &str) -> String {
     format!(
         r#"{{"type":"release","id":{}}}"#,
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -1,8 +1,8 @@
-//! WebSocket sessions to the endpoints that use them: each carries one request at a time, and many in turn.
+//! Calls endpoints over WebSocket sessions: attempts and releases. A session serves many requests, one at a time.
 //!
 //! Cancelling an attempt closes its session, as it closes an HTTP/1.1 connection. An idle session is checked before it
-//! is used again, and none is used for a request to an endpoint that drains. The pool owns the idle sessions; a session
-//! in use is owned by its attempt.
+//! is reused, and blocked endpoints get no requests. The pool owns the idle sessions; an attempt owns the session that
+//! it uses.
 
 mod messages;
 
@@ -24,13 +24,13 @@
 use tokio_tungstenite::tungstenite::{Error as WebSocketError, Message};
 use tokio_tungstenite::WebSocketStream;
 
-/// The path at which endpoints accept sessions.
+/// The path of an endpoint's WebSocket handshake.
 const SESSION_PATH: &str = "/v1/sessions";
-/// The most bytes in an endpoint's message.
+/// The maximum length of an endpoint's message.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// The size of a session's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// How many idle sessions are pooled for an endpoint.
+/// The maximum number of idle sessions pooled for an endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 type Session = WebSocketStream<Transport>;
@@ -42,7 +42,7 @@
 
 type IdleSessions = HashMap<Arc<str>, Vec<IdleSession>>;
 
-/// Sessions to endpoints, with a pool of idle ones. Cheap to clone; clones share the pool.
+/// Opens sessions to endpoints and pools idle ones. Cheap to clone; clones share the pool.
 #[derive(Clone)]
 pub struct SessionPool {
     connector: Connector,
@@ -52,7 +52,7 @@
 }
 
 impl SessionPool {
-    /// An empty pool. A session that was idle for `idle_timeout` is not used again.
+    /// Creates an empty pool. Sessions that were idle for `idle_timeout` are not reused.
     pub fn new(connector: Connector, idle_timeout: Duration, log: Logger) -> Self {
         SessionPool {
             connector,
@@ -74,7 +74,7 @@
     fn take_idle(&self, address: &str) -> Option<Session> {
         loop {
             let mut idle = self.idle().get_mut(address)?.pop()?;
-            // Anything that waits on an idle session is its end, or belongs to no new request.
+            // A session with unread input is unusable: it was closed, or has a message that belongs to no request.
             if idle.idle_since.elapsed() < self.idle_timeout
                 && idle.session.next().now_or_never().is_none()
             {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A new session for an attempt, or why there is none; nothing has run either way.
+    /// Opens a session for an attempt. If that fails, nothing has run.
     async fn open(&self, address: &str) -> Result<Session, EndReason> {
         let transport = match self.connector.connect(address).await {
             Ok(transport) => transport,
@@ -114,14 +114,14 @@
             }
             Err(_) => return Err(EndReason::ConnectFailed),
         };
-        // Draining counts from a request's first byte: one that waited for its session is checked again.
+        // The endpoint may have been blocked while the session was opened. It must get no new request then.
         if self.connector.blocked_endpoints().is_blocked(address) {
             return Err(EndReason::EndpointBlocked);
         }
         Ok(session)
     }
 
-    /// A new session for a release, which an endpoint that drains accepts too.
+    /// Opens a session for a release, which blocked endpoints get too.
     async fn open_for_release(&self, address: &str) -> Option<Session> {
         let transport = self.connector.connect(address).await.ok()?;
         handshake(address, transport).await.ok()
@@ -170,8 +170,9 @@
         result
     }
 
-    /// A session for an attempt, and how the attempt has ended if the session breaks before anything came back. On an
-    /// idle session it may have run, so that a request which must not run twice gets a new one.
+    /// Returns a session for an attempt, and the attempt's end reason if the session breaks before the first message
+    /// from the endpoint. On a reused session the request may have run then, so one that must not run twice gets a new
+    /// session.
     async fn session_for(
         &self,
         request: &AttemptRequest,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Requests that an endpoint release a request's reservation. Returns whether it confirmed that it has.
+    /// Asks an endpoint to release a request's reservation. Returns whether the endpoint confirmed the release.
     pub async fn release(
         &self,
         client_request_id: &str,
@@ -244,9 +245,9 @@
     deadline: Instant,
     break_reason: EndReason,
 ) -> Result<(), EndReason> {
-    // The body is not needed once it is sent, and a stream may be long.
+    // Frees the body once it is sent: the stream may take long.
     let body = std::mem::take(&mut request.upstream.body);
-    // Text messages carry text: a body that is none is not sent, rather than sent as something else.
+    // A text message must be UTF-8. Any other body is not sent.
     let Ok(body) = std::str::from_utf8(&body) else {
         return Err(EndReason::NotSent);
     };
@@ -256,7 +257,7 @@
         deadline.saturating_duration_since(Instant::now()),
         body,
     );
-    // A message whose last byte was not written is no request.
+    // If the message was not written completely, the endpoint has not received a request.
     match timeout_at(deadline, session.send(Message::Text(message.into()))).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) if break_reason == EndReason::StaleConnection => {
@@ -267,8 +268,7 @@
     }
 }
 
-/// Forwards the stream until the endpoint ends the attempt. An error is an end after which the session is not used
-/// again.
+/// Forwards the stream until the endpoint ends the attempt. After an error the session must not be reused.
 async fn receive_response(
     session: &mut Session,
     request: &AttemptRequest,
@@ -295,7 +295,7 @@
     }
 }
 
-/// Ends the forwarded stream as the endpoint ended the attempt.
+/// Ends the forwarded stream according to the endpoint's result, and returns the attempt's result.
 async fn finish_stream(result: AttemptResult, forwarder: StreamForwarder) -> AttemptResult {
     match result.reason {
         EndReason::Served => match forwarder.finish().await {
@@ -303,7 +303,7 @@
             Err(reason) => reason.into(),
         },
         EndReason::ErrorResponse | EndReason::UnreadableResponse => result,
-        // A stream that ends otherwise has broken.
+        // Any other result after the stream has started means that the stream broke.
         _ if forwarder.has_started() => EndReason::ConnectionReset.into(),
         _ => result,
     }
--- a/src/net/adjustable_semaphore.rs
+++ b/src/net/adjustable_semaphore.rs
@@ -1,37 +1,38 @@
-//! Counted resources with a limit that may change while they are in use: connections, kilobytes of memory.
+//! A semaphore whose limit can change while permits are in use. It counts connections or kilobytes of memory.
 //!
-//! The owner of a resource holds a [`AdjustableSemaphore`]; whoever uses the resource holds a [`Permit`].
+//! While two processes run during an upgrade, they divide the dispatcher's limits. Each process sets its share with
+//! [`AdjustableSemaphore::set_share`].
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The limits of a dispatcher are divided among its processes in so many units.
+/// The number of units into which a dispatcher's limits are divided among its processes.
 pub const SHARE_UNITS: u32 = 16;
 
-/// More permits than this are never in use beyond a limit.
+/// The maximum number of permits in use beyond a limit, far above any limit.
 const MAX_EXCESS_PERMITS: usize = 1 << 20;
 
-/// The right to use what was acquired of a [`AdjustableSemaphore`]. Dropping it makes that available again.
+/// The permits from one call of an [`AdjustableSemaphore`]. Dropping it returns them.
 pub type Permit = OwnedSemaphorePermit;
 
 struct LimitState {
     limit: usize,
-    /// Permits in use beyond the limit, which are still to be removed as they become available.
+    /// The permits in use that exceed a lowered limit. They are removed as they become available.
     excess_permits: usize,
 }
 
-/// A number of permits that changes with the process's share of it. Clones share the same permits.
+/// A semaphore whose limit is this process's share of a capacity. Clones share the permits.
 #[derive(Clone)]
 pub struct AdjustableSemaphore {
     capacity: usize,
     permits: Arc<Semaphore>,
-    /// The permits for use beyond the limit; all of them are available while nothing is.
+    /// The permits of [`acquire_beyond_limit`](Self::acquire_beyond_limit).
     excess: Arc<Semaphore>,
     state: Arc<Mutex<LimitState>>,
 }
 
 impl AdjustableSemaphore {
-    /// A limit of `capacity` permits, all of them available.
+    /// Creates a semaphore with `capacity` permits, all of them available.
     pub fn new(capacity: usize) -> AdjustableSemaphore {
         let state = LimitState {
             limit: capacity,
@@ -49,34 +50,35 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The limit of a process that has all units.
+    /// Returns the limit of a process whose share is all units.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Waits for `count` permits, which are released together.
+    /// Waits for `count` permits, which are released together. Always returns `Some`, because the semaphore is never
+    /// closed.
     pub async fn acquire(&self, count: u32) -> Option<Permit> {
         self.permits.clone().acquire_many_owned(count).await.ok()
     }
 
-    /// Acquires `count` permits, if they are available now.
+    /// Acquires `count` permits if they are available now.
     pub fn try_acquire(&self, count: u32) -> Option<Permit> {
         self.permits.clone().try_acquire_many_owned(count).ok()
     }
 
-    /// Acquires a permit for a resource that is in use already, whatever the limit. It counts as one in use; `None` only
-    /// where far more than any limit are.
+    /// Acquires a permit regardless of the limit, for a resource that is already in use. The permit counts as in use.
+    /// `None` only if 2^20 permits are in use beyond the limit.
     pub fn acquire_beyond_limit(&self) -> Option<Permit> {
         self.try_acquire(1)
             .or_else(|| self.excess.clone().try_acquire_owned().ok())
     }
 
-    /// The number of permits that are available.
+    /// Returns the number of available permits.
     pub fn available(&self) -> usize {
         self.permits.available_permits()
     }
 
-    /// The number of permits in use.
+    /// Returns the number of permits in use, including those beyond the limit.
     pub fn in_use(&self) -> usize {
         let state = self.state();
         let total_permits = state.limit + state.excess_permits;
@@ -84,13 +86,14 @@
         total_permits.saturating_sub(self.permits.available_permits()) + beyond_limit
     }
 
-    /// The number of permits in use beyond the limit.
+    /// Returns the number of permits in use beyond the limit.
     pub fn over_limit(&self) -> usize {
         self.in_use().saturating_sub(self.state().limit)
     }
 
-    /// Sets the limit to `share_units` of [`SHARE_UNITS`], and at least to `min_limit`. Permits in use beyond it are
-    /// removed as they become available: call again until [`AdjustableSemaphore::over_limit`] is zero.
+    /// Sets the limit to `share_units` of [`SHARE_UNITS`] of the capacity, but to at least `min_limit`. Permits in use
+    /// beyond the new limit are removed as they become available, by further calls: repeat the call until
+    /// [`AdjustableSemaphore::over_limit`] returns 0.
     pub fn set_share(&self, share_units: u32, min_limit: usize) {
         let share_units = share_units.min(SHARE_UNITS) as usize;
         let new_limit = (self.capacity * share_units / SHARE_UNITS as usize)
--- a/src/net/message_framing/chunked.rs
+++ b/src/net/message_framing/chunked.rs
@@ -1,33 +1,33 @@
-//! The decoder of chunked bodies. Its state is ten bytes, which another process can take over between any two bytes of a
-//! body.
+//! Decodes bodies in the chunked transfer encoding. The decoder's state can be serialized between any two bytes of a
+//! body, so that another process can continue to decode it.
 
 use super::FramingError;
 
-/// The most hexadecimal digits of a chunk's size: no body has 2^60 bytes.
+/// The maximum number of hexadecimal digits in a chunk's size, which limits chunks to less than 2^60 bytes.
 const MAX_SIZE_DIGITS: u8 = 15;
-/// The length of the line end behind a chunk's data.
+/// The length of the CRLF after a chunk's data.
 const LINE_END_BYTES: u8 = 2;
 
 /// The position in a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkedState {
-    /// In a chunk's size, behind so many digits.
+    /// In a chunk's size, with the number of digits read so far.
     Size(u8),
-    /// Behind the size, up to the line end.
+    /// After the size, before the end of its line.
     Extension,
-    /// Between the two bytes of the line end behind the size.
+    /// Between the two bytes of the CRLF after the size.
     SizeEnd,
-    /// In the data.
+    /// In a chunk's data.
     Data,
-    /// In the line end behind the data, of which so many bytes remain.
+    /// In the CRLF after the data, with the number of its bytes that remain.
     DataEnd(u8),
-    /// At the start of a line behind the last chunk.
+    /// At the start of a line in the trailer section, after the last chunk.
     Trailer,
-    /// Inside such a line.
+    /// Inside a line of the trailer section.
     TrailerLine,
     /// Between the two bytes of the empty line that ends the body.
     TrailerEnd,
-    /// Behind the body.
+    /// After the body.
     End,
 }
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkedDecoder {
     state: ChunkedState,
-    /// The bytes of the current chunk's data that are still to come; while its size is read, the size so far.
+    /// The number of data bytes that remain of the current chunk. While the chunk's size is read, its value so far.
     remaining: u64,
 }
 
@@ -49,15 +49,15 @@
 }
 
 impl ChunkedDecoder {
-    /// The length of what [`ChunkedDecoder::to_bytes`] returns.
+    /// The length of the serialized state, which [`ChunkedDecoder::to_bytes`] returns.
     pub const ENCODED_BYTES: usize = 10;
 
-    /// Reads on and passes data to `on_data`. Returns how many of the bytes belong to the body: fewer than all where the
-    /// body has ended.
+    /// Decodes the next bytes and passes their data to `on_data`. Returns how many of them belong to the body, which
+    /// are fewer than all if the body ends among them.
     ///
     /// # Errors
     ///
-    /// [`FramingError`] where the bytes are no chunked body. The decoder is not to be used any more.
+    /// [`FramingError`] if the bytes are not a valid chunked body. The decoder must not be used afterwards.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -82,7 +82,7 @@
         Ok(consumed)
     }
 
-    /// The state behind a byte that is no data.
+    /// Returns the state after a byte that is not data.
     fn next_state(&mut self, byte: u8) -> Result<ChunkedState, FramingError> {
         use ChunkedState::*;
         Ok(match (self.state, byte) {
@@ -113,7 +113,7 @@
         })
     }
 
-    /// The decoder's state as another process takes it over with [`ChunkedDecoder::from_bytes`].
+    /// Serializes the decoder's state, for [`ChunkedDecoder::from_bytes`] in another process.
     pub fn to_bytes(self) -> [u8; ChunkedDecoder::ENCODED_BYTES] {
         let (code, count) = match self.state {
             ChunkedState::Size(digits) => (0, digits),
@@ -133,7 +133,7 @@
         bytes
     }
 
-    /// The decoder whose state these bytes are; `None` where they are none.
+    /// Restores a decoder from its serialized state; `None` if the bytes are not a valid state.
     pub fn from_bytes(bytes: &[u8; ChunkedDecoder::ENCODED_BYTES]) -> Option<ChunkedDecoder> {
         let [code, count, remaining @ ..] = bytes;
         let state = match (code, count) {
@@ -154,7 +154,7 @@
         })
     }
 
-    /// Whether all of the body was read.
+    /// Whether the whole body was read.
     pub fn has_ended(&self) -> bool {
         self.state == ChunkedState::End
     }
--- a/src/net/message_framing/mod.rs
+++ b/src/net/message_framing/mod.rs
@@ -1,6 +1,8 @@
-//! The framing of HTTP/1.1 messages, followed beside the library that parses them: where each head and body ends, and
-//! what a head declares of its body. Pure: bytes in, states out. Each connection owns its [`RequestFraming`] or
-//! [`ResponseFraming`], and the result does not depend on how its bytes are split.
+//! Tracks the framing of HTTP/1.1 messages: where each head and body ends, and what a head declares about its body.
+//!
+//! The HTTP library parses the same bytes, but does not report these positions. Each connection owns a
+//! [`RequestFraming`] or a [`ResponseFraming`]. They do no I/O, and their result does not depend on how the bytes are
+//! split.
 
 mod chunked;
 mod request;
@@ -12,21 +14,21 @@
 
 use thiserror::Error;
 
-/// The longest line of a head that is followed.
+/// The maximum length of a line in a head.
 const MAX_HEAD_LINE_BYTES: usize = 16 * 1024;
 
-/// The bytes are no message that can be followed.
+/// The bytes are not an HTTP/1.1 message, or use framing that is not supported here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the message framing can't be followed")]
+#[error("invalid or unsupported message framing")]
 pub struct FramingError;
 
-/// The length of the first line with its line feed, or `None` where the line feed is still to come.
+/// Returns the length of the first line with its line feed; `None` if the line feed is missing.
 fn complete_line_length(bytes: &[u8]) -> Option<usize> {
     let line_feed = bytes.iter().position(|byte| *byte == b'\n')?;
     Some(line_feed + 1)
 }
 
-/// The name and the value of a header field.
+/// Splits a header field into its name and its value; `None` if the line is not a field.
 fn parse_field(line: &[u8]) -> Option<(&str, &str)> {
     let line = std::str::from_utf8(line).ok()?;
     let (name, value) = line.split_once(':')?;
--- a/src/net/message_framing/request.rs
+++ b/src/net/message_framing/request.rs
@@ -3,31 +3,31 @@
 use super::{complete_line_length, parse_field, ChunkedDecoder, FramingError, MAX_HEAD_LINE_BYTES};
 use std::collections::VecDeque;
 
-/// How many heads may wait for [`RequestFraming::next_head`].
+/// The number of heads that may wait for [`RequestFraming::next_head`]; a connection with more is not tracked further.
 const MAX_PENDING_HEADS: usize = 64;
 
-/// What the head of a request declares of its body.
+/// What the head of a request declares about its body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeclaredBody {
-    /// The body is chunked.
+    /// The only transfer encoding is `chunked`.
     pub is_chunked: bool,
-    /// The declared length, in bytes.
+    /// The declared length in bytes; `None` without a `Content-Length` field.
     pub length: Option<u64>,
-    /// The head declares a transfer encoding, followed here or not.
+    /// The head declares any transfer encoding, supported here or not.
     pub has_transfer_encoding: bool,
 }
 
-/// The position among the requests.
+/// The position in the requests of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum RequestState {
     /// In a head, or before one.
     #[default]
     Head,
-    /// In a body of a declared length, of which so many bytes remain.
+    /// In a body of a declared length, with the number of bytes that remain.
     Length(u64),
     /// In a chunked body.
     Chunked(ChunkedDecoder),
-    /// The bytes could not be followed: nothing is known of any later request.
+    /// The framing is invalid or not supported, or tracking was stopped. Later requests are unknown.
     Untracked,
 }
 
@@ -35,18 +35,18 @@
 #[derive(Debug, Default)]
 pub struct RequestFraming {
     state: RequestState,
-    /// The line that is incomplete so far.
+    /// The head's current line, which is incomplete.
     line: Vec<u8>,
-    /// How many lines the current head has so far.
+    /// The number of complete lines in the current head.
     line_count: usize,
-    /// What the current head declares so far.
+    /// What the current head has declared so far.
     declared: DeclaredBody,
     pending_heads: VecDeque<DeclaredBody>,
     completed_requests: u64,
 }
 
 impl RequestFraming {
-    /// Reads on, to the end of a request at most. Returns how many of the bytes were read.
+    /// Processes the next bytes, but none after the end of the current request. Returns how many were processed.
     pub fn feed(&mut self, bytes: &[u8]) -> usize {
         let completed_before = self.completed_requests;
         let mut consumed = 0;
@@ -62,7 +62,7 @@
         consumed
     }
 
-    /// Reads on within the current state, and returns how many of the bytes were read.
+    /// Processes bytes that belong to the current state, and returns how many those are.
     fn feed_state(&mut self, bytes: &[u8]) -> Result<usize, FramingError> {
         match &mut self.state {
             RequestState::Untracked => Ok(bytes.len()),
@@ -92,23 +92,24 @@
         self.completed_requests += 1;
     }
 
-    /// The number of requests that were read to their end.
+    /// Returns the number of requests that were read completely.
     pub fn completed_requests(&self) -> u64 {
         self.completed_requests
     }
 
-    /// Stops following: the bytes from now on are no requests, or can't be followed.
+    /// Stops tracking, because the following bytes are not requests or their framing is invalid.
     pub fn stop(&mut self) {
         self.state = RequestState::Untracked;
         self.line = Vec::new();
     }
 
-    /// What the next head declares, in the order of the requests. `None`: the requests can't be followed up to it.
+    /// Removes and returns the declaration of the oldest pending head, in the order of the requests. `None` if tracking
+    /// has stopped before that head.
     pub fn next_head(&mut self) -> Option<DeclaredBody> {
         self.pending_heads.pop_front()
     }
 
-    /// Reads to the end of a line at most, and returns how many of the bytes were read.
+    /// Processes at most one line, and returns the number of bytes processed.
     fn feed_head(&mut self, bytes: &[u8]) -> Result<usize, FramingError> {
         let line_length = complete_line_length(bytes);
         let length = line_length.unwrap_or(bytes.len());
@@ -126,7 +127,7 @@
 
     fn on_line(&mut self, line: &[u8]) -> Result<(), FramingError> {
         if line.is_empty() {
-            // Empty lines before a request are ignored.
+            // Empty lines before a request line are ignored (RFC 9112, section 2.2).
             if self.line_count == 0 {
                 return Ok(());
             }
@@ -169,7 +170,7 @@
             }
             self.declared.length = Some(length);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            // Only a single field with the single encoding `chunked` is followed.
+            // Only a single field with `chunked` as its only encoding is supported.
             let is_repeated = self.declared.has_transfer_encoding;
             self.declared.has_transfer_encoding = true;
             self.declared.is_chunked = !is_repeated && value.eq_ignore_ascii_case("chunked");
@@ -178,7 +179,7 @@
     }
 }
 
-/// Stricter than `parse`, which takes a sign.
+/// Parses a `Content-Length` value. Stricter than `str::parse`, which accepts a sign.
 fn parse_length(value: &str) -> Result<u64, FramingError> {
     if !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(FramingError);
--- a/src/net/message_framing/response.rs
+++ b/src/net/message_framing/response.rs
@@ -1,4 +1,4 @@
-//! The framing of the response to one request.
+//! The framing of the response to one request, including its interim responses.
 
 use super::{complete_line_length, parse_field, ChunkedDecoder, MAX_HEAD_LINE_BYTES};
 
@@ -8,17 +8,17 @@
     /// In a head.
     #[default]
     Head,
-    /// In a body of a declared length, of which so many bytes remain.
+    /// In a body of a declared length, with the number of bytes that remain.
     Length(u64),
-    /// In a chunked body, or behind it.
+    /// In a chunked body, or after it.
     Chunked(ChunkedDecoder),
-    /// Behind a response without a body, or with one of a declared length.
+    /// After a response without a body, or after a body of a declared length.
     Complete,
-    /// The bytes could not be followed: nothing is known any more.
+    /// The framing is invalid or not supported. Nothing is known about the bytes from here on.
     Untracked,
 }
 
-/// What a status line says of the message.
+/// The kind of response that a status line announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum StatusKind {
     /// A final response, with the body that its head declares.
@@ -26,11 +26,11 @@
     Final,
     /// A final response that has no body, whatever its head declares.
     WithoutBody,
-    /// An interim response: another one follows.
+    /// An interim response (1xx). Another response follows.
     Interim,
 }
 
-/// What was read of a head.
+/// The parts of the current head that were read so far.
 #[derive(Debug, Default)]
 struct ResponseHead {
     line_count: usize,
@@ -44,14 +44,14 @@
 pub struct ResponseFraming {
     state: ResponseState,
     head: ResponseHead,
-    /// The line that is incomplete so far.
+    /// The head's current line, which is incomplete.
     line: Vec<u8>,
-    /// The bytes of data in a chunked body so far.
+    /// The number of data bytes in the chunked body so far.
     chunk_data_bytes: u64,
 }
 
 impl ResponseFraming {
-    /// Reads on. What follows the end of the response is ignored.
+    /// Processes the next bytes. Ignores those after the end of the response.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match &mut self.state {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads to the end of a line at most, and returns the bytes behind it.
+    /// Processes at most one line, and returns the bytes after it.
     fn feed_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let line_length = complete_line_length(bytes);
         let (line, rest) = bytes.split_at(line_length.unwrap_or(bytes.len()));
@@ -129,12 +129,12 @@
             (StatusKind::Final, true, _) => ResponseState::Chunked(ChunkedDecoder::default()),
             (StatusKind::Final, false, Some(0)) => ResponseState::Complete,
             (StatusKind::Final, false, Some(length)) => ResponseState::Length(length),
-            // The body ends with the connection, which is not followed.
+            // The body ends when the connection closes, which is not tracked.
             (StatusKind::Final, false, None) => ResponseState::Untracked,
         };
     }
 
-    /// Whether all of the response was read, for certain: its connection is idle then.
+    /// Whether the whole response was certainly read, so that its connection is idle.
     pub fn is_over(&self) -> bool {
         match &self.state {
             ResponseState::Complete => true,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// The decoder of a chunked body and the bytes of data so far; `None` where the body is not chunked, has not begun,
-    /// or could not be followed.
+    /// Returns the decoder of a chunked body and the number of data bytes so far. `None` if the body is not chunked,
+    /// has not begun, or its framing is invalid.
     pub fn body(&self) -> Option<(ChunkedDecoder, u64)> {
         match &self.state {
             ResponseState::Chunked(decoder) => Some((*decoder, self.chunk_data_bytes)),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Network building blocks without policy: message framing, system errors, connection limits.
+//! Network building blocks without policy: message framing, system errors, and a semaphore with an adjustable limit.
 
 pub mod adjustable_semaphore;
 pub mod message_framing;
--- a/src/net/system_errors.rs
+++ b/src/net/system_errors.rs
@@ -1,19 +1,20 @@
-//! The errors of system calls: which ones concern one connection, and which ones this machine. Does no I/O; each listener
-//! owns its [`AcceptBackoff`].
+//! Classifies errors of socket system calls: some concern one connection, others this machine. Does no I/O.
+//!
+//! Each listener owns an [`AcceptBackoff`], which gives the delay after a failed `accept`.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// The delay after the first failure of this machine to accept a connection.
+/// The delay after the first `accept` error that is not caused by a single connection.
 const MIN_ACCEPT_DELAY: Duration = Duration::from_millis(5);
-/// The longest delay after failures in a row.
+/// The maximum delay, reached by doubling it with each such error.
 const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(200);
-/// After this many connections in a row that broke before they were accepted, there is a delay all the same: the listener
-/// must not spin.
+/// The number of connection errors without an accepted connection after which there is a delay all the same. Otherwise
+/// the listener could spin.
 const MAX_IMMEDIATE_RETRIES: u32 = 64;
 
-/// The errors by which this machine lacks descriptors, memory, ports or a route for a moment.
+/// The errors of a temporary lack of descriptors, memory, ports or a route on this machine.
 const LOCAL_SHORTAGES: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
@@ -26,8 +27,8 @@
     Errno::INTR,
 ];
 
-/// The errors of `accept` that Linux passes on from a connection that has broken while it waited, or that concern no other
-/// connection.
+/// The errors of `accept` that concern a single connection. Linux also returns network errors of the new connection
+/// from `accept`.
 const CONNECTION_ERRORS: [Errno; 12] = [
     Errno::CONNABORTED,
     Errno::CONNRESET,
@@ -50,13 +51,13 @@
     errnos.iter().any(|errno| errno.raw_os_error() == code)
 }
 
-/// Whether this machine is short of descriptors, memory, ports or a route for a moment. Such an error says nothing of the
-/// other side.
+/// Whether the error is a temporary lack of descriptors, memory, ports or a route on this machine. Such an error says
+/// nothing about the other side.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     is_any_of(error, &LOCAL_SHORTAGES)
 }
 
-/// The delays of one listener after a failed `accept`.
+/// Computes one listener's delays after a failed `accept`.
 #[derive(Debug)]
 pub struct AcceptBackoff {
     next_delay: Duration,
@@ -73,13 +74,13 @@
 }
 
 impl AcceptBackoff {
-    /// Records an accepted connection.
+    /// Records an accepted connection, which resets the delay.
     pub fn reset(&mut self) {
         *self = AcceptBackoff::default();
     }
 
-    /// Records an error, and returns the delay before the next `accept`. Zero where only the connection has broken: others
-    /// may wait behind it.
+    /// Records an error, and returns the delay before the next `accept`. The delay is zero if only one connection
+    /// failed, because others may be waiting in the backlog.
     pub fn delay_after(&mut self, error: &io::Error) -> Duration {
         let is_connection_error = is_any_of(error, &CONNECTION_ERRORS);
         if is_connection_error && self.immediate_retries < MAX_IMMEDIATE_RETRIES {
