--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -1,5 +1,5 @@
-//! The backend alone: the test stands in for the dispatcher. Attempts and their cancels are here, connections and
-//! releases in the modules.
+//! Tests of the backend alone: the test sends the commands and receives the events in place of the dispatcher. Attempts
+//! and cancels are tested here, connections, releases and probes in the modules.
 
 #[path = "backend/connections.rs"]
 mod connections;
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{sleep_until, Instant};
 
-/// A stream at a decode endpoint, which pauses after the first event.
+/// A stream from a decode replica that pauses after the first event.
 struct StartedStream {
     fleet: Fleet,
     commands: Sender<Command>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The addresses at which the backend uses sessions.
+/// Returns the addresses at which the backend uses WebSocket sessions.
 fn websocket_addresses(fleet: &Fleet, uses_websocket: bool) -> Vec<String> {
     if uses_websocket {
         fleet.replica_addresses.clone()
@@ -61,8 +61,8 @@
     }
 }
 
-/// A cancel can cross with the first event: the dispatcher has handed the stream to the client when the cancel
-/// arrives. Cutting a stream that has started would lose the request.
+/// A cancel can arrive after the first event was reported, when the dispatcher has given the stream to the client.
+/// Cutting a stream that has started would fail the request.
 #[tokio::test]
 async fn a_cancel_that_crosses_with_the_first_event_does_not_cut_the_stream() {
     for uses_websocket in [false, true] {
@@ -73,7 +73,7 @@
             mut stream,
         } = StartedStream::start(uses_websocket).await;
         commands.send(cancel_attempt(1)).await.unwrap();
-        // Once a later command has been done, so has the cancel.
+        // Commands are executed in order: once this one has completed, so has the cancel.
         let later = Command::ReleaseReservation {
             id: 9,
             client_request_id: "none".into(),
@@ -97,7 +97,7 @@
     }
 }
 
-/// A stream whose receiver is dropped ends at once, also while its endpoint is silent.
+/// A stream whose receiver is dropped ends at once, even while its endpoint is silent.
 #[tokio::test]
 async fn a_stream_whose_receiver_is_dropped_frees_its_endpoint() {
     for uses_websocket in [false, true] {
@@ -113,7 +113,7 @@
     }
 }
 
-/// No attempt goes to an endpoint that was blocked while the attempt waited for a connection; releases still do.
+/// A blocked endpoint gets no attempts, but still gets releases.
 #[tokio::test]
 async fn an_attempt_at_an_endpoint_that_is_blocked_is_not_sent_and_a_release_is() {
     let fleet = Fleet::start(false).await;
@@ -139,8 +139,8 @@
     assert_eq!(fleet.activity.lock().unwrap().release_count, 1);
 }
 
-/// Hundreds of attempts may be queued when their endpoint is blocked: none of them starts after that. Commands taken
-/// one by one had the first hundred start.
+/// Hundreds of attempts may be queued ahead of the command that blocks their endpoint. None of them starts: when
+/// commands were executed one by one, the first hundred did.
 #[tokio::test]
 async fn no_queued_attempt_starts_at_an_endpoint_that_is_blocked_by_then() {
     let fleet = Fleet::start(false).await;
@@ -156,8 +156,8 @@
     assert_eq!(fleet.attempts_at(0), 0);
 }
 
-/// A client disconnects as its request is sent on: the cancel is taken with the attempt, and an idle connection is
-/// available. Nothing is sent for a client that has disconnected.
+/// A client disconnects while its attempt is queued, so that the attempt and its cancel are executed together. Nothing
+/// is sent, although an idle connection is available.
 #[tokio::test]
 async fn an_attempt_whose_cancel_is_queued_with_it_is_not_sent() {
     let fleet = Fleet::start(false).await;
@@ -179,7 +179,7 @@
     assert_eq!(names, ["n1", "n3"]);
 }
 
-/// A connection that breaks after the request was written may have run it: a reset, and it is sent only once.
+/// A request may have run if its connection breaks after it was written. The attempt is a reset and is not sent again.
 #[tokio::test]
 async fn a_connection_that_breaks_after_the_request_is_a_reset_and_is_not_retried() {
     let (listener, address) = bind_endpoint().await;
@@ -195,7 +195,7 @@
     assert!(!second_connection.await, "no library resends it");
 }
 
-/// A request whose last byte was never taken by a connection has certainly not run.
+/// A request whose last byte was never written to the socket has certainly not run.
 #[tokio::test]
 async fn a_connection_that_breaks_before_the_whole_request_is_written_never_ran_it() {
     let (listener, address) = bind_endpoint().await;
@@ -212,8 +212,8 @@
     assert_eq!(next_status(&mut events).await, AttemptStatus::NotSent);
 }
 
-/// An attempt is in flight until its connection is closed: what follows from its end, such as a refusal, must not come
-/// before that, whichever task runs first.
+/// An attempt is in flight until its connection is closed. Its end must not be reported before that, whichever task
+/// runs first, because the client's response may follow at once.
 #[tokio::test(start_paused = true)]
 async fn the_end_of_an_abandoned_attempt_is_reported_after_its_connection_is_closed() {
     for is_cancelled in [false, true] {
@@ -225,7 +225,7 @@
             timeout,
             ..AttemptSpec::new(2, &address)
         };
-        // Wakes together with the attempt, and so runs before the tasks that the attempt wakes.
+        // Wakes at the same time as the attempt, and so runs before any task that the attempt wakes.
         let mut attempt_deadline = std::pin::pin!(sleep_until(started_at + timeout));
         assert!(attempt_deadline.as_mut().now_or_never().is_none());
         commands.send(attempt.command()).await.unwrap();
@@ -243,7 +243,7 @@
     }
 }
 
-/// A connection takes its time, or is waited for: the request declares the time that is left by then.
+/// A request waits for its connection, then declares the time that is left when the connection is established.
 #[tokio::test(start_paused = true)]
 async fn a_request_declares_the_time_that_is_left_when_its_connection_is_up() {
     let backend = ExhaustedBackend::start().await;
--- a/tests/backend/connections.rs
+++ b/tests/backend/connections.rs
@@ -1,4 +1,4 @@
-//! Which connections attempts use, and when idle ones are closed.
+//! Tests of which connections attempts use, and when idle ones are closed.
 
 use super::support::{
     bind_endpoint, block_address, next_event, next_status, read_request, serve_prefill,
@@ -13,8 +13,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An idle connection that breaks under a request says nothing about its endpoint; others would break the same way, so
-/// that none is pooled for a time.
+/// A pooled connection that breaks under a request says nothing about its endpoint. Other idle ones are likely to break
+/// too, so pooling pauses.
 #[tokio::test]
 async fn an_idle_connection_that_breaks_under_a_request_is_stale_and_pooling_pauses() {
     let (listener, address) = bind_endpoint().await;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A request that must not run twice never goes on an idle connection: were that closed meanwhile, it might have run.
+/// A request that must not run twice gets no pooled connection: if that breaks, the request may have run.
 #[tokio::test]
 async fn an_attempt_that_needs_a_new_connection_uses_no_pooled_one() {
     let (listener, address) = bind_endpoint().await;
@@ -65,7 +65,7 @@
     assert_eq!(next_status(&mut events).await, AttemptStatus::PrefillDone);
 }
 
-/// An attempt that gets no connection permit was never tried, and says nothing about its endpoint.
+/// An attempt without a connection permit is not sent, and says nothing about its endpoint.
 #[tokio::test(start_paused = true)]
 async fn an_attempt_without_a_connection_permit_is_not_sent() {
     for uses_websocket in [false, true] {
@@ -94,7 +94,7 @@
     assert!(matches!(end, Ok(0)));
 }
 
-/// Idle connections to an endpoint that is blocked are closed; one on which a stream runs is not, until that has ended.
+/// Blocking an endpoint closes its idle connections at once, and one that carries a stream after the stream's end.
 #[tokio::test]
 async fn connections_to_a_blocked_endpoint_are_closed_once_they_are_idle() {
     let (listener, address) = bind_endpoint().await;
--- a/tests/backend/releases.rs
+++ b/tests/backend/releases.rs
@@ -1,4 +1,4 @@
-//! Releases of reservations, and probes.
+//! Tests of reservation releases and of probes.
 
 use super::support::{
     bind_blocking_endpoint, bind_endpoint, next_event, next_status, start_attempt, ExhaustedBackend,
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A refused connection proves that nothing ran; a release goes on to an endpoint that can be reached.
+/// A refused connection proves that the request never ran. A release continues with an endpoint that can be reached.
 #[tokio::test]
 async fn a_refused_connection_never_ran_and_a_release_tries_the_next_endpoint() {
     for uses_websocket in [false, true] {
@@ -46,8 +46,8 @@
     }
 }
 
-/// The time in which a KV cache must be released runs on while an endpoint does not answer: others are called before
-/// that call times out.
+/// A KV cache must be released in time even if some endpoints don't respond. Others are called before the calls to the
+/// silent ones time out.
 #[tokio::test(start_paused = true)]
 async fn a_release_does_not_wait_for_endpoints_that_are_silent() {
     let fleet = Fleet::start(false).await;
@@ -80,7 +80,7 @@
     );
 }
 
-/// A probe declares no time left: on a connection that came up late it is sent all the same, and counts as no failure.
+/// A probe declares no time left, so it is sent on a connection that was established late, and does not fail.
 #[tokio::test(start_paused = true)]
 async fn a_probe_is_answered_on_a_connection_that_came_up_late() {
     let mut backend = ExhaustedBackend::start().await;
--- a/tests/backend/support.rs
+++ b/tests/backend/support.rs
@@ -112,8 +112,8 @@
     write_prefill_response(stream).await;
 }
 
-/// Accepts a connection and reads a whole request from it, on a thread of its own. A paused clock does not advance while
-/// the thread runs.
+/// Accepts a connection and reads a whole request from it, on a thread of its own. A paused clock does not advance
+/// while the thread runs.
 pub(crate) async fn accept_request_blocking(
     listener: std::net::TcpListener,
 ) -> (std::net::TcpStream, String) {
--- a/tests/malformed_streams.rs
+++ b/tests/malformed_streams.rs
@@ -1,5 +1,5 @@
-//! Malformed responses of endpoints, valid ones with extra bytes, and how long a connection is pooled after one: raw
-//! bytes, a paused clock.
+//! Tests of malformed responses, of valid ones with extra bytes, and of connection reuse. Endpoints write raw bytes,
+//! and the clock is paused where time matters.
 
 #[path = "backend/support.rs"]
 mod support;
@@ -21,7 +21,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// An endpoint that reads one request and writes these bytes; its connection stays open until the stream is dropped.
+/// An endpoint that reads a request and writes raw bytes. The connection stays open until its stream is dropped.
 struct RawEndpoint {
     listener: TcpListener,
     address: String,
@@ -51,11 +51,11 @@
 
 async fn respond_on(stream: &mut TcpStream, bytes: &[u8]) {
     support::read_request(stream).await;
-    // The dispatcher may have closed it in the middle.
+    // Fails if the backend has closed the connection meanwhile.
     let _ = stream.write_all(bytes).await;
 }
 
-/// How an attempt ended, what was forwarded of its stream, and whether the stream was reported as complete.
+/// Returns the status of an attempt, the forwarded part of its stream, and whether the stream was reported as complete.
 async fn outcome(events: &mut EventReceiver) -> (AttemptStatus, String, bool) {
     let mut stream = None::<mpsc::Receiver<StreamChunk>>;
     let mut text = Vec::new();
@@ -84,8 +84,8 @@
     }
 }
 
-/// A stream that is malformed before its first event commits nothing; one that is malformed later is not reported as
-/// complete. Both are errors that may have run, found within 5 s while the connection stays open.
+/// A stream that is malformed before its first event is not forwarded; one that is malformed later is not reported as
+/// complete. Both are errors of a request that may have run, and are detected within 5 s on an open connection.
 #[tokio::test(start_paused = true)]
 async fn a_malformed_stream_is_an_error_and_never_complete() {
     let event = chunk(EVENT);
@@ -137,7 +137,7 @@
     }
 }
 
-/// A chunk that is declared longer than it is, and then silence: the client is not left waiting.
+/// An endpoint declares a longer chunk than it sends, then sends no more events. The client must not wait for long.
 #[tokio::test(start_paused = true)]
 async fn a_stream_that_stops_is_a_reset_within_5_s_of_its_last_event() {
     let endpoint = RawEndpoint::start().await;
@@ -147,7 +147,7 @@
         .respond(format!("{STREAM_HEAD}ff\r\n{EVENT}").as_bytes())
         .await;
     let started_at = Instant::now();
-    // Bytes that make no event don't keep it open.
+    // Bytes that complete no event don't keep the stream open.
     let send_comment_bytes = async {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -166,7 +166,7 @@
     );
 }
 
-/// A busy endpoint is silent for seconds and then goes on, repeatedly: its stream is not cut.
+/// A busy endpoint may repeatedly be silent for seconds and then continue. Its stream must not be cut.
 #[tokio::test(start_paused = true)]
 async fn a_stream_with_4_6_s_between_events_is_not_cut() {
     let endpoint = RawEndpoint::start().await;
@@ -186,8 +186,8 @@
     assert_eq!(ended, (AttemptStatus::Served, EVENT.repeat(3), true));
 }
 
-/// Informational responses, an unreadable load report and a second response leave a valid stream valid; but a
-/// connection on which more came than was requested is not used again.
+/// A stream stays valid despite interim responses, an unreadable load report, and a second response after it. A
+/// connection with bytes after the response is not reused.
 #[tokio::test(start_paused = true)]
 async fn a_valid_stream_with_extra_bytes_is_served() {
     let endpoint = RawEndpoint::start().await;
@@ -219,7 +219,7 @@
             (AttemptStatus::Served, body.clone(), true)
         );
     }
-    // Without extra bytes, the connection serves again.
+    // Without extra bytes the connection is reused.
     commands.send(endpoint.start_attempt(3)).await.unwrap();
     respond_on(&mut connections[1], response.as_bytes()).await;
     assert_eq!(
@@ -245,8 +245,8 @@
     }
 }
 
-/// An endpoint leaves the list in the middle of a stream, whatever byte has come by then: its idle connections are
-/// closed, and one with a stream in flight must not count as idle.
+/// An endpoint is blocked in the middle of a stream, after any of its bytes. Its idle connections are closed, and one
+/// with a stream in flight must not count as idle.
 #[tokio::test(start_paused = true)]
 async fn blocking_an_endpoint_mid_stream_does_not_cut_the_stream() {
     let text = format!("{STREAM_HEAD}{}{}0\r\n\r\n", chunk(EVENT), chunk(EVENT));
@@ -259,7 +259,7 @@
             outcome(&mut events).await,
             (AttemptStatus::Served, EVENT.repeat(2), true)
         );
-        // The second response comes on the pooled connection.
+        // The second response arrives on the pooled connection.
         commands.send(endpoint.start_attempt(2)).await.unwrap();
         let (before, after) = text.as_bytes().split_at(cut);
         respond_on(&mut stream, before).await;
@@ -279,8 +279,8 @@
     }
 }
 
-/// An endpoint closes connections that were idle for the settings' time (30 s here), and a request written then may have
-/// run: a connection is used again for seven tenths of that time, and not after it.
+/// An endpoint closes connections that were idle for the configured time, 30 s here. A request written at that moment
+/// may have run, so connections are reused only within 70 % of that time.
 #[tokio::test(start_paused = true)]
 async fn a_connection_is_not_used_again_when_its_endpoint_may_be_closing_it() {
     let endpoint = RawEndpoint::start().await;
--- a/tests/unit/backend/connector.rs
+++ b/tests/unit/backend/connector.rs
@@ -8,7 +8,7 @@
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
-/// The result of a connect whose first `failures` tries fail with this error, and the number of tries.
+/// Connects with a connect function whose first `failures` calls fail. Returns the result and the number of calls.
 async fn connect(failures: u32, errno: Errno) -> (Result<(), ConnectError>, u32) {
     let tries = Cell::new(0);
     let connect = || {
@@ -51,7 +51,7 @@
     ] {
         let (connected, tries) = connect(1, errno).await;
         let ConnectError::Io(error) = connected.unwrap_err() else {
-            panic!("{errno:?} is not reported as it came");
+            panic!("{errno:?} is not returned unchanged");
         };
         assert_eq!(
             (error.raw_os_error(), tries),
--- a/tests/unit/net/message_framing/request.rs
+++ b/tests/unit/net/message_framing/request.rs
@@ -2,7 +2,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeSet;
 
-/// Reads all bytes, request by request.
+/// Processes all bytes, one request per call.
 fn feed_all(requests: &mut RequestFraming, mut bytes: &[u8]) {
     while !bytes.is_empty() {
         let completed_before = requests.completed_requests();
@@ -16,7 +16,7 @@
     }
 }
 
-/// What the heads declare where the bytes arrive split at these positions.
+/// Returns the declarations of all heads, when the bytes arrive split at these positions.
 fn declared_bodies(bytes: &[u8], splits: &[usize]) -> Vec<DeclaredBody> {
     let mut requests = RequestFraming::default();
     let splits: BTreeSet<_> = splits
--- a/tests/unit/net/message_framing/response.rs
+++ b/tests/unit/net/message_framing/response.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// One process reads the first part of a response, another one the rest, with the state of the first one's decoder.
+/// One process decodes the first part of a body. Another one restores its decoder and decodes the rest.
 #[test]
 fn chunked_body_is_continued_by_another_process() {
     let text = b"HTTP/1.1 103 Early\r\nTransfer-Encoding: x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
--- a/tests/unit/net/system_errors.rs
+++ b/tests/unit/net/system_errors.rs
@@ -20,7 +20,7 @@
             "{errno:?}"
         );
     }
-    // Where such errors never end, the listener does not spin.
+    // Endless connection errors are delayed too, so that the listener does not spin.
     let delayed = (0..200)
         .filter(|_| backoff.delay_after(&error(Errno::CONNABORTED)) > Duration::ZERO)
         .count();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn only_a_lack_of_this_machine_is_a_local_shortage() {
+fn only_errors_of_this_machine_are_local_shortages() {
     for errno in [
         Errno::ADDRNOTAVAIL,
         Errno::NETUNREACH,
