--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -136,7 +136,7 @@
         self.events = EventStream::resume(&state.partial_event);
         self.chunks = Some(chunks);
         self.is_committed.store(true, Ordering::Relaxed);
-        if let Some(last_event_at) = self.last_event_at.checked_sub(state.silent_for) {
+        if let Some(last_event_at) = self.last_event_at.checked_sub(state.idle_for) {
             self.last_event_at = last_event_at;
         }
         self
@@ -203,7 +203,7 @@
             state: UpstreamState {
                 chunks,
                 partial_event: self.events.partial_event(),
-                silent_for: self.last_event_at.elapsed(),
+                idle_for: self.last_event_at.elapsed(),
             },
             claim: claim.clone(),
             migrated,
--- a/src/frontend/client_socket.rs
+++ b/src/frontend/client_socket.rs
@@ -99,7 +99,7 @@
         ConnectionState {
             unsent: self.unsent.clone().freeze(),
             pipelined: self.pipelined.clone().freeze(),
-            closes: self.client.closes_after_response(),
+            closes_after_response: self.client.closes_after_response(),
         }
     }
 
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -186,7 +186,7 @@
     let mut socket = ClientSocket::new(stream, client.clone(), listener_state.clone());
     let mut resumed_response = None;
     if let Some(ResumedConnection { state, response }) = resumed {
-        if state.closes {
+        if state.closes_after_response {
             client.set_closes_after_response();
         }
         socket = socket.resume(&state);
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -60,7 +60,7 @@
     /// The bytes received so far of the event that has not ended.
     pub partial_event: Bytes,
     /// How long ago the last whole event came.
-    pub silent_for: Duration,
+    pub idle_for: Duration,
 }
 
 /// The state of a stream's client side.
@@ -80,7 +80,7 @@
     /// Bytes that the client has sent behind its request, and that were read.
     pub pipelined: Bytes,
     /// The client was told, or may have been told, that the connection ends with this response.
-    pub closes: bool,
+    pub closes_after_response: bool,
 }
 
 impl ConnectionState {
@@ -127,11 +127,11 @@
     let ConnectionState {
         unsent,
         pipelined,
-        closes,
+        closes_after_response,
     } = &client.connection;
     let request_id = client.client_request_id.as_deref().unwrap_or("").as_bytes();
-    let silent_ms = u32::try_from(upstream.silent_for.as_millis()).unwrap_or(u32::MAX);
-    frame.push(u8::from(*closes) * CLOSES_CONNECTION);
+    let silent_ms = u32::try_from(upstream.idle_for.as_millis()).unwrap_or(u32::MAX);
+    frame.push(u8::from(*closes_after_response) * CLOSES_CONNECTION);
     frame.extend(length_bytes(unsent, MAX_BUFFERED_BYTES)?);
     frame.extend(length_bytes(pipelined, MAX_BUFFERED_BYTES)?);
     frame.extend(length_bytes(request_id, MAX_REQUEST_ID_BYTES)?);
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -139,7 +139,7 @@
             connection: ConnectionState {
                 unsent: Bytes::new(),
                 pipelined: Bytes::new(),
-                closes: true,
+                closes_after_response: true,
             },
         },
     };
@@ -154,7 +154,7 @@
             state: UpstreamState {
                 chunks: header.chunks,
                 partial_event,
-                silent_for: Duration::from_millis(silent_ms.into()),
+                idle_for: Duration::from_millis(silent_ms.into()),
             },
         },
     })
@@ -232,7 +232,7 @@
             connection: ConnectionState {
                 unsent,
                 pipelined,
-                closes: extension.closes_connection,
+                closes_after_response: extension.closes_connection,
             },
         })
     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -439,7 +439,7 @@
         state: UpstreamState {
             chunks,
             partial_event: bytes::Bytes::from_static(b"data: half"),
-            silent_for: std::time::Duration::from_millis(700),
+            idle_for: std::time::Duration::from_millis(700),
         },
         claim: OfferClaim::default(),
         migrated,
@@ -448,7 +448,7 @@
     slot.on_flushed(&client, || ConnectionState {
         unsent: bytes::Bytes::new(),
         pipelined: bytes::Bytes::new(),
-        closes: true,
+        closes_after_response: true,
     });
     slot.migrate(migration).await && was_migrated.await.unwrap()
 }
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -112,7 +112,7 @@
     }
 
     /// Hands a stream over, and returns the far ends of its sockets.
-    async fn receive(&self, silent_for: Duration, connection: ConnectionState) -> Stream {
+    async fn receive(&self, idle_for: Duration, connection: ConnectionState) -> Stream {
         let (client_socket, client) = socket_pair().await;
         let (upstream_socket, endpoint) = socket_pair().await;
         let received = ReceivedStream {
@@ -126,7 +126,7 @@
                 state: UpstreamState {
                     chunks: ChunkedDecoder::default(),
                     partial_event: Bytes::new(),
-                    silent_for,
+                    idle_for,
                 },
             },
         };
@@ -160,7 +160,7 @@
     ConnectionState {
         unsent: Bytes::new(),
         pipelined: Bytes::new(),
-        closes: false,
+        closes_after_response: false,
     }
 }
 
@@ -213,7 +213,7 @@
 async fn connection_ends_with_the_response_where_the_client_was_told_so() {
     let receiver = Receiver::start().await;
     let mut connection = kept_connection();
-    connection.closes = true;
+    connection.closes_after_response = true;
     let mut stream = receiver.receive(Duration::ZERO, connection).await;
     stream.send(&[CHUNK, LAST_CHUNK].concat()).await;
     assert_eq!(stream.read_until("").await, [CHUNK, LAST_CHUNK].concat());
@@ -226,7 +226,7 @@
     let connection = ConnectionState {
         unsent: Bytes::from_static(b"ata: 0\n\n\r\n"),
         pipelined: Bytes::from_static(GET_READY.as_bytes()),
-        closes: false,
+        closes_after_response: false,
     };
     let mut stream = receiver.receive(Duration::ZERO, connection).await;
     stream.send(&[CHUNK, LAST_CHUNK].concat()).await;
@@ -255,8 +255,8 @@
 async fn silence_before_the_migration_counts() {
     let receiver = Receiver::start().await;
     let started_at = Instant::now();
-    let silent_for = Duration::from_millis(3_000);
-    let mut stream = receiver.receive(silent_for, kept_connection()).await;
+    let idle_for = Duration::from_millis(3_000);
+    let mut stream = receiver.receive(idle_for, kept_connection()).await;
     assert_eq!(stream.read_until("").await, "");
     let silence = started_at.elapsed();
     assert!(silence > Duration::from_millis(1_600) && silence < Duration::from_millis(1_900));
--- a/tests/stream_migration.rs
+++ b/tests/stream_migration.rs
@@ -89,7 +89,7 @@
             state: UpstreamState {
                 chunks: ChunkedDecoder::default(),
                 partial_event: Bytes::new(),
-                silent_for: Duration::ZERO,
+                idle_for: Duration::ZERO,
             },
             claim: claim.clone(),
             migrated,
@@ -108,7 +108,7 @@
         self.slot.on_flushed(&self.client, || ConnectionState {
             unsent: Bytes::new(),
             pipelined: Bytes::new(),
-            closes: false,
+            closes_after_response: false,
         });
     }
 
@@ -224,7 +224,7 @@
         stream.client_state.client_request_id.as_deref(),
         Some("moves")
     );
-    assert!(!stream.client_state.connection.closes);
+    assert!(!stream.client_state.connection.closes_after_response);
 }
 
 /// The process ends: its frontend has closed the queue, and nothing is accepted that it would not see.
--- a/tests/unit/upgrade/stream_migration/frame.rs
+++ b/tests/unit/upgrade/stream_migration/frame.rs
@@ -4,7 +4,7 @@
     UpstreamState {
         chunks: ChunkedDecoder::default(),
         partial_event: Bytes::copy_from_slice(partial_event),
-        silent_for: Duration::from_millis(1250),
+        idle_for: Duration::from_millis(1250),
     }
 }
 
@@ -14,7 +14,7 @@
         connection: ConnectionState {
             unsent: Bytes::from_static(b"unsent"),
             pipelined: Bytes::from_static(b"pipe"),
-            closes: true,
+            closes_after_response: true,
         },
     }
 }
