--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -19,7 +19,7 @@
 use crate::dispatcher::EndReason;
 use crate::routing::api::LoadReport;
 use crate::upgrade::stream_migration::ReceivedUpstream;
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use bytes::Bytes;
 use connection_pool::ConnectionPool;
 use exchange::{exchange, CloseGuard, ResponseHead};
@@ -242,7 +242,7 @@
     is_taken: &Arc<AtomicBool>,
 ) -> hyper::http::Result<Request<SingleFrameBody>> {
     let upstream = &request.upstream;
-    let surplus = if breaks(Variant::ToldTime) {
+    let surplus = if is_enabled(Variant::ToldTime) {
         Duration::from_secs(1)
     } else {
         Duration::ZERO
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -15,7 +15,7 @@
 mod transport;
 pub mod websocket;
 
-use crate::config::Bounds;
+use crate::config::DispatcherLimits;
 use crate::dispatcher::{Command, DispatcherHandle, EndReason, Event, ReceivedAttempt};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::routing::api::{EndpointId, RequestId};
@@ -265,7 +265,7 @@
 pub async fn run(
     mut commands: mpsc::Receiver<Command>,
     dispatcher: DispatcherHandle,
-    bounds: Bounds,
+    bounds: DispatcherLimits,
     connections: ConnectionLimit,
     websocket_endpoints: HashSet<String>,
     migration: StreamMigration,
--- a/src/bin/quartzhall-simhost/host.rs
+++ b/src/bin/quartzhall-simhost/host.rs
@@ -6,7 +6,7 @@
     format_action, format_batch_end, parse_key, required, EndpointLine, Message, MessageKind,
 };
 use miniserde::json;
-use quartzhall::config::{micros, Deployment, NameTable, SettingsObject};
+use quartzhall::config::{millis_to_micros, Deployment, NameTable, SettingsObject};
 use quartzhall::routing::api::*;
 use quartzhall::routing::Router;
 use std::collections::HashMap;
@@ -66,11 +66,11 @@
             tenant,
             session: parse_key(message.session.as_deref(), "session")?,
             prefix: parse_key(message.prefix.as_deref(), "system_prompt")?,
-            time_left: micros(required(message.time_left_ms, "expires_in")?),
+            time_left: millis_to_micros(required(message.time_left_ms, "expires_in")?),
             prompt_tokens: message.prompt_tokens.unwrap_or(0.0),
             prefix_tokens: message.prefix_tokens.unwrap_or(0.0),
             max_output_tokens: message.max_output_tokens.unwrap_or(0.0),
-            output_time_hint: message.output_time_hint_ms.map(micros),
+            output_time_hint: message.output_time_hint_ms.map(millis_to_micros),
         }))
     }
 
@@ -166,7 +166,7 @@
 
     fn start_batch(&mut self, message: &Message) -> Result<(), HostError> {
         let time_ms = message.time_ms.filter(|time_ms| time_ms.is_finite());
-        self.now = micros(required(time_ms, "t")?);
+        self.now = millis_to_micros(required(time_ms, "t")?);
         self.batch = required(message.batch, "n")?;
         Ok(())
     }
--- a/src/bin/quartzhall-simhost/messages.rs
+++ b/src/bin/quartzhall-simhost/messages.rs
@@ -3,7 +3,7 @@
 
 use crate::error::HostError;
 use miniserde::{json, Deserialize};
-use quartzhall::config::{micros, SettingsObject};
+use quartzhall::config::{millis_to_micros, SettingsObject};
 use quartzhall::routing::api::*;
 
 /// One line of input, with the fields of all message types. [`Message::kind`] tells the type.
@@ -220,7 +220,7 @@
     pub(crate) fn started_at(&self) -> Option<Time> {
         self.started_at_ms
             .filter(|started_at| *started_at != 0.0)
-            .map(micros)
+            .map(millis_to_micros)
     }
 }
 
--- a/src/config/deployment.rs
+++ b/src/config/deployment.rs
@@ -21,7 +21,7 @@
 
 /// Limits of connections and requests. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct DispatcherLimits {
     /// A connection that isn't established within this time has failed.
     pub connect_timeout: Time,
     /// An endpoint closes connections that were idle for this long.
@@ -38,7 +38,7 @@
     /// The router's settings.
     pub settings: RoutingSettings,
     /// The dispatcher's limits.
-    pub bounds: Bounds,
+    pub limits: DispatcherLimits,
     /// Ids of the request classes.
     pub classes: NameTable,
     /// Ids of the tenants.
@@ -86,7 +86,7 @@
         };
         Ok(Deployment {
             settings,
-            bounds: bounds(class_settings, &limits),
+            limits: dispatcher_limits(class_settings, &limits),
             classes: NameTable::from_names(class_settings.iter().map(|class| &class.name)),
             tenants: NameTable::from_names(tenant_settings.iter().map(|tenant| &tenant.name)),
             gossip_cost,
@@ -199,12 +199,12 @@
 }
 
 /// Microseconds of a time in milliseconds, rounded; a negative time is 0.
-pub fn micros(milliseconds: f64) -> Time {
+pub fn millis_to_micros(milliseconds: f64) -> Time {
     (milliseconds * 1000.0).round().max(0.0) as Time
 }
 
 fn micros_or_zero(milliseconds: Option<f64>) -> Time {
-    micros(milliseconds.unwrap_or(0.0))
+    millis_to_micros(milliseconds.unwrap_or(0.0))
 }
 
 fn value_at(values: &Option<Vec<f64>>, index: usize) -> Option<f64> {
@@ -256,15 +256,17 @@
     }
 }
 
-fn bounds(classes: &[ClassSettings], limits: &LimitSettings) -> Bounds {
+fn dispatcher_limits(classes: &[ClassSettings], limits: &LimitSettings) -> DispatcherLimits {
     let deadlines = classes.iter().filter_map(|class| class.deadline);
-    Bounds {
-        connect_timeout: limits.dial_timeout.map_or(DEFAULT_CONNECT_TIMEOUT, micros),
+    DispatcherLimits {
+        connect_timeout: limits
+            .dial_timeout
+            .map_or(DEFAULT_CONNECT_TIMEOUT, millis_to_micros),
         endpoint_idle_timeout: limits
             .conn_idle
-            .map_or(DEFAULT_ENDPOINT_IDLE_TIMEOUT, micros),
+            .map_or(DEFAULT_ENDPOINT_IDLE_TIMEOUT, millis_to_micros),
         max_open_requests: limits.most_held.map_or(usize::MAX, |max| max as usize),
-        max_deadline: deadlines.map(micros).max().unwrap_or(Time::MAX),
+        max_deadline: deadlines.map(millis_to_micros).max().unwrap_or(Time::MAX),
     }
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -13,7 +13,7 @@
 mod session_file;
 pub mod validation;
 
-pub use deployment::{micros, Bounds, Deployment};
+pub use deployment::{millis_to_micros, Deployment, DispatcherLimits};
 pub use endpoint_list::{EndpointLine, EndpointList};
 pub use error::ConfigError;
 pub use file::{Config, LoadedConfig};
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -6,7 +6,7 @@
 
 use crate::config::{Deployment, EndpointList};
 use crate::discovery::backoff::Backoff;
-use crate::discovery::endpoint_list::{endpoints_changed, parse_list, ListError};
+use crate::discovery::endpoint_list::{endpoints_changed_event, parse_list, ListError};
 use crate::discovery::watch_state::WatchState;
 use crate::dispatcher::{DispatcherHandle, Event};
 use bytes::Bytes;
@@ -154,7 +154,7 @@
         let has_changes = !list.members.is_empty() || list.complete;
         let is_newer = state.on_response(list.revision);
         if is_newer || has_changes {
-            let event = endpoints_changed(&mut self.deployment, list, &self.log);
+            let event = endpoints_changed_event(&mut self.deployment, list, &self.log);
             // Ahead of waiting requests: none of them may be sent to an endpoint that drains.
             self.dispatcher.send_urgent(event).await;
         }
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -42,14 +42,18 @@
 ///
 /// # Errors
 ///
-/// [`ListError`] where the text is no list. Invalid records in it are found by [`endpoints_changed`].
+/// [`ListError`] where the text is no list. Invalid records in it are found by [`endpoints_changed_event`].
 pub fn parse_list(text: &[u8]) -> Result<EndpointList, ListError> {
     let text = std::str::from_utf8(text)?;
     Ok(json::from_str(text)?)
 }
 
 /// The event by which a list reaches the dispatcher. Invalid records are logged and skipped.
-pub fn endpoints_changed(deployment: &mut Deployment, list: &EndpointList, log: &Logger) -> Event {
+pub fn endpoints_changed_event(
+    deployment: &mut Deployment,
+    list: &EndpointList,
+    log: &Logger,
+) -> Event {
     let mut endpoints = Vec::new();
     for value in &list.members {
         let line = EndpointLine::from(value);
--- a/src/dispatcher/core/received_streams.rs
+++ b/src/dispatcher/core/received_streams.rs
@@ -7,7 +7,7 @@
 use crate::dispatcher::messages::ReceivedRequest;
 use crate::dispatcher::request::Request;
 use crate::routing::api::{EndpointId, Time};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 
 /// Placeholder for an endpoint that is not in the table. Endpoint ids are assigned from 0 and never reach this value.
 const UNKNOWN_ENDPOINT: EndpointId = EndpointId::MAX;
@@ -16,7 +16,7 @@
 
 impl Core {
     pub(super) fn on_stream_received(&mut self, now: Time, received: ReceivedRequest) {
-        if breaks(Variant::StreamCut) {
+        if is_enabled(Variant::StreamCut) {
             return;
         }
         let ReceivedRequest {
--- a/src/dispatcher/core/requests.rs
+++ b/src/dispatcher/core/requests.rs
@@ -10,7 +10,7 @@
 use crate::dispatcher::reservation::ReservationDemand;
 use crate::dispatcher::rules::Rule;
 use crate::routing::api::{self, FailureReason, Idempotency, RequestId, RequestMetadata, Time};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use quartzhall_recording::RecordedOutcome;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -96,7 +96,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if breaks(Variant::ClientGone) && request.is_waiting() {
+        if is_enabled(Variant::ClientGone) && request.is_waiting() {
             return;
         }
         request.may_have_run_reply = may_have_run_reply;
@@ -163,7 +163,7 @@
             _ => RecordedOutcome::Failed,
         };
         if let Some(sender) = request.outcome.take() {
-            if breaks(Variant::FinalAnswer) {
+            if is_enabled(Variant::FinalAnswer) {
                 std::mem::forget(sender);
             } else {
                 let _ = sender.send(outcome);
@@ -224,7 +224,7 @@
             return;
         };
         let demand = request.reservation_demand();
-        if demand == ReservationDemand::AttemptInFlight && breaks(Variant::HeldState) {
+        if demand == ReservationDemand::AttemptInFlight && is_enabled(Variant::HeldState) {
             return;
         }
         let ttl = self.settings.reservation_ttl();
--- a/src/dispatcher/core/router_actions.rs
+++ b/src/dispatcher/core/router_actions.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::messages::{Command, Outcome};
 use crate::dispatcher::reasons::CloseReason;
 use crate::routing::api::{self, Action, FailureReason, RequestId, Time};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use std::cmp::Reverse;
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
     }
 
     fn fail_request(&mut self, now: Time, id: RequestId, reason: FailureReason) {
-        let outcome = if breaks(Variant::Duplicate) {
+        let outcome = if is_enabled(Variant::Duplicate) {
             Outcome::Shed {
                 retry_after: Duration::ZERO,
             }
--- a/src/dispatcher/core/settings.rs
+++ b/src/dispatcher/core/settings.rs
@@ -37,7 +37,7 @@
     pub(super) fn new(deployment: Arc<Deployment>, max_connections: usize, now: Time) -> Self {
         SettingsState {
             routing: routing_settings(&deployment),
-            max_requests: deployment.bounds.max_open_requests.min(max_connections),
+            max_requests: deployment.limits.max_open_requests.min(max_connections),
             class_last_active: vec![now; deployment.settings.classes.len()],
             deployment,
             is_published: false,
@@ -110,7 +110,7 @@
     /// Recomputes the limit of open requests and the router's settings. Each process of this dispatcher counts as one
     /// dispatcher, because endpoints receive requests from each of them.
     fn update_derived(&mut self) {
-        let bounds = &self.deployment.bounds;
+        let bounds = &self.deployment.limits;
         let max_requests = bounds.max_open_requests.min(self.max_connections) as u128;
         let share = max_requests * u128::from(self.resource_share) / u128::from(SHARE_UNITS);
         self.max_requests = (share as usize).max(1);
@@ -127,7 +127,7 @@
 /// takes to arrive: the waits for a permit and for a connection, and the transmission.
 fn routing_settings(deployment: &Deployment) -> RoutingSettings {
     let mut settings = deployment.settings.clone();
-    let connect_timeout = deployment.bounds.connect_timeout;
+    let connect_timeout = deployment.limits.connect_timeout;
     for class in &mut settings.classes {
         if let Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
             *window = window.saturating_sub(2 * connect_timeout + MAX_TRANSMISSION_DELAY);
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -13,7 +13,7 @@
 use crate::dispatcher::bans::{BanError, BanList, BanRecords};
 use crate::gossip;
 use crate::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
@@ -224,7 +224,7 @@
         };
         self.contacts.forget(number);
         self.numbers.remove(&endpoint.id);
-        let hash = gossip::endpoint_hash(endpoint.listed.key);
+        let hash = gossip::gossip_key(endpoint.listed.key);
         if let Some(endpoints) = self.by_gossip_hash.get_mut(&hash) {
             endpoints.remove(&number);
             if endpoints.is_empty() {
@@ -304,7 +304,7 @@
 /// Returns the status in force for an endpoint with this listed status.
 fn effective_status(bans: &BanList, id: &str, listed: EndpointStatus) -> EndpointStatus {
     match listed {
-        EndpointStatus::Draining if breaks(Variant::Drain) => EndpointStatus::Ready,
+        EndpointStatus::Draining if is_enabled(Variant::Drain) => EndpointStatus::Ready,
         EndpointStatus::Ready if bans.is_banned(id) => EndpointStatus::Draining,
         other => other,
     }
--- a/src/dispatcher/endpoint_table/update.rs
+++ b/src/dispatcher/endpoint_table/update.rs
@@ -105,7 +105,7 @@
                 .push((endpoint.id.clone(), record.clone()));
         }
         self.by_gossip_hash
-            .entry(gossip::endpoint_hash(record.key))
+            .entry(gossip::gossip_key(record.key))
             .or_default()
             .insert(number);
         self.endpoints.insert(number, endpoint);
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns no state beyond the request that it serves; header names and response texts are the platform's.
 
-use crate::config::{micros, Deployment};
+use crate::config::{millis_to_micros, Deployment};
 use crate::dispatcher::{
     DispatcherHandle, Outcome, PendingRequest, ReceivedAttempt, StreamChunk, UpstreamRequest,
     MAX_QUEUED_CHUNKS,
@@ -12,7 +12,7 @@
 use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
 use crate::routing::api::RequestMetadata;
 use crate::upgrade::stream_migration::{ReceivedUpstream, SharedMigrationSlot};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use axum::body::Body;
 use axum::extract::{Request, State};
 use axum::http::{header, HeaderMap, StatusCode};
@@ -163,7 +163,7 @@
     let expires_in_ms: u32 = header_text(headers, "x-expires-in-ms")?
         .parse()
         .map_err(|_| InvalidRequest::InvalidDeadline)?;
-    metadata.time_left = micros(f64::from(expires_in_ms));
+    metadata.time_left = millis_to_micros(f64::from(expires_in_ms));
     parse_props(header_text(headers, "x-props")?, &mut metadata)?;
     Ok((id.into(), metadata))
 }
@@ -386,7 +386,7 @@
             }
             // The stream broke off. An error makes hyper close the connection at once, with what it has not sent yet: if
             // the break came right behind the first event, the client would get no response at all.
-            Poll::Ready(None) if breaks(Variant::StreamEnd) => Poll::Ready(None),
+            Poll::Ready(None) if is_enabled(Variant::StreamEnd) => Poll::Ready(None),
             Poll::Ready(None) if self.state == StreamState::Open => {
                 self.state = StreamState::Broken;
                 context.waker().wake_by_ref();
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -12,7 +12,7 @@
 use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
 use crate::net::system_errors::AcceptPauses;
 use crate::upgrade::stream_migration::{MigrationSender, ReceivedStream};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use axum::Router;
 use futures_util::FutureExt;
 use slog::{info, warn, Logger};
@@ -82,7 +82,7 @@
         let served_client = client.clone();
         let routes = self.routes.clone();
         let mut listener_state = self.admission.listener_state().clone();
-        if breaks(Variant::StreamCut) {
+        if is_enabled(Variant::StreamCut) {
             listener_state = listener_state.without_migration();
         }
         let serving = async move {
@@ -105,7 +105,7 @@
             .await;
             drop(permit);
         };
-        if breaks(Variant::StreamCut) {
+        if is_enabled(Variant::StreamCut) {
             tokio::spawn(serving);
             return;
         }
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -5,7 +5,7 @@
 use super::connection::{ClientConnection, ConnectionPhase};
 use crate::net::message_framing::DeclaredBody;
 use crate::upgrade::stream_migration::ConnectionState;
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use axum::body::Body;
 use axum::http::{header, HeaderValue, StatusCode, Version};
 use axum::response::{IntoResponse, Response};
@@ -215,7 +215,7 @@
             // In this order, so that a close does not come between a migration and its end.
             biased;
             () = client.wait_until_closable(&mut shutdown), if !is_closing => {
-                if breaks(Variant::Unanswered) {
+                if is_enabled(Variant::Unanswered) {
                     return;
                 }
                 is_closing = true;
--- a/src/frontend/websocket/messages.rs
+++ b/src/frontend/websocket/messages.rs
@@ -2,7 +2,7 @@
 //!
 //! The messages are described in `docs/websocket.md`. The field names on the wire stay as clients know them.
 
-use crate::config::{micros, Deployment};
+use crate::config::{millis_to_micros, Deployment};
 use crate::frontend::identifiers::{is_name, parse_key};
 use crate::frontend::memory_budget::MAX_BODY_BYTES;
 use crate::routing::api::RequestMetadata;
@@ -130,7 +130,7 @@
         tenant: parse_tenant(fields.tenant, deployment)?,
         session: Some(parse_key(&required(fields.session, "session")?)),
         prefix: fields.prefix.as_deref().map(parse_key),
-        time_left: micros(f64::from(required(fields.expires_in_ms, "expires_in_ms")?)),
+        time_left: millis_to_micros(f64::from(required(fields.expires_in_ms, "expires_in_ms")?)),
         prompt_tokens: f64::from(required(fields.prompt_len, "prompt_len")?),
         prefix_tokens: f64::from(fields.prefix_len.unwrap_or(0)),
         max_output_tokens: f64::from(required(fields.max_out, "max_out")?),
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -25,7 +25,7 @@
 /// What one message reports of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The lowest 24 bits of the hash of the endpoint's identifier, as [`endpoint_hash`] gives them.
+    /// The lowest 24 bits of the hash of the endpoint's identifier, as [`gossip_key`] gives them.
     pub key: u32,
     /// The endpoint's load; `None`: an attempt there has failed.
     pub load: Option<LoadReport>,
@@ -43,7 +43,7 @@
 }
 
 /// The key under which an endpoint is reported: the lowest 24 bits of the hash of its identifier.
-pub fn endpoint_hash(hash: u64) -> u32 {
+pub fn gossip_key(hash: u64) -> u32 {
     (hash & 0x00ff_ffff) as u32
 }
 
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -8,5 +8,5 @@
 mod state;
 pub mod transport;
 
-pub use message::{endpoint_hash, DropReason, Observation, MAX_DATAGRAM_BYTES};
+pub use message::{gossip_key, DropReason, Observation, MAX_DATAGRAM_BYTES};
 pub use state::Gossip;
--- a/src/gossip/state.rs
+++ b/src/gossip/state.rs
@@ -7,7 +7,7 @@
 //! sender changes nothing and is counted.
 
 use super::budget::ByteBudget;
-use super::message::{self, endpoint_hash, Message, MessageTime, Record, MAX_RECORDS};
+use super::message::{self, gossip_key, Message, MessageTime, Record, MAX_RECORDS};
 use super::{DropReason, Observation};
 use crate::routing::api::{EndpointId, LoadReport, Time};
 use std::collections::BTreeMap;
@@ -101,7 +101,7 @@
         let expected = self.update_expectation(now, endpoint, in_flight);
         let deviation = (in_flight - expected).abs();
         if deviation > MIN_DEVIATION_REQUESTS && deviation > MIN_DEVIATION_SHARE * expected {
-            let key = endpoint_hash(hash);
+            let key = gossip_key(hash);
             let record = Record::of_load(key, in_flight, load.kv_memory_share.unwrap_or(0.0));
             self.add_pending((key, RecordKind::Load), record);
         }
@@ -109,7 +109,7 @@
 
     /// Records an attempt that failed by its endpoint's fault.
     pub fn record_failure(&mut self, hash: u64) {
-        let key = endpoint_hash(hash);
+        let key = gossip_key(hash);
         self.add_pending((key, RecordKind::Failure), Record::of_failure(key));
     }
 
--- a/src/process/core_startup.rs
+++ b/src/process/core_startup.rs
@@ -81,7 +81,11 @@
         let mut deployment = Deployment::new(&config.settings)?;
         let mut pending = None;
         if let Some(list) = &config.known {
-            pending = Some(discovery::endpoints_changed(&mut deployment, list, log));
+            pending = Some(discovery::endpoints_changed_event(
+                &mut deployment,
+                list,
+                log,
+            ));
         }
         Ok(ConfiguredEndpoints {
             deployment,
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -20,7 +20,7 @@
 use crate::config::{Config, Deployment, LoadedConfig};
 use crate::dispatcher::Clock;
 use crate::upgrade::{PeerProcesses, ResourceLimits, UpgradeCoordinator};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use core_startup::CoreStartup;
 use frontends::{FrontendInputs, Frontends};
 use limits::{ResourceBudgets, SharedLimits};
@@ -107,7 +107,7 @@
     } = tasks::spawn(&mut startup, core, inputs);
     info!(log, "starting"; "stage" => "tasks started", "tasks" => vital.count());
     let endpoint_sockets = startup.budgets.sockets.endpoints;
-    let max_open_requests = startup.deployment.bounds.max_open_requests;
+    let max_open_requests = startup.deployment.limits.max_open_requests;
     let client_connections = limits.clients.clone();
     let inputs = FrontendInputs {
         dispatcher: dispatcher.clone(),
@@ -142,7 +142,7 @@
     if unfinished_connections > 0 {
         warn!(log, "shutdown with unfinished work"; "client_connections" => unfinished_connections);
     }
-    if breaks(Variant::Process) {
+    if is_enabled(Variant::Process) {
         std::process::exit(1);
     }
     info!(log, "shutdown complete");
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -71,7 +71,7 @@
     async fn drain(&mut self) {
         let has_successor = self.upgrade.peers.borrow_and_update().serving.is_some();
         info!(self.log, "draining"; "open_requests" => self.dispatcher.open_requests(), "has_successor" => has_successor);
-        let max_deadline = Duration::from_micros(self.dispatcher.deployment().bounds.max_deadline);
+        let max_deadline = Duration::from_micros(self.dispatcher.deployment().limits.max_deadline);
         let until_kill = max_deadline.min(MAX_DRAIN_DURATION) + KILL_MARGIN;
         let kill_at = Instant::now() + until_kill;
         let drain = Event::Drain(until_kill - RELEASE_MARGIN);
--- a/src/process/tasks.rs
+++ b/src/process/tasks.rs
@@ -167,7 +167,7 @@
         self.tasks.spawn(backend::run(
             commands,
             self.dispatcher.clone(),
-            startup.deployment.bounds,
+            startup.deployment.limits,
             limits.endpoints.clone(),
             sessions.websocket_endpoints.iter().cloned().collect(),
             migration,
--- a/src/variants.rs
+++ b/src/variants.rs
@@ -30,7 +30,7 @@
 
 /// Whether this program breaks that rule.
 #[cfg(feature = "variants")]
-pub fn breaks(variant: Variant) -> bool {
+pub fn is_enabled(variant: Variant) -> bool {
     static NAMED: std::sync::OnceLock<Option<String>> = std::sync::OnceLock::new();
     let named = NAMED.get_or_init(|| std::env::var("QUARTZHALL_VARIANT").ok());
     named.as_deref() == Some(format!("{variant:?}").as_str())
@@ -38,6 +38,6 @@
 
 /// Whether this program breaks that rule: it breaks none.
 #[cfg(not(feature = "variants"))]
-pub const fn breaks(_: Variant) -> bool {
+pub const fn is_enabled(_: Variant) -> bool {
     false
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -131,7 +131,7 @@
     let text = MEMBERS.replace("]}", r#",{"id":"s-2","host_port":"nowhere","phase":"Ready"},{"id":"s-3","host_port":"127.0.0.1:2","phase":"Dancing"}]}"#);
     let list = discovery::parse_list(text.as_bytes()).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let event = discovery::endpoints_changed(&mut site(), &list, &log);
+    let event = discovery::endpoints_changed_event(&mut site(), &list, &log);
     let quartzhall::dispatcher::Event::EndpointsChanged {
         is_full: true,
         endpoints: members,
@@ -168,7 +168,7 @@
                 r#"{{"revision":42,"complete":false,"members":[{odd},"what?",{{"phase":"Gone"}},{whole}]}}"#
             );
             let list = discovery::parse_list(text.as_bytes()).unwrap();
-            let event = discovery::endpoints_changed(&mut site(), &list, &log);
+            let event = discovery::endpoints_changed_event(&mut site(), &list, &log);
             let quartzhall::dispatcher::Event::EndpointsChanged {
                 is_full: false,
                 endpoints: members,
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -64,7 +64,7 @@
         tokio::spawn(backend::run(
             backend_commands,
             dispatcher.clone(),
-            deployment.bounds,
+            deployment.limits,
             endpoints.clone(),
             HashSet::new(),
             StreamMigration {
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -43,7 +43,7 @@
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
     let settings: SettingsObject = json::from_str(SETTINGS).unwrap();
     let deployment = Arc::new(Deployment::new(&settings).unwrap());
-    let bounds = deployment.bounds;
+    let bounds = deployment.limits;
     let (dispatcher, events) = dispatcher::channel(deployment);
     let (commands, command_queue) = mpsc::channel(queue_length);
     let websocket_addresses = websocket_addresses.iter().cloned().collect();
@@ -126,7 +126,7 @@
         tokio::spawn(backend::run(
             command_queue,
             dispatcher.clone(),
-            deployment.bounds,
+            deployment.limits,
             ConnectionLimit::new(100),
             websocket_addresses,
             backend::StreamMigration::disabled(),
@@ -220,8 +220,11 @@
             members.join(",")
         );
         let list: EndpointList = discovery::parse_list(text.as_bytes()).unwrap();
-        let event =
-            discovery::endpoints_changed(&mut self.deployment.lock().unwrap(), &list, &self.log);
+        let event = discovery::endpoints_changed_event(
+            &mut self.deployment.lock().unwrap(),
+            &list,
+            &self.log,
+        );
         self.dispatcher.send(event).await;
     }
 
