--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -54,7 +54,7 @@
 }
 
 /// Answers agent checks, one line a connection, until the process shuts down.
-pub async fn serve_agent(
+pub async fn serve_agent_checks(
     listener: TcpListener,
     dispatcher: DispatcherHandle,
     mut shutdown: watch::Receiver<ShutdownPhase>,
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -8,7 +8,7 @@
     MAX_QUEUED_CHUNKS,
 };
 use crate::frontend::health_check::ready;
-use crate::frontend::identifiers::{is_name, parse_key};
+use crate::frontend::identifiers::{is_valid_name, parse_key};
 use crate::frontend::memory_budget::{BodyMemoryBudget, MAX_BODY_BYTES};
 use crate::routing::api::RequestMetadata;
 use crate::upgrade::stream_migration::{ReceivedUpstream, SharedMigrationSlot};
@@ -68,7 +68,7 @@
     /// A header's value has bytes other than visible ASCII.
     #[error("{0} is not plain text")]
     NotText(&'static str),
-    /// The request's id is not a name as in [`is_name`].
+    /// The request's id is not a name as in [`is_valid_name`].
     #[error("X-Trace-Id is not a plain name")]
     InvalidId,
     /// No request class has this name.
@@ -141,7 +141,7 @@
     deployment: &Deployment,
 ) -> Result<(Arc<str>, RequestMetadata), InvalidRequest> {
     let id = header_text(headers, "x-trace-id")?;
-    if !is_name(id) {
+    if !is_valid_name(id) {
         return Err(InvalidRequest::InvalidId);
     }
     let mut metadata = RequestMetadata {
--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -13,7 +13,7 @@
 }
 
 /// Whether a name may stand in an endpoint's path without escapes: 1 to 128 unreserved characters, and not dots alone.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     (1..=128).contains(&name.len())
         && name.bytes().all(is_unreserved)
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -23,9 +23,9 @@
 use tokio::time::sleep;
 
 /// What a clients' listener has to do with other processes of its dispatcher.
-pub struct PeerStreams {
+pub struct MigrationChannels {
     /// Where streams are sent that migrate to another process.
-    pub migration: MigrationSender,
+    pub migration_sender: MigrationSender,
     /// The streams of other processes. Whoever has a place in this queue when it is closed may still use it.
     pub received: mpsc::Receiver<ReceivedStream>,
     /// Goes on with received streams; `None` where there are none.
@@ -34,11 +34,11 @@
     pub accepts: watch::Receiver<bool>,
 }
 
-impl PeerStreams {
+impl MigrationChannels {
     /// For a listener of a process that is alone.
-    fn none() -> PeerStreams {
-        PeerStreams {
-            migration: None,
+    fn none() -> MigrationChannels {
+        MigrationChannels {
+            migration_sender: None,
             received: mpsc::channel(1).1,
             resumer: None,
             accepts: watch::channel(true).1,
@@ -160,26 +160,26 @@
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
-    let streams = PeerStreams::none();
-    serve_beside_peers(listener, routes, connection_limit, shutdown, streams, log).await;
+    let streams = MigrationChannels::none();
+    serve_with_migration(listener, routes, connection_limit, shutdown, streams, log).await;
 }
 
 /// The same, for a process that may have others beside it: streams come from there and go there.
-pub async fn serve_beside_peers(
+pub async fn serve_with_migration(
     listener: TcpListener,
     routes: Router,
     connection_limit: ConnectionLimit,
     mut shutdown: watch::Receiver<ShutdownPhase>,
-    streams: PeerStreams,
+    streams: MigrationChannels,
     log: Logger,
 ) {
-    let PeerStreams {
-        migration,
+    let MigrationChannels {
+        migration_sender,
         mut received,
         resumer,
         mut accepts,
     } = streams;
-    let listener_state = ListenerState::new(connection_limit, shutdown.clone(), migration);
+    let listener_state = ListenerState::new(connection_limit, shutdown.clone(), migration_sender);
     let mut connections = ConnectionTasks {
         admission: Admission::new(listener_state),
         tasks: JoinSet::new(),
--- a/src/frontend/websocket/messages.rs
+++ b/src/frontend/websocket/messages.rs
@@ -3,7 +3,7 @@
 //! The messages are described in `docs/websocket.md`. The field names on the wire stay as clients know them.
 
 use crate::config::{micros, Deployment};
-use crate::frontend::identifiers::{is_name, parse_key};
+use crate::frontend::identifiers::{is_valid_name, parse_key};
 use crate::frontend::memory_budget::MAX_BODY_BYTES;
 use crate::routing::api::RequestMetadata;
 use axum::extract::ws::Message;
@@ -67,7 +67,7 @@
     /// The text is not JSON, or a field has the wrong type.
     #[error("not a message of the session")]
     Malformed,
-    /// The id is missing, or not a name as in [`is_name`].
+    /// The id is missing, or not a name as in [`is_valid_name`].
     #[error("id is missing or no plain name")]
     InvalidId,
     /// The type is neither `request` nor `cancel`.
@@ -96,7 +96,7 @@
     let without_id = |reason| InvalidMessage { id: None, reason };
     let fields: ClientMessageFields =
         json::from_str(text).map_err(|_| without_id(InvalidMessageReason::Malformed))?;
-    let Some(id) = fields.id.clone().filter(|id| is_name(id)) else {
+    let Some(id) = fields.id.clone().filter(|id| is_valid_name(id)) else {
         return Err(without_id(InvalidMessageReason::InvalidId));
     };
     let parsed = match fields.kind.as_str() {
@@ -227,7 +227,7 @@
 
 /// Takes the text up to the last complete character; the bytes of an incomplete one stay in the buffer. `None` if the
 /// bytes are not UTF-8.
-pub fn take_text(buffer: &mut Vec<u8>) -> Option<String> {
+pub fn take_complete_utf8(buffer: &mut Vec<u8>) -> Option<String> {
     let complete_bytes = match std::str::from_utf8(buffer) {
         Ok(text) => text.len(),
         Err(error) if error.error_len().is_none() => error.valid_up_to(),
--- a/src/frontend/websocket/mod.rs
+++ b/src/frontend/websocket/mod.rs
@@ -12,7 +12,7 @@
 mod session;
 
 pub use messages::{
-    parse, take_text, ClientMessage, ClientRequest, InvalidMessage, InvalidMessageReason,
+    parse, take_complete_utf8, ClientMessage, ClientRequest, InvalidMessage, InvalidMessageReason,
 };
 
 use crate::config::{fnv1a_hash, SessionConfig};
--- a/src/frontend/websocket/request_task.rs
+++ b/src/frontend/websocket/request_task.rs
@@ -3,7 +3,7 @@
 //! The task owns the request from its submission to its final message, and may move to another socket in between.
 
 use super::idempotency_cache::{FinalOutcome, MessageSender, RequestKey, RequestState};
-use super::messages::{take_text, ServerMessage};
+use super::messages::{take_complete_utf8, ServerMessage};
 use super::SessionFrontend;
 use crate::dispatcher::{Outcome, PendingRequest, StreamChunk, UpstreamRequest};
 use crate::routing::api::{Idempotency, RequestClass, RequestMetadata};
@@ -302,7 +302,7 @@
         match chunk {
             Some(StreamChunk::Data(data)) => {
                 undecoded.extend_from_slice(&data);
-                let Some(text) = take_text(undecoded) else {
+                let Some(text) = take_complete_utf8(undecoded) else {
                     return Some(FinalOutcome::Failed("the answer is not text"));
                 };
                 if !text.is_empty() {
--- a/src/process/frontends.rs
+++ b/src/process/frontends.rs
@@ -5,7 +5,7 @@
 use super::tasks::StreamChannels;
 use crate::config::SessionBudget;
 use crate::dispatcher::DispatcherHandle;
-use crate::frontend::listener::PeerStreams;
+use crate::frontend::listener::MigrationChannels;
 use crate::frontend::{health_check, http, listener, websocket, ShutdownPhase};
 use crate::net::connection_limit::ConnectionLimit;
 use slog::Logger;
@@ -38,13 +38,13 @@
         self,
         dispatcher: DispatcherHandle,
         accepts: watch::Receiver<bool>,
-    ) -> PeerStreams {
+    ) -> MigrationChannels {
         let resumer = http::StreamResumer {
             dispatcher,
             attempts: self.received_attempts,
         };
-        PeerStreams {
-            migration: self.migration,
+        MigrationChannels {
+            migration_sender: self.migration,
             received: self.received,
             resumer: Some(resumer),
             accepts,
@@ -73,7 +73,7 @@
         let mut tasks = JoinSet::new();
         let routes = http::routes(dispatcher.clone(), limits.body_memory.clone(), log.clone());
         let streams = streams.for_listener(dispatcher.clone(), accepts);
-        tasks.spawn(listener::serve_beside_peers(
+        tasks.spawn(listener::serve_with_migration(
             client_listener,
             routes,
             limits.clients,
@@ -103,7 +103,7 @@
         if let Some(listener) = agent_listener {
             tasks.spawn(async move {
                 if let Some(listener) = listener.listener(phase.clone()).await {
-                    health_check::serve_agent(listener, dispatcher, phase, log).await;
+                    health_check::serve_agent_checks(listener, dispatcher, phase, log).await;
                 }
             });
         }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -36,10 +36,10 @@
     backend_http::parse_tail(bytes);
     load_report::parse_load(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
-    identifiers::is_name(&text);
+    identifiers::is_valid_name(&text);
     identifiers::parse_key(&text);
     let mut partial = bytes.to_vec();
-    if let Some(whole) = websocket::take_text(&mut partial) {
+    if let Some(whole) = websocket::take_complete_utf8(&mut partial) {
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
@@ -119,9 +119,9 @@
         (Some(0x5c), 5120.0, 800.0)
     );
     assert!(
-        identifiers::is_name("9b1f-03_a.5~")
-            && !identifiers::is_name("..")
-            && !identifiers::is_name("a b")
+        identifiers::is_valid_name("9b1f-03_a.5~")
+            && !identifiers::is_valid_name("..")
+            && !identifiers::is_valid_name("a b")
     );
 }
 
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -9,7 +9,7 @@
 use quartzhall::config::{Deployment, SettingsObject};
 use quartzhall::dispatcher::{self, Clock, Core, DispatcherHandle};
 use quartzhall::frontend::http::StreamResumer;
-use quartzhall::frontend::listener::{self, PeerStreams};
+use quartzhall::frontend::listener::{self, MigrationChannels};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{http, ShutdownPhase};
 use quartzhall::net::connection_limit::ConnectionLimit;
@@ -76,8 +76,8 @@
         let (shutdown, phase) = watch::channel(ShutdownPhase::Serving);
         let (streams, received) = mpsc::channel(4);
         let (migrating_streams, migrating) = mpsc::channel(4);
-        let peer_streams = PeerStreams {
-            migration: Some(MigrationHandle {
+        let migration_channels = MigrationChannels {
+            migration_sender: Some(MigrationHandle {
                 streams: migrating_streams,
                 signal,
             }),
@@ -91,12 +91,12 @@
         };
         let clients = ConnectionLimit::new(MAX_CONNECTIONS);
         let body_memory = BodyMemoryBudget::new(1_000);
-        let served = tokio::spawn(listener::serve_beside_peers(
+        let served = tokio::spawn(listener::serve_with_migration(
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             http::routes(dispatcher.clone(), body_memory, log.clone()),
             clients.clone(),
             phase,
-            peer_streams,
+            migration_channels,
             log,
         ));
         Receiver {
