--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -88,7 +88,7 @@
 impl CoreHarness {
     /// A core with one endpoint for prefill, `r`, and one for decode, `ww`.
     pub(crate) fn new(max_requests: usize) -> CoreHarness {
-        CoreHarness::with_deployment(deployment(profile::PROFILE), max_requests)
+        CoreHarness::with_deployment(deployment(profile::SETTINGS), max_requests)
     }
 
     pub(crate) fn with_deployment(deployment: Deployment, max_requests: usize) -> CoreHarness {
@@ -173,7 +173,7 @@
         self.handle(Event::AttemptEnded {
             id,
             attempt,
-            reason: EndReason::of(status),
+            reason: EndReason::from_status(status),
             cached_tokens: 0.0,
             completion_tokens: 0.0,
             load: None,
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 
 fn config(listen: &str, peers: &[&str], broadcast: &str) -> Config {
-    let profile = testbed::PROFILE;
+    let profile = testbed::SETTINGS;
     let peers = peers.join("\",\"");
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{{}},
@@ -75,7 +75,7 @@
     peer.send_to(&[7; 300], &listen_address).await.unwrap();
     for length in [4, 257] {
         match events.recv().await {
-            Some(Event::GossipReceived { from: 1, message }) => assert_eq!(message.len(), length),
+            Some(Event::GossipReceived { peer: 1, message }) => assert_eq!(message.len(), length),
             other => panic!("{other:?}"),
         }
     }
