--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -16,7 +16,7 @@
 mod transport;
 pub mod websocket;
 
-use crate::config::Bounds;
+use crate::config::DispatcherLimits;
 use crate::dispatcher::{Command, DispatcherHandle, EndReason, Event, ReceivedAttempt};
 use crate::net::adjustable_semaphore::AdjustableSemaphore;
 use crate::routing::api::{EndpointId, RequestId};
@@ -267,7 +267,7 @@
 pub async fn run(
     mut commands: mpsc::Receiver<Command>,
     dispatcher: DispatcherHandle,
-    bounds: Bounds,
+    bounds: DispatcherLimits,
     connections: AdjustableSemaphore,
     websocket_endpoints: HashSet<String>,
     migration: StreamMigration,
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -5,7 +5,7 @@
 use super::connection::{ClientConnection, ConnectionPhase};
 use crate::net::message_framing::DeclaredBody;
 use crate::upgrade::stream_migration::ConnectionState;
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use axum::body::Body;
 use axum::http::{header, HeaderValue, StatusCode, Version};
 use axum::response::{IntoResponse, Response};
@@ -186,7 +186,7 @@
     let mut socket = ClientSocket::new(stream, client.clone(), listener_state.clone());
     let mut resumed_response = None;
     if let Some(ResumedConnection { state, response }) = resumed {
-        if state.closes {
+        if state.closes_after_response {
             client.set_closes_after_response();
         }
         socket = socket.resume(&state);
@@ -215,7 +215,7 @@
             // In this order, so that a close does not come between a migration and its end.
             biased;
             () = client.wait_until_closable(&mut shutdown), if !is_closing => {
-                if breaks(Variant::Unanswered) {
+                if is_enabled(Variant::Unanswered) {
                     return;
                 }
                 is_closing = true;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -36,10 +36,10 @@
     backend_http::parse_stream_tail(bytes);
     load_report::parse_load_report(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
-    identifiers::is_name(&text);
+    identifiers::is_valid_name(&text);
     identifiers::parse_key(&text);
     let mut partial = bytes.to_vec();
-    if let Some(whole) = websocket::take_text(&mut partial) {
+    if let Some(whole) = websocket::take_complete_utf8(&mut partial) {
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
@@ -119,9 +119,9 @@
         (Some(0x5c), 5120.0, 800.0)
     );
     assert!(
-        identifiers::is_name("9b1f-03_a.5~")
-            && !identifiers::is_name("..")
-            && !identifiers::is_name("a b")
+        identifiers::is_valid_name("9b1f-03_a.5~")
+            && !identifiers::is_valid_name("..")
+            && !identifiers::is_valid_name("a b")
     );
 }
 
@@ -131,7 +131,7 @@
     let text = MEMBERS.replace("]}", r#",{"id":"s-2","host_port":"nowhere","phase":"Ready"},{"id":"s-3","host_port":"127.0.0.1:2","phase":"Dancing"}]}"#);
     let list = discovery::parse_list(text.as_bytes()).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let event = discovery::endpoints_changed(&mut site(), &list, &log);
+    let event = discovery::endpoints_changed_event(&mut site(), &list, &log);
     let quartzhall::dispatcher::Event::EndpointsChanged {
         is_full: true,
         endpoints: members,
@@ -168,7 +168,7 @@
                 r#"{{"revision":42,"complete":false,"members":[{odd},"what?",{{"phase":"Gone"}},{whole}]}}"#
             );
             let list = discovery::parse_list(text.as_bytes()).unwrap();
-            let event = discovery::endpoints_changed(&mut site(), &list, &log);
+            let event = discovery::endpoints_changed_event(&mut site(), &list, &log);
             let quartzhall::dispatcher::Event::EndpointsChanged {
                 is_full: false,
                 endpoints: members,
