--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -98,7 +98,8 @@
 }
 
 /// Forwards the complete events of a stream as they arrive. The first event is reported to the dispatcher, which
-/// decides which attempt serves the client. Bytes before the first complete event don't commit the attempt.
+/// decides which attempt serves the client. Bytes that complete no event are held back, because they may never become
+/// one.
 pub struct StreamForwarder {
     dispatcher: DispatcherHandle,
     key: AttemptKey,
--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -73,7 +73,7 @@
         self.blocked().contains(address)
     }
 
-    /// Completes when the address is blocked while `is_waiting` returns true. Otherwise it waits forever.
+    /// Waits until the address is blocked while `is_waiting` returns true. Never completes otherwise.
     pub async fn wait_until_blocked(&self, address: &str, is_waiting: impl Fn() -> bool) {
         let mut changed = self.changed.subscribe();
         while !(self.is_blocked(address) && is_waiting()) {
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -1,7 +1,7 @@
 //! Opens connections to endpoints, within the connect timeout and the connection limit.
 //!
 //! A request declares the time it has left, so it must not be sent on a connection that took long to establish. Such a
-//! late connection is retained briefly for the request that is built anew. The connector owns late connections; all
+//! late connection is retained briefly for the rebuilt request. The connector owns late connections; all
 //! others belong to their users.
 
 use super::blocked_endpoints::BlockedEndpoints;
@@ -128,7 +128,7 @@
     }
 
     /// Opens a connection for a request that declares the time it has left. After [`ConnectError::Late`] the request
-    /// must be built anew, with the time that is left by then; a second call returns the late connection.
+    /// must be rebuilt with the time that is left by then; a second call returns the late connection.
     pub async fn connect_in_time(&self, address: &str) -> Result<Transport, ConnectError> {
         let target: SocketAddr = address.parse().map_err(ConnectError::InvalidAddress)?;
         let late_connection = self.late().take(target);
--- a/src/backend/http/connection_pool.rs
+++ b/src/backend/http/connection_pool.rs
@@ -17,7 +17,7 @@
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 /// The first pause of pooling after a request failed on a stale connection.
 const INITIAL_POOLING_PAUSE: Duration = Duration::from_secs(5);
-/// The maximum pause. A pause doubles if another stale connection follows soon after it.
+/// The maximum pause. A pause is twice as long as the last one if it begins within that one's length after its end.
 const MAX_POOLING_PAUSE: Duration = Duration::from_secs(60);
 
 /// hyper-util's client, which opens connections with the [`Connector`].
--- a/src/backend/http/exchange.rs
+++ b/src/backend/http/exchange.rs
@@ -107,7 +107,7 @@
 }
 
 /// Sends a request and waits for the head of its response. If the connection was established late, nothing was written,
-/// and `make_request` builds the request anew.
+/// and the request is rebuilt and sent on that connection.
 pub(super) async fn exchange(
     pool: &ConnectionPool,
     make_request: impl Fn() -> hyper::http::Result<Request<SingleFrameBody>>,
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -88,7 +88,7 @@
             Ok(head) => head,
             Err(reason) => return reason.into(),
         };
-        request.upstream.body = Bytes::new(); // frees the body: the stream may take long
+        request.upstream.body = Bytes::new(); // frees the memory: the stream may take long
         match head.response.status() {
             StatusCode::OK => forward_stream(head, deadline, forwarder, guard, &self.log).await,
             StatusCode::ACCEPTED => read_prefill_response(head.response, deadline, guard).await,
@@ -121,8 +121,8 @@
         let is_waiting = || !is_body_taken.load(Ordering::Relaxed);
         let result = tokio::select! {
             biased;
-            // A blocked endpoint gets no new requests. One that still waits for a connection is not sent; one that was
-            // sent continues.
+            // A blocked endpoint gets no new requests: a request that still waits for a connection is not sent. One
+            // that was sent continues.
             () = self.connector.blocked_endpoints().wait_until_blocked(&request.address, is_waiting) => {
                 return Err(EndReason::EndpointBlocked);
             }
--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -18,8 +18,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{timeout_at, Instant};
 
-/// The time within which the HTTP client returns bytes that were read from the socket. A migration waits no longer for
-/// them.
+/// How long a migration waits for the HTTP client to return bytes that were already read from the socket.
 const MAX_HTTP_CLIENT_DELAY: Duration = Duration::from_millis(30);
 /// The number of a stream's last bytes that are buffered, to parse the usage and the load report in them.
 const TAIL_BYTES: usize = 4096;
--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -39,7 +39,7 @@
     },
     /// [`StreamSource::next_data`] has not returned all bytes read from the connection.
     Behind,
-    /// The body has ended, its framing is unknown, or its descriptor can't be duplicated.
+    /// The body has ended, its framing is unknown, or the connection's descriptor can't be duplicated.
     Unknown,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives the connection to another process. Dropping this source then does not shut it down.
+    /// Gives the connection to another process. Dropping this source no longer shuts the connection down.
     pub(super) fn release(&mut self) {
         if let StreamSource::Received(source) = self {
             source.is_released = true;
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -34,7 +34,7 @@
 use tokio::task::{JoinError, JoinSet};
 use websocket::SessionPool;
 
-/// The connection limit divided by this is the number of idle connections that one endpoint may have.
+/// The connection limit is divided by this to get the maximum number of idle connections to one endpoint.
 const IDLE_CONNECTION_DIVISOR: usize = 12;
 /// The number of commands taken from the queue at once.
 const MAX_COMMAND_BATCH: usize = 1024;
@@ -91,7 +91,8 @@
     }
 }
 
-/// Connects the backend to stream migration: streams handed to another process, and streams received from one.
+/// The backend's inputs for stream migration: when to hand streams to another process, and the streams received from
+/// one.
 pub struct StreamMigration {
     /// Tells when streams should migrate.
     pub signal: MigrationSignal,
@@ -252,7 +253,7 @@
         };
         self.cancel_senders.remove(&key);
         if let Err(error) = finished {
-            // A task that panicked has reported no end, for which the dispatcher would wait forever.
+            // The panicked task has not reported its end, and the dispatcher would wait for it forever.
             error!(self.client.log, "attempt task panicked"; "id" => key.id, "attempt" => key.attempt,
                 "error" => %error);
             let event = attempt_ended(key, EndReason::TaskPanicked.into());
@@ -267,7 +268,7 @@
 pub async fn run(
     mut commands: mpsc::Receiver<Command>,
     dispatcher: DispatcherHandle,
-    bounds: DispatcherLimits,
+    limits: DispatcherLimits,
     connections: AdjustableSemaphore,
     websocket_endpoints: HashSet<String>,
     migration: StreamMigration,
@@ -278,10 +279,10 @@
         mut received_attempts,
     } = migration;
     let max_idle_per_endpoint = (connections.capacity() / IDLE_CONNECTION_DIVISOR).max(1);
-    let connector = Connector::new(Duration::from_micros(bounds.connect_timeout), connections);
+    let connector = Connector::new(Duration::from_micros(limits.connect_timeout), connections);
     // Endpoints close connections that were idle for `endpoint_idle_timeout`; a request written at that moment is lost.
     // Connections are therefore not reused in the last 30 % of that time.
-    let idle_timeout = Duration::from_micros(bounds.endpoint_idle_timeout * 7 / 10);
+    let idle_timeout = Duration::from_micros(limits.endpoint_idle_timeout * 7 / 10);
     let client = EndpointClient {
         http: HttpBackend::new(
             connector.clone(),
--- a/src/backend/reservation_release.rs
+++ b/src/backend/reservation_release.rs
@@ -1,8 +1,7 @@
 //! Releases the reservation of a request at the endpoints.
 //!
-//! Any endpoint forwards a release to the others, but only a running replica reads the call, and the dispatcher does
-//! not know which ones run. So the number of called endpoints doubles at short intervals until one confirms the
-//! release.
+//! Any endpoint forwards a release to the others, but only if it is running, which the dispatcher does not know. So the
+//! number of called endpoints doubles at short intervals until one confirms the release.
 
 use super::attempt::ConnectionPolicy;
 use super::EndpointClient;
@@ -18,7 +17,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// The interval at which more endpoints are called: one at first, then each time as many as were called before.
 const FAN_OUT_INTERVAL: Duration = Duration::from_millis(30);
-/// The time limit for a whole release. Reservations not released by then expire at the endpoints.
+/// The time limit for a whole release. After it, the endpoints release the reservation by themselves.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two rounds of calls to all endpoints.
 const ROUND_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/backend/tracked_connection.rs
+++ b/src/backend/tracked_connection.rs
@@ -14,7 +14,7 @@
 use std::task::{Poll, Waker};
 use tokio::net::TcpStream;
 
-/// Whether reading is paused, and the task to wake when it resumes.
+/// Whether reading is paused, and the waker of the reading task.
 #[derive(Default)]
 struct ReadState {
     is_paused: bool,
@@ -75,7 +75,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        !self.awaits_response.load(Ordering::Relaxed) && self.response().is_over()
+        !self.awaits_response.load(Ordering::Relaxed) && self.response().is_complete()
     }
 
     /// Stops reading from the socket until [`resume_reading`](Self::resume_reading).
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -171,8 +171,8 @@
     }
 
     /// Returns a session for an attempt, and the attempt's end reason if the session breaks before the first message
-    /// from the endpoint. On a reused session the request may have run then, so one that must not run twice gets a new
-    /// session.
+    /// from the endpoint. On a reused session the request may have run then, so a request that must not run twice gets
+    /// a new session.
     async fn session_for(
         &self,
         request: &AttemptRequest,
@@ -245,7 +245,7 @@
     deadline: Instant,
     break_reason: EndReason,
 ) -> Result<(), EndReason> {
-    // Frees the body once it is sent: the stream may take long.
+    // Frees the body's memory once it is sent, because the stream may take long.
     let body = std::mem::take(&mut request.upstream.body);
     // A text message must be UTF-8. Any other body is not sent.
     let Ok(body) = std::str::from_utf8(&body) else {
--- a/src/net/adjustable_semaphore.rs
+++ b/src/net/adjustable_semaphore.rs
@@ -1,4 +1,5 @@
-//! A semaphore whose limit can change while permits are in use. It counts connections or kilobytes of memory.
+//! A semaphore whose limit can change while permits are in use. It counts connections or kilobytes of memory, whose
+//! users hold a [`Permit`].
 //!
 //! While two processes run during an upgrade, they divide the dispatcher's limits. Each process sets its share with
 //! [`AdjustableSemaphore::set_share`].
--- a/src/net/message_framing/mod.rs
+++ b/src/net/message_framing/mod.rs
@@ -1,8 +1,7 @@
 //! Tracks the framing of HTTP/1.1 messages: where each head and body ends, and what a head declares about its body.
 //!
-//! The HTTP library parses the same bytes, but does not report these positions. Each connection owns a
-//! [`RequestFraming`] or a [`ResponseFraming`]. They do no I/O, and their result does not depend on how the bytes are
-//! split.
+//! Each connection owns a [`RequestFraming`] or a [`ResponseFraming`], which see the same bytes as the HTTP library
+//! that parses the messages. They do no I/O, and their result does not depend on how the bytes are split.
 
 mod chunked;
 mod request;
--- a/src/net/message_framing/response.rs
+++ b/src/net/message_framing/response.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether the whole response was certainly read, so that its connection is idle.
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         match &self.state {
             ResponseState::Complete => true,
             ResponseState::Chunked(decoder) => decoder.has_ended(),
--- a/tests/unit/net/message_framing/response.rs
+++ b/tests/unit/net/message_framing/response.rs
@@ -51,15 +51,15 @@
     ] {
         let mut response = ResponseFraming::default();
         for byte in text.as_bytes() {
-            assert!(!response.is_over(), "{text}");
+            assert!(!response.is_complete(), "{text}");
             response.feed(&[*byte]);
         }
-        assert!(response.is_over(), "{text}");
+        assert!(response.is_complete(), "{text}");
         let mut unsplit = ResponseFraming::default();
         unsplit.feed(text.as_bytes());
-        assert!(unsplit.is_over());
+        assert!(unsplit.is_complete());
     }
     let mut without_end = ResponseFraming::default();
     without_end.feed(b"HTTP/1.1 200 OK\r\n\r\nabc");
-    assert!(!without_end.is_over());
+    assert!(!without_end.is_complete());
 }
