--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint addresses that get no new requests, and the open connections of every address. Blocking an address also
-//! closes its idle connections.
+//! The endpoint addresses that get no new requests, for example because the endpoint drains, and the open connections
+//! of every address. Blocking an address also closes its idle connections.
 
 use super::tracked_connection::TrackedConnection;
 use std::collections::{HashMap, HashSet};
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -121,8 +121,8 @@
         let is_waiting = || !is_body_taken.load(Ordering::Relaxed);
         let result = tokio::select! {
             biased;
-            // A blocked endpoint gets no new requests: a request that still waits for a connection is not sent. One
-            // that was sent continues.
+            // An endpoint that drains serves only requests whose first byte it got before. A request that still waits
+            // for a connection when its endpoint is blocked is not sent. One that was sent continues.
             () = self.connector.blocked_endpoints().wait_until_blocked(&request.address, is_waiting) => {
                 return Err(EndReason::EndpointBlocked);
             }
--- a/src/backend/http/usage.rs
+++ b/src/backend/http/usage.rs
@@ -24,7 +24,7 @@
     usage: Option<CompletionUsage>,
 }
 
-/// The values reported in the last lines of a stream.
+/// The usage and the load that the last lines of a stream report.
 #[derive(Default)]
 pub struct StreamReport {
     /// The prompt tokens found in the prefix cache; 0 if not reported.
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -1,8 +1,8 @@
 //! Calls endpoints over WebSocket sessions: attempts and releases. A session serves many requests, one at a time.
 //!
 //! Cancelling an attempt closes its session, as it closes an HTTP/1.1 connection. An idle session is checked before it
-//! is reused, and blocked endpoints get no requests. The pool owns the idle sessions; an attempt owns the session that
-//! it uses.
+//! is reused, and endpoints that drain get no requests. The pool owns the idle sessions; an attempt owns the session
+//! that it uses.
 
 mod messages;
 
@@ -114,7 +114,8 @@
             }
             Err(_) => return Err(EndReason::ConnectFailed),
         };
-        // The endpoint may have been blocked while the session was opened. It must get no new request then.
+        // An endpoint that drains serves only requests whose first byte it got before. This one may have begun to drain
+        // while the session was opened.
         if self.connector.blocked_endpoints().is_blocked(address) {
             return Err(EndReason::EndpointBlocked);
         }
--- a/tests/unit/net/message_framing/request.rs
+++ b/tests/unit/net/message_framing/request.rs
@@ -2,7 +2,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeSet;
 
-/// Processes all bytes, one request per call.
+/// Processes all bytes. Each call of `feed` stops at the end of a request.
 fn feed_all(requests: &mut RequestFraming, mut bytes: &[u8]) {
     while !bytes.is_empty() {
         let completed_before = requests.completed_requests();
