--- a/crates/scale/src/simulated/peers.rs
+++ b/crates/scale/src/simulated/peers.rs
@@ -85,7 +85,7 @@
     loop {
         let poll = watch.next_poll();
         let started = Instant::now();
-        let response = timeout(poll.patience, fetch_revision(&address, &poll.target)).await;
+        let response = timeout(poll.timeout, fetch_revision(&address, &poll.target)).await;
         if let Ok(Some(revision)) = response {
             backoff.reset();
             watch.on_response(revision);
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -139,7 +139,7 @@
         loop {
             let poll = state.next_poll();
             let started = Instant::now();
-            let response = timeout(poll.patience, fetch_list(&client, address, &poll.target)).await;
+            let response = timeout(poll.timeout, fetch_list(&client, address, &poll.target)).await;
             match response.unwrap_or(Err(PollError::Timeout)) {
                 Ok(list) => self.on_list(&mut state, &list, started).await,
                 Err(error) => self.on_error(&mut state, &error, started).await,
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -41,7 +41,7 @@
     /// Path and query.
     pub target: String,
     /// The time after which the request has timed out.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// The state of the watch on one address.
@@ -68,14 +68,14 @@
         let Some(revision) = self.revision else {
             return PollRequest {
                 target: "/v1/endpoints".to_owned(),
-                patience: grace,
+                timeout: grace,
             };
         };
         let hold = self.hold();
         let hold_ms = hold.as_millis();
         PollRequest {
             target: format!("/v1/endpoints?from={revision}&hold_ms={hold_ms}"),
-            patience: hold + grace,
+            timeout: hold + grace,
         }
     }
 
--- a/tests/unit/discovery/watch_state.rs
+++ b/tests/unit/discovery/watch_state.rs
@@ -28,7 +28,7 @@
         let mut watch = WatchState::starting_at(revision, is_pushed);
         let request = watch.next_poll();
         // The new request may fail to connect once, and takes a round trip.
-        let received_at = request.patience + watch.on_timeout() * 2 + ROUND_TRIP;
+        let received_at = request.timeout + watch.on_timeout() * 2 + ROUND_TRIP;
         for broken_at in (0..3_000).step_by(50).map(Duration::from_millis) {
             assert!(
                 received_at <= delivery_deadline(broken_at, hold(&request)),
@@ -53,7 +53,7 @@
             watch.on_response(41);
             hold_ends_at
         } else {
-            now + request.patience + watch.on_timeout()
+            now + request.timeout + watch.on_timeout()
         };
     }
 }
@@ -91,9 +91,9 @@
         delays[0] < TIMEOUT_RETRY_DELAY
             && delays[REQUESTS_PER_PATIENT_REQUEST as usize - 1] == TIMEOUT_RETRY_DELAY
     );
-    assert!(watch.next_poll().patience >= RESPONSE_GRACE);
+    assert!(watch.next_poll().timeout >= RESPONSE_GRACE);
     watch.on_response(42);
-    assert!(watch.next_poll().patience < POLLED_HOLD + RESPONSE_GRACE);
+    assert!(watch.next_poll().timeout < POLLED_HOLD + RESPONSE_GRACE);
 }
 
 #[test]
@@ -116,7 +116,7 @@
 fn changes_missed_by_a_polled_watch_arrive_in_time_though_the_next_request_is_queued() {
     let mut watch = WatchState::starting_at(Some(41), false);
     let request = watch.next_poll();
-    let repeated_at = request.patience + watch.on_timeout();
+    let repeated_at = request.timeout + watch.on_timeout();
     assert!(
         repeated_at + RESPONSE_GRACE <= delivery_deadline(Duration::ZERO, hold(&request)),
         "{request:?}"
@@ -156,7 +156,7 @@
     let mut watch = WatchState::starting_at(Some(41), true);
     let patient_requests = (0..10 * REQUESTS_PER_PATIENT_REQUEST).filter(|_| {
         watch.on_timeout();
-        watch.next_poll().patience >= RESPONSE_GRACE
+        watch.next_poll().timeout >= RESPONSE_GRACE
     });
     assert_eq!(patient_requests.count(), 10);
 }
