--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -1,4 +1,5 @@
-//! Which endpoint addresses are blocked, and the open connections that are closed when one becomes so.
+//! The endpoint addresses that get no new requests, for example because the endpoint drains, and the open connections
+//! of every address. Blocking an address also closes its idle connections.
 
 use super::tracked_connection::TrackedConnection;
 use std::collections::{HashMap, HashSet};
@@ -8,18 +9,18 @@
 
 type OpenConnections = HashMap<SocketAddr, Vec<Weak<TrackedConnection>>>;
 
-/// Decides whether new requests may go to an address. Cheap to clone; clones share their state.
+/// The blocked addresses. Cheap to clone; clones share their state.
 #[derive(Clone)]
-pub struct ConnectionGate {
+pub struct BlockedEndpoints {
     blocked: Arc<Mutex<HashSet<Arc<str>>>>,
     open_connections: Arc<Mutex<OpenConnections>>,
     changed: watch::Sender<()>,
 }
 
-impl ConnectionGate {
-    /// A gate that blocks no address.
+impl BlockedEndpoints {
+    /// Creates an empty set.
     pub fn new() -> Self {
-        ConnectionGate {
+        BlockedEndpoints {
             blocked: Arc::default(),
             open_connections: Arc::default(),
             changed: watch::Sender::new(()),
@@ -36,10 +37,10 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records an open connection, which is closed once it is idle when its address is blocked.
+    /// Records an open connection. If its address becomes blocked, the connection closes once it is idle.
     pub fn register(&self, target: SocketAddr, connection: &Arc<TrackedConnection>) {
         let mut open = self.open_connections();
-        // Closed connections are removed here, also those to endpoints that have left the list.
+        // Removes closed connections, including those of endpoints that no longer exist.
         open.retain(|_, connections| {
             connections.retain(|connection| connection.strong_count() > 0);
             !connections.is_empty()
@@ -49,7 +50,8 @@
             .push(Arc::downgrade(connection));
     }
 
-    /// Stops new requests to this address, also those that wait for a connection, and closes its idle connections.
+    /// Blocks new requests to this address, including those that wait for a connection. Its connections close once they
+    /// are idle.
     pub fn block(&self, address: Arc<str>) {
         if let Ok(target) = address.parse() {
             let connections = self.open_connections().remove(&target);
@@ -71,7 +73,7 @@
         self.blocked().contains(address)
     }
 
-    /// Waits until the address is blocked while `is_waiting` holds; for ever if it does not hold by then.
+    /// Waits until the address is blocked while `is_waiting` returns true. Never completes otherwise.
     pub async fn wait_until_blocked(&self, address: &str, is_waiting: impl Fn() -> bool) {
         let mut changed = self.changed.subscribe();
         while !(self.is_blocked(address) && is_waiting()) {
