--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -5,7 +5,7 @@
 
 use crate::config::{IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS};
 use crate::oracle::Oracle;
-use crate::stream_plan::{written_at, StreamPlan};
+use crate::stream_plan::{parse_written_at, StreamPlan};
 use crate::wire::split_head;
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -24,14 +24,14 @@
 /// How a stream ends that is whole.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 /// A client that gets nothing of its stream for so long leaves.
-const MAX_SILENCE: Duration = Duration::from_secs(8);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Bytes that are read at once.
-const READ_BYTES: usize = 64 * 1024;
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 /// Bytes that a slow client reads at once, and how often.
-const SLOW_READ_BYTES: usize = 16 * 1024;
+const SLOW_READ_CHUNK_BYTES: usize = 16 * 1024;
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(60);
 /// How long a client waits beyond its deadline; the oracle has judged by then.
-const MAX_OVERTIME: Duration = Duration::from_secs(4);
+const MAX_WAIT_AFTER_DEADLINE: Duration = Duration::from_secs(4);
 
 /// A dispatcher, as its clients see it.
 pub struct Target {
@@ -53,12 +53,12 @@
     disconnect_after: Option<Duration>,
     head: String,
     body: String,
-    reading: Reading,
+    read_behavior: ReadBehavior,
 }
 
 /// How a client reads its stream.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reading {
+enum ReadBehavior {
     /// As it comes.
     AtOnce,
     /// Nothing for this long, then all.
@@ -104,7 +104,7 @@
             disconnect_after,
             head,
             body,
-            reading: Reading::AtOnce,
+            read_behavior: ReadBehavior::AtOnce,
         }
     }
 
@@ -112,10 +112,10 @@
     pub fn with_long_stream(mut self, rng: &mut Pcg32) -> ClientRequest {
         let plan = StreamPlan::draw(rng);
         self.body = plan.request_body();
-        self.reading = match rng.gen_range(0..10) {
-            0 => Reading::After(Duration::from_millis(rng.gen_range(500..5_000))),
-            1 => Reading::Slowly,
-            _ => Reading::AtOnce,
+        self.read_behavior = match rng.gen_range(0..10) {
+            0 => ReadBehavior::After(Duration::from_millis(rng.gen_range(500..5_000))),
+            1 => ReadBehavior::Slowly,
+            _ => ReadBehavior::AtOnce,
         };
         self
     }
@@ -136,15 +136,15 @@
 }
 
 /// A client that sends its requests on one connection, for as long as that stays open.
-pub struct KeptConnection {
+pub struct PersistentConnection {
     target: Arc<Target>,
     stream: Option<TcpStream>,
 }
 
-impl KeptConnection {
+impl PersistentConnection {
     /// A client that has not connected yet.
-    pub fn new(target: Arc<Target>) -> KeptConnection {
-        KeptConnection {
+    pub fn new(target: Arc<Target>) -> PersistentConnection {
+        PersistentConnection {
             target,
             stream: None,
         }
@@ -155,39 +155,43 @@
     pub async fn send(&mut self, request: ClientRequest) {
         if let Some(mut stream) = self.stream.take() {
             match exchange(&self.target, &request, &mut stream).await {
-                Exchange::Kept => {
+                ConnectionState::Reusable => {
                     self.stream = Some(stream);
                     return;
                 }
-                Exchange::Ended => return,
-                Exchange::Crossed => {}
+                ConnectionState::Unusable => return,
+                ConnectionState::ClosedBeforeRequest => {}
             }
         }
         let Ok(mut stream) = TcpStream::connect(&self.target.address).await else {
             return;
         };
         let _ = stream.set_nodelay(true);
-        if let Exchange::Kept = exchange(&self.target, &request, &mut stream).await {
+        if let ConnectionState::Reusable = exchange(&self.target, &request, &mut stream).await {
             self.stream = Some(stream);
         }
     }
 }
 
 /// How a request and its response have left the connection.
-enum Exchange {
+enum ConnectionState {
     /// It can be used again.
-    Kept,
+    Reusable,
     /// It has ended, or has to.
-    Ended,
+    Unusable,
     /// It had ended when the request came.
-    Crossed,
+    ClosedBeforeRequest,
 }
 
-async fn exchange(target: &Target, request: &ClientRequest, stream: &mut TcpStream) -> Exchange {
+async fn exchange(
+    target: &Target,
+    request: &ClientRequest,
+    stream: &mut TcpStream,
+) -> ConnectionState {
     let started = Instant::now();
-    let is_closed = crate::wire::is_closed(stream);
+    let is_closed = crate::wire::is_closed_by_peer(stream);
     if is_closed || stream.write_all(request.text().as_bytes()).await.is_err() {
-        return Exchange::Crossed;
+        return ConnectionState::ClosedBeforeRequest;
     }
     let oracle = &target.oracle;
     oracle.on_request_sent(
@@ -196,31 +200,31 @@
         request.is_non_idempotent,
         request.deadline,
     );
-    let max_wait = request
+    let response_timeout = request
         .disconnect_after
-        .unwrap_or(request.deadline + MAX_OVERTIME);
-    let Ok(response) = timeout(max_wait, read_response_head(stream)).await else {
+        .unwrap_or(request.deadline + MAX_WAIT_AFTER_DEADLINE);
+    let Ok(response) = timeout(response_timeout, read_response_head(stream)).await else {
         if request.disconnect_after.is_some() {
             let _ = stream.shutdown().await;
             oracle.on_client_disconnected(&request.id);
         }
-        return Exchange::Ended;
+        return ConnectionState::Unusable;
     };
     let Some(head) = response else {
         let is_excused = target.may_be_killed && oracle.was_killed_since(target.process, started);
         oracle.on_closed_without_response(&request.id, is_excused);
-        return Exchange::Ended;
+        return ConnectionState::Unusable;
     };
     oracle.on_response(&request.id, head.status);
     let keeps_connection = head.keeps_connection;
     if head.status != 200 {
-        return Exchange::Ended;
+        return ConnectionState::Unusable;
     }
     let is_complete = read_stream(target, request, stream, head.body).await;
     if is_complete && keeps_connection {
-        Exchange::Kept
+        ConnectionState::Reusable
     } else {
-        Exchange::Ended
+        ConnectionState::Unusable
     }
 }
 
@@ -231,29 +235,29 @@
     stream: &mut TcpStream,
     mut body: Vec<u8>,
 ) -> bool {
-    if let Reading::After(pause) = request.reading {
+    if let ReadBehavior::After(pause) = request.read_behavior {
         sleep(pause).await;
     }
-    let chunk_bytes = match request.reading {
-        Reading::Slowly => SLOW_READ_BYTES,
-        _ => READ_BYTES,
+    let chunk_bytes = match request.read_behavior {
+        ReadBehavior::Slowly => SLOW_READ_CHUNK_BYTES,
+        _ => READ_CHUNK_BYTES,
     };
     let mut chunk = vec![0; chunk_bytes];
-    let mut checked = 0;
-    if request.reading == Reading::AtOnce {
-        checked = check_events(target, request, &body);
+    let mut recorded_bytes = 0;
+    if request.read_behavior == ReadBehavior::AtOnce {
+        recorded_bytes = record_event_delays(target, request, &body);
     }
     while !body.ends_with(LAST_CHUNK) {
-        match timeout(MAX_SILENCE, stream.read(&mut chunk)).await {
+        match timeout(STREAM_IDLE_TIMEOUT, stream.read(&mut chunk)).await {
             Ok(Ok(count @ 1..)) => body.extend_from_slice(&chunk[..count]),
             _ => break,
         }
-        match request.reading {
-            Reading::AtOnce => {
-                checked += check_events(target, request, &body[checked..]);
+        match request.read_behavior {
+            ReadBehavior::AtOnce => {
+                recorded_bytes += record_event_delays(target, request, &body[recorded_bytes..]);
             }
-            Reading::Slowly => sleep(SLOW_READ_INTERVAL).await,
-            Reading::After(_) => {}
+            ReadBehavior::Slowly => sleep(SLOW_READ_INTERVAL).await,
+            ReadBehavior::After(_) => {}
         }
     }
     let is_complete = body.ends_with(LAST_CHUNK);
@@ -262,13 +266,13 @@
 }
 
 /// Reports how late the whole events in these bytes are, and returns how many bytes they have.
-fn check_events(target: &Target, request: &ClientRequest, bytes: &[u8]) -> usize {
+fn record_event_delays(target: &Target, request: &ClientRequest, bytes: &[u8]) -> usize {
     let Some(end) = bytes.windows(2).rposition(|window| window == b"\n\n") else {
         return 0;
     };
     let text = String::from_utf8_lossy(&bytes[..end]);
     for line in text.lines() {
-        if let Some(written_at) = written_at(line) {
+        if let Some(written_at) = parse_written_at(line) {
             target.oracle.on_event(&request.id, written_at);
         }
     }
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// A reserved KV cache has to be consumed or released within this.
-pub const RELEASE_WITHIN: Duration = Duration::from_millis(600);
-/// Tolerance that the protocol grants on [`RELEASE_WITHIN`].
-pub const RELEASE_SLACK: Duration = Duration::from_millis(300);
+pub const KV_RESERVATION_TTL: Duration = Duration::from_millis(600);
+/// Tolerance that the protocol grants on [`KV_RESERVATION_TTL`].
+pub const KV_RELEASE_SLACK: Duration = Duration::from_millis(300);
 /// Nothing may be sent to a replica this long after it was reported as draining; includes the protocol's 50 ms.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// The longest time that clients wait for a first token; the deadline in the settings.
@@ -28,7 +28,7 @@
     discovery: &str,
     max_deadline: Duration,
 ) -> String {
-    let release = RELEASE_WITHIN.as_millis();
+    let release = KV_RESERVATION_TTL.as_millis();
     let deadline = max_deadline.as_millis();
     format!(
         r#"{{"name":"p{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -5,18 +5,18 @@
 use quartzhall_soak::error::SoakError;
 use quartzhall_soak::oracle::Violation;
 use quartzhall_soak::run::{run, RunPlan};
-use quartzhall_soak::schedule::SoakShape;
+use quartzhall_soak::schedule::RunSize;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 /// Log lines that are printed of each file for a violation.
-const MAX_LOG_LINES: usize = 20;
+const MAX_LOG_LINES_PER_FILE: usize = 20;
 /// One seed in so many has crowds of idle clients, and one in so many has short deadlines.
-const CROWD_SEEDS: u64 = 4;
-const SHORT_DEADLINE_SEEDS: u64 = 5;
+const CONNECTION_FLOOD_SEED_INTERVAL: u64 = 4;
+const SHORT_DEADLINE_SEED_INTERVAL: u64 = 5;
 /// The exit code if the bench could not be set up.
-const SETUP_FAILED: u8 = 2;
+const SETUP_FAILED_EXIT_CODE: u8 = 2;
 
 /// Plays real dispatchers under faults that overlap in time, and judges by the protocol's rules.
 #[derive(Parser)]
@@ -70,28 +70,28 @@
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let lines = text.lines().filter(|line| line.contains(id));
-    for line in lines.take(MAX_LOG_LINES) {
+    for line in lines.take(MAX_LOG_LINES_PER_FILE) {
         println!("    log of {name}: {line}");
     }
 }
 
 /// Runs all seeds and returns the number of violations.
-async fn soak(arguments: Arguments) -> Result<usize, SoakError> {
+async fn run_seeds(arguments: Arguments) -> Result<usize, SoakError> {
     let mut violations = 0;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
         let folder = arguments.folder.join(format!("seed-{seed}"));
         std::fs::create_dir_all(&folder).map_err(SoakError::CreateFolder)?;
         let plan = RunPlan {
             seed,
-            shape: SoakShape {
+            size: RunSize {
                 processes: arguments.processes,
                 prefill_replicas: arguments.prefill_replicas,
                 replicas: arguments.prefill_replicas + arguments.decode_replicas,
                 load_duration: Duration::from_secs(arguments.seconds),
-                has_crowds: seed.is_multiple_of(CROWD_SEEDS),
+                has_connection_floods: seed.is_multiple_of(CONNECTION_FLOOD_SEED_INTERVAL),
             },
             rate: arguments.rate,
-            max_deadline: if seed.is_multiple_of(SHORT_DEADLINE_SEEDS) {
+            max_deadline: if seed.is_multiple_of(SHORT_DEADLINE_SEED_INTERVAL) {
                 SHORT_DEADLINE
             } else {
                 MAX_DEADLINE
@@ -107,7 +107,7 @@
             result.counts.served,
             result.counts.shed,
             result.counts.failed,
-            result.worst_event_delay.as_millis(),
+            result.max_event_delay.as_millis(),
             result.violations.len()
         );
         for violation in &result.violations {
@@ -121,12 +121,12 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    match soak(Arguments::parse()).await {
+    match run_seeds(Arguments::parse()).await {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("quartzhall-soak: {error}");
-            ExitCode::from(SETUP_FAILED)
+            ExitCode::from(SETUP_FAILED_EXIT_CODE)
         }
     }
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -6,7 +6,7 @@
 mod processes;
 mod streams;
 
-use crate::config::{DRAIN_GRACE, RELEASE_SLACK, RELEASE_WITHIN};
+use crate::config::{DRAIN_GRACE, KV_RELEASE_SLACK, KV_RESERVATION_TTL};
 use crate::request_history::{Observation, RequestHistory};
 use quartzhall::routing::api::Role;
 use std::collections::{HashMap, HashSet};
@@ -42,9 +42,9 @@
     /// An aborted stream does not end as if it were complete.
     AbortedStreamIncomplete,
     /// A stream that its replica goes on with, and whose client stays, is whole at the client.
-    StreamWhole,
+    StreamComplete,
     /// An event reaches its client soon after the replica has written it.
-    EventInTime,
+    EventDeliveredInTime,
     /// A process exits only when it is told to, and cleanly.
     ProcessRuns,
 }
@@ -61,8 +61,8 @@
             Invariant::NotSentAfterDisconnect => "ClientGone",
             Invariant::TimeLeftNotExceeded => "ToldTime",
             Invariant::AbortedStreamIncomplete => "StreamEnd",
-            Invariant::StreamWhole => "StreamCut",
-            Invariant::EventInTime => "LateEvent",
+            Invariant::StreamComplete => "StreamCut",
+            Invariant::EventDeliveredInTime => "LateEvent",
             Invariant::ProcessRuns => "Process",
         }
     }
@@ -104,7 +104,7 @@
     /// The time left that the attempt announces, in milliseconds.
     pub time_left_ms: Option<u64>,
     /// How long ago the dispatcher was notified that the replica is draining.
-    pub draining_for: Option<Duration>,
+    pub time_since_drain_notice: Option<Duration>,
 }
 
 /// Requests by the kind of their response.
@@ -123,10 +123,10 @@
     requests: HashMap<String, RequestHistory>,
     violations: Vec<Violation>,
     killed_at: HashMap<usize, Instant>,  // by process
-    crowded: HashSet<usize>,             // processes
+    flooded: HashSet<usize>,             // processes
     paused: HashSet<usize>,              // processes
     resumed_at: HashMap<usize, Instant>, // by process
-    worst_event_delay: Duration,
+    max_event_delay: Duration,
     counts: ResponseCounts,
 }
 
@@ -138,7 +138,7 @@
 
 impl OracleState {
     /// Reports a violation, once for each invariant and request.
-    fn report(&mut self, started: Instant, invariant: Invariant, id: &str) {
+    fn report_violation(&mut self, started: Instant, invariant: Invariant, id: &str) {
         let is_reported = self
             .violations
             .iter()
@@ -185,11 +185,15 @@
     }
 
     /// Updates a request's history, and reports the invariant that `update` finds violated.
-    fn update(&self, id: &str, update: impl FnOnce(&mut RequestHistory) -> Option<Invariant>) {
+    fn update_request(
+        &self,
+        id: &str,
+        update: impl FnOnce(&mut RequestHistory) -> Option<Invariant>,
+    ) {
         let mut state = self.state();
         let violated = update(state.requests.entry(id.to_owned()).or_default());
         if let Some(invariant) = violated {
-            state.report(self.started, invariant, id);
+            state.report_violation(self.started, invariant, id);
         }
     }
 
@@ -201,16 +205,16 @@
         is_non_idempotent: bool,
         deadline: Duration,
     ) {
-        let is_crowded = self.state().crowded.contains(&process);
+        let is_flooded = self.state().flooded.contains(&process);
         let is_paused = self.state().paused.contains(&process);
-        self.update(id, |request| {
-            request.is_crowded_out = is_crowded;
-            request.may_have_queued = is_crowded || is_paused;
+        self.update_request(id, |request| {
+            request.is_affected_by_flood = is_flooded;
+            request.may_have_waited_in_accept_queue = is_flooded || is_paused;
             request.process = process;
             request.is_non_idempotent = is_non_idempotent;
             request.deadline = deadline;
             request.sent_at = Some(Instant::now());
-            request.observe(format!(
+            request.add_observation(format!(
                 "sent to p{process}, non-idempotent: {is_non_idempotent}, deadline {deadline:?}"
             ));
             None
@@ -219,9 +223,9 @@
 
     /// The client has closed its connection.
     pub fn on_client_disconnected(&self, id: &str) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.disconnected_at = Some(Instant::now());
-            request.observe("client disconnected".into());
+            request.add_observation("client disconnected".into());
             None
         });
     }
@@ -229,10 +233,10 @@
     /// The client has received the head of a response with this status.
     pub fn on_response(&self, id: &str, status: u16) {
         let is_shed = is_shed(status);
-        self.update(id, |request| {
-            request.is_answered = true;
-            request.observe(format!("response {status}"));
-            let is_violated = is_shed && request.has_unproven_execution();
+        self.update_request(id, |request| {
+            request.is_response_settled = true;
+            request.add_observation(format!("response {status}"));
+            let is_violated = is_shed && request.is_unsafe_to_retry();
             is_violated.then_some(Invariant::NotExecutedTwice)
         });
         let counts = &mut self.state().counts;
@@ -247,17 +251,17 @@
 
     /// The client's connection ended before any response. `is_excused`: its process was killed.
     pub fn on_closed_without_response(&self, id: &str, is_excused: bool) {
-        self.update(id, |request| {
-            request.is_answered = true;
-            let is_excused = is_excused || request.is_crowded_out;
-            request.observe(format!("closed without response, excused: {is_excused}"));
+        self.update_request(id, |request| {
+            request.is_response_settled = true;
+            let is_excused = is_excused || request.is_affected_by_flood;
+            request.add_observation(format!("closed without response, excused: {is_excused}"));
             (!is_excused).then_some(Invariant::NotClosedUnanswered)
         });
     }
 
     /// A running replica has read the last byte of an attempt.
     pub fn on_attempt_arrived(&self, id: &str, arrival: AttemptArrival) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             let now = Instant::now();
             let AttemptArrival {
                 replica,
@@ -265,10 +269,10 @@
                 time_left_ms,
                 ..
             } = arrival;
-            request.observe(format!(
+            request.add_observation(format!(
                 "r{replica} received a {role:?} attempt, announced {time_left_ms:?} ms"
             ));
-            let is_repeated = role == Role::Decode && request.has_unproven_execution();
+            let is_repeated = role == Role::Decode && request.is_unsafe_to_retry();
             request.start_attempt(role);
             if is_repeated {
                 return Some(Invariant::NotExecutedTwice);
@@ -276,23 +280,23 @@
             if arrival.is_delayed_by_bench {
                 return None;
             }
-            find_late_attempt(request, &arrival, now)
+            find_timing_violation(request, &arrival, now)
         });
     }
 
     /// A replica is about to report that an attempt never ran: from now on its dispatcher may know.
     pub fn on_attempt_rejected(&self, id: &str, replica: usize, role: Role) {
-        self.update(id, |request| {
-            request.observe(format!("r{replica} rejects it"));
-            request.prove_never_ran(role);
+        self.update_request(id, |request| {
+            request.add_observation(format!("r{replica} rejects it"));
+            request.record_never_ran(role);
             None
         });
     }
 
     /// An attempt that had arrived has ended, by the replica's response or by the end of its connection.
     pub fn on_attempt_ended(&self, id: &str, replica: usize, role: Role, outcome: AttemptOutcome) {
-        self.update(id, |request| {
-            request.observe(format!("r{replica}: attempt ended, {outcome:?}"));
+        self.update_request(id, |request| {
+            request.add_observation(format!("r{replica}: attempt ended, {outcome:?}"));
             request.end_attempt(role);
             None
         });
@@ -300,11 +304,11 @@
 
     /// A prefill replica has finished a prompt: from now on its KV cache is reserved, also before any dispatcher is notified.
     pub fn on_kv_reserved(&self, id: &str, replica: usize) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.is_kv_reserved = true;
             request.kv_replica = replica;
-            request.observe(format!("r{replica}: KV cache reserved"));
-            request.update_idle_since();
+            request.add_observation(format!("r{replica}: KV cache reserved"));
+            request.update_kv_idle_clock();
             None
         });
     }
@@ -312,11 +316,11 @@
     /// A decode replica consumes the reserved KV cache; false if there is none.
     pub fn consume_kv(&self, id: &str, replica: usize) -> bool {
         let mut is_consumed = false;
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             is_consumed = std::mem::take(&mut request.is_kv_reserved);
             request.is_stream_aborted = false;
-            request.observe(format!("r{replica}: KV cache consumed: {is_consumed}"));
-            request.update_idle_since();
+            request.add_observation(format!("r{replica}: KV cache consumed: {is_consumed}"));
+            request.update_kv_idle_clock();
             None
         });
         is_consumed
@@ -333,19 +337,19 @@
     pub fn on_replica_killed(&self, replica: usize) {
         for request in self.state().requests.values_mut() {
             if request.is_kv_reserved && request.kv_replica == replica {
-                request.observe(format!("r{replica} crashed with the KV cache"));
+                request.add_observation(format!("r{replica} crashed with the KV cache"));
                 request.is_kv_reserved = false;
-                request.update_idle_since();
+                request.update_kv_idle_clock();
             }
         }
     }
 
     /// A running replica has read a release: the KV cache is freed unless a decode attempt is in flight.
     pub fn on_release(&self, id: &str, replica: usize) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.is_kv_reserved &= request.decodes_in_flight > 0;
-            request.observe(format!("r{replica}: release received"));
-            request.update_idle_since();
+            request.add_observation(format!("r{replica}: release received"));
+            request.update_kv_idle_clock();
             None
         });
     }
@@ -359,16 +363,16 @@
             if paused.contains(&request.process) {
                 continue;
             }
-            if request.kv_idle_time(now) > RELEASE_WITHIN + RELEASE_SLACK + BENCH_SLACK {
+            if request.kv_idle_time(now) > KV_RESERVATION_TTL + KV_RELEASE_SLACK + BENCH_SLACK {
                 violated.push((Invariant::KvReservationReleased, id.clone()));
             }
             let is_overdue = request.is_overdue(now, RESPONSE_SLACK + BENCH_SLACK);
-            if is_overdue && !request.is_crowded_out {
+            if is_overdue && !request.is_affected_by_flood {
                 violated.push((Invariant::RespondedInTime, id.clone()));
             }
         }
         for (invariant, id) in violated {
-            state.report(self.started, invariant, &id);
+            state.report_violation(self.started, invariant, &id);
         }
     }
 
@@ -390,7 +394,7 @@
 }
 
 /// The invariant that an attempt violates by arriving after it should no longer have been sent, or with too much time left.
-fn find_late_attempt(
+fn find_timing_violation(
     request: &RequestHistory,
     arrival: &AttemptArrival,
     now: Instant,
@@ -402,7 +406,7 @@
     }
     if let (Some(announced_ms), Some(time_left)) = (arrival.time_left_ms, request.time_left(now)) {
         // A crowded-out request lies in the accept queue for a time of which its dispatcher knows nothing.
-        let is_excused = request.is_crowded_out;
+        let is_excused = request.is_affected_by_flood;
         if !is_excused
             && Duration::from_millis(announced_ms) > time_left + ANNOUNCED_TIME_SLACK + BENCH_SLACK
         {
@@ -415,6 +419,6 @@
             return None;
         }
     }
-    let draining_for = arrival.draining_for?;
-    (draining_for > DRAIN_GRACE + BENCH_SLACK).then_some(Invariant::NotSentToDraining)
+    let time_since_drain_notice = arrival.time_since_drain_notice?;
+    (time_since_drain_notice > DRAIN_GRACE + BENCH_SLACK).then_some(Invariant::NotSentToDraining)
 }
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -5,23 +5,23 @@
 
 impl Oracle {
     /// A crowd of idle clients fills a process's descriptors, or has left.
-    pub fn on_crowd(&self, process: usize, is_there: bool) {
+    pub fn on_connection_flood(&self, process: usize, is_active: bool) {
         let mut state = self.state();
-        if is_there {
-            state.crowded.insert(process);
+        if is_active {
+            state.flooded.insert(process);
         } else {
-            state.crowded.remove(&process);
+            state.flooded.remove(&process);
         }
         for request in state.requests_of(process) {
-            request.is_crowded_out |= is_there && !request.is_answered;
-            request.may_have_queued |= request.is_crowded_out;
+            request.is_affected_by_flood |= is_active && !request.is_response_settled;
+            request.may_have_waited_in_accept_queue |= request.is_affected_by_flood;
         }
     }
 
     /// Notes something about a process in the history of its requests that have no answer or stream yet.
-    pub fn observe_process(&self, process: usize, text: &str) {
+    pub fn add_process_observation(&self, process: usize, text: &str) {
         for request in self.state().requests_of(process) {
-            request.observe(text.into());
+            request.add_observation(text.into());
         }
     }
 
@@ -30,11 +30,11 @@
         let mut state = self.state();
         state.killed_at.insert(process, Instant::now());
         for request in state.requests_of(process) {
-            request.observe("its process was killed".into());
+            request.add_observation("its process was killed".into());
             request.was_process_killed = true;
             request.is_kv_reserved = false;
-            request.is_answered = true;
-            request.update_idle_since();
+            request.is_response_settled = true;
+            request.update_kv_idle_clock();
         }
     }
 
@@ -50,7 +50,7 @@
         let mut state = self.state();
         state.paused.insert(process);
         for request in state.requests_of(process) {
-            request.may_have_queued |= !request.is_answered;
+            request.may_have_waited_in_accept_queue |= !request.is_response_settled;
         }
     }
 
@@ -60,8 +60,8 @@
         state.paused.remove(&process);
         state.resumed_at.insert(process, Instant::now());
         for request in state.requests_of(process) {
-            request.observe(format!("its process was paused for {pause:?}"));
-            request.extend_for_pause(pause);
+            request.add_observation(format!("its process was paused for {pause:?}"));
+            request.adjust_for_pause(pause);
         }
     }
 
--- a/crates/soak/src/oracle/streams.rs
+++ b/crates/soak/src/oracle/streams.rs
@@ -4,19 +4,19 @@
 use std::time::{Duration, Instant};
 
 /// An event reaches its client within this.
-const EVENT_SLACK: Duration = Duration::from_millis(300);
+const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
 /// For so long after a pause of a process events may still be late.
-const PAUSE_AFTERMATH: Duration = Duration::from_millis(1_000);
+const PAUSE_RECOVERY_TIME: Duration = Duration::from_millis(1_000);
 
 impl Oracle {
     /// The client's stream has ended. `is_complete`: its last chunk has arrived.
     pub fn on_stream_ended(&self, id: &str, is_complete: bool) {
-        self.update(id, |request| {
-            request.observe(format!("stream ended, complete: {is_complete}"));
+        self.update_request(id, |request| {
+            request.add_observation(format!("stream ended, complete: {is_complete}"));
             match (is_complete, request.is_stream_aborted) {
                 (true, true) => Some(Invariant::AbortedStreamIncomplete),
                 (false, false) if !request.was_process_killed && !request.is_stream_stalled => {
-                    Some(Invariant::StreamWhole)
+                    Some(Invariant::StreamComplete)
                 }
                 _ => None,
             }
@@ -25,18 +25,18 @@
 
     /// A replica has aborted its stream.
     pub fn on_stream_aborted(&self, id: &str) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.is_stream_aborted = true;
-            request.observe("replica aborted its stream".into());
+            request.add_observation("replica aborted its stream".into());
             None
         });
     }
 
     /// A replica stands still in the middle of its stream, or goes on with it. The dispatcher may give up what is silent.
     pub fn on_stream_stalled(&self, id: &str, is_stalled: bool) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             if request.is_stream_stalled != is_stalled {
-                request.observe(format!("replica stalled in mid-stream: {is_stalled}"));
+                request.add_observation(format!("replica stalled in mid-stream: {is_stalled}"));
             }
             request.is_stream_stalled = is_stalled;
             None
@@ -44,9 +44,9 @@
     }
 
     /// A dispatcher has closed the connection of a stream that its replica went on with.
-    pub fn on_stream_cut(&self, id: &str) {
-        self.update(id, |request| {
-            request.observe("its dispatcher closed the connection in mid-stream".into());
+    pub fn on_stream_closed_by_dispatcher(&self, id: &str) {
+        self.update_request(id, |request| {
+            request.add_observation("its dispatcher closed the connection in mid-stream".into());
             None
         });
     }
@@ -59,22 +59,22 @@
         let resumed_at = process.and_then(|process| state.resumed_at.get(&process));
         // Neither a process that was paused lately is blamed, nor one beside it that had to wait for it.
         let is_excused = resumed_at.is_some_and(|resumed_at| {
-            written_at.saturating_duration_since(*resumed_at) < PAUSE_AFTERMATH
+            written_at.saturating_duration_since(*resumed_at) < PAUSE_RECOVERY_TIME
         });
         if is_excused {
             return;
         }
-        state.worst_event_delay = state.worst_event_delay.max(delay);
-        if delay > EVENT_SLACK + BENCH_SLACK {
+        state.max_event_delay = state.max_event_delay.max(delay);
+        if delay > MAX_EVENT_DELAY + BENCH_SLACK {
             if let Some(request) = state.requests.get_mut(id) {
-                request.observe(format!("an event came {delay:?} after it was written"));
+                request.add_observation(format!("an event came {delay:?} after it was written"));
             }
-            state.report(self.started, Invariant::EventInTime, id);
+            state.report_violation(self.started, Invariant::EventDeliveredInTime, id);
         }
     }
 
     /// The latest that an event was, of those for which a dispatcher can be blamed.
-    pub fn worst_event_delay(&self) -> Duration {
-        self.state().worst_event_delay
+    pub fn max_event_delay(&self) -> Duration {
+        self.state().max_event_delay
     }
 }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -19,27 +19,27 @@
 use tokio::time::sleep;
 
 /// Between two checks of the fault flags.
-const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(4);
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// Work times are drawn from this to the role's maximum, in milliseconds.
-const MIN_WORK_MS: u64 = 5;
-const MAX_PREFILL_MS: u64 = 150;
-const MAX_DECODE_START_MS: u64 = 500;
+const MIN_EXECUTION_MS: u64 = 5;
+const MAX_PREFILL_EXECUTION_MS: u64 = 150;
+const MAX_DECODE_EXECUTION_MS: u64 = 500;
 /// Distance between the seeds of two attempts.
-const SEED_STEP: u64 = 0x9e37_79b9;
+const ATTEMPT_SEED_STEP: u64 = 0x9e37_79b9;
 
 /// Head of a rejection, after its status line: the proof that the attempt never ran.
 const NEVER_RAN_HEADERS: &str = "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// How long ago a dispatcher (first number) was notified that a replica (second number) is draining.
-pub type DrainNotifications = Arc<dyn Fn(usize, usize) -> Option<Duration> + Send + Sync>;
+pub type TimeSinceDrainNotice = Arc<dyn Fn(usize, usize) -> Option<Duration> + Send + Sync>;
 
 /// The faults of a replica that are active now.
 #[derive(Default)]
-pub struct FaultBehavior {
+pub struct ActiveFaults {
     /// It accepts connections and bytes, and executes nothing.
     pub is_stalled: AtomicBool,
     /// It has crashed.
-    pub is_dead: AtomicBool,
+    pub is_killed: AtomicBool,
     /// Its responses are lost.
     pub loses_responses: AtomicBool,
     /// It responds with errors.
@@ -87,9 +87,9 @@
     number: usize,
     role: Role,
     oracle: Arc<Oracle>,
-    drain_notifications: DrainNotifications,
+    time_since_drain_notice: TimeSinceDrainNotice,
     /// Its active faults.
-    pub behavior: FaultBehavior,
+    pub active_faults: ActiveFaults,
     connections: Mutex<Vec<TrackedConnection>>,
     next_seed: AtomicU64,
 }
@@ -99,7 +99,7 @@
 }
 
 /// Waits until the peer closes the connection; what it sends meanwhile is buffered.
-async fn wait_for_close(stream: &mut TcpStream, received: &mut Vec<u8>) {
+async fn read_until_closed(stream: &mut TcpStream, received: &mut Vec<u8>) {
     let mut chunk = [0; 1024];
     while let Ok(count @ 1..) = stream.read(&mut chunk).await {
         received.extend_from_slice(&chunk[..count]);
@@ -113,14 +113,14 @@
         role: Role,
         seed: u64,
         oracle: Arc<Oracle>,
-        drain_notifications: DrainNotifications,
+        time_since_drain_notice: TimeSinceDrainNotice,
     ) -> Arc<Replica> {
         Arc::new(Replica {
             number,
             role,
             oracle,
-            drain_notifications,
-            behavior: FaultBehavior::default(),
+            time_since_drain_notice,
+            active_faults: ActiveFaults::default(),
             connections: Mutex::default(),
             next_seed: AtomicU64::new(seed),
         })
@@ -128,19 +128,19 @@
 
     /// Silences all open connections of a dispatcher.
     pub fn silence_connections(&self, process: usize) {
-        for faults in self.faults_of(process) {
+        for faults in self.faults_of_process(process) {
             faults.is_silent.store(true, Ordering::Relaxed);
         }
     }
 
     /// Resets all open connections of a dispatcher.
     pub fn reset_connections(&self, process: usize) {
-        for faults in self.faults_of(process) {
+        for faults in self.faults_of_process(process) {
             faults.is_reset.store(true, Ordering::Relaxed);
         }
     }
 
-    fn faults_of(&self, process: usize) -> Vec<Arc<ConnectionFaults>> {
+    fn faults_of_process(&self, process: usize) -> Vec<Arc<ConnectionFaults>> {
         let mut connections = self
             .connections
             .lock()
@@ -153,7 +153,7 @@
             .collect()
     }
 
-    fn track(&self, process: usize, faults: &Arc<ConnectionFaults>) {
+    fn track_connection(&self, process: usize, faults: &Arc<ConnectionFaults>) {
         self.connections
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -164,32 +164,37 @@
     }
 
     /// Serves a dispatcher at this address until the task is aborted. Connections are refused while the replica is dead.
-    pub async fn serve(self: Arc<Self>, process: usize, address: SocketAddr, first: TcpListener) {
-        let mut listener = Some(first);
+    pub async fn serve(
+        self: Arc<Self>,
+        process: usize,
+        address: SocketAddr,
+        first_listener: TcpListener,
+    ) {
+        let mut listener = Some(first_listener);
         loop {
-            if is_set(&self.behavior.is_dead) {
+            if is_set(&self.active_faults.is_killed) {
                 listener = None;
-                sleep(FLAG_POLL_INTERVAL).await;
+                sleep(FAULT_POLL_INTERVAL).await;
                 continue;
             }
-            let Some(open) = &listener else {
+            let Some(bound) = &listener else {
                 listener = wire::listen(address).ok();
                 continue;
             };
-            let death = async {
-                while !is_set(&self.behavior.is_dead) {
-                    sleep(FLAG_POLL_INTERVAL).await;
+            let killed = async {
+                while !is_set(&self.active_faults.is_killed) {
+                    sleep(FAULT_POLL_INTERVAL).await;
                 }
             };
             tokio::select! {
-                accepted = open.accept() => {
+                accepted = bound.accept() => {
                     let Ok((stream, _)) = accepted else { continue };
                     let faults = Arc::new(ConnectionFaults::default());
-                    self.track(process, &faults);
+                    self.track_connection(process, &faults);
                     let connection = Connection { process, stream, received: Vec::new(), faults };
                     tokio::spawn(self.clone().serve_connection(connection));
                 }
-                () = death => {}
+                () = killed => {}
             }
         }
     }
@@ -197,17 +202,17 @@
     /// Waits while the replica is stalled or the connection is silent; returns whether it had to wait.
     async fn wait_while_stalled(&self, faults: &ConnectionFaults) -> bool {
         let mut has_waited = false;
-        while is_set(&self.behavior.is_stalled) || is_set(&faults.is_silent) {
+        while is_set(&self.active_faults.is_stalled) || is_set(&faults.is_silent) {
             has_waited = true;
-            sleep(FLAG_POLL_INTERVAL).await;
+            sleep(FAULT_POLL_INTERVAL).await;
         }
         has_waited
     }
 
     /// Waits until the connection has to be reset.
-    async fn wait_for_reset(&self, faults: &ConnectionFaults) {
-        while !is_set(&self.behavior.is_dead) && !is_set(&faults.is_reset) {
-            sleep(FLAG_POLL_INTERVAL).await;
+    async fn wait_until_reset(&self, faults: &ConnectionFaults) {
+        while !is_set(&self.active_faults.is_killed) && !is_set(&faults.is_reset) {
+            sleep(FAULT_POLL_INTERVAL).await;
         }
     }
 
@@ -216,22 +221,25 @@
         loop {
             let message = tokio::select! {
                 message = wire::read_message(&mut connection.stream, &mut connection.received) => message,
-                () = self.wait_for_reset(&connection.faults) => return wire::reset(connection.stream),
+                () = self.wait_until_reset(&connection.faults) => return wire::close_with_reset(connection.stream),
             };
             let Some(message) = message else { return };
             let is_delayed = tokio::select! {
                 has_waited = self.wait_while_stalled(&connection.faults) => has_waited,
-                () = self.wait_for_reset(&connection.faults) => return wire::reset(connection.stream),
+                () = self.wait_until_reset(&connection.faults) => return wire::close_with_reset(connection.stream),
             };
-            match self.respond(&mut connection, &message, is_delayed).await {
+            match self
+                .handle_message(&mut connection, &message, is_delayed)
+                .await
+            {
                 Ok(()) => {}
                 Err(ConnectionEnd::Closed) => return,
-                Err(ConnectionEnd::Reset) => return wire::reset(connection.stream),
+                Err(ConnectionEnd::Reset) => return wire::close_with_reset(connection.stream),
             }
         }
     }
 
-    async fn respond(
+    async fn handle_message(
         &self,
         connection: &mut Connection,
         message: &Message,
@@ -242,7 +250,7 @@
             let id = path.trim_start_matches("/kv/leases/").to_owned();
             self.oracle.on_release(&id, self.number);
             return self
-                .send(connection, "HTTP/1.1 204 No Content\r\n\r\n")
+                .send_after_stall(connection, "HTTP/1.1 204 No Content\r\n\r\n")
                 .await;
         }
         let id = message.header("x-trace-id").unwrap_or_default().to_owned();
@@ -254,37 +262,51 @@
             role: self.role,
             is_delayed_by_bench,
             time_left_ms,
-            draining_for: (self.drain_notifications)(connection.process, self.number),
+            time_since_drain_notice: (self.time_since_drain_notice)(
+                connection.process,
+                self.number,
+            ),
         };
         self.oracle.on_attempt_arrived(&id, arrival);
-        let plan = StreamPlan::of_request(&message.body);
-        let (outcome, result) = self.execute(connection, &id, plan).await;
+        let plan = StreamPlan::from_request_body(&message.body);
+        let (outcome, result) = self.execute_attempt(connection, &id, plan).await;
         self.oracle
             .on_attempt_ended(&id, self.number, self.role, outcome);
         result
     }
 
     /// Executes an attempt under the active faults.
-    async fn execute(&self, connection: &mut Connection, id: &str, plan: StreamPlan) -> AttemptEnd {
-        if is_set(&self.behavior.is_overloaded) {
-            return self.reject(connection, id, "503 Service Unavailable").await;
+    async fn execute_attempt(
+        &self,
+        connection: &mut Connection,
+        id: &str,
+        plan: StreamPlan,
+    ) -> AttemptEnd {
+        if is_set(&self.active_faults.is_overloaded) {
+            return self
+                .reject_attempt(connection, id, "503 Service Unavailable")
+                .await;
         }
         if self.role == Role::Decode && !self.oracle.is_kv_reserved(id) {
-            return self.reject(connection, id, "410 Gone").await;
+            return self.reject_attempt(connection, id, "410 Gone").await;
         }
-        if is_set(&self.behavior.returns_errors) {
+        if is_set(&self.active_faults.returns_errors) {
             let response = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-            let result = self.send(connection, response).await;
+            let result = self.send_after_stall(connection, response).await;
             return (AttemptOutcome::Other, result);
         }
-        let max_work_ms = if self.role == Role::Prefill {
-            MAX_PREFILL_MS
+        let max_execution_ms = if self.role == Role::Prefill {
+            MAX_PREFILL_EXECUTION_MS
         } else {
-            MAX_DECODE_START_MS
+            MAX_DECODE_EXECUTION_MS
         };
         let mut rng = self.attempt_rng();
-        let work = Duration::from_millis(rng.gen_range(MIN_WORK_MS..max_work_ms));
-        if let Err(end) = self.unless_ended(connection, sleep(work)).await {
+        let execution_time =
+            Duration::from_millis(rng.gen_range(MIN_EXECUTION_MS..max_execution_ms));
+        if let Err(end) = self
+            .run_until_connection_ends(connection, sleep(execution_time))
+            .await
+        {
             return (AttemptOutcome::Other, Err(end));
         }
         if self.role == Role::Prefill {
@@ -295,24 +317,32 @@
     }
 
     fn attempt_rng(&self) -> Pcg32 {
-        Pcg32::seed_from_u64(self.next_seed.fetch_add(SEED_STEP, Ordering::Relaxed))
+        Pcg32::seed_from_u64(
+            self.next_seed
+                .fetch_add(ATTEMPT_SEED_STEP, Ordering::Relaxed),
+        )
     }
 
-    async fn reject(&self, connection: &mut Connection, id: &str, status: &str) -> AttemptEnd {
+    async fn reject_attempt(
+        &self,
+        connection: &mut Connection,
+        id: &str,
+        status: &str,
+    ) -> AttemptEnd {
         self.oracle.on_attempt_rejected(id, self.number, self.role);
         let response = format!("HTTP/1.1 {status}\r\n{NEVER_RAN_HEADERS}");
-        let result = self.send(connection, &response).await;
+        let result = self.send_after_stall(connection, &response).await;
         (AttemptOutcome::NeverRan, result)
     }
 
     async fn finish_prefill(&self, connection: &mut Connection, id: &str) -> AttemptEnd {
         self.oracle.on_kv_reserved(id, self.number);
-        if is_set(&self.behavior.loses_responses) {
+        if is_set(&self.active_faults.loses_responses) {
             // Prefill has succeeded, and the dispatcher is not notified.
             return (AttemptOutcome::Prefilled, Err(ConnectionEnd::Reset));
         }
         let response = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
-        let result = self.send(connection, response).await;
+        let result = self.send_after_stall(connection, response).await;
         (AttemptOutcome::Prefilled, result)
     }
 
@@ -324,7 +354,7 @@
             Ok(()) => (AttemptOutcome::Streamed, Ok(())),
             Err(end) => {
                 match end {
-                    ConnectionEnd::Closed => self.oracle.on_stream_cut(id),
+                    ConnectionEnd::Closed => self.oracle.on_stream_closed_by_dispatcher(id),
                     ConnectionEnd::Reset => self.oracle.on_stream_aborted(id),
                 }
                 (AttemptOutcome::Other, Err(end))
@@ -339,30 +369,31 @@
         plan: StreamPlan,
     ) -> Result<(), ConnectionEnd> {
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-        self.send(connection, head).await?;
+        self.send_after_stall(connection, head).await?;
         for number in 0..plan.events {
             // The event has its time stamp once nothing holds it back here.
-            self.unless_ended(connection, async {}).await?;
-            let event = stream_plan::event(id, number, plan.event_bytes);
+            self.run_until_connection_ends(connection, async {}).await?;
+            let event = stream_plan::format_event(id, number, plan.event_bytes);
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-            self.write(connection, &chunk).await?;
+            self.write_now(connection, &chunk).await?;
             let faults = connection.faults.clone();
             let wait = async {
-                sleep(plan.wait_after(number)).await;
-                let is_stalled = is_set(&self.behavior.is_stalled) || is_set(&faults.is_silent);
+                sleep(plan.delay_after(number)).await;
+                let is_stalled =
+                    is_set(&self.active_faults.is_stalled) || is_set(&faults.is_silent);
                 self.oracle.on_stream_stalled(id, is_stalled);
             };
-            self.unless_ended(connection, wait).await?;
+            self.run_until_connection_ends(connection, wait).await?;
             self.oracle.on_stream_stalled(id, false);
-            if is_set(&self.behavior.aborts_streams) {
+            if is_set(&self.active_faults.aborts_streams) {
                 return Err(ConnectionEnd::Reset);
             }
         }
-        self.send(connection, "0\r\n\r\n").await
+        self.send_after_stall(connection, "0\r\n\r\n").await
     }
 
     /// Does some work unless the connection is closed or reset before; stalls add to the work.
-    async fn unless_ended<T>(
+    async fn run_until_connection_ends<T>(
         &self,
         connection: &mut Connection,
         work: impl Future<Output = T>,
@@ -373,24 +404,32 @@
             faults,
             ..
         } = connection;
-        let stalled_work = async {
-            let done = work.await;
+        let work_and_stalls = async {
+            let output = work.await;
             self.wait_while_stalled(faults).await;
-            done
+            output
         };
         tokio::select! {
-            done = stalled_work => Ok(done),
-            () = wait_for_close(stream, received) => Err(ConnectionEnd::Closed),
-            () = self.wait_for_reset(faults) => Err(ConnectionEnd::Reset),
+            output = work_and_stalls => Ok(output),
+            () = read_until_closed(stream, received) => Err(ConnectionEnd::Closed),
+            () = self.wait_until_reset(faults) => Err(ConnectionEnd::Reset),
         }
     }
 
-    async fn send(&self, connection: &mut Connection, text: &str) -> Result<(), ConnectionEnd> {
-        self.unless_ended(connection, async {}).await?;
-        self.write(connection, text).await
+    async fn send_after_stall(
+        &self,
+        connection: &mut Connection,
+        text: &str,
+    ) -> Result<(), ConnectionEnd> {
+        self.run_until_connection_ends(connection, async {}).await?;
+        self.write_now(connection, text).await
     }
 
-    async fn write(&self, connection: &mut Connection, text: &str) -> Result<(), ConnectionEnd> {
+    async fn write_now(
+        &self,
+        connection: &mut Connection,
+        text: &str,
+    ) -> Result<(), ConnectionEnd> {
         connection
             .stream
             .write_all(text.as_bytes())
--- a/crates/soak/src/request_history.rs
+++ b/crates/soak/src/request_history.rs
@@ -25,7 +25,7 @@
     /// When the client closed its connection.
     pub(crate) disconnected_at: Option<Instant>,
     /// The client has its response, or is owed none.
-    pub(crate) is_answered: bool,
+    pub(crate) is_response_settled: bool,
     /// Decode attempts that are running at replicas.
     pub(crate) decodes_in_flight: usize,
     /// A KV cache waits for a decode attempt.
@@ -37,30 +37,30 @@
     /// The replica stands still in the middle of its stream.
     pub(crate) is_stream_stalled: bool,
     /// It may have waited for its process in the accept queue.
-    pub(crate) may_have_queued: bool,
+    pub(crate) may_have_waited_in_accept_queue: bool,
     /// A fault has killed its process.
     pub(crate) was_process_killed: bool,
     /// A crowd fills the process's descriptors, or did when the request was sent.
-    pub(crate) is_crowded_out: bool,
+    pub(crate) is_affected_by_flood: bool,
     /// When its process was last resumed after a pause.
     pub(crate) resumed_at: Option<Instant>,
     /// All that was observed, oldest first.
     pub(crate) timeline: Vec<Observation>,
     attempts_in_flight: usize,
-    unproven_decodes: usize, // decode attempts that arrived and may have run
+    possible_decode_executions: usize, // decode attempts that arrived and may have run
     kv_idle_since: Option<Instant>,
 }
 
 impl RequestHistory {
     /// Appends to the time line.
-    pub(crate) fn observe(&mut self, text: String) {
+    pub(crate) fn add_observation(&mut self, text: String) {
         let instant = Instant::now();
         self.timeline.push(Observation { instant, text });
     }
 
     /// Whether the request must not run twice and may have run once.
-    pub(crate) fn has_unproven_execution(&self) -> bool {
-        self.is_non_idempotent && self.unproven_decodes > 0
+    pub(crate) fn is_unsafe_to_retry(&self) -> bool {
+        self.is_non_idempotent && self.possible_decode_executions > 0
     }
 
     /// Counts an attempt that has arrived at a replica.
@@ -68,9 +68,9 @@
         self.attempts_in_flight += 1;
         if role == Role::Decode {
             self.decodes_in_flight += 1;
-            self.unproven_decodes += 1;
+            self.possible_decode_executions += 1;
         }
-        self.update_idle_since();
+        self.update_kv_idle_clock();
     }
 
     /// Counts the end of an attempt.
@@ -79,18 +79,18 @@
         if role == Role::Decode {
             self.decodes_in_flight = self.decodes_in_flight.saturating_sub(1);
         }
-        self.update_idle_since();
+        self.update_kv_idle_clock();
     }
 
     /// An attempt that has arrived provably never ran.
-    pub(crate) fn prove_never_ran(&mut self, role: Role) {
+    pub(crate) fn record_never_ran(&mut self, role: Role) {
         if role == Role::Decode {
-            self.unproven_decodes = self.unproven_decodes.saturating_sub(1);
+            self.possible_decode_executions = self.possible_decode_executions.saturating_sub(1);
         }
     }
 
     /// Starts or stops the clock of the reservation, which runs while no attempt is in flight.
-    pub(crate) fn update_idle_since(&mut self) {
+    pub(crate) fn update_kv_idle_clock(&mut self) {
         if !self.is_kv_reserved || self.attempts_in_flight > 0 {
             self.kv_idle_since = None;
         } else if self.kv_idle_since.is_none() {
@@ -99,7 +99,7 @@
     }
 
     /// Restarts all clocks after the process was paused.
-    pub(crate) fn extend_for_pause(&mut self, pause: Duration) {
+    pub(crate) fn adjust_for_pause(&mut self, pause: Duration) {
         if self.kv_idle_since.is_some() {
             self.kv_idle_since = Some(Instant::now());
         }
@@ -126,7 +126,7 @@
 
     /// Whether a client that still waits should have its response, with this tolerance.
     pub(crate) fn is_overdue(&self, now: Instant, slack: Duration) -> bool {
-        if self.is_answered || self.disconnected_at.is_some() {
+        if self.is_response_settled || self.disconnected_at.is_some() {
             return false;
         }
         self.sent_at
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 /// New connections are made for this long after SIGTERM.
-const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
+const ACCEPT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
 /// SIGKILL follows SIGTERM after this, by the longest deadline.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(MAX_DEADLINE.as_millis() as u64 + 1_500);
 
@@ -24,7 +24,7 @@
 }
 
 /// Sets a fault flag for some time.
-async fn set_for(flag: &AtomicBool, duration: Duration) {
+async fn set_fault_for(flag: &AtomicBool, duration: Duration) {
     flag.store(true, Ordering::Relaxed);
     sleep(duration).await;
     flag.store(false, Ordering::Relaxed);
@@ -36,23 +36,39 @@
         let duration = scheduled.duration;
         match scheduled.fault {
             Fault::StallReplica(replica) => {
-                set_for(&self.replicas[replica].behavior.is_stalled, duration).await;
+                set_fault_for(&self.replicas[replica].active_faults.is_stalled, duration).await;
             }
             Fault::LoseResponses(replica) => {
-                set_for(&self.replicas[replica].behavior.loses_responses, duration).await;
+                set_fault_for(
+                    &self.replicas[replica].active_faults.loses_responses,
+                    duration,
+                )
+                .await;
             }
             Fault::ReturnErrors(replica) => {
-                set_for(&self.replicas[replica].behavior.returns_errors, duration).await;
+                set_fault_for(
+                    &self.replicas[replica].active_faults.returns_errors,
+                    duration,
+                )
+                .await;
             }
             Fault::RejectOverloaded(replica) => {
-                set_for(&self.replicas[replica].behavior.is_overloaded, duration).await;
+                set_fault_for(
+                    &self.replicas[replica].active_faults.is_overloaded,
+                    duration,
+                )
+                .await;
             }
             Fault::AbortStreams(replica) => {
-                set_for(&self.replicas[replica].behavior.aborts_streams, duration).await;
+                set_fault_for(
+                    &self.replicas[replica].active_faults.aborts_streams,
+                    duration,
+                )
+                .await;
             }
             Fault::KillReplica(replica) => {
                 self.oracle.on_replica_killed(replica);
-                set_for(&self.replicas[replica].behavior.is_dead, duration).await;
+                set_fault_for(&self.replicas[replica].active_faults.is_killed, duration).await;
             }
             Fault::DrainReplica(replica) => {
                 self.publish_status(replica, EndpointStatus::Draining);
@@ -79,7 +95,10 @@
                 let process = self.processes[process].clone();
                 self.upgrade_in_series(&process, upgrades, seed).await;
             }
-            Fault::Crowd(process) => self.crowd(&self.processes[process], duration).await,
+            Fault::FloodConnections(process) => {
+                self.flood_connections(&self.processes[process], duration)
+                    .await
+            }
             Fault::StopDiscovery(process) => {
                 let process = &self.processes[process];
                 process.stop_agent();
@@ -134,7 +153,7 @@
             return;
         }
         signal(process.id(), Signal::TERM);
-        sleep(CONNECT_TIME_AFTER_TERM).await;
+        sleep(ACCEPT_TIME_AFTER_TERM).await;
         if !process.claim_for_exit() {
             return;
         }
--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -7,11 +7,11 @@
 mod process;
 mod upgrades;
 
-use crate::client::{self, ClientRequest, KeptConnection, Target};
+use crate::client::{self, ClientRequest, PersistentConnection, Target};
 use crate::error::SoakError;
 use crate::oracle::{Oracle, ResponseCounts, Violation};
-use crate::replica::{DrainNotifications, Replica};
-use crate::schedule::{self, SoakShape};
+use crate::replica::{Replica, TimeSinceDrainNotice};
+use crate::schedule::{self, RunSize};
 use crate::wire;
 use process::DispatcherProcess;
 use quartzhall::routing::api::{EndpointRecord, Role};
@@ -32,7 +32,7 @@
     /// Draws the faults, the load and the replicas' work times.
     pub seed: u64,
     /// The number of dispatchers and replicas, and the duration.
-    pub shape: SoakShape,
+    pub size: RunSize,
     /// Requests per second to each dispatcher.
     pub rate: f64,
     /// The deadline in the settings; no client waits longer for its first event.
@@ -54,7 +54,7 @@
     /// Upgrades among them.
     pub upgrades: u32,
     /// The latest that an event was.
-    pub worst_event_delay: Duration,
+    pub max_event_delay: Duration,
 }
 
 /// Between two checks of the oracle's deadlines.
@@ -63,24 +63,24 @@
 const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
 /// Clients that keep their connection, for each process that is upgraded.
-const KEPT_CONNECTIONS: u64 = 2;
+const PERSISTENT_CLIENTS_PER_PROCESS: u64 = 2;
 /// Between two requests of such a client, in milliseconds.
-const MAX_KEPT_PAUSE_MS: u64 = 200;
+const MAX_PERSISTENT_CLIENT_PAUSE_MS: u64 = 200;
 /// Requests of these clients have numbers from a multiple of two to this power on.
-const KEPT_NUMBER_BITS: u32 = 32;
+const PERSISTENT_CLIENT_NUMBER_SHIFT: u32 = 32;
 /// The fraction of requests to upgraded processes whose streams outlast upgrades.
 const LONG_STREAM_FRACTION: f64 = 0.3;
 
 /// Ports on a process's own address: where it listens, its discovery agent, and the first replica.
 const LISTEN_PORT: u16 = 7_000;
 const AGENT_PORT: u16 = 7_001; // ports above it answer operators
-const REPLICA_PORT: u16 = 7_100;
+const FIRST_REPLICA_PORT: u16 = 7_100;
 /// Ports of one run. The following runs use others, because connections of an earlier run may still be closing.
 const PORTS_PER_RUN: u16 = 200;
 /// Runs after which ports are used again.
-const PORT_RANGES: u64 = 100;
+const PORT_RANGE_COUNT: u64 = 100;
 /// Cells over which replicas are spread.
-const CELLS: u32 = 3;
+const CELL_COUNT: u32 = 3;
 /// Distance between the seeds of two runs' replicas.
 const REPLICA_SEED_FACTOR: u64 = 31;
 
@@ -95,7 +95,7 @@
 /// A loopback address that belongs to one process of this bench, so that no other program takes its ports meanwhile.
 fn process_address(seed: u64, process: usize, port: u16) -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let port = port + PORTS_PER_RUN * (seed % PORT_RANGES) as u16;
+    let port = port + PORTS_PER_RUN * (seed % PORT_RANGE_COUNT) as u16;
     SocketAddr::from(([127, 64 | (high & 63), low, process as u8 + 1], port))
 }
 
@@ -106,7 +106,7 @@
 /// Fails if the bench cannot be set up, or a dispatcher does not start at the beginning.
 pub async fn run(plan: RunPlan) -> Result<RunResult, SoakError> {
     let mut rng = Pcg32::seed_from_u64(plan.seed);
-    let schedule = schedule::draw_schedule(&plan.shape, &mut rng);
+    let schedule = schedule::draw_schedule(&plan.size, &mut rng);
     let mut replica_tasks = JoinSet::new();
     let run = Arc::new(SoakRun::set_up(plan, &mut replica_tasks)?);
     for process in &run.processes {
@@ -118,13 +118,14 @@
     for process in &run.processes {
         let seed = rng.gen();
         work.spawn(run.clone().generate_load(process.clone(), seed));
-        if run.plan.shape.is_upgraded(process.number) {
-            for client in 0..KEPT_CONNECTIONS {
+        if run.plan.size.is_upgraded(process.number) {
+            for client in 0..PERSISTENT_CLIENTS_PER_PROCESS {
                 let seed = rng.gen();
-                work.spawn(
-                    run.clone()
-                        .use_kept_connection(process.clone(), client, seed),
-                );
+                work.spawn(run.clone().send_on_persistent_connection(
+                    process.clone(),
+                    client,
+                    seed,
+                ));
             }
         }
     }
@@ -143,7 +144,7 @@
         counts: run.oracle.counts(),
         faults,
         upgrades,
-        worst_event_delay: run.oracle.worst_event_delay(),
+        max_event_delay: run.oracle.max_event_delay(),
     };
     replica_tasks.abort_all();
     Ok(result)
@@ -154,13 +155,13 @@
     fn set_up(plan: RunPlan, replica_tasks: &mut JoinSet<()>) -> Result<SoakRun, SoakError> {
         let oracle = Arc::new(Oracle::new());
         let delivery_logs: Vec<Arc<DeliveryLog>> =
-            (0..plan.shape.processes).map(|_| Arc::default()).collect();
+            (0..plan.size.processes).map(|_| Arc::default()).collect();
         let replicas = create_replicas(&plan, &oracle, &delivery_logs);
         let mut processes = Vec::new();
         for (number, delivery_log) in delivery_logs.into_iter().enumerate() {
             let endpoints = serve_replicas(&plan, &replicas, number, replica_tasks)?;
             let listen = process_address(plan.seed, number, LISTEN_PORT);
-            let platform_socket = if plan.shape.is_upgraded(number) {
+            let inherited_socket = if plan.size.is_upgraded(number) {
                 let socket = wire::listen(listen).and_then(TcpListener::into_std);
                 Some(socket.map_err(SoakError::Listen)?)
             } else {
@@ -172,7 +173,7 @@
                 process_address(plan.seed, number, AGENT_PORT),
                 endpoints,
                 delivery_log,
-                platform_socket,
+                inherited_socket,
             );
             processes.push(Arc::new(process));
         }
@@ -190,8 +191,8 @@
     /// Sends requests at random times, each on a connection of its own.
     async fn generate_load(self: Arc<Self>, process: Arc<DispatcherProcess>, seed: u64) {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let target = self.target(&process);
-        let end = Instant::now() + self.plan.shape.load_duration;
+        let target = self.client_target(&process);
+        let end = Instant::now() + self.plan.size.load_duration;
         let mut in_flight = JoinSet::new();
         for number in 0.. {
             let uniform: f64 = rng.gen_range(1e-6..1.0);
@@ -201,7 +202,7 @@
             }
             let mut request =
                 ClientRequest::draw(process.number, number, self.plan.max_deadline, &mut rng);
-            if self.plan.shape.is_upgraded(process.number) && rng.gen_bool(LONG_STREAM_FRACTION) {
+            if self.plan.size.is_upgraded(process.number) && rng.gen_bool(LONG_STREAM_FRACTION) {
                 request = request.with_long_stream(&mut rng);
             }
             if process.accepts_requests() {
@@ -212,26 +213,26 @@
         while in_flight.join_next().await.is_some() {}
     }
 
-    fn target(&self, process: &DispatcherProcess) -> Arc<Target> {
+    fn client_target(&self, process: &DispatcherProcess) -> Arc<Target> {
         Arc::new(Target {
             process: process.number,
             address: process.listen.clone(),
             oracle: self.oracle.clone(),
-            may_be_killed: !self.plan.shape.is_upgraded(process.number),
+            may_be_killed: !self.plan.size.is_upgraded(process.number),
         })
     }
 
     /// Sends one request after the other, on one connection for as long as that stays open.
-    async fn use_kept_connection(
+    async fn send_on_persistent_connection(
         self: Arc<Self>,
         process: Arc<DispatcherProcess>,
         client: u64,
         seed: u64,
     ) {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut connection = KeptConnection::new(self.target(&process));
-        let end = Instant::now() + self.plan.shape.load_duration;
-        let first_number = (client + 1) << KEPT_NUMBER_BITS;
+        let mut connection = PersistentConnection::new(self.client_target(&process));
+        let end = Instant::now() + self.plan.size.load_duration;
+        let first_number = (client + 1) << PERSISTENT_CLIENT_NUMBER_SHIFT;
         for number in first_number.. {
             if Instant::now() >= end {
                 break;
@@ -239,7 +240,10 @@
             let request =
                 ClientRequest::draw(process.number, number, self.plan.max_deadline, &mut rng);
             connection.send(request).await;
-            sleep(Duration::from_millis(rng.gen_range(0..MAX_KEPT_PAUSE_MS))).await;
+            sleep(Duration::from_millis(
+                rng.gen_range(0..MAX_PERSISTENT_CLIENT_PAUSE_MS),
+            ))
+            .await;
         }
     }
 
@@ -276,25 +280,25 @@
     delivery_logs: &[Arc<DeliveryLog>],
 ) -> Vec<Arc<Replica>> {
     let logs = delivery_logs.to_vec();
-    let drain_notifications: DrainNotifications = Arc::new(move |process: usize, replica| {
+    let time_since_drain_notice: TimeSinceDrainNotice = Arc::new(move |process: usize, replica| {
         Some(logs.get(process)?.drain_notified_at(replica)?.elapsed())
     });
     let create = |number: usize| {
         Replica::new(
             number,
-            role_of(&plan.shape, number),
+            role_of(&plan.size, number),
             plan.seed
                 .wrapping_mul(REPLICA_SEED_FACTOR)
                 .wrapping_add(number as u64),
             oracle.clone(),
-            drain_notifications.clone(),
+            time_since_drain_notice.clone(),
         )
     };
-    (0..plan.shape.replicas).map(create).collect()
+    (0..plan.size.replicas).map(create).collect()
 }
 
-fn role_of(shape: &SoakShape, replica: usize) -> Role {
-    if replica < shape.prefill_replicas {
+fn role_of(size: &RunSize, replica: usize) -> Role {
+    if replica < size.prefill_replicas {
         Role::Prefill
     } else {
         Role::Decode
@@ -310,14 +314,14 @@
 ) -> Result<Vec<DiscoveredEndpoint>, SoakError> {
     let mut endpoints = Vec::new();
     for (number, replica) in replicas.iter().enumerate() {
-        let address = process_address(plan.seed, process, REPLICA_PORT + number as u16);
+        let address = process_address(plan.seed, process, FIRST_REPLICA_PORT + number as u16);
         let listener = wire::listen(address).map_err(SoakError::Listen)?;
         tasks.spawn(replica.clone().serve(process, address, listener));
         let record = EndpointRecord {
             endpoint: number as u32,
             key: number as u64,
-            role: role_of(&plan.shape, number),
-            cell: number as u32 % CELLS,
+            role: role_of(&plan.size, number),
+            cell: number as u32 % CELL_COUNT,
             ..EndpointRecord::default()
         };
         endpoints.push(DiscoveredEndpoint {
--- a/crates/soak/src/run/process.rs
+++ b/crates/soak/src/run/process.rs
@@ -30,11 +30,11 @@
     delivery_log: Arc<DeliveryLog>,
     agent_task: Mutex<Option<AbortHandle>>,
     /// The socket that its processes inherit; `None`: it binds its own.
-    platform_socket: Option<TcpListener>,
+    inherited_socket: Option<TcpListener>,
     dispatcher: Mutex<Option<Dispatcher>>,
     accepts_requests: AtomicBool,
     is_paused: AtomicBool,
-    starts: AtomicU64,
+    start_count: AtomicU64,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -49,7 +49,7 @@
         agent_address: SocketAddr,
         endpoints: Vec<DiscoveredEndpoint>,
         delivery_log: Arc<DeliveryLog>,
-        platform_socket: Option<TcpListener>,
+        inherited_socket: Option<TcpListener>,
     ) -> DispatcherProcess {
         DispatcherProcess {
             number,
@@ -58,11 +58,11 @@
             agent_address,
             delivery_log,
             agent_task: Mutex::default(),
-            platform_socket,
+            inherited_socket,
             dispatcher: Mutex::default(),
             accepts_requests: AtomicBool::new(false),
             is_paused: AtomicBool::new(false),
-            starts: AtomicU64::new(0),
+            start_count: AtomicU64::new(0),
         }
     }
 
@@ -77,19 +77,19 @@
 
     /// Starts a process and does not wait for it.
     pub(super) fn spawn(&self, plan: &RunPlan) -> Result<Dispatcher, SoakError> {
-        let start = self.starts.fetch_add(1, Ordering::Relaxed);
+        let start = self.start_count.fetch_add(1, Ordering::Relaxed);
         let seed = plan.seed ^ (self.number as u64) << 32 ^ start;
         let config = config::config_text(
             self.number,
-            plan.shape.processes,
+            plan.size.processes,
             seed,
             &self.listen,
             &self.agent_address.to_string(),
             plan.max_deadline,
         );
         let name = format!("p{}-{start}", self.number);
-        let inheritance = match &self.platform_socket {
-            Some(socket) => Some(self.inheritance(plan, socket, start)?),
+        let inheritance = match &self.inherited_socket {
+            Some(socket) => Some(self.create_inheritance(plan, socket, start)?),
             None => None,
         };
         Ok(Dispatcher::start(
@@ -102,7 +102,7 @@
         )?)
     }
 
-    fn inheritance(
+    fn create_inheritance(
         &self,
         plan: &RunPlan,
         socket: &TcpListener,
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -54,7 +54,7 @@
         seed: u64,
     },
     /// Idle clients connect to a process until its descriptors are used up.
-    Crowd(usize),
+    FloodConnections(usize),
     /// The discovery agent of a process refuses connections.
     StopDiscovery(usize),
 }
@@ -72,7 +72,7 @@
 
 /// The size of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct SoakShape {
+pub struct RunSize {
     /// Real dispatchers.
     pub processes: usize,
     /// Replicas for prefill; the others decode.
@@ -82,10 +82,10 @@
     /// How long clients send.
     pub load_duration: Duration,
     /// Whether crowds of idle clients are among the faults.
-    pub has_crowds: bool,
+    pub has_connection_floods: bool,
 }
 
-impl SoakShape {
+impl RunSize {
     /// Whether a process has an inherited socket and is upgraded; the others are killed and restarted.
     pub fn is_upgraded(&self, process: usize) -> bool {
         process.is_multiple_of(2)
@@ -97,11 +97,11 @@
 }
 
 /// No upgrade starts before this, in milliseconds.
-const MIN_UPGRADE_MS: u64 = 1_500;
+const MIN_UPGRADE_START_MS: u64 = 1_500;
 /// The most upgrades in a series.
-const MAX_UPGRADES: u32 = 4;
+const MAX_UPGRADES_PER_SERIES: u32 = 4;
 /// The fraction of upgraded processes that meet a crowd, in runs with crowds.
-const CROWD_FRACTION: f64 = 0.5;
+const CONNECTION_FLOOD_FRACTION: f64 = 0.5;
 /// The first fault starts after this, when all processes are ready and have connections.
 const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1_000);
 
@@ -110,10 +110,10 @@
 }
 
 /// Draws a fault and its duration. `victims` are the replicas that may be taken out of service.
-fn draw_fault(shape: &SoakShape, victims: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
-    let process = rng.gen_range(0..shape.processes);
-    let replica = rng.gen_range(0..shape.replicas);
-    let victim = victims.choose(rng).copied().unwrap_or(0);
+fn draw_fault(size: &RunSize, fault_candidates: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
+    let process = rng.gen_range(0..size.processes);
+    let replica = rng.gen_range(0..size.replicas);
+    let victim = fault_candidates.choose(rng).copied().unwrap_or(0);
     match rng.gen_range(0..100) {
         0..=15 => (Fault::StallReplica(victim), draw_duration(rng, 300, 4_000)),
         16..=22 => (Fault::KillReplica(victim), draw_duration(rng, 200, 2_000)),
@@ -134,7 +134,7 @@
         ),
         67..=74 => (Fault::ResetConnections { process, replica }, Duration::ZERO),
         75..=81 => (Fault::PauseProcess(process), draw_duration(rng, 50, 700)),
-        82..=91 if shape.is_upgraded(process) => (Fault::ReloadConfig(process), Duration::ZERO),
+        82..=91 if size.is_upgraded(process) => (Fault::ReloadConfig(process), Duration::ZERO),
         82..=86 => (Fault::KillProcess(process), draw_duration(rng, 100, 500)),
         87..=91 => (
             Fault::TerminateProcess(process),
@@ -149,25 +149,25 @@
 }
 
 /// Draws a series of upgrades for each process that has them, and crowds where these are among the faults.
-fn draw_upgrades(shape: &SoakShape, rng: &mut Pcg32) -> Vec<ScheduledFault> {
-    let latest_ms = (shape.load_duration.as_millis() as u64 / 2).max(MIN_UPGRADE_MS + 1);
+fn draw_upgrades(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
+    let latest_start_ms = (size.load_duration.as_millis() as u64 / 2).max(MIN_UPGRADE_START_MS + 1);
     let mut upgrades = Vec::new();
-    for process in shape.upgraded_processes() {
-        let starts_after = draw_duration(rng, MIN_UPGRADE_MS, latest_ms);
+    for process in size.upgraded_processes() {
+        let starts_after = draw_duration(rng, MIN_UPGRADE_START_MS, latest_start_ms);
         upgrades.push(ScheduledFault {
             starts_after,
             duration: Duration::ZERO,
             fault: Fault::UpgradeSeries {
                 process,
-                upgrades: rng.gen_range(1..=MAX_UPGRADES),
+                upgrades: rng.gen_range(1..=MAX_UPGRADES_PER_SERIES),
                 seed: rng.gen(),
             },
         });
-        if shape.has_crowds && rng.gen_bool(CROWD_FRACTION) {
+        if size.has_connection_floods && rng.gen_bool(CONNECTION_FLOOD_FRACTION) {
             upgrades.push(ScheduledFault {
                 starts_after,
                 duration: draw_duration(rng, 2_000, 6_000),
-                fault: Fault::Crowd(process),
+                fault: Fault::FloodConnections(process),
             });
         }
     }
@@ -176,15 +176,15 @@
 
 /// Draws the faults of a run, in the order in which they start. Faults that take a replica out of service leave at least two
 /// replicas of each role untouched, so that every request can be served.
-pub fn draw_schedule(shape: &SoakShape, rng: &mut Pcg32) -> Vec<ScheduledFault> {
-    let mut victims: Vec<usize> = (2..shape.prefill_replicas)
-        .chain(shape.prefill_replicas + 2..shape.replicas)
+pub fn draw_schedule(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
+    let mut fault_candidates: Vec<usize> = (2..size.prefill_replicas)
+        .chain(size.prefill_replicas + 2..size.replicas)
         .collect();
-    victims.shuffle(rng);
+    fault_candidates.shuffle(rng);
     let mut schedule = Vec::new();
     let mut starts_after = FIRST_FAULT_AFTER;
-    while starts_after < shape.load_duration {
-        let (fault, duration) = draw_fault(shape, &victims, rng);
+    while starts_after < size.load_duration {
+        let (fault, duration) = draw_fault(size, &fault_candidates, rng);
         schedule.push(ScheduledFault {
             starts_after,
             duration,
@@ -193,19 +193,19 @@
         starts_after += draw_duration(rng, 20, 400);
     }
     // Most decode replicas fail together once, as if a rack lost power.
-    let rack_failure = draw_duration(
+    let rack_failure_at = draw_duration(
         rng,
         2_000,
-        (shape.load_duration.as_millis() as u64).max(2_001),
+        (size.load_duration.as_millis() as u64).max(2_001),
     );
-    for replica in shape.prefill_replicas + 2..shape.replicas {
+    for replica in size.prefill_replicas + 2..size.replicas {
         schedule.push(ScheduledFault {
-            starts_after: rack_failure,
+            starts_after: rack_failure_at,
             duration: draw_duration(rng, 1_500, 4_000),
             fault: Fault::StallReplica(replica),
         });
     }
-    schedule.extend(draw_upgrades(shape, rng));
+    schedule.extend(draw_upgrades(size, rng));
     schedule.sort_by_key(|scheduled| scheduled.starts_after);
     schedule
 }
--- a/crates/soak/src/stream_plan.rs
+++ b/crates/soak/src/stream_plan.rs
@@ -8,7 +8,7 @@
 /// The start of a body that asks for a long stream.
 const BODY_PREFIX: &str = "stream ";
 /// What comes before the time stamp in an event.
-const STAMP_FIELD: &str = "\"written_us\":";
+const TIMESTAMP_FIELD: &str = "\"written_us\":";
 
 /// A stream: events of one size, with a pause somewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 impl StreamPlan {
     /// The stream of a request that asks for none.
-    pub const SHORT: StreamPlan = StreamPlan {
+    pub const DEFAULT: StreamPlan = StreamPlan {
         events: 4,
         interval: Duration::from_millis(40),
         event_bytes: 0,
@@ -64,8 +64,8 @@
     }
 
     /// The stream that a body asks for.
-    pub fn of_request(body: &[u8]) -> StreamPlan {
-        StreamPlan::parse(body).unwrap_or(StreamPlan::SHORT)
+    pub fn from_request_body(body: &[u8]) -> StreamPlan {
+        StreamPlan::parse(body).unwrap_or(StreamPlan::DEFAULT)
     }
 
     fn parse(body: &[u8]) -> Option<StreamPlan> {
@@ -81,7 +81,7 @@
     }
 
     /// How long the replica waits behind this event.
-    pub fn wait_after(&self, event: u32) -> Duration {
+    pub fn delay_after(&self, event: u32) -> Duration {
         if event == self.events / 2 {
             self.interval + self.pause
         } else {
@@ -96,15 +96,15 @@
 }
 
 /// An event that is written now.
-pub fn event(id: &str, number: u32, bytes: usize) -> String {
+pub fn format_event(id: &str, number: u32, bytes: usize) -> String {
     let written_us = epoch().elapsed().as_micros();
-    let filling = "x".repeat(bytes);
-    format!("data: {{\"id\":\"{id}\",\"n\":{number},{STAMP_FIELD}{written_us},\"text\":\"{filling}\"}}\n\n")
+    let padding = "x".repeat(bytes);
+    format!("data: {{\"id\":\"{id}\",\"n\":{number},{TIMESTAMP_FIELD}{written_us},\"text\":\"{padding}\"}}\n\n")
 }
 
 /// When an event was written, by its line; `None` where the line has no time stamp.
-pub fn written_at(line: &str) -> Option<Instant> {
-    let (_, rest) = line.split_once(STAMP_FIELD)?;
+pub fn parse_written_at(line: &str) -> Option<Instant> {
+    let (_, rest) = line.split_once(TIMESTAMP_FIELD)?;
     let (written_us, _) = rest.split_once(',')?;
     Some(epoch() + Duration::from_micros(written_us.parse().ok()?))
 }
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -47,7 +47,7 @@
 /// Reads a message with a stated length; `None` at the connection's end.
 pub async fn read_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
     loop {
-        if let Some(message) = take_message(buffer) {
+        if let Some(message) = parse_message(buffer) {
             return Some(message);
         }
         let mut chunk = [0; 8192];
@@ -60,7 +60,7 @@
 }
 
 /// Removes the first complete message from the buffer.
-fn take_message(buffer: &mut Vec<u8>) -> Option<Message> {
+fn parse_message(buffer: &mut Vec<u8>) -> Option<Message> {
     let (head, body_start) = split_head(buffer)?;
     let mut message = Message {
         lines: head.lines().map(str::to_owned).collect(),
@@ -92,12 +92,12 @@
 }
 
 /// Closes a connection with a reset (RST) instead of an orderly shutdown.
-pub fn reset(stream: TcpStream) {
+pub fn close_with_reset(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
 /// Whether the other side has closed a connection on which it sends nothing.
-pub fn is_closed(stream: &TcpStream) -> bool {
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut byte = [0];
     matches!(stream.try_read(&mut byte), Ok(0))
         || matches!(stream.try_read(&mut byte), Err(error) if error.kind() != std::io::ErrorKind::WouldBlock)
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -2,7 +2,7 @@
 
 use quartzhall::routing::api::Role;
 use quartzhall_soak::oracle::{AttemptArrival, AttemptOutcome, Invariant, Oracle};
-use quartzhall_soak::schedule::{draw_schedule, SoakShape};
+use quartzhall_soak::schedule::{draw_schedule, RunSize};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         role,
         is_delayed_by_bench: false,
         time_left_ms: None,
-        draining_for: None,
+        time_since_drain_notice: None,
     }
 }
 
@@ -67,7 +67,7 @@
     oracle.on_request_sent("a", 0, false, DEADLINE);
     let within_slack = AttemptArrival {
         time_left_ms: Some(3_100),
-        draining_for: Some(Duration::from_millis(200)),
+        time_since_drain_notice: Some(Duration::from_millis(200)),
         ..arrival(1, Role::Prefill)
     };
     oracle.on_attempt_arrived("a", within_slack);
@@ -77,7 +77,7 @@
         "all of it within the slack"
     );
     let after_drain = AttemptArrival {
-        draining_for: Some(Duration::from_millis(900)),
+        time_since_drain_notice: Some(Duration::from_millis(900)),
         ..arrival(1, Role::Prefill)
     };
     oracle.on_attempt_arrived("a", after_drain);
@@ -103,7 +103,7 @@
     let delayed = AttemptArrival {
         is_delayed_by_bench: true,
         time_left_ms: Some(9_000),
-        draining_for: Some(Duration::from_secs(9)),
+        time_since_drain_notice: Some(Duration::from_secs(9)),
         ..arrival(1, Role::Prefill)
     };
     oracle.on_attempt_arrived("a", delayed);
@@ -127,17 +127,17 @@
 
 #[test]
 fn seed_repeats_the_fault_schedule() {
-    let shape = SoakShape {
+    let size = RunSize {
         processes: 10,
         prefill_replicas: 5,
         replicas: 12,
         load_duration: Duration::from_secs(12),
-        has_crowds: true,
+        has_connection_floods: true,
     };
     let schedule = |seed| {
         format!(
             "{:?}",
-            draw_schedule(&shape, &mut Pcg32::seed_from_u64(seed))
+            draw_schedule(&size, &mut Pcg32::seed_from_u64(seed))
         )
     };
     assert_eq!(schedule(7), schedule(7));
