--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,7 +1,7 @@
-//! Load generation: most clients send one request on a connection of their own, some keep their connection, some disconnect
-//! early, some read slowly.
+//! Clients of the dispatchers: they send randomly drawn requests and record what they observe in the [`Oracle`].
 //!
-//! What a client observes is recorded in the [`Oracle`].
+//! Most clients send one request on a connection of its own; some reuse a persistent connection. Some disconnect before
+//! their response arrives, and some read their stream late or slowly.
 
 use crate::config::{IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS};
 use crate::oracle::Oracle;
@@ -15,37 +15,38 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Fraction of the requests that must not run twice.
+/// Fraction of requests that must be executed at most once.
 const NON_IDEMPOTENT_FRACTION: f64 = 0.3;
-/// Fraction of the clients that disconnect before their response.
+/// Fraction of requests whose client disconnects if no response has arrived after a drawn time.
 const EARLY_DISCONNECT_FRACTION: f64 = 0.1;
-/// The shortest deadline of a client, unless the settings have a shorter one.
+/// The shortest deadline that is drawn; with short deadlines in the settings, four fifths of the longest.
 const MIN_DEADLINE_MS: u64 = 900;
-/// How a stream ends that is whole.
+/// The chunk at the end of a complete stream.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// A client that gets nothing of its stream for so long leaves.
+/// A client stops reading a stream on which it has received nothing for this long.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Bytes that are read at once.
+/// Buffer size of one read of a stream.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// Bytes that a slow client reads at once, and how often.
+/// Buffer size of one read by a slow client.
 const SLOW_READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Time between two reads of a slow client.
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(60);
-/// How long a client waits beyond its deadline; the oracle has judged by then.
+/// How long a client waits for its response beyond its deadline; long enough for the oracle to report it as overdue.
 const MAX_WAIT_AFTER_DEADLINE: Duration = Duration::from_secs(4);
 
-/// A dispatcher, as its clients see it.
+/// A dispatcher under test, from its clients' point of view.
 pub struct Target {
     /// The dispatcher's number.
     pub process: usize,
-    /// Where it listens.
+    /// The host and port on which it listens for clients.
     pub address: String,
     /// Records what clients observe.
     pub oracle: Arc<Oracle>,
-    /// The faults include a kill of this dispatcher.
+    /// Whether the schedule's faults may kill this dispatcher, which excuses a connection that closes without response.
     pub may_be_killed: bool,
 }
 
-/// One randomly drawn request.
+/// A randomly drawn request, and how its client behaves.
 pub struct ClientRequest {
     id: String,
     is_non_idempotent: bool,
@@ -56,19 +57,19 @@
     read_behavior: ReadBehavior,
 }
 
-/// How a client reads its stream.
+/// How a client reads its response stream.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadBehavior {
-    /// As it comes.
+    /// Reads data as it arrives; only these clients measure event delays.
     AtOnce,
-    /// Nothing for this long, then all.
+    /// Reads nothing for this long, then as data arrives.
     After(Duration),
-    /// Some bytes at a time.
+    /// Reads a limited number of bytes at intervals.
     Slowly,
 }
 
 impl ClientRequest {
-    /// Draws request `number` to dispatcher `process`.
+    /// Draws request `number` to dispatcher `process`; both together make up its id.
     pub fn draw(
         process: usize,
         number: u64,
@@ -108,7 +109,8 @@
         }
     }
 
-    /// The same request, whose stream outlasts upgrades; its client may read slowly.
+    /// Asks for a drawn stream, which may still be open while its dispatcher is upgraded, and draws how the client reads
+    /// it.
     pub fn with_long_stream(mut self, rng: &mut Pcg32) -> ClientRequest {
         let plan = StreamPlan::draw(rng);
         self.body = plan.request_body();
@@ -126,7 +128,7 @@
     }
 }
 
-/// Sends a request on a connection of its own and records the response in the oracle.
+/// Sends a request on a new connection and records the response in the oracle. Does nothing if the connection fails.
 pub async fn send_request(target: Arc<Target>, request: ClientRequest) {
     let Ok(mut stream) = TcpStream::connect(&target.address).await else {
         return;
@@ -135,14 +137,14 @@
     let _ = exchange(&target, &request, &mut stream).await;
 }
 
-/// A client that sends its requests on one connection, for as long as that stays open.
+/// A client that sends its requests one after the other on the same connection, and reconnects where it was closed.
 pub struct PersistentConnection {
     target: Arc<Target>,
     stream: Option<TcpStream>,
 }
 
 impl PersistentConnection {
-    /// A client that has not connected yet.
+    /// Creates a client that connects with its first request.
     pub fn new(target: Arc<Target>) -> PersistentConnection {
         PersistentConnection {
             target,
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Sends a request and records the response in the oracle. Where the connection's close crosses the request, it is sent
-    /// once more on a new one.
+    /// Sends a request and records the response in the oracle. If the dispatcher has closed the idle connection before the
+    /// request is written, sends it on a new connection.
     pub async fn send(&mut self, request: ClientRequest) {
         if let Some(mut stream) = self.stream.take() {
             match exchange(&self.target, &request, &mut stream).await {
@@ -173,16 +175,17 @@
     }
 }
 
-/// How a request and its response have left the connection.
+/// Whether a connection can be used for another request.
 enum ConnectionState {
-    /// It can be used again.
+    /// The response was complete, and the dispatcher keeps the connection open.
     Reusable,
-    /// It has ended, or has to.
+    /// The connection is closed or must not be used again.
     Unusable,
-    /// It had ended when the request came.
+    /// The connection was closed before the request was written. The request is not recorded in the oracle.
     ClosedBeforeRequest,
 }
 
+/// Sends a request on an open connection and records all that its client observes until the end of the response.
 async fn exchange(
     target: &Target,
     request: &ClientRequest,
@@ -228,7 +231,7 @@
     }
 }
 
-/// Reads a stream to its end; returns whether that was its last chunk.
+/// Reads a stream until it ends; returns whether its last chunk arrived.
 async fn read_stream(
     target: &Target,
     request: &ClientRequest,
@@ -265,7 +268,8 @@
     is_complete
 }
 
-/// Reports how late the whole events in these bytes are, and returns how many bytes they have.
+/// Records the delay of each complete event in `bytes`. Returns the number of bytes that were examined; an event that is
+/// still incomplete begins behind them.
 fn record_event_delays(target: &Target, request: &ClientRequest, bytes: &[u8]) -> usize {
     let Some(end) = bytes.windows(2).rposition(|window| window == b"\n\n") else {
         return 0;
@@ -279,15 +283,15 @@
     end
 }
 
-/// The head of a response.
+/// The parsed head of a response.
 struct ResponseHead {
     status: u16,
     keeps_connection: bool,
-    /// The bytes that followed it.
+    /// Bytes of the body that arrived with the head.
     body: Vec<u8>,
 }
 
-/// Reads a response's head; `None` if the connection ends before.
+/// Reads the head of a response; `None` if the connection ends first or the status line is invalid.
 async fn read_response_head(stream: &mut TcpStream) -> Option<ResponseHead> {
     let mut received = Vec::new();
     let mut chunk = [0; 4096];
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,25 +1,26 @@
-//! The dispatchers' configuration in a soak, and the limits of it that the oracle checks.
+//! The configuration of the dispatchers under test, and the limits in it that the oracle checks.
 
 use std::time::Duration;
 
-/// A reserved KV cache has to be consumed or released within this.
+/// Setting `release_within`: a reserved KV cache has to be consumed or released within this while no attempt is in flight.
 pub const KV_RESERVATION_TTL: Duration = Duration::from_millis(600);
-/// Tolerance that the protocol grants on [`KV_RESERVATION_TTL`].
+/// The protocol's tolerance on [`KV_RESERVATION_TTL`].
 pub const KV_RELEASE_SLACK: Duration = Duration::from_millis(300);
-/// Nothing may be sent to a replica this long after it was reported as draining; includes the protocol's 50 ms.
+/// Attempts may reach a replica for this long after the dispatcher was told that it is draining: the setting
+/// `drain_grace`, plus 50 ms that the protocol allows.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// The longest time that clients wait for a first token; the deadline in the settings.
+/// Setting `deadline` of ordinary runs: the longest that a client waits for its first token.
 pub const MAX_DEADLINE: Duration = Duration::from_millis(4_000);
-/// The deadline in the settings of runs with short ones.
+/// Setting `deadline` of runs with short deadlines.
 pub const SHORT_DEADLINE: Duration = Duration::from_millis(500);
-/// How many descriptors a process may have.
+/// The most file descriptors that a dispatcher process may open.
 pub const MAX_DESCRIPTORS: u32 = 512;
-/// The class whose requests may run any number of times.
+/// Request class whose requests may be executed more than once.
 pub const IDEMPOTENT_CLASS: &str = "chat";
-/// The class whose requests must not run twice.
+/// Request class whose requests must be executed at most once.
 pub const NON_IDEMPOTENT_CLASS: &str = "order";
 
-/// Writes the configuration file of one dispatcher.
+/// Formats the configuration file of dispatcher `number` out of `processes`.
 pub fn config_text(
     number: usize,
     processes: usize,
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,17 +1,18 @@
-//! Why a run could not be set up.
+//! Errors that prevent a run from being set up.
 
 use quartzhall_scale::process::ProcessError;
 use std::error::Error;
 use std::fmt;
 
-/// A failure of the test bench, not of a dispatcher under test.
+/// A failure of the test bench itself. What a dispatcher under test does wrong is a
+/// [`Violation`](crate::oracle::Violation) instead.
 #[derive(Debug)]
 pub enum SoakError {
     /// The folder for configurations and logs could not be created.
     CreateFolder(std::io::Error),
-    /// An address of the bench could not be bound.
+    /// An address for a dispatcher, a replica or a discovery agent could not be bound.
     Listen(std::io::Error),
-    /// A dispatcher could not be started.
+    /// A dispatcher could not be started at the beginning of the run, or did not become ready.
     Process(ProcessError),
 }
 
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! A randomized fault soak.
+//! A soak test with randomized fault injection.
 //!
 //! [`run`] starts real dispatchers on loopback with simulated [`replica`]s, and clients ([`client`]) and a discovery agent
-//! for each dispatcher. It injects the seeded fault [`schedule`], whose faults overlap in time. The [`oracle`] checks what
-//! clients and replicas observed, by request id and with monotonic time stamps. A seed repeats the same faults and load.
+//! for each dispatcher. It injects the faults of a seeded [`schedule`]; several faults may be active at once. The
+//! [`oracle`] records what clients and replicas observe, by request id and with monotonic timestamps, and checks it against
+//! the protocol's invariants. The same seed draws the same fault schedule and the same requests.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -10,48 +10,49 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Log lines that are printed of each file for a violation.
+/// The most lines of one log file that are printed for a violation.
 const MAX_LOG_LINES_PER_FILE: usize = 20;
-/// One seed in so many has crowds of idle clients, and one in so many has short deadlines.
+/// Seeds that are a multiple of this include floods of idle connections.
 const CONNECTION_FLOOD_SEED_INTERVAL: u64 = 4;
+/// Seeds that are a multiple of this use [`SHORT_DEADLINE`].
 const SHORT_DEADLINE_SEED_INTERVAL: u64 = 5;
-/// The exit code if the bench could not be set up.
+/// Exit code if the test bench could not be set up; violations exit with 1.
 const SETUP_FAILED_EXIT_CODE: u8 = 2;
 
-/// Plays real dispatchers under faults that overlap in time, and judges by the protocol's rules.
+/// Runs real dispatchers under overlapping faults and checks the protocol's invariants.
 #[derive(Parser)]
 #[command(name = "quartzhall-soak", version)]
 struct Arguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// Number of seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Real dispatchers.
+    /// Number of dispatcher processes.
     #[arg(long, default_value_t = 12)]
     processes: usize,
-    /// Servers that read.
+    /// Number of prefill replicas.
     #[arg(long = "readers", value_name = "READERS", default_value_t = 5)]
     prefill_replicas: usize,
-    /// Servers that write.
+    /// Number of decode replicas.
     #[arg(long = "writers", value_name = "WRITERS", default_value_t = 7)]
     decode_replicas: usize,
-    /// How long clients send, in seconds.
+    /// How long clients send requests, in seconds.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Requests a second to each dispatcher.
+    /// Requests per second to each dispatcher.
     #[arg(long, default_value_t = 6.0)]
     rate: f64,
-    /// The dispatcher's program.
+    /// Path of the dispatcher's executable.
     #[arg(long, default_value = "target/release/quartzhall")]
     program: PathBuf,
-    /// Where configurations and logs go; a folder for each seed.
+    /// Folder for configuration and log files, with a subfolder for each seed.
     #[arg(long, default_value = "target/soak")]
     folder: PathBuf,
 }
 
-/// Prints a violation with the request's time line, and the log lines that contain its id.
+/// Prints a violation with the request's timeline and the dispatchers' log lines that contain its id.
 fn print_violation(seed: u64, violation: &Violation, folder: &Path) {
     let invariant = violation.invariant.name();
     println!("seed {seed}: BROKEN {invariant}, {}", violation.id);
@@ -75,7 +76,7 @@
     }
 }
 
-/// Runs all seeds and returns the number of violations.
+/// Runs all seeds one after the other and returns the total number of violations.
 async fn run_seeds(arguments: Arguments) -> Result<usize, SoakError> {
     let mut violations = 0;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,7 +1,9 @@
-//! The test oracle: the protocol's rules as invariants over what clients and replicas observe.
+//! The test oracle: checks the protocol's rules, as invariants, against what clients and replicas observe.
 //!
-//! The [`Oracle`] owns the history of every request. Each observation is recorded in the order in which it is made, with a
-//! monotonic time stamp; a violated invariant is reported with the request's whole history.
+//! The [`Oracle`] owns the history of every request. Clients, replicas and fault injection call it at the moment of each
+//! event; it records the event with a monotonic timestamp and checks the invariants that the event may violate. Invariants
+//! about events that should have happened by now are checked periodically by [`Oracle::check_deadlines`]. A violation is
+//! reported with the request's timeline. Whatever the test bench itself delays or breaks is excused.
 
 mod processes;
 mod streams;
@@ -13,44 +15,46 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Delay of the test bench itself, for which no dispatcher is blamed.
+/// Tolerance for delays of the test bench itself, added to each time limit.
 pub const BENCH_SLACK: Duration = Duration::from_millis(80);
-/// A final response comes this long after the client's deadline at the latest.
+/// A response has to arrive within this after the client's deadline.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
-/// The time left that is announced to a replica may exceed what the client has left by this.
+/// The time left that an attempt announces to a replica may exceed the client's time left by this.
 const ANNOUNCED_TIME_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may start this long after its client has disconnected.
+/// An attempt may still arrive within this after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 
-/// The invariants.
+/// A rule of the protocol that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A reserved KV cache is consumed or released in time.
+    /// A reserved KV cache is consumed by a decode attempt or released in time.
     KvReservationReleased,
-    /// Each request gets a final response in time.
+    /// Each request gets a response soon after its deadline at the latest.
     RespondedInTime,
-    /// A connection is not closed without a response to a request that was received.
+    /// A dispatcher does not close a connection before it has responded to the request on it.
     NotClosedUnanswered,
-    /// A request that must not run twice gets no second decode attempt, and is not shed, after an attempt that may have run.
+    /// A request that must be executed at most once, and has a decode attempt that may have run, gets no second decode
+    /// attempt and is not shed (429 or 503, which tells the client that nothing ran).
     NotExecutedTwice,
-    /// Nothing is sent to a replica that was reported as draining.
+    /// No attempt is sent to a replica after discovery has reported it as draining.
     NotSentToDraining,
-    /// No attempt starts after the client has disconnected.
+    /// No attempt is sent after the client has disconnected.
     NotSentAfterDisconnect,
-    /// A replica is not announced more time than the client has left.
+    /// An attempt announces no more time left to its replica than the client has.
     TimeLeftNotExceeded,
-    /// An aborted stream does not end as if it were complete.
+    /// A stream that its replica aborted does not look complete to the client.
     AbortedStreamIncomplete,
-    /// A stream that its replica goes on with, and whose client stays, is whole at the client.
+    /// A stream that its replica neither aborts nor stalls reaches the client completely, unless the dispatcher is killed.
     StreamComplete,
-    /// An event reaches its client soon after the replica has written it.
+    /// An event reaches the client soon after its replica has written it.
     EventDeliveredInTime,
-    /// A process exits only when it is told to, and cleanly.
+    /// A dispatcher process starts, runs until it is told to exit, and then exits without error.
     ProcessRuns,
 }
 
 impl Invariant {
-    /// The name in the soak's output. It is the name of the program variant that breaks the rule, where there is one.
+    /// Returns the name in the soak's output. Where a variant of the program breaks the rule on purpose, it is the name of
+    /// that variant.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::KvReservationReleased => "HeldState",
@@ -71,43 +75,44 @@
 /// A violated invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// The request's id, or the process.
+    /// The request's id, or `p` and the number of the dispatcher.
     pub id: String,
-    /// What was observed of the request, oldest first, with seconds since the start of the run.
+    /// The observations of the request, oldest first, each with the seconds since the oracle was created; for a process,
+    /// the reason alone.
     pub timeline: Vec<String>,
 }
 
-/// How an attempt ended, as its replica saw it.
+/// How an attempt ended at its replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Prefill finished, whether or not the response arrived.
+    /// Prefill succeeded, whether or not the response reached the dispatcher.
     Prefilled,
-    /// The replica rejected it, with proof that it never ran.
+    /// The replica rejected it and stated that it never ran.
     NeverRan,
-    /// Its stream was completed.
+    /// The replica wrote its stream to the end.
     Streamed,
-    /// It ended in any other way.
+    /// An error response, or the connection ended first.
     Other,
 }
 
-/// An attempt whose last byte was read by a running replica.
+/// The arrival of an attempt: a replica that is not stalled has read its last byte.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptArrival {
     /// The replica's number.
     pub replica: usize,
     /// The replica's role.
     pub role: Role,
-    /// The bench had stalled the replica or the connection, so that the arrival says nothing about when the attempt was sent.
+    /// Whether a fault had stalled the replica or the connection, so that the attempt may have been sent much earlier.
     pub is_delayed_by_bench: bool,
-    /// The time left that the attempt announces, in milliseconds.
+    /// The time left that the attempt announces, in milliseconds; `None` if it announces none.
     pub time_left_ms: Option<u64>,
-    /// How long ago the dispatcher was notified that the replica is draining.
+    /// How long ago discovery told the dispatcher that the replica is draining; `None` if it is not.
     pub time_since_drain_notice: Option<Duration>,
 }
 
-/// Requests by the kind of their response.
+/// Numbers of responses by status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
     /// Responses with status 200.
@@ -122,22 +127,22 @@
 struct OracleState {
     requests: HashMap<String, RequestHistory>,
     violations: Vec<Violation>,
-    killed_at: HashMap<usize, Instant>,  // by process
-    flooded: HashSet<usize>,             // processes
-    paused: HashSet<usize>,              // processes
-    resumed_at: HashMap<usize, Instant>, // by process
+    killed_at: HashMap<usize, Instant>,  // last kill, by process
+    flooded: HashSet<usize>,             // processes in a flood of idle connections
+    paused: HashSet<usize>,              // processes that are stopped
+    resumed_at: HashMap<usize, Instant>, // last resume from a pause, by process
     max_event_delay: Duration,
     counts: ResponseCounts,
 }
 
-/// Records what clients and replicas observe in one run, and checks it against the invariants.
+/// Records what clients and replicas observe in one run and checks it against the invariants.
 pub struct Oracle {
     started: Instant,
     state: Mutex<OracleState>,
 }
 
 impl OracleState {
-    /// Reports a violation, once for each invariant and request.
+    /// Reports a violation with the request's timeline so far, at most once for each invariant and request.
     fn report_violation(&mut self, started: Instant, invariant: Invariant, id: &str) {
         let is_reported = self
             .violations
@@ -172,7 +177,7 @@
 }
 
 impl Oracle {
-    /// Creates an oracle that has observed nothing.
+    /// Creates an oracle without observations. Timelines count from this moment.
     pub fn new() -> Oracle {
         Oracle {
             started: Instant::now(),
@@ -184,7 +189,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Updates a request's history, and reports the invariant that `update` finds violated.
+    /// Applies `update` to the history of a request and reports the invariant that it returns as violated.
     fn update_request(
         &self,
         id: &str,
@@ -197,7 +202,7 @@
         }
     }
 
-    /// A client has sent the last byte of a request to a process; it waits for `deadline`.
+    /// Records that a client has sent the last byte of a request to a process, and waits for `deadline` from now on.
     pub fn on_request_sent(
         &self,
         id: &str,
@@ -221,7 +226,7 @@
         });
     }
 
-    /// The client has closed its connection.
+    /// Records that the client has disconnected before a response.
     pub fn on_client_disconnected(&self, id: &str) {
         self.update_request(id, |request| {
             request.disconnected_at = Some(Instant::now());
@@ -230,7 +235,7 @@
         });
     }
 
-    /// The client has received the head of a response with this status.
+    /// Records that the client has received the head of a response.
     pub fn on_response(&self, id: &str, status: u16) {
         let is_shed = is_shed(status);
         self.update_request(id, |request| {
@@ -249,7 +254,8 @@
         }
     }
 
-    /// The client's connection ended before any response. `is_excused`: its process was killed.
+    /// Records that the client's connection ended without response. `is_excused` states that the process was killed
+    /// meanwhile; a connection flood is an excuse as well.
     pub fn on_closed_without_response(&self, id: &str, is_excused: bool) {
         self.update_request(id, |request| {
             request.is_response_settled = true;
@@ -259,7 +265,7 @@
         });
     }
 
-    /// A running replica has read the last byte of an attempt.
+    /// Records that a running replica has read the last byte of an attempt, and checks whether it should have been sent.
     pub fn on_attempt_arrived(&self, id: &str, arrival: AttemptArrival) {
         self.update_request(id, |request| {
             let now = Instant::now();
@@ -284,7 +290,8 @@
         });
     }
 
-    /// A replica is about to report that an attempt never ran: from now on its dispatcher may know.
+    /// Records that a replica rejects an attempt as never run. Must be called before the response is sent, since the
+    /// dispatcher may retry as soon as it arrives.
     pub fn on_attempt_rejected(&self, id: &str, replica: usize, role: Role) {
         self.update_request(id, |request| {
             request.add_observation(format!("r{replica} rejects it"));
@@ -293,7 +300,7 @@
         });
     }
 
-    /// An attempt that had arrived has ended, by the replica's response or by the end of its connection.
+    /// Records that an attempt has ended, by the replica's response or by the end of its connection.
     pub fn on_attempt_ended(&self, id: &str, replica: usize, role: Role, outcome: AttemptOutcome) {
         self.update_request(id, |request| {
             request.add_observation(format!("r{replica}: attempt ended, {outcome:?}"));
@@ -302,7 +309,8 @@
         });
     }
 
-    /// A prefill replica has finished a prompt: from now on its KV cache is reserved, also before any dispatcher is notified.
+    /// Records that a prefill replica has processed a prompt. Its KV cache is reserved from now on, even if the response
+    /// never reaches the dispatcher.
     pub fn on_kv_reserved(&self, id: &str, replica: usize) {
         self.update_request(id, |request| {
             request.is_kv_reserved = true;
@@ -313,7 +321,7 @@
         });
     }
 
-    /// A decode replica consumes the reserved KV cache; false if there is none.
+    /// Records that a decode replica consumes the reserved KV cache; returns false if there is none.
     pub fn consume_kv(&self, id: &str, replica: usize) -> bool {
         let mut is_consumed = false;
         self.update_request(id, |request| {
@@ -326,14 +334,14 @@
         is_consumed
     }
 
-    /// Whether a KV cache is reserved for a decode attempt.
+    /// Returns whether a KV cache is reserved for this request.
     pub fn is_kv_reserved(&self, id: &str) -> bool {
         let state = self.state();
         let request = state.requests.get(id);
         request.is_some_and(|request| request.is_kv_reserved)
     }
 
-    /// A replica has crashed, and its KV caches are lost.
+    /// Records that a replica has crashed, which loses the KV caches that it holds.
     pub fn on_replica_killed(&self, replica: usize) {
         for request in self.state().requests.values_mut() {
             if request.is_kv_reserved && request.kv_replica == replica {
@@ -344,7 +352,8 @@
         }
     }
 
-    /// A running replica has read a release: the KV cache is freed unless a decode attempt is in flight.
+    /// Records that a running replica has read a release, which frees the KV cache unless a decode attempt is in flight. A
+    /// release that another replica receives counts as well.
     pub fn on_release(&self, id: &str, replica: usize) {
         self.update_request(id, |request| {
             request.is_kv_reserved &= request.decodes_in_flight > 0;
@@ -354,7 +363,8 @@
         });
     }
 
-    /// Checks what should have happened by now. Requests of `paused` processes are not checked.
+    /// Reports KV caches that were not released and responses that did not arrive in time. Requests of `paused` processes
+    /// are skipped.
     pub fn check_deadlines(&self, paused: &[usize]) {
         let mut state = self.state();
         let now = Instant::now();
@@ -376,12 +386,12 @@
         }
     }
 
-    /// All violations so far.
+    /// Returns all violations so far, in the order in which they were found.
     pub fn violations(&self) -> Vec<Violation> {
         self.state().violations.clone()
     }
 
-    /// Requests by the kind of their response.
+    /// Returns the numbers of responses so far.
     pub fn counts(&self) -> ResponseCounts {
         self.state().counts
     }
@@ -393,7 +403,8 @@
     }
 }
 
-/// The invariant that an attempt violates by arriving after it should no longer have been sent, or with too much time left.
+/// Returns the first time limit that an arrived attempt violates: it was sent too long after the client disconnected or the
+/// replica started to drain, or it announces too much time left.
 fn find_timing_violation(
     request: &RequestHistory,
     arrival: &AttemptArrival,
@@ -405,7 +416,7 @@
         }
     }
     if let (Some(announced_ms), Some(time_left)) = (arrival.time_left_ms, request.time_left(now)) {
-        // A crowded-out request lies in the accept queue for a time of which its dispatcher knows nothing.
+        // In a connection flood the request waits in the accept queue, and the dispatcher does not know for how long.
         let is_excused = request.is_affected_by_flood;
         if !is_excused
             && Duration::from_millis(announced_ms) > time_left + ANNOUNCED_TIME_SLACK + BENCH_SLACK
@@ -413,7 +424,7 @@
             return Some(Invariant::TimeLeftNotExceeded);
         }
     }
-    // A process that was paused reads the notification of the drain only after it resumes.
+    // A process that was paused reads the list with the draining replica only after it has resumed.
     if let Some(resumed_at) = request.resumed_at {
         if now.duration_since(resumed_at) < DRAIN_GRACE {
             return None;
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -1,10 +1,11 @@
-//! Faults of processes: kills, pauses, crowds of idle clients, and what these excuse.
+//! Faults of dispatcher processes (kills, pauses, floods of idle connections), and what they excuse in the checks.
 
 use super::{Invariant, Oracle, Violation};
 use std::time::{Duration, Instant};
 
 impl Oracle {
-    /// A crowd of idle clients fills a process's descriptors, or has left.
+    /// Records that a flood of idle connections to a process begins (`is_active`) or is over. It excuses the requests that are
+    /// waiting for a response at its start, and those that are sent before its end.
     pub fn on_connection_flood(&self, process: usize, is_active: bool) {
         let mut state = self.state();
         if is_active {
@@ -18,14 +19,15 @@
         }
     }
 
-    /// Notes something about a process in the history of its requests that have no answer or stream yet.
+    /// Adds an observation about a process to the timeline of all its requests.
     pub fn add_process_observation(&self, process: usize, text: &str) {
         for request in self.state().requests_of(process) {
             request.add_observation(text.into());
         }
     }
 
-    /// A process was killed: its reservations are void, and nothing is owed to its clients.
+    /// Records that a process was killed. No response is expected any more for the requests that were sent to it, and no
+    /// release of their KV caches.
     pub fn on_process_killed(&self, process: usize) {
         let mut state = self.state();
         state.killed_at.insert(process, Instant::now());
@@ -38,14 +40,15 @@
         }
     }
 
-    /// Whether a process was killed at or after `since`.
+    /// Returns whether a process was killed at or after `since`.
     pub fn was_killed_since(&self, process: usize, since: Instant) -> bool {
         let state = self.state();
         let killed_at = state.killed_at.get(&process);
         killed_at.is_some_and(|killed_at| *killed_at >= since)
     }
 
-    /// A process is about to be paused. What comes to it meanwhile waits, also where another one takes it in the end.
+    /// Records that a process is about to be paused. Requests that arrive meanwhile wait in the accept queue, even if another
+    /// process on the same socket accepts them in the end.
     pub fn on_process_paused(&self, process: usize) {
         let mut state = self.state();
         state.paused.insert(process);
@@ -54,7 +57,7 @@
         }
     }
 
-    /// A process is about to resume after a pause, during which it owed nothing.
+    /// Records that a process is about to be resumed, and excuses the duration of its pause.
     pub fn on_process_resumed(&self, process: usize, pause: Duration) {
         let mut state = self.state();
         state.paused.remove(&process);
@@ -65,7 +68,7 @@
         }
     }
 
-    /// A process exited by itself, failed to start, or did not shut down cleanly.
+    /// Reports that a process exited by itself, did not start, or did not exit cleanly.
     pub fn on_process_failed(&self, process: usize, reason: String) {
         let violation = Violation {
             invariant: Invariant::ProcessRuns,
--- a/crates/soak/src/oracle/streams.rs
+++ b/crates/soak/src/oracle/streams.rs
@@ -1,15 +1,15 @@
-//! Streams: whether they are whole, and how late their events are.
+//! Checks of response streams: whether they are complete at the client, and how late their events arrive.
 
 use super::{Invariant, Oracle, BENCH_SLACK};
 use std::time::{Duration, Instant};
 
-/// An event reaches its client within this.
+/// The longest time from the replica's write of an event to its arrival at the client.
 const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
-/// For so long after a pause of a process events may still be late.
+/// Events that are written within this after a pause of the dispatcher may arrive late.
 const PAUSE_RECOVERY_TIME: Duration = Duration::from_millis(1_000);
 
 impl Oracle {
-    /// The client's stream has ended. `is_complete`: its last chunk has arrived.
+    /// Records the end of a stream at its client. `is_complete` states that the last chunk arrived.
     pub fn on_stream_ended(&self, id: &str, is_complete: bool) {
         self.update_request(id, |request| {
             request.add_observation(format!("stream ended, complete: {is_complete}"));
@@ -23,7 +23,7 @@
         });
     }
 
-    /// A replica has aborted its stream.
+    /// Records that a replica has aborted its stream.
     pub fn on_stream_aborted(&self, id: &str) {
         self.update_request(id, |request| {
             request.is_stream_aborted = true;
@@ -32,7 +32,8 @@
         });
     }
 
-    /// A replica stands still in the middle of its stream, or goes on with it. The dispatcher may give up what is silent.
+    /// Records whether a fault keeps a replica from writing in the middle of its stream. The dispatcher may close a stream on
+    /// which nothing arrives, so a stalled stream need not be complete.
     pub fn on_stream_stalled(&self, id: &str, is_stalled: bool) {
         self.update_request(id, |request| {
             if request.is_stream_stalled != is_stalled {
@@ -43,7 +44,7 @@
         });
     }
 
-    /// A dispatcher has closed the connection of a stream that its replica went on with.
+    /// Records that the dispatcher closed the connection to a replica that was still streaming.
     pub fn on_stream_closed_by_dispatcher(&self, id: &str) {
         self.update_request(id, |request| {
             request.add_observation("its dispatcher closed the connection in mid-stream".into());
@@ -51,13 +52,14 @@
         });
     }
 
-    /// A client that reads at once has an event, which its replica wrote at `written_at`.
+    /// Records that a client received an event, and checks its delay since `written_at`. Only for clients that read without
+    /// delay.
     pub fn on_event(&self, id: &str, written_at: Instant) {
         let delay = written_at.elapsed();
         let mut state = self.state();
         let process = state.requests.get(id).map(|request| request.process);
         let resumed_at = process.and_then(|process| state.resumed_at.get(&process));
-        // Neither a process that was paused lately is blamed, nor one beside it that had to wait for it.
+        // A pause also delays other processes of the same dispatcher, which may wait for the paused one during an upgrade.
         let is_excused = resumed_at.is_some_and(|resumed_at| {
             written_at.saturating_duration_since(*resumed_at) < PAUSE_RECOVERY_TIME
         });
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The latest that an event was, of those for which a dispatcher can be blamed.
+    /// Returns the longest delay of an event so far, without the delays that a pause excuses.
     pub fn max_event_delay(&self) -> Duration {
         self.state().max_event_delay
     }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,92 +1,97 @@
-//! The seeded fault schedule of a run: which faults start when, and for how long. Faults overlap.
+//! The fault schedule of a run: which fault starts when, on which replica or process, and for how long.
+//!
+//! It depends only on the [`RunSize`] and the random generator, so a seed repeats it. Faults may overlap. Those that take a
+//! whole replica out of service leave two replicas of each role untouched. Every second dispatcher is upgraded, the others
+//! are killed or terminated and restarted.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// A fault and its victim.
+/// A fault and the replica or process that it affects, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A replica accepts connections and bytes, and executes nothing.
+    /// A replica accepts connections and reads data, but executes nothing.
     StallReplica(usize),
-    /// A replica crashes: its connections are reset, and new ones refused until it restarts.
+    /// A replica crashes: its connections are reset, and new ones are refused until it restarts.
     KillReplica(usize),
-    /// A replica finishes its work, and its responses do not arrive.
+    /// A prefill replica executes attempts, but resets the connection instead of responding.
     LoseResponses(usize),
-    /// A replica responds with errors.
+    /// A replica responds with status 500.
     ReturnErrors(usize),
-    /// A replica is overloaded and rejects requests.
+    /// A replica rejects attempts with status 503 before it executes them.
     RejectOverloaded(usize),
-    /// The streams of a replica are aborted.
+    /// A decode replica resets its connections in the middle of a stream.
     AbortStreams(usize),
-    /// Discovery reports a replica as draining, and later as ready again.
+    /// Discovery reports a replica as draining, and as ready again when the fault ends.
     DrainReplica(usize),
-    /// All open connections of a process to a replica fall silent, for good.
+    /// All open connections from a process to a replica stay open, but the replica never responds on them again.
     SilenceConnections {
         /// The process.
         process: usize,
         /// The replica.
         replica: usize,
     },
-    /// All open connections of a process to a replica are reset.
+    /// All open connections from a process to a replica are reset.
     ResetConnections {
         /// The process.
         process: usize,
         /// The replica.
         replica: usize,
     },
-    /// A process is paused (SIGSTOP, then SIGCONT).
+    /// A process is stopped by SIGSTOP and resumed by SIGCONT.
     PauseProcess(usize),
-    /// A process is killed (SIGKILL) and restarted.
+    /// A process is killed by SIGKILL and restarted.
     KillProcess(usize),
-    /// A process is terminated (SIGTERM) and restarted.
+    /// A process is terminated by SIGTERM and restarted.
     TerminateProcess(usize),
-    /// A process reloads its configuration (SIGHUP).
+    /// A process gets SIGHUP, on which it reloads its configuration.
     ReloadConfig(usize),
-    /// A process is replaced by a successor on its inherited socket, and that by the next one.
+    /// A process is replaced by a successor on the same inherited socket, which is replaced by the next one, and so on.
     UpgradeSeries {
         /// The process.
         process: usize,
-        /// How many successors follow each other.
+        /// Number of successors.
         upgrades: u32,
-        /// Draws their times and what happens beside them.
+        /// Seed for the time of each upgrade and the faults during it.
         seed: u64,
     },
-    /// Idle clients connect to a process until its descriptors are used up.
+    /// Idle connections use up the descriptors of a process.
     FloodConnections(usize),
-    /// The discovery agent of a process refuses connections.
+    /// The discovery agent of a process is down.
     StopDiscovery(usize),
 }
 
-/// A fault with its start and its duration.
+/// A fault with its start time and its duration.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledFault {
-    /// When it starts, from the start of the run.
+    /// Start time, from the start of the load.
     pub starts_after: Duration,
-    /// How long it lasts; zero for a momentary fault.
+    /// How long it lasts; zero for a momentary fault and for a series of upgrades, which ends by itself.
     pub duration: Duration,
     /// The fault.
     pub fault: Fault,
 }
 
-/// The size of a run.
+/// The size of a run: numbers of processes and replicas, and the duration.
 #[derive(Clone, Copy, Debug)]
 pub struct RunSize {
-    /// Real dispatchers.
+    /// Number of dispatchers.
     pub processes: usize,
-    /// Replicas for prefill; the others decode.
+    /// Number of prefill replicas, which have the lowest numbers; the others are decode replicas.
     pub prefill_replicas: usize,
-    /// All replicas.
+    /// Number of replicas of both roles.
     pub replicas: usize,
-    /// How long clients send.
+    /// How long clients send requests.
     pub load_duration: Duration,
-    /// Whether crowds of idle clients are among the faults.
+    /// Whether floods of idle connections are among the faults.
     pub has_connection_floods: bool,
 }
 
 impl RunSize {
-    /// Whether a process has an inherited socket and is upgraded; the others are killed and restarted.
+    /// Returns whether a process inherits its listening socket and is upgraded. The others bind their own, and are killed or
+    /// terminated and restarted.
     pub fn is_upgraded(&self, process: usize) -> bool {
         process.is_multiple_of(2)
     }
@@ -96,20 +101,20 @@
     }
 }
 
-/// No upgrade starts before this, in milliseconds.
+/// The earliest start of a series of upgrades, in milliseconds.
 const MIN_UPGRADE_START_MS: u64 = 1_500;
-/// The most upgrades in a series.
+/// The most upgrades in one series.
 const MAX_UPGRADES_PER_SERIES: u32 = 4;
-/// The fraction of upgraded processes that meet a crowd, in runs with crowds.
+/// Fraction of upgraded processes that get a connection flood, in runs that include floods.
 const CONNECTION_FLOOD_FRACTION: f64 = 0.5;
-/// The first fault starts after this, when all processes are ready and have connections.
+/// Start of the first fault, by which all processes have connections to replicas.
 const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1_000);
 
 fn draw_duration(rng: &mut Pcg32, min_ms: u64, max_ms: u64) -> Duration {
     Duration::from_millis(rng.gen_range(min_ms..=max_ms))
 }
 
-/// Draws a fault and its duration. `victims` are the replicas that may be taken out of service.
+/// Draws a fault and its duration. `fault_candidates` are the replicas that may be taken out of service.
 fn draw_fault(size: &RunSize, fault_candidates: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
     let process = rng.gen_range(0..size.processes);
     let replica = rng.gen_range(0..size.replicas);
@@ -148,7 +153,8 @@
     }
 }
 
-/// Draws a series of upgrades for each process that has them, and crowds where these are among the faults.
+/// Draws a series of upgrades for each process that is upgraded. Where floods are among the faults, some of these processes
+/// get one from the start of their series on.
 fn draw_upgrades(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
     let latest_start_ms = (size.load_duration.as_millis() as u64 / 2).max(MIN_UPGRADE_START_MS + 1);
     let mut upgrades = Vec::new();
@@ -174,8 +180,8 @@
     upgrades
 }
 
-/// Draws the faults of a run, in the order in which they start. Faults that take a replica out of service leave at least two
-/// replicas of each role untouched, so that every request can be served.
+/// Draws the faults of a run, ordered by start time. Faults that take a replica out of service leave at least two replicas
+/// of each role untouched, so that every request can be served.
 pub fn draw_schedule(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
     let mut fault_candidates: Vec<usize> = (2..size.prefill_replicas)
         .chain(size.prefill_replicas + 2..size.replicas)
@@ -192,7 +198,7 @@
         });
         starts_after += draw_duration(rng, 20, 400);
     }
-    // Most decode replicas fail together once, as if a rack lost power.
+    // Simulates the failure of a rack: all decode replicas but two stall at the same time.
     let rack_failure_at = draw_duration(
         rng,
         2_000,
@@ -210,7 +216,7 @@
     schedule
 }
 
-/// How many processes of a schedule are replaced by a successor.
+/// Returns the total number of upgrades in all series of a schedule.
 pub fn count_upgrades(schedule: &[ScheduledFault]) -> u32 {
     let upgrades_of = |scheduled: &ScheduledFault| match scheduled.fault {
         Fault::UpgradeSeries { upgrades, .. } => upgrades,
--- a/crates/soak/src/stream_plan.rs
+++ b/crates/soak/src/stream_plan.rs
@@ -1,30 +1,34 @@
-//! How long a replica streams, which the client asks for in the body of its request, and the time stamps of events.
+//! Length and pace of a response stream, and the timestamps in its events.
+//!
+//! A client describes the stream that it wants in the body of its request, and the replica produces it. Each event holds the
+//! time at which it was written, from which the client derives the delay that the dispatcher added. Client and replica run
+//! in the same process, so both measure from the same instant.
 
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// The start of a body that asks for a long stream.
+/// Prefix of a request body that describes a stream; a body without it gets [`StreamPlan::DEFAULT`].
 const BODY_PREFIX: &str = "stream ";
-/// What comes before the time stamp in an event.
+/// Key before the timestamp in an event, in microseconds since [`epoch`].
 const TIMESTAMP_FIELD: &str = "\"written_us\":";
 
-/// A stream: events of one size, with a pause somewhere.
+/// A stream of events of equal size at a fixed interval, with one longer pause in the middle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamPlan {
-    /// How many events.
+    /// Number of events.
     pub events: u32,
-    /// Between two events.
+    /// Time between two events.
     pub interval: Duration,
-    /// An event's size, about.
+    /// Bytes of padding in each event, which make up most of a large event.
     pub event_bytes: usize,
-    /// The pause in the middle.
+    /// Additional wait in the middle of the stream; zero for none.
     pub pause: Duration,
 }
 
 impl StreamPlan {
-    /// The stream of a request that asks for none.
+    /// The stream of a request whose body does not describe one.
     pub const DEFAULT: StreamPlan = StreamPlan {
         events: 4,
         interval: Duration::from_millis(40),
@@ -32,7 +36,7 @@
         pause: Duration::ZERO,
     };
 
-    /// Draws a stream of up to 15 s.
+    /// Draws a stream that takes up to about 15 s.
     pub fn draw(rng: &mut Pcg32) -> StreamPlan {
         let duration_ms = rng.gen_range(1_000..11_000);
         let interval_ms = rng.gen_range(20..400);
@@ -52,7 +56,7 @@
         }
     }
 
-    /// The body that asks for this stream.
+    /// Formats the request body that asks for this stream.
     pub fn request_body(&self) -> String {
         format!(
             "{BODY_PREFIX}{} {} {} {}",
@@ -63,7 +67,7 @@
         )
     }
 
-    /// The stream that a body asks for.
+    /// Parses the stream that a request body asks for; [`StreamPlan::DEFAULT`] where it asks for none.
     pub fn from_request_body(body: &[u8]) -> StreamPlan {
         StreamPlan::parse(body).unwrap_or(StreamPlan::DEFAULT)
     }
@@ -80,7 +84,7 @@
         })
     }
 
-    /// How long the replica waits behind this event.
+    /// Returns how long the replica waits after it has written the event with this number.
     pub fn delay_after(&self, event: u32) -> Duration {
         if event == self.events / 2 {
             self.interval + self.pause
@@ -90,19 +94,20 @@
     }
 }
 
+/// Returns the instant from which timestamps count: the first call in this process.
 fn epoch() -> Instant {
     static EPOCH: OnceLock<Instant> = OnceLock::new();
     *EPOCH.get_or_init(Instant::now)
 }
 
-/// An event that is written now.
+/// Formats an event that is about to be written, with the current time and `bytes` bytes of padding.
 pub fn format_event(id: &str, number: u32, bytes: usize) -> String {
     let written_us = epoch().elapsed().as_micros();
     let padding = "x".repeat(bytes);
     format!("data: {{\"id\":\"{id}\",\"n\":{number},{TIMESTAMP_FIELD}{written_us},\"text\":\"{padding}\"}}\n\n")
 }
 
-/// When an event was written, by its line; `None` where the line has no time stamp.
+/// Parses the time at which an event was written from its line; `None` where the line has no timestamp.
 pub fn parse_written_at(line: &str) -> Option<Instant> {
     let (_, rest) = line.split_once(TIMESTAMP_FIELD)?;
     let (written_us, _) = rest.split_once(',')?;
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,26 +1,27 @@
-//! HTTP/1.1 messages on raw sockets, for clients and replicas that misbehave on purpose.
+//! Minimal HTTP/1.1 on raw sockets, for clients and replicas that deliberately violate the protocol or fail.
 //!
-//! The module holds no state.
+//! Only messages with a `Content-Length` are read here. The functions keep no state between calls; bytes that are not yet
+//! parsed stay in the caller's buffer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Pending connections of a listener.
+/// Connections that a listener queues before they are accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
 /// An HTTP message: the lines of its head, and its body.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// The start line and the header lines.
+    /// The start line, followed by the header lines.
     pub lines: Vec<String>,
-    /// The body.
+    /// The body; empty where the message has no `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The value of the header `name`, compared without regard to case.
+    /// Returns the trimmed value of the first header with this name, which is compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.lines.iter().skip(1).find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -28,7 +29,7 @@
         })
     }
 
-    /// Field `index` of the start line; empty if there is none.
+    /// Returns the field at `index` of the start line, which is separated by spaces; empty if there is none.
     pub fn start_line_field(&self, index: usize) -> &str {
         let Some(line) = self.lines.first() else {
             return "";
@@ -37,14 +38,16 @@
     }
 }
 
-/// The head of the first message in `bytes` as text, and the index at which its body starts; `None` if it is incomplete.
+/// Splits off the head of the first message in `bytes`: returns its text, and the index at which the body starts. Returns
+/// `None` while the head is incomplete.
 pub fn split_head(bytes: &[u8]) -> Option<(String, usize)> {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     Some((head, end + 4))
 }
 
-/// Reads a message with a stated length; `None` at the connection's end.
+/// Reads the next message whose length is given by `Content-Length`. `buffer` keeps surplus bytes for the next call. Returns
+/// `None` once the connection is closed or fails.
 pub async fn read_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
     loop {
         if let Some(message) = parse_message(buffer) {
@@ -59,7 +62,7 @@
     }
 }
 
-/// Removes the first complete message from the buffer.
+/// Removes the first message from the buffer if it is complete.
 fn parse_message(buffer: &mut Vec<u8>) -> Option<Message> {
     let (head, body_start) = split_head(buffer)?;
     let mut message = Message {
@@ -79,7 +82,7 @@
     Some(message)
 }
 
-/// Listens on a local address, also while earlier connections to it are still closing.
+/// Binds a listener to a local address with SO_REUSEADDR, so that connections in TIME_WAIT do not block a restart.
 ///
 /// # Errors
 ///
@@ -91,12 +94,13 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Closes a connection with a reset (RST) instead of an orderly shutdown.
+/// Closes a connection with RST instead of FIN.
 pub fn close_with_reset(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Whether the other side has closed a connection on which it sends nothing.
+/// Returns whether the peer has closed the connection. It reads from the stream, so it may only be called while the peer is
+/// not expected to send anything.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut byte = [0];
     matches!(stream.try_read(&mut byte), Ok(0))
