--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -102,7 +102,7 @@
         };
         let result = run(plan).await?;
         println!(
-            "seed {seed}: {} faults, {} upgrades, {} served, {} refused, {} failed, latest event {} ms, {} breaches",
+            "seed {seed}: {} faults, {} upgrades, {} served, {} refused, {} failed, longest event delay {} ms, {} breaches",
             result.faults,
             result.upgrades,
             result.counts.served,
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -276,7 +276,7 @@
                 ..
             } = arrival;
             request.add_observation(format!(
-                "r{replica} received a {role:?} attempt, announced {time_left_ms:?} ms"
+                "r{replica} received a {role:?} attempt, announced time left: {time_left_ms:?} ms"
             ));
             let is_repeated = role == Role::Decode && request.is_unsafe_to_retry();
             request.start_attempt(role);
@@ -294,7 +294,7 @@
     /// dispatcher may retry as soon as it arrives.
     pub fn on_attempt_rejected(&self, id: &str, replica: usize, role: Role) {
         self.update_request(id, |request| {
-            request.add_observation(format!("r{replica} rejects it"));
+            request.add_observation(format!("r{replica}: attempt rejected as never run"));
             request.record_never_ran(role);
             None
         });
@@ -345,7 +345,7 @@
     pub fn on_replica_killed(&self, replica: usize) {
         for request in self.state().requests.values_mut() {
             if request.is_kv_reserved && request.kv_replica == replica {
-                request.add_observation(format!("r{replica} crashed with the KV cache"));
+                request.add_observation(format!("r{replica} crashed, KV cache lost"));
                 request.is_kv_reserved = false;
                 request.update_kv_idle_clock();
             }
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 impl Oracle {
-    /// Records that a flood of idle connections to a process begins (`is_active`) or is over. It excuses the requests that are
-    /// waiting for a response at its start, and those that are sent before its end.
+    /// Records that a flood of idle connections to a process begins (`is_active`) or is over. It excuses the requests that
+    /// are waiting for a response at its start, and those that are sent before its end.
     pub fn on_connection_flood(&self, process: usize, is_active: bool) {
         let mut state = self.state();
         if is_active {
@@ -32,7 +32,7 @@
         let mut state = self.state();
         state.killed_at.insert(process, Instant::now());
         for request in state.requests_of(process) {
-            request.add_observation("its process was killed".into());
+            request.add_observation("dispatcher process was killed".into());
             request.was_process_killed = true;
             request.is_kv_reserved = false;
             request.is_response_settled = true;
@@ -47,8 +47,8 @@
         killed_at.is_some_and(|killed_at| *killed_at >= since)
     }
 
-    /// Records that a process is about to be paused. Requests that arrive meanwhile wait in the accept queue, even if another
-    /// process on the same socket accepts them in the end.
+    /// Records that a process is about to be paused. Requests that arrive meanwhile wait in the accept queue, even if
+    /// another process on the same socket accepts them in the end.
     pub fn on_process_paused(&self, process: usize) {
         let mut state = self.state();
         state.paused.insert(process);
@@ -63,7 +63,7 @@
         state.paused.remove(&process);
         state.resumed_at.insert(process, Instant::now());
         for request in state.requests_of(process) {
-            request.add_observation(format!("its process was paused for {pause:?}"));
+            request.add_observation(format!("dispatcher process was paused for {pause:?}"));
             request.adjust_for_pause(pause);
         }
     }
--- a/crates/soak/src/oracle/streams.rs
+++ b/crates/soak/src/oracle/streams.rs
@@ -32,8 +32,8 @@
         });
     }
 
-    /// Records whether a fault keeps a replica from writing in the middle of its stream. The dispatcher may close a stream on
-    /// which nothing arrives, so a stalled stream need not be complete.
+    /// Records whether a fault keeps a replica from writing in the middle of its stream. The dispatcher may close a stream
+    /// on which nothing arrives, so a stalled stream need not be complete.
     pub fn on_stream_stalled(&self, id: &str, is_stalled: bool) {
         self.update_request(id, |request| {
             if request.is_stream_stalled != is_stalled {
@@ -47,7 +47,9 @@
     /// Records that the dispatcher closed the connection to a replica that was still streaming.
     pub fn on_stream_closed_by_dispatcher(&self, id: &str) {
         self.update_request(id, |request| {
-            request.add_observation("its dispatcher closed the connection in mid-stream".into());
+            request.add_observation(
+                "dispatcher closed the connection to the replica in mid-stream".into(),
+            );
             None
         });
     }
@@ -69,7 +71,7 @@
         state.max_event_delay = state.max_event_delay.max(delay);
         if delay > MAX_EVENT_DELAY + BENCH_SLACK {
             if let Some(request) = state.requests.get_mut(id) {
-                request.add_observation(format!("an event came {delay:?} after it was written"));
+                request.add_observation(format!("event received {delay:?} after it was written"));
             }
             state.report_violation(self.started, Invariant::EventDeliveredInTime, id);
         }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -1,7 +1,9 @@
 //! Simulated prefill and decode replicas with injected faults.
 //!
-//! Each dispatcher reaches each replica at an address of its own, so that a fault can affect one pair. A [`Replica`] owns its
-//! fault flags and knows its open connections; what it observes goes to the [`Oracle`].
+//! Each dispatcher reaches each replica at an address of its own, so that a fault can affect a single pair. Fault injection
+//! sets flags, which the tasks that serve connections poll. Reservations of KV caches, rejections and aborts are recorded
+//! in the [`Oracle`] before the dispatcher can learn of them. The oracle also decides whether a KV cache is reserved, since
+//! the decode replicas consume what the prefill replicas reserve.
 
 use crate::oracle::{AttemptArrival, AttemptOutcome, Oracle};
 use crate::stream_plan::{self, StreamPlan};
@@ -18,39 +20,42 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Between two checks of the fault flags.
+/// Time between two checks of the fault flags.
 const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(4);
-/// Work times are drawn from this to the role's maximum, in milliseconds.
-const MIN_EXECUTION_MS: u64 = 5;
-const MAX_PREFILL_EXECUTION_MS: u64 = 150;
-const MAX_DECODE_EXECUTION_MS: u64 = 500;
-/// Distance between the seeds of two attempts.
+/// The shortest time from the arrival of an attempt to the response, or to the start of the stream, in milliseconds.
+const MIN_RESPONSE_DELAY_MS: u64 = 5;
+/// Exclusive upper bound of the time from the arrival of a prefill attempt to its response, in milliseconds.
+const MAX_PREFILL_DELAY_MS: u64 = 150;
+/// Exclusive upper bound of the time from the arrival of a decode attempt to the start of its stream, in milliseconds.
+const MAX_DECODE_DELAY_MS: u64 = 500;
+/// Difference between the seeds of two successive attempts at a replica.
 const ATTEMPT_SEED_STEP: u64 = 0x9e37_79b9;
 
-/// Head of a rejection, after its status line: the proof that the attempt never ran.
+/// Headers of a rejection. `X-Never-Ran` states that the attempt was not executed, so that any request may be retried.
 const NEVER_RAN_HEADERS: &str = "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// How long ago a dispatcher (first number) was notified that a replica (second number) is draining.
+/// Returns how long ago discovery told a dispatcher (first argument) that a replica (second argument) is draining; `None`
+/// if it is not.
 pub type TimeSinceDrainNotice = Arc<dyn Fn(usize, usize) -> Option<Duration> + Send + Sync>;
 
-/// The faults of a replica that are active now.
+/// The faults of a replica that are active at the moment; set and cleared by fault injection.
 #[derive(Default)]
 pub struct ActiveFaults {
-    /// It accepts connections and bytes, and executes nothing.
+    /// It accepts connections and reads data, but neither executes nor sends anything.
     pub is_stalled: AtomicBool,
-    /// It has crashed.
+    /// It has crashed: it resets all connections and does not listen.
     pub is_killed: AtomicBool,
-    /// Its responses are lost.
+    /// It resets the connection instead of responding to a prefill attempt that has succeeded.
     pub loses_responses: AtomicBool,
-    /// It responds with errors.
+    /// It responds with status 500.
     pub returns_errors: AtomicBool,
-    /// It rejects requests because of overload.
+    /// It rejects attempts with status 503.
     pub is_overloaded: AtomicBool,
-    /// It aborts its streams.
+    /// It resets the connections of its streams after the current event.
     pub aborts_streams: AtomicBool,
 }
 
-/// The faults of one connection.
+/// The faults of one connection, which last until it is closed.
 #[derive(Default)]
 struct ConnectionFaults {
     is_silent: AtomicBool,
@@ -61,11 +66,11 @@
 struct Connection {
     process: usize,
     stream: TcpStream,
-    received: Vec<u8>, // bytes that were read and not yet parsed
+    received: Vec<u8>, // bytes that are read and not yet parsed
     faults: Arc<ConnectionFaults>,
 }
 
-/// An open connection, as the replica keeps track of it.
+/// A connection that faults can be injected into. The weak reference expires when the connection's task ends.
 struct TrackedConnection {
     process: usize,
     faults: Weak<ConnectionFaults>,
@@ -73,32 +78,32 @@
 
 /// Why a connection ends.
 enum ConnectionEnd {
-    /// The peer has closed it.
+    /// The dispatcher has closed it, or it failed.
     Closed,
-    /// The replica resets it.
+    /// The replica has to reset it, because of a fault.
     Reset,
 }
 
-/// How an attempt ended, and whether its connection can be used further.
+/// How an attempt ended, and whether its connection remains usable.
 type AttemptEnd = (AttemptOutcome, Result<(), ConnectionEnd>);
 
-/// A simulated replica.
+/// A simulated replica, which serves all dispatchers.
 pub struct Replica {
     number: usize,
     role: Role,
     oracle: Arc<Oracle>,
     time_since_drain_notice: TimeSinceDrainNotice,
-    /// Its active faults.
+    /// The faults that are active at the moment.
     pub active_faults: ActiveFaults,
     connections: Mutex<Vec<TrackedConnection>>,
-    next_seed: AtomicU64,
+    next_attempt_seed: AtomicU64,
 }
 
 fn is_set(flag: &AtomicBool) -> bool {
     flag.load(Ordering::Relaxed)
 }
 
-/// Waits until the peer closes the connection; what it sends meanwhile is buffered.
+/// Reads into `received` until the peer closes the connection.
 async fn read_until_closed(stream: &mut TcpStream, received: &mut Vec<u8>) {
     let mut chunk = [0; 1024];
     while let Ok(count @ 1..) = stream.read(&mut chunk).await {
@@ -107,7 +112,7 @@
 }
 
 impl Replica {
-    /// Creates a replica without faults.
+    /// Creates a replica without active faults. `seed` determines its response delays.
     pub fn new(
         number: usize,
         role: Role,
@@ -122,25 +127,26 @@
             time_since_drain_notice,
             active_faults: ActiveFaults::default(),
             connections: Mutex::default(),
-            next_seed: AtomicU64::new(seed),
+            next_attempt_seed: AtomicU64::new(seed),
         })
     }
 
-    /// Silences all open connections of a dispatcher.
+    /// Makes the replica stop executing and sending on all open connections of a dispatcher, for the rest of their life.
     pub fn silence_connections(&self, process: usize) {
-        for faults in self.faults_of_process(process) {
+        for faults in self.connection_faults(process) {
             faults.is_silent.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Resets all open connections of a dispatcher.
+    /// Makes the replica reset all open connections of a dispatcher.
     pub fn reset_connections(&self, process: usize) {
-        for faults in self.faults_of_process(process) {
+        for faults in self.connection_faults(process) {
             faults.is_reset.store(true, Ordering::Relaxed);
         }
     }
 
-    fn faults_of_process(&self, process: usize) -> Vec<Arc<ConnectionFaults>> {
+    /// Returns the faults of all open connections of a dispatcher, and forgets closed connections.
+    fn connection_faults(&self, process: usize) -> Vec<Arc<ConnectionFaults>> {
         let mut connections = self
             .connections
             .lock()
@@ -163,7 +169,8 @@
             });
     }
 
-    /// Serves a dispatcher at this address until the task is aborted. Connections are refused while the replica is dead.
+    /// Serves a dispatcher at `address` until the task is aborted. `first_listener` is already bound to it. While the
+    /// replica is killed the address is not bound, so that connections are refused.
     pub async fn serve(
         self: Arc<Self>,
         process: usize,
@@ -199,23 +206,25 @@
         }
     }
 
-    /// Waits while the replica is stalled or the connection is silent; returns whether it had to wait.
+    /// Waits while the replica is stalled or the connection is silenced; returns whether it had to wait.
     async fn wait_while_stalled(&self, faults: &ConnectionFaults) -> bool {
-        let mut has_waited = false;
+        let mut was_stalled = false;
         while is_set(&self.active_faults.is_stalled) || is_set(&faults.is_silent) {
-            has_waited = true;
+            was_stalled = true;
             sleep(FAULT_POLL_INTERVAL).await;
         }
-        has_waited
+        was_stalled
     }
 
-    /// Waits until the connection has to be reset.
+    /// Waits until a fault requires the connection to be reset.
     async fn wait_until_reset(&self, faults: &ConnectionFaults) {
         while !is_set(&self.active_faults.is_killed) && !is_set(&faults.is_reset) {
             sleep(FAULT_POLL_INTERVAL).await;
         }
     }
 
+    /// Handles the messages on a connection one after the other. A message that is read during a stall arrives when it
+    /// ends.
     async fn serve_connection(self: Arc<Self>, mut connection: Connection) {
         let _ = connection.stream.set_nodelay(true);
         loop {
@@ -224,12 +233,12 @@
                 () = self.wait_until_reset(&connection.faults) => return wire::close_with_reset(connection.stream),
             };
             let Some(message) = message else { return };
-            let is_delayed = tokio::select! {
-                has_waited = self.wait_while_stalled(&connection.faults) => has_waited,
+            let was_stalled = tokio::select! {
+                was_stalled = self.wait_while_stalled(&connection.faults) => was_stalled,
                 () = self.wait_until_reset(&connection.faults) => return wire::close_with_reset(connection.stream),
             };
             match self
-                .handle_message(&mut connection, &message, is_delayed)
+                .handle_message(&mut connection, &message, was_stalled)
                 .await
             {
                 Ok(()) => {}
@@ -239,6 +248,7 @@
         }
     }
 
+    /// Handles a release of a KV cache (DELETE) or an attempt (any other method).
     async fn handle_message(
         &self,
         connection: &mut Connection,
@@ -275,7 +285,8 @@
         result
     }
 
-    /// Executes an attempt under the active faults.
+    /// Executes an attempt under the active faults. A decode attempt without a reserved KV cache is rejected with status
+    /// 410.
     async fn execute_attempt(
         &self,
         connection: &mut Connection,
@@ -295,16 +306,16 @@
             let result = self.send_after_stall(connection, response).await;
             return (AttemptOutcome::Other, result);
         }
-        let max_execution_ms = if self.role == Role::Prefill {
-            MAX_PREFILL_EXECUTION_MS
+        let max_delay_ms = if self.role == Role::Prefill {
+            MAX_PREFILL_DELAY_MS
         } else {
-            MAX_DECODE_EXECUTION_MS
+            MAX_DECODE_DELAY_MS
         };
         let mut rng = self.attempt_rng();
-        let execution_time =
-            Duration::from_millis(rng.gen_range(MIN_EXECUTION_MS..max_execution_ms));
+        let response_delay =
+            Duration::from_millis(rng.gen_range(MIN_RESPONSE_DELAY_MS..max_delay_ms));
         if let Err(end) = self
-            .run_until_connection_ends(connection, sleep(execution_time))
+            .run_until_connection_ends(connection, sleep(response_delay))
             .await
         {
             return (AttemptOutcome::Other, Err(end));
@@ -316,13 +327,15 @@
         }
     }
 
+    /// Creates the random generator of the next attempt.
     fn attempt_rng(&self) -> Pcg32 {
         Pcg32::seed_from_u64(
-            self.next_seed
+            self.next_attempt_seed
                 .fetch_add(ATTEMPT_SEED_STEP, Ordering::Relaxed),
         )
     }
 
+    /// Responds that an attempt was not executed.
     async fn reject_attempt(
         &self,
         connection: &mut Connection,
@@ -335,10 +348,11 @@
         (AttemptOutcome::NeverRan, result)
     }
 
+    /// Reserves the KV cache of a prompt and responds.
     async fn finish_prefill(&self, connection: &mut Connection, id: &str) -> AttemptEnd {
         self.oracle.on_kv_reserved(id, self.number);
         if is_set(&self.active_faults.loses_responses) {
-            // Prefill has succeeded, and the dispatcher is not notified.
+            // The KV cache stays reserved, although the dispatcher does not learn that prefill succeeded.
             return (AttemptOutcome::Prefilled, Err(ConnectionEnd::Reset));
         }
         let response = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}";
@@ -346,6 +360,7 @@
         (AttemptOutcome::Prefilled, result)
     }
 
+    /// Consumes the reserved KV cache and streams the response.
     async fn decode(&self, connection: &mut Connection, id: &str, plan: StreamPlan) -> AttemptEnd {
         if !self.oracle.consume_kv(id, self.number) {
             return (AttemptOutcome::Other, Err(ConnectionEnd::Reset));
@@ -362,6 +377,7 @@
         }
     }
 
+    /// Streams the events of `plan`. An error leaves the stream incomplete.
     async fn stream_events(
         &self,
         connection: &mut Connection,
@@ -371,19 +387,20 @@
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         self.send_after_stall(connection, head).await?;
         for number in 0..plan.events {
-            // The event has its time stamp once nothing holds it back here.
+            // Waits for the end of a stall first, so that an event's timestamp is the time at which it is written.
             self.run_until_connection_ends(connection, async {}).await?;
             let event = stream_plan::format_event(id, number, plan.event_bytes);
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             self.write_now(connection, &chunk).await?;
             let faults = connection.faults.clone();
-            let wait = async {
+            let wait_for_next_event = async {
                 sleep(plan.delay_after(number)).await;
                 let is_stalled =
                     is_set(&self.active_faults.is_stalled) || is_set(&faults.is_silent);
                 self.oracle.on_stream_stalled(id, is_stalled);
             };
-            self.run_until_connection_ends(connection, wait).await?;
+            self.run_until_connection_ends(connection, wait_for_next_event)
+                .await?;
             self.oracle.on_stream_stalled(id, false);
             if is_set(&self.active_faults.aborts_streams) {
                 return Err(ConnectionEnd::Reset);
@@ -392,7 +409,7 @@
         self.send_after_stall(connection, "0\r\n\r\n").await
     }
 
-    /// Does some work unless the connection is closed or reset before; stalls add to the work.
+    /// Completes `work`, and then waits for the end of any stall, unless the connection is closed or has to be reset first.
     async fn run_until_connection_ends<T>(
         &self,
         connection: &mut Connection,
@@ -416,6 +433,7 @@
         }
     }
 
+    /// Sends a text once no stall is active.
     async fn send_after_stall(
         &self,
         connection: &mut Connection,
@@ -425,6 +443,7 @@
         self.write_now(connection, text).await
     }
 
+    /// Sends a text without regard to stalls.
     async fn write_now(
         &self,
         connection: &mut Connection,
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -1,4 +1,7 @@
-//! Injection of the scheduled faults into replicas, discovery and processes.
+//! Injection of scheduled faults into replicas, discovery agents and dispatcher processes.
+//!
+//! The oracle is told of scheduled crashes, kills, pauses and floods before they take effect, so that it excuses what they
+//! cause. Faults overlap: one that another fault rules out, such as the kill of a paused process, is skipped.
 
 use super::process::DispatcherProcess;
 use super::SoakRun;
@@ -11,19 +14,19 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// New connections are made for this long after SIGTERM.
+/// How long clients still open connections after SIGTERM, before requests to the process stop.
 const ACCEPT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
-/// SIGKILL follows SIGTERM after this, by the longest deadline.
+/// Time that a process has to exit, after which it is killed: the longest deadline and a margin.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(MAX_DEADLINE.as_millis() as u64 + 1_500);
 
-/// Sends a signal to a running process; it may have exited by itself, which is detected elsewhere.
+/// Sends a signal to a process. Errors are ignored: a process that exited by itself is reported at the end of the run.
 fn signal(process_id: Option<u32>, signal: Signal) {
     if let Some(id) = process_id.and_then(|id| Pid::from_raw(id as i32)) {
         let _ = kill_process(id, signal);
     }
 }
 
-/// Sets a fault flag for some time.
+/// Sets a fault flag for a limited time.
 async fn set_fault_for(flag: &AtomicBool, duration: Duration) {
     flag.store(true, Ordering::Relaxed);
     sleep(duration).await;
@@ -31,7 +34,7 @@
 }
 
 impl SoakRun {
-    /// Injects a fault and waits until it is over.
+    /// Injects a fault and returns when it is over.
     pub(super) async fn inject(self: Arc<Self>, scheduled: ScheduledFault) {
         let duration = scheduled.duration;
         match scheduled.fault {
@@ -103,16 +106,18 @@
                 let process = &self.processes[process];
                 process.stop_agent();
                 sleep(duration).await;
-                // An overlapping fault may have started the agent again. Without one no later process would become ready.
+                // The agent is stopped first, because an overlapping fault may have started it already. A failure is
+                // reported: without an agent, no process that starts later would become ready.
                 if let Err(error) = process.restart_agent().await {
-                    let reason = format!("the bench's own agent does not start: {error}");
+                    let reason =
+                        format!("the test bench could not restart the discovery agent: {error}");
                     self.oracle.on_process_failed(process.number, reason);
                 }
             }
         }
     }
 
-    /// Has all discovery agents report a replica's status.
+    /// Makes all discovery agents report this status of a replica.
     fn publish_status(&self, replica: usize, status: EndpointStatus) {
         for process in &self.processes {
             process
@@ -121,11 +126,12 @@
         }
     }
 
+    /// Pauses the current process, unless the dispatcher is down or already paused.
     async fn pause(&self, process: &DispatcherProcess, duration: Duration) {
         if !process.accepts_requests() || process.mark_paused() {
             return;
         }
-        // An upgrade may replace it meanwhile.
+        // An upgrade may replace the current process during the pause; SIGCONT has to reach the one that was stopped.
         let id = process.id();
         let started = Instant::now();
         self.oracle.on_process_paused(process.number);
@@ -137,6 +143,7 @@
         process.mark_resumed();
     }
 
+    /// Kills the current process and restarts the dispatcher, unless another fault is ending the process.
     async fn kill(&self, process: &DispatcherProcess, duration: Duration) {
         if !process.claim_for_exit() {
             return;
@@ -148,6 +155,7 @@
         self.restart(process).await;
     }
 
+    /// Terminates the current process while clients still connect, and restarts the dispatcher.
     async fn terminate(&self, process: &DispatcherProcess, duration: Duration) {
         if !process.accepts_requests() || process.is_paused() {
             return;
@@ -170,6 +178,7 @@
         self.restart(process).await;
     }
 
+    /// Starts a process, and reports a violation if it does not become ready.
     async fn restart(&self, process: &DispatcherProcess) {
         if let Err(error) = process.start(&self.plan).await {
             self.oracle
--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -1,7 +1,8 @@
-//! One run: simulated replicas, discovery agents and clients in this process, real dispatchers beside it, and the faults of
-//! the schedule.
+//! One run of the soak test.
 //!
-//! `SoakRun` owns all of them for the time of the run.
+//! Simulated replicas, discovery agents and clients run as tasks of this process, the dispatchers under test as child
+//! processes. `SoakRun` owns all of them until the end of the run. It generates load and injects the faults of the schedule
+//! at the same time, then waits for outstanding responses and releases and returns the violations.
 
 mod faults;
 mod process;
@@ -27,64 +28,70 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, sleep_until};
 
-/// What is run.
+/// The parameters of a run.
 pub struct RunPlan {
-    /// Draws the faults, the load and the replicas' work times.
+    /// Seed of the fault schedule, the load and the replicas' response delays.
     pub seed: u64,
-    /// The number of dispatchers and replicas, and the duration.
+    /// Numbers of dispatchers and replicas, duration, and the kinds of faults.
     pub size: RunSize,
     /// Requests per second to each dispatcher.
     pub rate: f64,
-    /// The deadline in the settings; no client waits longer for its first event.
+    /// The deadline in the dispatchers' settings, which no client's deadline exceeds.
     pub max_deadline: Duration,
-    /// The dispatcher's program.
+    /// Path of the dispatcher's executable.
     pub program: PathBuf,
-    /// Where configurations and logs go.
+    /// Folder for the dispatchers' configuration and log files.
     pub folder: PathBuf,
 }
 
 /// The result of a run.
 pub struct RunResult {
-    /// Violated invariants.
+    /// All violations, in the order in which they were found.
     pub violations: Vec<Violation>,
-    /// Requests by the kind of their response.
+    /// Numbers of responses by status.
     pub counts: ResponseCounts,
-    /// Faults that were injected.
+    /// Number of scheduled faults, where a series of upgrades counts as one.
     pub faults: usize,
-    /// Upgrades among them.
+    /// Number of upgrades in all series.
     pub upgrades: u32,
-    /// The latest that an event was.
+    /// The longest delay of an event, without the delays that a pause excuses.
     pub max_event_delay: Duration,
 }
 
-/// Between two checks of the oracle's deadlines.
+/// Time between two checks for overdue responses and releases.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// After the last request, all responses have come and all reservations are released within this.
+/// Wait after the end of load and faults, in which all outstanding responses have to arrive and all KV caches to be
+/// released.
 const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
-/// Clients that keep their connection, for each process that is upgraded.
+/// Clients with a persistent connection for each process that is upgraded.
 const PERSISTENT_CLIENTS_PER_PROCESS: u64 = 2;
-/// Between two requests of such a client, in milliseconds.
+/// The longest pause between two requests on a persistent connection, in milliseconds.
 const MAX_PERSISTENT_CLIENT_PAUSE_MS: u64 = 200;
-/// Requests of these clients have numbers from a multiple of two to this power on.
+/// Request numbers of persistent client `n` start at `(n + 1) << PERSISTENT_CLIENT_NUMBER_SHIFT`, so that they differ from
+/// those of other clients of the process.
 const PERSISTENT_CLIENT_NUMBER_SHIFT: u32 = 32;
-/// The fraction of requests to upgraded processes whose streams outlast upgrades.
+/// Fraction of requests to upgraded processes that ask for a long stream, which may still be open during an upgrade.
 const LONG_STREAM_FRACTION: f64 = 0.3;
 
-/// Ports on a process's own address: where it listens, its discovery agent, and the first replica.
+/// Port on which a dispatcher listens for clients. All ports are on a loopback address of the dispatcher's own.
 const LISTEN_PORT: u16 = 7_000;
-const AGENT_PORT: u16 = 7_001; // ports above it answer operators
+/// Port of the dispatcher's discovery agent. The ports above it are management ports, one for each process of an upgraded
+/// dispatcher.
+const AGENT_PORT: u16 = 7_001;
+/// Port of replica 0. The other replicas have the ports above it.
 const FIRST_REPLICA_PORT: u16 = 7_100;
-/// Ports of one run. The following runs use others, because connections of an earlier run may still be closing.
+/// Ports of one run. The next run uses others, because connections of an earlier run may still be closing.
 const PORTS_PER_RUN: u16 = 200;
-/// Runs after which ports are used again.
+/// Number of successive seeds with ports of their own, after which the ports are reused.
 const PORT_RANGE_COUNT: u64 = 100;
-/// Cells over which replicas are spread.
+/// Number of cells over which the replicas are distributed.
 const CELL_COUNT: u32 = 3;
-/// Distance between the seeds of two runs' replicas.
+/// Multiplier of the run's seed in the seeds of its replicas. Runs of successive seeds with up to 31 replicas start from
+/// different replica seeds.
 const REPLICA_SEED_FACTOR: u64 = 31;
 
-/// A run in progress.
+/// A run in progress. Replicas and dispatchers are indexed by their numbers.
 struct SoakRun {
     plan: RunPlan,
     oracle: Arc<Oracle>,
@@ -92,18 +99,19 @@
     processes: Vec<Arc<DispatcherProcess>>,
 }
 
-/// A loopback address that belongs to one process of this bench, so that no other program takes its ports meanwhile.
+/// Returns a loopback address for one dispatcher. The host part is derived from the id of this process, so that other
+/// programs do not take the ports while a dispatcher is down.
 fn process_address(seed: u64, process: usize, port: u16) -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     let port = port + PORTS_PER_RUN * (seed % PORT_RANGE_COUNT) as u16;
     SocketAddr::from(([127, 64 | (high & 63), low, process as u8 + 1], port))
 }
 
-/// Runs one seed to its end.
+/// Plays the run of one seed to its end.
 ///
 /// # Errors
 ///
-/// Fails if the bench cannot be set up, or a dispatcher does not start at the beginning.
+/// Fails if the test bench cannot be set up, or if a dispatcher does not become ready at the beginning.
 pub async fn run(plan: RunPlan) -> Result<RunResult, SoakError> {
     let mut rng = Pcg32::seed_from_u64(plan.seed);
     let schedule = schedule::draw_schedule(&plan.size, &mut rng);
@@ -151,7 +159,8 @@
 }
 
 impl SoakRun {
-    /// Creates the replicas and the discovery agents. The replicas are served by `replica_tasks`.
+    /// Creates the replicas and the dispatchers, and starts the discovery agents. The dispatchers are not started yet.
+    /// `replica_tasks` runs the servers of the replicas.
     fn set_up(plan: RunPlan, replica_tasks: &mut JoinSet<()>) -> Result<SoakRun, SoakError> {
         let oracle = Arc::new(Oracle::new());
         let delivery_logs: Vec<Arc<DeliveryLog>> =
@@ -188,7 +197,8 @@
         })
     }
 
-    /// Sends requests at random times, each on a connection of its own.
+    /// Sends requests to a process with exponentially distributed intervals, each on a connection of its own. Returns when
+    /// all their clients have finished.
     async fn generate_load(self: Arc<Self>, process: Arc<DispatcherProcess>, seed: u64) {
         let mut rng = Pcg32::seed_from_u64(seed);
         let target = self.client_target(&process);
@@ -222,7 +232,7 @@
         })
     }
 
-    /// Sends one request after the other, on one connection for as long as that stays open.
+    /// Sends one request after the other on a persistent connection.
     async fn send_on_persistent_connection(
         self: Arc<Self>,
         process: Arc<DispatcherProcess>,
@@ -247,7 +257,7 @@
         }
     }
 
-    /// Checks deadlines until the task is aborted.
+    /// Has the oracle check for overdue responses and releases until the task is aborted.
     async fn check_deadlines(self: Arc<Self>) {
         let mut checks = interval(CHECK_INTERVAL);
         loop {
@@ -262,13 +272,15 @@
         }
     }
 
-    /// Reports the processes that do not run at the end of the run.
+    /// Reports dispatchers without a running process at the end of the run.
     fn check_processes(&self) {
         for process in &self.processes {
             let is_running = process.id().is_some_and(|id| sample(id).is_some());
             if !is_running {
-                self.oracle
-                    .on_process_failed(process.number, "not running at the end".into());
+                self.oracle.on_process_failed(
+                    process.number,
+                    "no process is running at the end of the run".into(),
+                );
             }
         }
     }
@@ -305,7 +317,7 @@
     }
 }
 
-/// Serves all replicas at addresses for one process, and returns the endpoint list that it is given.
+/// Starts a server of every replica for one dispatcher, and returns the endpoint list for the dispatcher's discovery agent.
 fn serve_replicas(
     plan: &RunPlan,
     replicas: &[Arc<Replica>],
--- a/crates/soak/src/run/process.rs
+++ b/crates/soak/src/run/process.rs
@@ -1,4 +1,5 @@
-//! One real dispatcher of a run, with its discovery agent.
+//! A dispatcher under test: its processes, which are replaced and restarted in the course of a run, and its discovery
+//! agent.
 
 use super::RunPlan;
 use crate::config;
@@ -13,23 +14,23 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, Instant};
 
-/// How long an agent's address may be in use by the one before ...
+/// How long binding a discovery agent's address is retried; the previous agent may still be using it.
 const AGENT_RESTART_TIMEOUT: Duration = Duration::from_secs(2);
-/// ... and how often it is tried.
+/// Time between two attempts to bind it.
 const AGENT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A dispatcher's process, which is restarted during the run, and its discovery agent.
+/// A dispatcher under test. It keeps its number and addresses while its process is replaced or restarted.
 pub(super) struct DispatcherProcess {
-    /// Its number in the run.
+    /// The dispatcher's number in the run.
     pub(super) number: usize,
-    /// Where its clients connect.
+    /// Host and port on which it listens for clients.
     pub(super) listen: String,
-    /// Its endpoint list.
+    /// The endpoint list that its discovery agent reports.
     pub(super) discovery: Discovery,
     agent_address: SocketAddr,
     delivery_log: Arc<DeliveryLog>,
     agent_task: Mutex<Option<AbortHandle>>,
-    /// The socket that its processes inherit; `None`: it binds its own.
+    /// The listening socket that its processes inherit; `None` where each binds its own.
     inherited_socket: Option<TcpListener>,
     dispatcher: Mutex<Option<Dispatcher>>,
     accepts_requests: AtomicBool,
@@ -42,7 +43,7 @@
 }
 
 impl DispatcherProcess {
-    /// A dispatcher that is not started yet.
+    /// Creates a dispatcher without a process or a running discovery agent.
     pub(super) fn new(
         number: usize,
         listen: SocketAddr,
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Starts the process, or the next one beside it, and waits until it is ready. Returns the one that was there before.
+    /// Starts a process and waits until it is ready, then makes it the current one. Returns the previous process, if there
+    /// is one; it is still running.
     pub(super) async fn start(&self, plan: &RunPlan) -> Result<Option<Dispatcher>, SoakError> {
         let dispatcher = self.spawn(plan)?;
         dispatcher.wait_until_ready().await?;
@@ -75,7 +77,7 @@
         Ok(previous)
     }
 
-    /// Starts a process and does not wait for it.
+    /// Starts a process without waiting until it is ready, and without making it the current one.
     pub(super) fn spawn(&self, plan: &RunPlan) -> Result<Dispatcher, SoakError> {
         let start = self.start_count.fetch_add(1, Ordering::Relaxed);
         let seed = plan.seed ^ (self.number as u64) << 32 ^ start;
@@ -102,6 +104,8 @@
         )?)
     }
 
+    /// Prepares what a process inherits: the listening socket, a folder shared with the dispatcher's other processes, and a
+    /// management address of its own. `start` counts the dispatcher's processes.
     fn create_inheritance(
         &self,
         plan: &RunPlan,
@@ -136,7 +140,7 @@
         Ok(())
     }
 
-    /// Starts the discovery agent anew. The address of one that was just stopped may be in use for a moment.
+    /// Restarts the discovery agent. Retries for a while, since the address of a stopped agent may still be in use.
     pub(super) async fn restart_agent(&self) -> Result<(), SoakError> {
         let give_up_at = Instant::now() + AGENT_RESTART_TIMEOUT;
         loop {
@@ -156,38 +160,39 @@
         }
     }
 
-    /// The system's id of the running process.
+    /// Returns the operating system's id of the current process.
     pub(super) fn id(&self) -> Option<u32> {
         let dispatcher = lock(&self.dispatcher);
         Some(dispatcher.as_ref()?.process_id)
     }
 
-    /// Whether clients may send requests to it.
+    /// Returns whether clients may send requests: a process is ready, and no fault is about to end it.
     pub(super) fn accepts_requests(&self) -> bool {
         self.accepts_requests.load(Ordering::Relaxed)
     }
 
-    /// Whether it is paused by SIGSTOP.
+    /// Returns whether a process of this dispatcher is paused by SIGSTOP.
     pub(super) fn is_paused(&self) -> bool {
         self.is_paused.load(Ordering::Relaxed)
     }
 
-    /// Marks it as paused; returns whether it was paused before.
+    /// Marks the dispatcher as paused; returns whether it already was.
     pub(super) fn mark_paused(&self) -> bool {
         self.is_paused.swap(true, Ordering::Relaxed)
     }
 
-    /// Marks it as running again.
+    /// Marks the dispatcher as no longer paused.
     pub(super) fn mark_resumed(&self) {
         self.is_paused.store(false, Ordering::Relaxed);
     }
 
-    /// Stops requests to it, so that only one fault at a time ends the process; returns whether the caller may end it.
+    /// Stops new requests from clients, and returns whether the caller may end the process. Of several concurrent callers
+    /// only one may, and none while the process is paused; requests are stopped in either case.
     pub(super) fn claim_for_exit(&self) -> bool {
         self.accepts_requests.swap(false, Ordering::Relaxed) && !self.is_paused()
     }
 
-    /// Takes the running dispatcher, which is killed when it is dropped.
+    /// Removes the current process, which is killed when the returned value is dropped.
     pub(super) fn take_dispatcher(&self) -> Option<Dispatcher> {
         lock(&self.dispatcher).take()
     }
--- a/crates/soak/src/run/upgrades.rs
+++ b/crates/soak/src/run/upgrades.rs
@@ -1,5 +1,7 @@
-//! Upgrades of one dispatcher in series: each process is told to end beside its successor, and killed at the earliest
-//! moment that the protocol allows.
+//! Faults of dispatchers that inherit their socket: series of upgrades, and floods of idle connections.
+//!
+//! In an upgrade, the successor starts on the same socket. Once it is ready, the predecessor gets SIGTERM, and SIGKILL at
+//! the earliest time that the protocol allows. Several upgrades of a series may overlap.
 
 use super::process::DispatcherProcess;
 use super::SoakRun;
@@ -13,26 +15,28 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest deadline counts as no more than this ...
-const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
-/// ... and SIGKILL comes this long after it, from SIGTERM on.
+/// Upper bound on the deadline from which the time between SIGTERM and SIGKILL is computed.
+const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
+/// Added to the deadline for the time between SIGTERM and SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The least and the greatest time between two upgrades, in seconds; the times between are drawn by their logarithm.
-const MIN_GAP_S: f64 = 0.1;
-const MAX_GAP_S: f64 = 14.0;
-/// How often a process starts beside the two of an upgrade, and is told to end when the oldest has ended.
+/// The shortest time between two upgrades, in seconds. The times are drawn from a log-uniform distribution.
+const MIN_UPGRADE_INTERVAL_S: f64 = 0.1;
+/// The longest time between two upgrades, in seconds.
+const MAX_UPGRADE_INTERVAL_S: f64 = 14.0;
+/// Fraction of upgrades in which an extra process starts beside the two; it is shut down after the predecessor.
 const EXTRA_PROCESS_FRACTION: f64 = 0.2;
-/// How often the successor is killed at its start, and another one takes its place.
+/// Fraction of upgrades in which a first successor is killed right after its start and replaced by another.
 const FAILED_START_FRACTION: f64 = 0.15;
-/// How often SIGTERM and SIGHUP come again.
+/// Fraction of upgrades in which the predecessor gets SIGHUP and a second SIGTERM after the first.
 const REPEATED_SIGNAL_FRACTION: f64 = 0.3;
-/// Idle clients of a crowd: more than a process may have.
+/// Idle connections of a flood; more than a process accepts from clients with
+/// [`MAX_DESCRIPTORS`](crate::config::MAX_DESCRIPTORS).
 const FLOOD_CONNECTIONS: usize = 340;
-/// Between two looks at a crowd's connections.
+/// Time between two checks of a flood, which replace closed connections.
 const FLOOD_REFILL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl SoakRun {
-    /// Replaces a process by successors, one after the other. Returns when all but the last have ended.
+    /// Replaces a process by a series of successors. Returns when all processes but the last have exited.
     pub(super) async fn upgrade_in_series(
         self: &Arc<Self>,
         process: &Arc<DispatcherProcess>,
@@ -44,11 +48,12 @@
         for number in 0..upgrades {
             if number > 0 {
                 let exponent = rng.gen_range(0.0..1.0);
-                let gap_s = MIN_GAP_S * (MAX_GAP_S / MIN_GAP_S).powf(exponent);
-                sleep(Duration::from_secs_f64(gap_s)).await;
+                let interval_s = MIN_UPGRADE_INTERVAL_S
+                    * (MAX_UPGRADE_INTERVAL_S / MIN_UPGRADE_INTERVAL_S).powf(exponent);
+                sleep(Duration::from_secs_f64(interval_s)).await;
             }
             if rng.gen_bool(FAILED_START_FRACTION) {
-                drop(process.spawn(&self.plan)); // killed at its start
+                drop(process.spawn(&self.plan)); // dropping it kills the process
             }
             match process.start(&self.plan).await {
                 Ok(Some(predecessor)) => {
@@ -77,7 +82,7 @@
         while shutdowns.join_next().await.is_some() {}
     }
 
-    /// Ends a process whose successor is ready: SIGTERM, then SIGKILL at the earliest.
+    /// Shuts down a process whose successor is ready: SIGTERM, then SIGKILL at the earliest time that the protocol allows.
     async fn shut_down(
         &self,
         process: &DispatcherProcess,
@@ -90,8 +95,8 @@
             let _ = dispatcher.signal("HUP").await;
             let _ = dispatcher.signal("TERM").await;
         }
-        let kill_after = self.plan.max_deadline.min(MAX_DEADLINE_BEFORE_KILL) + KILL_MARGIN;
-        // Dropped by the time-out, it is killed.
+        let kill_after = self.plan.max_deadline.min(MAX_KILL_DEADLINE) + KILL_MARGIN;
+        // On a timeout the future is dropped with the dispatcher in it, which kills the process.
         match timeout(kill_after, dispatcher.wait_for_exit()).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => {
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Keeps as many idle connections open as the process takes.
+    /// Keeps up to [`FLOOD_CONNECTIONS`] idle connections to a process open.
     pub(super) async fn flood_connections(&self, process: &DispatcherProcess, duration: Duration) {
         self.oracle.on_connection_flood(process.number, true);
         let end = Instant::now() + duration;
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle by itself, and the repeatability of the fault schedule.
+//! Tests of the oracle's invariants without dispatchers, and of the fault schedule's repeatability.
 
 use quartzhall::routing::api::Role;
 use quartzhall_soak::oracle::{AttemptArrival, AttemptOutcome, Invariant, Oracle};
@@ -27,7 +27,8 @@
     }
 }
 
-/// A non-idempotent request whose decode attempt has ended; `is_proven`: the replica reported that it never ran.
+/// Returns an oracle with a non-idempotent request whose decode attempt has ended. `is_proven` states that the replica
+/// rejected the attempt as never run.
 fn oracle_after_decode(is_proven: bool) -> Oracle {
     let oracle = Oracle::new();
     oracle.on_request_sent("a", 0, true, DEADLINE);
@@ -74,7 +75,7 @@
     assert_eq!(
         violated_invariants(&oracle),
         [],
-        "all of it within the slack"
+        "drain notice and announced time are within the slack"
     );
     let after_drain = AttemptArrival {
         time_since_drain_notice: Some(Duration::from_millis(900)),
@@ -97,7 +98,7 @@
         violated_invariants(&oracle).last(),
         Some(&Invariant::AbortedStreamIncomplete)
     );
-    // The dispatcher is not blamed for a delay of the bench.
+    // An attempt that the test bench has delayed violates no time limit.
     let oracle = Oracle::new();
     oracle.on_request_sent("a", 0, false, DEADLINE);
     let delayed = AttemptArrival {
