--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Handles the messages on a connection one after the other. A message that is read during a stall arrives when it
-    /// ends.
+    /// Handles the messages on a connection one after the other. A message that is read during a stall counts as arrived
+    /// when the stall ends.
     async fn serve_connection(self: Arc<Self>, mut connection: Connection) {
         let _ = connection.stream.set_nodelay(true);
         loop {
@@ -285,8 +285,8 @@
         result
     }
 
-    /// Executes an attempt under the active faults. A decode attempt without a reserved KV cache is rejected with status
-    /// 410.
+    /// Executes an attempt under the active faults. A decode attempt without a reserved KV cache is rejected with
+    /// status 410.
     async fn execute_attempt(
         &self,
         connection: &mut Connection,
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -16,7 +16,7 @@
 
 /// How long clients still open connections after SIGTERM, before requests to the process stop.
 const ACCEPT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
-/// Time that a process has to exit, after which it is killed: the longest deadline and a margin.
+/// Time that a terminated process has to exit before it is killed: the longest deadline and a margin.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(MAX_DEADLINE.as_millis() as u64 + 1_500);
 
 /// Sends a signal to a process. Errors are ignored: a process that exited by itself is reported at the end of the run.
@@ -151,6 +151,7 @@
         self.oracle.on_process_killed(process.number);
         drop(process.take_dispatcher());
         sleep(duration).await;
+        // Excuses the requests that were sent after the kill.
         self.oracle.on_process_killed(process.number);
         self.restart(process).await;
     }
@@ -166,6 +167,7 @@
             return;
         }
         if let Some(dispatcher) = process.take_dispatcher() {
+            // Sends SIGTERM a second time. On a timeout the future is dropped, which kills the process.
             match timeout(KILL_AFTER_TERM, dispatcher.terminate()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => self
--- a/crates/soak/src/run/upgrades.rs
+++ b/crates/soak/src/run/upgrades.rs
@@ -32,7 +32,7 @@
 /// Idle connections of a flood; more than a process accepts from clients with
 /// [`MAX_DESCRIPTORS`](crate::config::MAX_DESCRIPTORS).
 const FLOOD_CONNECTIONS: usize = 340;
-/// Time between two checks of a flood, which replace closed connections.
+/// Time between two checks of a flood. Each check replaces the connections that were closed.
 const FLOOD_REFILL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl SoakRun {
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -16,13 +16,13 @@
     StallReplica(usize),
     /// A replica crashes: its connections are reset, and new ones are refused until it restarts.
     KillReplica(usize),
-    /// A prefill replica executes attempts, but resets the connection instead of responding.
+    /// A prefill replica executes attempts, but resets the connection instead of responding. No effect on a decode replica.
     LoseResponses(usize),
     /// A replica responds with status 500.
     ReturnErrors(usize),
     /// A replica rejects attempts with status 503 before it executes them.
     RejectOverloaded(usize),
-    /// A decode replica resets its connections in the middle of a stream.
+    /// A decode replica resets its connections in the middle of a stream. No effect on a prefill replica.
     AbortStreams(usize),
     /// Discovery reports a replica as draining, and as ready again when the fault ends.
     DrainReplica(usize),
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,7 +1,7 @@
 //! Minimal HTTP/1.1 on raw sockets, for clients and replicas that deliberately violate the protocol or fail.
 //!
-//! Only messages with a `Content-Length` are read here. The functions keep no state between calls; bytes that are not yet
-//! parsed stay in the caller's buffer.
+//! Bodies are read by their `Content-Length`; chunked bodies are not parsed. The functions keep no state between calls:
+//! bytes that are not yet parsed stay in the caller's buffer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
