--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -94,7 +94,7 @@
     oracle: Arc<Oracle>,
     time_since_drain_notice: TimeSinceDrainNotice,
     /// The faults that are active at the moment.
-    pub active_faults: ActiveFaults,
+    pub faults: ActiveFaults,
     connections: Mutex<Vec<TrackedConnection>>,
     next_attempt_seed: AtomicU64,
 }
@@ -125,7 +125,7 @@
             role,
             oracle,
             time_since_drain_notice,
-            active_faults: ActiveFaults::default(),
+            faults: ActiveFaults::default(),
             connections: Mutex::default(),
             next_attempt_seed: AtomicU64::new(seed),
         })
@@ -179,7 +179,7 @@
     ) {
         let mut listener = Some(first_listener);
         loop {
-            if is_set(&self.active_faults.is_killed) {
+            if is_set(&self.faults.is_killed) {
                 listener = None;
                 sleep(FAULT_POLL_INTERVAL).await;
                 continue;
@@ -189,7 +189,7 @@
                 continue;
             };
             let killed = async {
-                while !is_set(&self.active_faults.is_killed) {
+                while !is_set(&self.faults.is_killed) {
                     sleep(FAULT_POLL_INTERVAL).await;
                 }
             };
@@ -207,9 +207,9 @@
     }
 
     /// Waits while the replica is stalled or the connection is silenced; returns whether it had to wait.
-    async fn wait_while_stalled(&self, faults: &ConnectionFaults) -> bool {
+    async fn wait_while_stalled(&self, connection_faults: &ConnectionFaults) -> bool {
         let mut was_stalled = false;
-        while is_set(&self.active_faults.is_stalled) || is_set(&faults.is_silent) {
+        while is_set(&self.faults.is_stalled) || is_set(&connection_faults.is_silent) {
             was_stalled = true;
             sleep(FAULT_POLL_INTERVAL).await;
         }
@@ -217,8 +217,8 @@
     }
 
     /// Waits until a fault requires the connection to be reset.
-    async fn wait_until_reset(&self, faults: &ConnectionFaults) {
-        while !is_set(&self.active_faults.is_killed) && !is_set(&faults.is_reset) {
+    async fn wait_until_reset(&self, connection_faults: &ConnectionFaults) {
+        while !is_set(&self.faults.is_killed) && !is_set(&connection_faults.is_reset) {
             sleep(FAULT_POLL_INTERVAL).await;
         }
     }
@@ -293,7 +293,7 @@
         id: &str,
         plan: StreamPlan,
     ) -> AttemptEnd {
-        if is_set(&self.active_faults.is_overloaded) {
+        if is_set(&self.faults.is_overloaded) {
             return self
                 .reject_attempt(connection, id, "503 Service Unavailable")
                 .await;
@@ -301,7 +301,7 @@
         if self.role == Role::Decode && !self.oracle.is_kv_reserved(id) {
             return self.reject_attempt(connection, id, "410 Gone").await;
         }
-        if is_set(&self.active_faults.returns_errors) {
+        if is_set(&self.faults.returns_errors) {
             let response = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
             let result = self.send_after_stall(connection, response).await;
             return (AttemptOutcome::Other, result);
@@ -351,7 +351,7 @@
     /// Reserves the KV cache of a prompt and responds.
     async fn finish_prefill(&self, connection: &mut Connection, id: &str) -> AttemptEnd {
         self.oracle.on_kv_reserved(id, self.number);
-        if is_set(&self.active_faults.loses_responses) {
+        if is_set(&self.faults.loses_responses) {
             // The KV cache stays reserved, although the dispatcher does not learn that prefill succeeded.
             return (AttemptOutcome::Prefilled, Err(ConnectionEnd::Reset));
         }
@@ -392,17 +392,17 @@
             let event = stream_plan::format_event(id, number, plan.event_bytes);
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             self.write_now(connection, &chunk).await?;
-            let faults = connection.faults.clone();
+            let connection_faults = connection.faults.clone();
             let wait_for_next_event = async {
                 sleep(plan.delay_after(number)).await;
                 let is_stalled =
-                    is_set(&self.active_faults.is_stalled) || is_set(&faults.is_silent);
+                    is_set(&self.faults.is_stalled) || is_set(&connection_faults.is_silent);
                 self.oracle.on_stream_stalled(id, is_stalled);
             };
             self.run_until_connection_ends(connection, wait_for_next_event)
                 .await?;
             self.oracle.on_stream_stalled(id, false);
-            if is_set(&self.active_faults.aborts_streams) {
+            if is_set(&self.faults.aborts_streams) {
                 return Err(ConnectionEnd::Reset);
             }
         }
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -39,39 +39,23 @@
         let duration = scheduled.duration;
         match scheduled.fault {
             Fault::StallReplica(replica) => {
-                set_fault_for(&self.replicas[replica].active_faults.is_stalled, duration).await;
+                set_fault_for(&self.replicas[replica].faults.is_stalled, duration).await;
             }
             Fault::LoseResponses(replica) => {
-                set_fault_for(
-                    &self.replicas[replica].active_faults.loses_responses,
-                    duration,
-                )
-                .await;
+                set_fault_for(&self.replicas[replica].faults.loses_responses, duration).await;
             }
             Fault::ReturnErrors(replica) => {
-                set_fault_for(
-                    &self.replicas[replica].active_faults.returns_errors,
-                    duration,
-                )
-                .await;
+                set_fault_for(&self.replicas[replica].faults.returns_errors, duration).await;
             }
             Fault::RejectOverloaded(replica) => {
-                set_fault_for(
-                    &self.replicas[replica].active_faults.is_overloaded,
-                    duration,
-                )
-                .await;
+                set_fault_for(&self.replicas[replica].faults.is_overloaded, duration).await;
             }
             Fault::AbortStreams(replica) => {
-                set_fault_for(
-                    &self.replicas[replica].active_faults.aborts_streams,
-                    duration,
-                )
-                .await;
+                set_fault_for(&self.replicas[replica].faults.aborts_streams, duration).await;
             }
             Fault::KillReplica(replica) => {
                 self.oracle.on_replica_killed(replica);
-                set_fault_for(&self.replicas[replica].active_faults.is_killed, duration).await;
+                set_fault_for(&self.replicas[replica].faults.is_killed, duration).await;
             }
             Fault::DrainReplica(replica) => {
                 self.publish_status(replica, EndpointStatus::Draining);
@@ -98,10 +82,7 @@
                 let process = self.processes[process].clone();
                 self.upgrade_in_series(&process, upgrades, seed).await;
             }
-            Fault::FloodConnections(process) => {
-                self.flood_connections(&self.processes[process], duration)
-                    .await
-            }
+            Fault::ConnectionFlood(process) => self.flood(&self.processes[process], duration).await,
             Fault::StopDiscovery(process) => {
                 let process = &self.processes[process];
                 process.stop_agent();
--- a/crates/soak/src/run/upgrades.rs
+++ b/crates/soak/src/run/upgrades.rs
@@ -114,7 +114,7 @@
     }
 
     /// Keeps up to [`FLOOD_CONNECTIONS`] idle connections to a process open.
-    pub(super) async fn flood_connections(&self, process: &DispatcherProcess, duration: Duration) {
+    pub(super) async fn flood(&self, process: &DispatcherProcess, duration: Duration) {
         self.oracle.on_connection_flood(process.number, true);
         let end = Instant::now() + duration;
         let mut clients: Vec<TcpStream> = Vec::new();
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -58,7 +58,7 @@
         seed: u64,
     },
     /// Idle connections use up the descriptors of a process.
-    FloodConnections(usize),
+    ConnectionFlood(usize),
     /// The discovery agent of a process is down.
     StopDiscovery(usize),
 }
@@ -173,7 +173,7 @@
             upgrades.push(ScheduledFault {
                 starts_after,
                 duration: draw_duration(rng, 2_000, 6_000),
-                fault: Fault::FloodConnections(process),
+                fault: Fault::ConnectionFlood(process),
             });
         }
     }
