--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 /// How long clients still open connections after SIGTERM, before requests to the process stop.
-const ACCEPT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
+const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
 /// Time that a terminated process has to exit before it is killed: the longest deadline and a margin.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(MAX_DEADLINE.as_millis() as u64 + 1_500);
 
@@ -143,7 +143,7 @@
             return;
         }
         signal(process.id(), Signal::TERM);
-        sleep(ACCEPT_TIME_AFTER_TERM).await;
+        sleep(CONNECT_TIME_AFTER_TERM).await;
         if !process.claim_for_exit() {
             return;
         }
