--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,11 +1,11 @@
-//! Load generation: most clients send one request on a connection of their own, some keep their connection, some disconnect
-//! early, some read slowly.
+//! Clients of the dispatchers: they send randomly drawn requests and record what they observe in the [`Oracle`].
 //!
-//! What a client observes is recorded in the [`Oracle`].
+//! Most clients send one request on a connection of its own; some reuse a persistent connection. Some disconnect before
+//! their response arrives, and some read their stream late or slowly.
 
 use crate::config::{IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS};
 use crate::oracle::Oracle;
-use crate::stream_plan::{written_at, StreamPlan};
+use crate::stream_plan::{parse_written_at, StreamPlan};
 use crate::wire::split_head;
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -15,37 +15,38 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Fraction of the requests that must not run twice.
+/// Fraction of requests that must be executed at most once.
 const NON_IDEMPOTENT_FRACTION: f64 = 0.3;
-/// Fraction of the clients that disconnect before their response.
+/// Fraction of requests whose client disconnects if no response has arrived after a drawn time.
 const EARLY_DISCONNECT_FRACTION: f64 = 0.1;
-/// The shortest deadline of a client, unless the settings have a shorter one.
+/// The shortest deadline that is drawn; with short deadlines in the settings, four fifths of the longest.
 const MIN_DEADLINE_MS: u64 = 900;
-/// How a stream ends that is whole.
+/// The chunk at the end of a complete stream.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// A client that gets nothing of its stream for so long leaves.
-const MAX_SILENCE: Duration = Duration::from_secs(8);
-/// Bytes that are read at once.
-const READ_BYTES: usize = 64 * 1024;
-/// Bytes that a slow client reads at once, and how often.
-const SLOW_READ_BYTES: usize = 16 * 1024;
+/// A client stops reading a stream on which it has received nothing for this long.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Buffer size of one read of a stream.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
+/// Buffer size of one read by a slow client.
+const SLOW_READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Time between two reads of a slow client.
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(60);
-/// How long a client waits beyond its deadline; the oracle has judged by then.
-const MAX_OVERTIME: Duration = Duration::from_secs(4);
+/// How long a client waits for its response beyond its deadline; long enough for the oracle to report it as overdue.
+const MAX_WAIT_AFTER_DEADLINE: Duration = Duration::from_secs(4);
 
-/// A dispatcher, as its clients see it.
+/// A dispatcher under test, from its clients' point of view.
 pub struct Target {
     /// The dispatcher's number.
     pub process: usize,
-    /// Where it listens.
+    /// The host and port on which it listens for clients.
     pub address: String,
     /// Records what clients observe.
     pub oracle: Arc<Oracle>,
-    /// The faults include a kill of this dispatcher.
+    /// Whether the schedule's faults may kill this dispatcher, which excuses a connection that closes without response.
     pub may_be_killed: bool,
 }
 
-/// One randomly drawn request.
+/// A randomly drawn request, and how its client behaves.
 pub struct ClientRequest {
     id: String,
     is_non_idempotent: bool,
@@ -53,22 +54,22 @@
     disconnect_after: Option<Duration>,
     head: String,
     body: String,
-    reading: Reading,
+    read_behavior: ReadBehavior,
 }
 
-/// How a client reads its stream.
+/// How a client reads its response stream.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reading {
-    /// As it comes.
+enum ReadBehavior {
+    /// Reads data as it arrives; only these clients measure event delays.
     AtOnce,
-    /// Nothing for this long, then all.
+    /// Reads nothing for this long, then as data arrives.
     After(Duration),
-    /// Some bytes at a time.
+    /// Reads a limited number of bytes at intervals.
     Slowly,
 }
 
 impl ClientRequest {
-    /// Draws request `number` to dispatcher `process`.
+    /// Draws request `number` to dispatcher `process`; both together make up its id.
     pub fn draw(
         process: usize,
         number: u64,
@@ -104,18 +105,19 @@
             disconnect_after,
             head,
             body,
-            reading: Reading::AtOnce,
+            read_behavior: ReadBehavior::AtOnce,
         }
     }
 
-    /// The same request, whose stream outlasts upgrades; its client may read slowly.
+    /// Asks for a drawn stream, which may still be open while its dispatcher is upgraded, and draws how the client reads
+    /// it.
     pub fn with_long_stream(mut self, rng: &mut Pcg32) -> ClientRequest {
         let plan = StreamPlan::draw(rng);
         self.body = plan.request_body();
-        self.reading = match rng.gen_range(0..10) {
-            0 => Reading::After(Duration::from_millis(rng.gen_range(500..5_000))),
-            1 => Reading::Slowly,
-            _ => Reading::AtOnce,
+        self.read_behavior = match rng.gen_range(0..10) {
+            0 => ReadBehavior::After(Duration::from_millis(rng.gen_range(500..5_000))),
+            1 => ReadBehavior::Slowly,
+            _ => ReadBehavior::AtOnce,
         };
         self
     }
@@ -126,7 +128,7 @@
     }
 }
 
-/// Sends a request on a connection of its own and records the response in the oracle.
+/// Sends a request on a new connection and records the response in the oracle. Does nothing if the connection fails.
 pub async fn send_request(target: Arc<Target>, request: ClientRequest) {
     let Ok(mut stream) = TcpStream::connect(&target.address).await else {
         return;
@@ -135,59 +137,64 @@
     let _ = exchange(&target, &request, &mut stream).await;
 }
 
-/// A client that sends its requests on one connection, for as long as that stays open.
-pub struct KeptConnection {
+/// A client that sends its requests one after the other on the same connection, and reconnects where it was closed.
+pub struct PersistentConnection {
     target: Arc<Target>,
     stream: Option<TcpStream>,
 }
 
-impl KeptConnection {
-    /// A client that has not connected yet.
-    pub fn new(target: Arc<Target>) -> KeptConnection {
-        KeptConnection {
+impl PersistentConnection {
+    /// Creates a client that connects with its first request.
+    pub fn new(target: Arc<Target>) -> PersistentConnection {
+        PersistentConnection {
             target,
             stream: None,
         }
     }
 
-    /// Sends a request and records the response in the oracle. Where the connection's close crosses the request, it is sent
-    /// once more on a new one.
+    /// Sends a request and records the response in the oracle. If the dispatcher has closed the idle connection before the
+    /// request is written, sends it on a new connection.
     pub async fn send(&mut self, request: ClientRequest) {
         if let Some(mut stream) = self.stream.take() {
             match exchange(&self.target, &request, &mut stream).await {
-                Exchange::Kept => {
+                ConnectionState::Reusable => {
                     self.stream = Some(stream);
                     return;
                 }
-                Exchange::Ended => return,
-                Exchange::Crossed => {}
+                ConnectionState::Unusable => return,
+                ConnectionState::ClosedBeforeRequest => {}
             }
         }
         let Ok(mut stream) = TcpStream::connect(&self.target.address).await else {
             return;
         };
         let _ = stream.set_nodelay(true);
-        if let Exchange::Kept = exchange(&self.target, &request, &mut stream).await {
+        if let ConnectionState::Reusable = exchange(&self.target, &request, &mut stream).await {
             self.stream = Some(stream);
         }
     }
 }
 
-/// How a request and its response have left the connection.
-enum Exchange {
-    /// It can be used again.
-    Kept,
-    /// It has ended, or has to.
-    Ended,
-    /// It had ended when the request came.
-    Crossed,
+/// Whether a connection can be used for another request.
+enum ConnectionState {
+    /// The response was complete, and the dispatcher keeps the connection open.
+    Reusable,
+    /// The connection is closed or must not be used again.
+    Unusable,
+    /// The connection was closed before the request was written. The request is not recorded in the oracle.
+    ClosedBeforeRequest,
 }
 
-async fn exchange(target: &Target, request: &ClientRequest, stream: &mut TcpStream) -> Exchange {
+/// Sends a request on an open connection and records all that its client observes until the end of the response.
+async fn exchange(
+    target: &Target,
+    request: &ClientRequest,
+    stream: &mut TcpStream,
+) -> ConnectionState {
     let started = Instant::now();
-    let is_closed = crate::wire::is_closed(stream);
+    let is_closed = crate::wire::is_closed_by_peer(stream);
     if is_closed || stream.write_all(request.text().as_bytes()).await.is_err() {
-        return Exchange::Crossed;
+        return ConnectionState::ClosedBeforeRequest;
     }
     let oracle = &target.oracle;
     oracle.on_request_sent(
@@ -196,64 +203,64 @@
         request.is_non_idempotent,
         request.deadline,
     );
-    let max_wait = request
+    let response_timeout = request
         .disconnect_after
-        .unwrap_or(request.deadline + MAX_OVERTIME);
-    let Ok(response) = timeout(max_wait, read_response_head(stream)).await else {
+        .unwrap_or(request.deadline + MAX_WAIT_AFTER_DEADLINE);
+    let Ok(response) = timeout(response_timeout, read_response_head(stream)).await else {
         if request.disconnect_after.is_some() {
             let _ = stream.shutdown().await;
             oracle.on_client_disconnected(&request.id);
         }
-        return Exchange::Ended;
+        return ConnectionState::Unusable;
     };
     let Some(head) = response else {
         let is_excused = target.may_be_killed && oracle.was_killed_since(target.process, started);
         oracle.on_closed_without_response(&request.id, is_excused);
-        return Exchange::Ended;
+        return ConnectionState::Unusable;
     };
     oracle.on_response(&request.id, head.status);
     let keeps_connection = head.keeps_connection;
     if head.status != 200 {
-        return Exchange::Ended;
+        return ConnectionState::Unusable;
     }
     let is_complete = read_stream(target, request, stream, head.body).await;
     if is_complete && keeps_connection {
-        Exchange::Kept
+        ConnectionState::Reusable
     } else {
-        Exchange::Ended
+        ConnectionState::Unusable
     }
 }
 
-/// Reads a stream to its end; returns whether that was its last chunk.
+/// Reads a stream until it ends; returns whether its last chunk arrived.
 async fn read_stream(
     target: &Target,
     request: &ClientRequest,
     stream: &mut TcpStream,
     mut body: Vec<u8>,
 ) -> bool {
-    if let Reading::After(pause) = request.reading {
+    if let ReadBehavior::After(pause) = request.read_behavior {
         sleep(pause).await;
     }
-    let chunk_bytes = match request.reading {
-        Reading::Slowly => SLOW_READ_BYTES,
-        _ => READ_BYTES,
+    let chunk_bytes = match request.read_behavior {
+        ReadBehavior::Slowly => SLOW_READ_CHUNK_BYTES,
+        _ => READ_CHUNK_BYTES,
     };
     let mut chunk = vec![0; chunk_bytes];
-    let mut checked = 0;
-    if request.reading == Reading::AtOnce {
-        checked = check_events(target, request, &body);
+    let mut recorded_bytes = 0;
+    if request.read_behavior == ReadBehavior::AtOnce {
+        recorded_bytes = record_event_delays(target, request, &body);
     }
     while !body.ends_with(LAST_CHUNK) {
-        match timeout(MAX_SILENCE, stream.read(&mut chunk)).await {
+        match timeout(STREAM_IDLE_TIMEOUT, stream.read(&mut chunk)).await {
             Ok(Ok(count @ 1..)) => body.extend_from_slice(&chunk[..count]),
             _ => break,
         }
-        match request.reading {
-            Reading::AtOnce => {
-                checked += check_events(target, request, &body[checked..]);
+        match request.read_behavior {
+            ReadBehavior::AtOnce => {
+                recorded_bytes += record_event_delays(target, request, &body[recorded_bytes..]);
             }
-            Reading::Slowly => sleep(SLOW_READ_INTERVAL).await,
-            Reading::After(_) => {}
+            ReadBehavior::Slowly => sleep(SLOW_READ_INTERVAL).await,
+            ReadBehavior::After(_) => {}
         }
     }
     let is_complete = body.ends_with(LAST_CHUNK);
@@ -261,29 +268,30 @@
     is_complete
 }
 
-/// Reports how late the whole events in these bytes are, and returns how many bytes they have.
-fn check_events(target: &Target, request: &ClientRequest, bytes: &[u8]) -> usize {
+/// Records the delay of each complete event in `bytes`. Returns the number of bytes that were examined; an event that is
+/// still incomplete begins behind them.
+fn record_event_delays(target: &Target, request: &ClientRequest, bytes: &[u8]) -> usize {
     let Some(end) = bytes.windows(2).rposition(|window| window == b"\n\n") else {
         return 0;
     };
     let text = String::from_utf8_lossy(&bytes[..end]);
     for line in text.lines() {
-        if let Some(written_at) = written_at(line) {
+        if let Some(written_at) = parse_written_at(line) {
             target.oracle.on_event(&request.id, written_at);
         }
     }
     end
 }
 
-/// The head of a response.
+/// The parsed head of a response.
 struct ResponseHead {
     status: u16,
     keeps_connection: bool,
-    /// The bytes that followed it.
+    /// Bytes of the body that arrived with the head.
     body: Vec<u8>,
 }
 
-/// Reads a response's head; `None` if the connection ends before.
+/// Reads the head of a response; `None` if the connection ends first or the status line is invalid.
 async fn read_response_head(stream: &mut TcpStream) -> Option<ResponseHead> {
     let mut received = Vec::new();
     let mut chunk = [0; 4096];
