--- a/src/process/core_startup.rs
+++ b/src/process/core_startup.rs
@@ -1,4 +1,7 @@
-//! The creation of the core, with all that is settled before it runs: the recording, bans and the configured endpoints.
+//! Creates the core and prepares it before its task starts.
+//!
+//! Starts the trace recording, applies the bans that other processes of the dispatcher have recorded, and applies the
+//! configured endpoint list. In a successor the configured list stays pending: discovery's list is waited for first.
 
 use super::{trace_recording, ServeError, Startup};
 use crate::config::{Config, Deployment};
@@ -8,27 +11,29 @@
 use quartzhall_recording::Recorder;
 use slog::{info, Logger};
 
-/// The core before it runs, and the ends of its channels.
+/// The core, whose task has not started yet, and the ends of its channels.
 pub(super) struct CoreStartup {
     pub core: Core,
     pub dispatcher: DispatcherHandle,
     pub events: EventReceiver,
-    /// Where the core's records are written, if they are.
+    /// Writes the core's trace records to a file; `None` if nothing is recorded.
     pub recorder: Option<Recorder>,
     pub endpoints: ConfiguredEndpoints,
 }
 
-/// What the configuration's `known` list has become.
+/// The endpoint list of the configuration (`known`), as the core and the discovery client use it.
 pub(super) struct ConfiguredEndpoints {
-    /// The deployment with the ids of the list's zones, for the discovery client.
+    /// The deployment with the zone ids that were assigned while the list was read, for the discovery client.
     pub deployment: Deployment,
-    /// The revision from which discovery is watched; `None`: from a full list.
+    /// The revision from which discovery is watched for changes; `None` if discovery has to send a full list first.
     pub revision: Option<u64>,
-    /// The list, where the core has not received it yet.
+    /// The list, if one is configured and the core has not received it yet.
     pub pending: Option<Event>,
 }
 
 impl CoreStartup {
+    /// Creates the core of this process. Takes the shared ban records from the coordinator in `startup`, if there is
+    /// one.
     pub(super) fn create(startup: &mut Startup) -> Result<CoreStartup, ServeError> {
         let deployment = startup.deployment.clone();
         let log = startup.log.clone();
@@ -55,7 +60,7 @@
             core.handle_event(startup.clock.now(), Event::BanRecordsReceived(bans));
         }
         let mut endpoints = ConfiguredEndpoints::read(&startup.config, &log)?;
-        // A successor waits for discovery first: the configured list may be as old as its predecessor.
+        // A successor waits for discovery's list first: the configured one may be as old as the predecessor process.
         if !startup.peers.predecessor {
             if let Some(list) = endpoints.pending.take() {
                 core.handle_event(startup.clock.now(), list);
@@ -77,6 +82,7 @@
 }
 
 impl ConfiguredEndpoints {
+    /// Converts the configured list, and leaves it pending.
     fn read(config: &Config, log: &Logger) -> Result<ConfiguredEndpoints, ServeError> {
         let mut deployment = Deployment::new(&config.settings)?;
         let mut pending = None;
@@ -91,6 +97,7 @@
     }
 }
 
+/// Returns the revision of the configured list if that list is complete.
 fn full_list_revision(config: &Config) -> Option<u64> {
     let list = config.known.as_ref()?;
     if list.complete {
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why a dispatcher process can't start, or has ended early. `main` prints the text, which is one line.
+//! The errors with which a dispatcher process fails to start or ends early. `main` prints the text, which is one line.
 
 use crate::config::ConfigError;
 use std::io;
@@ -6,52 +6,52 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// A process that can't start, or that had to end.
+/// Why a process can't start, or had to end.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The asynchronous runtime can't start.
+    /// The asynchronous runtime could not be started.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// A signal handler can't be installed.
+    /// A signal handler could not be installed.
     #[error("{0}")]
     Signal(#[source] io::Error),
-    /// The inherited descriptor is no listening socket.
+    /// The inherited descriptor is not a listening socket.
     #[error("{0}")]
     InheritedSocket(String),
-    /// The inherited socket can't be used by the runtime.
+    /// The inherited socket could not be registered with the runtime.
     #[error("{0}")]
     InheritedListener(#[source] io::Error),
-    /// An address can't be bound.
+    /// A listener could not be bound to its address.
     #[error("{address}: {source}")]
     Bind {
-        /// The address.
+        /// The address, as configured.
         address: String,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// The configuration's `seed` isn't hexadecimal.
+    /// The configuration's `seed` is not a hexadecimal number of 64 bits.
     #[error("the seed is not hexadecimal")]
     InvalidSeed(#[source] std::num::ParseIntError),
-    /// The recording's file can't be created or written.
+    /// The recording's file could not be created or written.
     #[error("the recording {}: {source}", path.display())]
     Recording {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// There is no key for the names in the recording.
+    /// No key could be generated for the names in the recording.
     #[error("the recording {}: {error}", path.display())]
     RecordingKey {
         /// The file.
         path: PathBuf,
-        /// Why the system gives no random bytes.
+        /// Why the system returned no random bytes.
         error: getrandom::Error,
     },
-    /// A task without which the dispatcher can't answer requests has ended.
+    /// A task has ended without which the dispatcher can't answer requests.
     #[error("a task that must not end has ended: {0:?}")]
     TaskEnded(Result<(), JoinError>),
 }
--- a/src/process/frontends.rs
+++ b/src/process/frontends.rs
@@ -1,4 +1,7 @@
 //! The tasks that serve clients and load balancers, each on a listener of its own.
+//!
+//! All of them start together with the process. HTTP clients are accepted only after [`Frontends::accept_clients`];
+//! migrated streams of other processes are received from the start.
 
 use super::limits::SharedLimits;
 use super::listeners::DeferredListener;
@@ -14,7 +17,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// What the frontends share.
+/// What the frontends need from the rest of the process.
 pub(super) struct FrontendInputs {
     pub dispatcher: DispatcherHandle,
     pub limits: SharedLimits,
@@ -24,8 +27,7 @@
     pub log: Logger,
 }
 
-/// The frontends, all from the start. The clients' one takes the streams of other processes at once, and accepts new
-/// connections once the process is to.
+/// The running frontends: HTTP, and sessions and agent checks where they are enabled.
 pub(super) struct Frontends {
     tasks: JoinSet<()>,
     accepts_clients: watch::Sender<bool>,
@@ -34,7 +36,8 @@
 }
 
 impl StreamChannels {
-    fn for_listener(
+    /// Converts the channels to what the HTTP listener uses; `accepts` tells it when to accept new connections.
+    fn into_peer_streams(
         self,
         dispatcher: DispatcherHandle,
         accepts: watch::Receiver<bool>,
@@ -53,7 +56,7 @@
 }
 
 impl Frontends {
-    /// Starts the clients' frontend, and those for sessions and agent checks where they are on.
+    /// Starts the HTTP frontend, and those for sessions and agent checks where they have a listener.
     pub(super) fn start(
         inputs: FrontendInputs,
         client_listener: TcpListener,
@@ -72,7 +75,7 @@
         let (accepts_clients, accepts) = watch::channel(false);
         let mut tasks = JoinSet::new();
         let routes = http::routes(dispatcher.clone(), limits.body_memory.clone(), log.clone());
-        let streams = streams.for_listener(dispatcher.clone(), accepts);
+        let streams = streams.into_peer_streams(dispatcher.clone(), accepts);
         tasks.spawn(listener::serve_beside_peers(
             client_listener,
             routes,
@@ -115,13 +118,14 @@
         }
     }
 
-    /// Starts to accept clients.
+    /// Lets the HTTP frontend accept new connections.
     pub(super) fn accept_clients(&self) {
         self.accepts_clients.send_replace(true);
     }
 
+    /// Tells all frontends the phase of the shutdown.
     pub(super) fn set_shutdown_phase(&self, phase: ShutdownPhase) {
-        // Without any frontend running nobody needs to know.
+        // Fails only if no frontend is running any more; then none needs the phase.
         let _ = self.shutdown_phase.send(phase);
     }
 
--- a/src/process/limits.rs
+++ b/src/process/limits.rs
@@ -1,21 +1,24 @@
-//! The limits of one dispatcher's processes: file descriptors and memory, by their use.
+//! Divides the machine's file descriptors and memory among their uses.
+//!
+//! [`ResourceBudgets`] is the division as if the process were alone. [`SharedLimits`] enforces it at run time, reduced
+//! to the process's share while another process of the dispatcher runs beside it.
 
 use crate::config::{Config, SessionBudget, SessionConfig, SocketBudgets};
 use crate::frontend::memory_budget::BodyMemoryBudget;
 use crate::net::connection_limit::{ConnectionLimit, SHARE_UNITS};
 use crate::upgrade::ResourceLimits;
 
-/// The fewest connections of either side, however small a process's share is.
+/// Minimum limit for connections to clients and for those to endpoints, however small the process's share is.
 const MIN_CONNECTIONS: usize = 4;
-/// The fraction of the memory that holds request bodies is one in so many.
+/// Request bodies get the process's memory divided by this.
 const BODY_MEMORY_DIVISOR: usize = 3;
 
-/// How the machine's limits are divided within one process.
+/// The machine's limits, divided among their uses within one process.
 pub(super) struct ResourceBudgets {
     pub sockets: SocketBudgets,
-    /// The sessions' limits, and file descriptors for their handshakes.
+    /// The limits of WebSocket sessions, and the file descriptors for their handshakes.
     pub sessions: SessionBudget,
-    /// Memory, in bytes.
+    /// The memory that the configuration allows the dispatcher.
     pub memory_bytes: usize,
 }
 
@@ -30,7 +33,7 @@
         }
     }
 
-    /// File descriptors that sessions take out of the clients' budget, where there are sessions.
+    /// Returns how many file descriptors of the clients' budget are reserved for sessions if these are enabled.
     pub(super) fn session_sockets(&self) -> usize {
         self.sessions.config.max_sessions + self.sessions.handshake_sockets
     }
@@ -39,7 +42,7 @@
 /// The limits that the processes of one dispatcher share during an upgrade.
 #[derive(Clone)]
 pub(super) struct SharedLimits {
-    /// Connections from clients of the platform's listener.
+    /// Connections of clients to the HTTP listener. Sessions have a limit of their own.
     pub clients: ConnectionLimit,
     /// Connections to endpoints.
     pub endpoints: ConnectionLimit,
@@ -48,7 +51,8 @@
 }
 
 impl SharedLimits {
-    /// The whole limits, with `session_sockets` of the clients' file descriptors reserved for sessions.
+    /// Creates the limits of a process that is alone, with `session_sockets` of the clients' file descriptors reserved
+    /// for sessions.
     pub(super) fn new(budgets: &ResourceBudgets, session_sockets: usize) -> Self {
         let body_memory_kilobytes = budgets.memory_bytes / 1024 / BODY_MEMORY_DIVISOR;
         SharedLimits {
--- a/src/process/listeners.rs
+++ b/src/process/listeners.rs
@@ -1,4 +1,8 @@
-//! The listening sockets: the clients' one, which may be inherited, and those for sessions, agent checks and operators.
+//! Opens the listening sockets of a process: for HTTP clients, sessions, agent checks and operators.
+//!
+//! Only the socket for HTTP clients may be inherited, and is then shared with the predecessor. The addresses for
+//! sessions and agent checks are in use until the predecessor closes them, so a successor binds them later. Each
+//! process has an address of its own for operators.
 
 use super::{ServeError, ServeOptions};
 use crate::frontend::ShutdownPhase;
@@ -8,12 +12,13 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The environment variable that names the descriptor of an inherited listening socket.
+/// The environment variable with the descriptor number of the inherited listening socket.
 const INHERITED_SOCKET_VARIABLE: &str = "GW_SOCKET_FD";
-/// Time between two attempts to bind an address that a predecessor still has.
+/// Time between two attempts to bind an address that the predecessor still uses.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The descriptor of the inherited listening socket, as the environment names it.
+/// Returns the descriptor of the inherited listening socket as the environment gives it; `None` if it is unset or
+/// empty.
 pub(super) fn inherited_descriptor() -> Option<String> {
     let descriptor = std::env::var(INHERITED_SOCKET_VARIABLE).ok()?;
     if descriptor.is_empty() {
@@ -22,7 +27,7 @@
     Some(descriptor)
 }
 
-/// The listener for clients: the inherited one, or a new one on this address.
+/// Opens the listener for HTTP clients: the inherited socket if there is one, else a new one on this address.
 pub(super) async fn bind_clients(
     inherited: Option<&str>,
     address: &str,
@@ -50,7 +55,7 @@
     pub side: SideListeners,
 }
 
-/// The listeners beside the clients' one; `None`: off.
+/// The listeners other than the one for HTTP clients; `None` if the configuration has no address for it.
 pub(super) struct SideListeners {
     pub sessions: Option<DeferredListener>,
     pub agent_check: Option<DeferredListener>,
@@ -58,6 +63,7 @@
 }
 
 impl SideListeners {
+    /// Binds the listeners; those that a predecessor may still have are left pending.
     pub(super) async fn bind(
         options: &ServeOptions,
         has_predecessor: bool,
@@ -79,10 +85,10 @@
     }
 }
 
-/// A listener on an address that is not inherited: a successor waits until its predecessor has closed it.
+/// A listener on an address that is not inherited, which a successor can bind only when its predecessor has closed it.
 pub(super) enum DeferredListener {
     Bound(TcpListener),
-    /// To be bound to this address when it is free.
+    /// Not bound yet, as the predecessor may still use this address.
     Pending(String),
 }
 
@@ -100,7 +106,7 @@
         Ok(Some(DeferredListener::Bound(bind(address).await?)))
     }
 
-    /// Waits for the listener. `None`: the process shuts down before the address is free.
+    /// Returns the listener when its address can be bound; `None` if the process shuts down before that.
     pub(super) async fn listener(
         self,
         mut shutdown_phase: watch::Receiver<ShutdownPhase>,
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! The dispatcher's process: its start, its tasks, its signals and its graceful shutdown.
+//! The dispatcher's process: startup, tasks, signals and graceful shutdown.
 //!
-//! The process owns the sockets, the clock, the log and the runtime, and connects the parts of the dispatcher by
-//! channels. It knows nothing about requests.
+//! The process owns the listening sockets, the clock, the log and the runtime, and connects the parts of the dispatcher
+//! by channels. It does not handle requests itself.
 
 mod core_startup;
 mod error;
@@ -32,19 +32,20 @@
 use std::sync::Arc;
 use tasks::{RunningTasks, TaskInputs};
 
-/// What the command line says about serving.
+/// The options of the `serve` command, with the files that they name.
 pub struct ServeOptions {
-    /// The configuration file, which is read again at SIGHUP.
+    /// The configuration file. It is read again on SIGHUP.
     pub config_path: PathBuf,
-    /// The files, as read.
+    /// The contents of the configuration files, already read and checked.
     pub files: LoadedConfig,
-    /// The address on which operators call, in place of the configuration's; empty: off.
+    /// The listening address for operators, which overrides the configuration's; empty disables the listener.
     pub management: Option<String>,
-    /// The new file for a recording; `None`: nothing is recorded.
+    /// The file for a new recording, which must not exist yet; `None` if nothing is recorded.
     pub recording: Option<PathBuf>,
 }
 
 impl ServeOptions {
+    /// Returns the listening address for operators; `None` if the listener is disabled.
     fn management_address(&self) -> Option<&str> {
         let configured = self.files.config.management.as_deref();
         let address = self.management.as_deref().or(configured)?;
@@ -55,29 +56,29 @@
     }
 }
 
-/// What is settled before the core is created.
+/// The state of a process before its core is created.
 struct Startup {
     config: Config,
     config_path: PathBuf,
-    /// The text of the running configuration.
+    /// The text of the running configuration, against which a reloaded file is checked.
     config_text: String,
     deployment: Arc<Deployment>,
     seed: u64,
     clock: Clock,
     budgets: ResourceBudgets,
     recording: Option<PathBuf>,
-    /// `None`: there can't be other processes of this dispatcher.
+    /// `None` if this process was not announced: then no other process of the dispatcher can find it.
     upgrade: Option<UpgradeCoordinator>,
-    /// The other processes as they were at the start.
+    /// The other processes of the dispatcher, as of startup.
     peers: PeerProcesses,
     log: Logger,
 }
 
-/// Serves until SIGTERM or SIGINT, on a runtime of its own.
+/// Runs the dispatcher on a new runtime until SIGTERM or SIGINT, and returns when it has shut down.
 ///
 /// # Errors
 ///
-/// The process can't start, or a task without which it can't answer requests has ended.
+/// [`ServeError`] if the process can't start, or if a task has ended without which it can't answer requests.
 pub fn run(options: ServeOptions, log_level: Level) -> Result<(), ServeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -88,7 +89,7 @@
 }
 
 async fn serve(options: ServeOptions, log: Logger) -> Result<(), ServeError> {
-    // Signals come first: one that arrives before its handler is installed kills the process.
+    // The first step: a signal that arrives before its handler is installed kills the process.
     let signals = Signals::install()?;
     let (mut startup, listeners) = Startup::prepare(options, log.clone()).await?;
     let core = CoreStartup::create(&mut startup)?;
@@ -99,13 +100,13 @@
         management: listeners.side.management,
     };
     let RunningTasks {
-        mut vital,
+        mut critical,
         dispatcher,
         pending_endpoints,
         upgrade,
         streams,
     } = tasks::spawn(&mut startup, core, inputs);
-    info!(log, "starting"; "stage" => "tasks started", "tasks" => vital.count());
+    info!(log, "starting"; "stage" => "tasks started", "tasks" => critical.count());
     let endpoint_sockets = startup.budgets.sockets.endpoints;
     let max_open_requests = startup.deployment.bounds.max_open_requests;
     let client_connections = limits.clients.clone();
@@ -136,7 +137,7 @@
     };
     tokio::select! {
         () = process.run(signals.termination) => {}
-        Some(ended) = vital.wait_for_end() => return Err(ServeError::TaskEnded(ended)),
+        Some(ended) = critical.wait_for_end() => return Err(ServeError::TaskEnded(ended)),
     }
     let unfinished_connections = client_connections.in_use();
     if unfinished_connections > 0 {
@@ -150,7 +151,7 @@
 }
 
 impl Startup {
-    /// Opens the listeners, announces the process to others, and divides the limits.
+    /// Opens the listeners, announces this process to the dispatcher's other ones, and divides the machine's limits.
     async fn prepare(
         options: ServeOptions,
         log: Logger,
@@ -160,7 +161,7 @@
         let clients = listeners::bind_clients(inherited.as_deref(), &config.listen).await?;
         info!(log, "starting"; "stage" => "listening");
         let clock = Clock::start();
-        // Only a process that inherits its socket can have another one beside it.
+        // Only a process with an inherited socket can run beside another one of its dispatcher.
         let mut upgrade = None;
         if inherited.is_some() {
             upgrade = takeover::announce(&config.name, clock, &log).await;
@@ -187,7 +188,8 @@
         Ok((startup, Listeners { clients, side }))
     }
 
-    /// The limits that this process shares with others. A successor starts with the share that its predecessor left it.
+    /// Creates the limits that this process shares with others. A successor begins with the share that its predecessor
+    /// has left free.
     fn shared_limits(&self, has_sessions: bool) -> SharedLimits {
         let session_sockets = if has_sessions {
             self.budgets.session_sockets()
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -1,4 +1,7 @@
-//! The life of the process once all its tasks run: it accepts clients, until a signal ends it in good order.
+//! Runs the process once its tasks have started: accepts clients until a termination signal, then drains.
+//!
+//! The drain is timed backwards from the earliest moment at which the process may be killed. Within it connections are
+//! closed, requests finish, and streams migrate to another process of the dispatcher if there is one.
 
 use super::frontends::Frontends;
 use super::signals::TerminationSignals;
@@ -14,35 +17,36 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// After SIGTERM new connections are accepted for this long, until load balancers have noticed that the process is not
+/// How long new connections are still accepted after SIGTERM, so that load balancers can notice that the process is not
 /// ready.
 const LISTEN_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// Requests get their longest deadline to finish, and no more than this: whoever ends the process kills it
-/// [`KILL_MARGIN`] later.
+/// Maximum duration of the drain. Open requests get the longest deadline of any class to finish, but no more than this:
+/// the process may be killed [`KILL_MARGIN`] later.
 const MAX_DRAIN_DURATION: Duration = Duration::from_secs(3);
-/// Time between the end of the drain and the kill.
+/// Time between the end of the drain and the earliest kill.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// All requests but streams are answered this long before the kill, so that their reservations can be released.
+/// How long before the earliest kill all requests but streams are answered, so that their reservations can be released.
 const RELEASE_MARGIN: Duration = Duration::from_millis(500);
 
-/// So long before the kill, streams also go to a process that may not keep them: here they are cut.
-const LAST_CHOICE_MARGIN: Duration = Duration::from_millis(800);
-/// What is still open is logged this long before the kill.
+/// How long before the earliest kill streams begin to migrate also to a process that does not serve. It may not be able
+/// to finish them, but staying here they would be cut by the kill.
+const FALLBACK_RECEIVER_MARGIN: Duration = Duration::from_millis(800);
+/// How long before the earliest kill the requests that are still open are logged.
 const WARNING_MARGIN: Duration = Duration::from_millis(200);
 
-/// A process whose tasks run.
+/// A process whose tasks have started.
 pub(super) struct Process {
     pub dispatcher: DispatcherHandle,
     pub frontends: Frontends,
-    /// The endpoint list of the configuration, where the core has not received it yet.
+    /// The endpoint list of the configuration, if the core has not received it yet.
     pub pending_endpoints: Option<Event>,
     pub upgrade: UpgradeChannels,
     pub log: Logger,
 }
 
 impl Process {
-    /// Accepts clients, as soon as a predecessor leaves them to this process, and drains after the first termination
-    /// signal. Returns when all requests have ended.
+    /// Accepts clients, in a successor once it is ready to take over, and drains after the first termination signal.
+    /// Returns when all requests have ended.
     pub(super) async fn run(mut self, mut termination: TerminationSignals) {
         let mut terminated = pin!(termination.wait());
         let is_accepting = tokio::select! {
@@ -56,6 +60,8 @@
         self.drain().await;
     }
 
+    /// Waits until this process can take over from its predecessor, if it has one, and tells the other processes and
+    /// the core that it accepts clients.
     async fn prepare_to_accept(&mut self) {
         let has_predecessor = self.upgrade.peers.borrow().predecessor;
         if has_predecessor {
@@ -68,6 +74,7 @@
         self.dispatcher.send(Event::AcceptClients).await;
     }
 
+    /// Shuts down gracefully: returns when all connections are closed and all requests have ended.
     async fn drain(&mut self) {
         let has_successor = self.upgrade.peers.borrow_and_update().serving.is_some();
         info!(self.log, "draining"; "open_requests" => self.dispatcher.open_requests(), "has_successor" => has_successor);
@@ -77,27 +84,28 @@
         let drain = Event::Drain(until_kill - RELEASE_MARGIN);
         self.dispatcher.send(drain).await;
         let _ = self.upgrade.process_state.send(ProcessState::Leaving);
-        self.accept_while_nobody_else_does().await;
+        self.accept_during_grace_period().await;
         self.frontends.set_shutdown_phase(ShutdownPhase::Closing);
         let migration = MigrationControl {
             peers: self.upgrade.peers.clone(),
             switch: &self.upgrade.migration_switch,
-            last_choice_at: kill_at - LAST_CHOICE_MARGIN,
+            fallback_at: kill_at - FALLBACK_RECEIVER_MARGIN,
         };
         let warn_at = kill_at - WARNING_MARGIN;
-        let all_has_ended = async {
+        let until_idle = async {
             self.frontends.wait_until_closed().await;
             self.dispatcher.wait_until_idle().await;
         };
         tokio::select! {
-            () = all_has_ended => {}
+            () = until_idle => {}
             () = migration.run() => {}
             () = warn_of_unfinished_work(&self.dispatcher, warn_at, &self.log) => {}
         }
     }
 
-    /// Accepts connections for the grace period, or until another process is seen that does.
-    async fn accept_while_nobody_else_does(&mut self) {
+    /// Accepts connections for the grace period, but no longer than until another process accepts them. Returns at the
+    /// end of the grace period in both cases.
+    async fn accept_during_grace_period(&mut self) {
         let grace_ends_at = Instant::now() + LISTEN_GRACE_PERIOD;
         let is_replaced = self.upgrade.peers.wait_for(|peers| peers.serving.is_some());
         if let Ok(Ok(_)) = timeout_at(grace_ends_at, is_replaced).await {
@@ -107,34 +115,34 @@
     }
 }
 
-/// Turns the migration of streams on and off as processes come and go that can receive them.
+/// Turns the migration of streams on while another process can receive them, and off while none can.
 struct MigrationControl<'a> {
     peers: watch::Receiver<PeerProcesses>,
     switch: &'a watch::Sender<bool>,
-    /// From here on a process that does not serve receives streams, too.
-    last_choice_at: Instant,
+    /// From this moment on, streams also migrate to a process that does not serve.
+    fallback_at: Instant,
 }
 
 impl MigrationControl<'_> {
-    /// Never returns: a process may come at any time.
+    /// Never returns, as a process that can receive streams may start at any time.
     async fn run(mut self) {
         loop {
             let peers = *self.peers.borrow_and_update();
-            let is_last_choice = Instant::now() >= self.last_choice_at;
+            let allows_fallback = Instant::now() >= self.fallback_at;
             let has_receiver =
-                peers.serving.is_some() || is_last_choice && peers.stream_receiver().is_some();
+                peers.serving.is_some() || allows_fallback && peers.stream_receiver().is_some();
             self.switch
                 .send_if_modified(|is_due| std::mem::replace(is_due, has_receiver) != has_receiver);
             tokio::select! {
                 Ok(()) = self.peers.changed() => {}
-                () = sleep_until(self.last_choice_at), if !is_last_choice => {}
+                () = sleep_until(self.fallback_at), if !allows_fallback => {}
                 else => std::future::pending().await,
             }
         }
     }
 }
 
-/// Logs what is still open shortly before the earliest kill; never returns.
+/// Logs the number of open requests shortly before the earliest kill, if there are any. Never returns.
 async fn warn_of_unfinished_work(dispatcher: &DispatcherHandle, warn_at: Instant, log: &Logger) {
     sleep_until(warn_at).await;
     let open_requests = dispatcher.open_requests();
--- a/src/process/signals.rs
+++ b/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the process handles: SIGHUP reloads the configuration, SIGTERM and SIGINT end the process.
+//! The signals that the process handles: SIGHUP reloads the configuration; SIGTERM and SIGINT shut the process down.
 
 use super::ServeError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -9,14 +9,15 @@
     pub termination: TerminationSignals,
 }
 
-/// The signals that end the process.
+/// The signals that shut the process down.
 pub(super) struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers. This is the first step of a start: a signal that arrives earlier kills the process.
+    /// Installs the handlers. This must be the first step of the startup: a signal that arrives earlier kills the
+    /// process.
     pub(super) fn install() -> Result<Signals, ServeError> {
         let hangup = signal(SignalKind::hangup()).map_err(ServeError::Signal)?;
         let terminate = signal(SignalKind::terminate()).map_err(ServeError::Signal)?;
@@ -33,7 +34,7 @@
 }
 
 impl TerminationSignals {
-    /// Waits for the first of these signals.
+    /// Waits for either of the two signals.
     pub(super) async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/src/process/takeover.rs
+++ b/src/process/takeover.rs
@@ -1,4 +1,7 @@
-//! The start beside another process of the same dispatcher: the announcement, and the wait until this one can take over.
+//! Startup beside another process of the same dispatcher.
+//!
+//! Announces this process to the others, and lets a successor wait until it can take over from its predecessor. Each
+//! wait has a time limit: a successor takes over with fewer resources or an older endpoint list rather than not at all.
 
 use crate::dispatcher::{Clock, DispatcherHandle, Event, Readiness};
 use crate::net::connection_limit::SHARE_UNITS;
@@ -9,23 +12,24 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The environment variable that names the folder through which processes of one dispatcher find each other.
+/// The environment variable that names the folder in which the processes of a dispatcher find each other.
 const SHARED_FOLDER_VARIABLE: &str = "TMPDIR";
-/// How long a start waits for a folder that fails ...
+/// How long the startup waits for the folder to become usable.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// ... and how often it tries.
+/// Time between two attempts to announce the process.
 const ANNOUNCEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// A successor waits this long for discovery's endpoint list; then it uses the one in its configuration.
+/// How long a successor waits for discovery's endpoint list; after that it uses the one in its configuration, if any.
 const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A successor waits this long for its share of the limits; then it takes over with what it has.
+/// How long a successor waits for [`MIN_TAKEOVER_SHARE`]; after that it takes over with the share that it has.
 const RESOURCE_SHARE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The share of the limits, in [`SHARE_UNITS`], with which a successor takes over at once.
+/// The share of the limits with which a successor takes over at once, in units of which [`SHARE_UNITS`] are the whole.
 const MIN_TAKEOVER_SHARE: u32 = SHARE_UNITS / 4;
 
-/// Announces this process to other processes of its dispatcher, if they have a folder in common.
+/// Announces this process to the other processes of its dispatcher; `None` if no folder is configured, or if it could
+/// not be used in time.
 ///
-/// A folder that fails for a moment is tried again: a process that is not announced would take all limits for itself, and
-/// no other one could receive its streams, for as long as it lives.
+/// A folder that is unusable for a moment is tried again. An unannounced process would use the whole limits beside
+/// other processes, and could not migrate its streams to them, until it exits.
 pub(super) async fn announce(name: &str, clock: Clock, log: &Logger) -> Option<UpgradeCoordinator> {
     let folder = std::env::var_os(SHARED_FOLDER_VARIABLE)?;
     if folder.is_empty() {
@@ -44,8 +48,9 @@
     }
 }
 
-/// Waits until a successor can accept clients: it has an endpoint list, discovery's own if that arrives soon, and its
-/// share of the limits, if the predecessor reduces its own soon.
+/// Waits until a successor can accept clients. It needs an endpoint list: discovery's, or the configured one if
+/// discovery's does not arrive in time. It also waits a limited time for the predecessor to give up a share of the
+/// limits.
 pub(super) async fn wait_until_ready(
     dispatcher: &DispatcherHandle,
     configured_endpoints: Option<Event>,
@@ -59,6 +64,6 @@
         dispatcher.wait_for_readiness(Readiness::Standby).await;
     }
     let has_share = peers.wait_for(|peers| peers.share >= MIN_TAKEOVER_SHARE);
-    // Without its share in time the process takes over with the smaller one.
+    // After a timeout the process takes over with the share that it has.
     let _ = timeout(RESOURCE_SHARE_TIMEOUT, has_share).await;
 }
--- a/src/process/tasks.rs
+++ b/src/process/tasks.rs
@@ -1,5 +1,7 @@
-//! The tasks that run from the start to the end of the process: core, backend, gossip, discovery, configuration reload,
-//! management and process upgrade.
+//! The tasks that run for the life of the process: core, backend, gossip, discovery, configuration reload, management
+//! and process upgrade.
+//!
+//! Creates the channels between them, and owns all but the gossip task. The process ends if one of these ends.
 
 use super::core_startup::{ConfiguredEndpoints, CoreStartup};
 use super::limits::SharedLimits;
@@ -22,57 +24,57 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinError, JoinSet};
 
-/// Commands of the core that may wait for the backend.
+/// Commands of the core that can wait for the backend.
 const COMMAND_QUEUE_LENGTH: usize = 1024;
-/// Streams that may wait for the next step of their migration.
+/// Streams that can wait in each of the queues of their migration.
 const STREAM_QUEUE_LENGTH: usize = 64;
 
-/// What the tasks need beside the core.
+/// What the tasks need besides the core.
 pub(super) struct TaskInputs {
-    /// Reloads the configuration.
+    /// SIGHUP, which reloads the configuration.
     pub hangup: Signal,
     pub limits: SharedLimits,
-    /// The listener for operators; `None`: off.
+    /// The listener for operators; `None` if it is disabled.
     pub management: Option<TcpListener>,
 }
 
-/// The running tasks, and the ends of their channels that the rest of the process uses.
+/// The running tasks, and the channels on which the rest of the process uses them.
 pub(super) struct RunningTasks {
-    pub vital: VitalTasks,
+    pub critical: CriticalTasks,
     pub dispatcher: DispatcherHandle,
-    /// The endpoint list of the configuration, where the core has not received it yet.
+    /// The endpoint list of the configuration, if the core has not received it yet.
     pub pending_endpoints: Option<Event>,
     pub streams: StreamChannels,
     pub upgrade: UpgradeChannels,
 }
 
-/// The channels on which the frontend exchanges streams with other processes, by the upgrade tasks, and with the backend.
+/// The channels by which the frontend migrates streams to other processes and resumes received ones.
 pub(super) struct StreamChannels {
-    /// Where streams are sent that migrate; `None`: there is no other process.
+    /// Takes streams that migrate to another process; `None` if this process was not announced to others.
     pub migration: MigrationSender,
-    /// The streams of other processes.
+    /// Streams received from other processes.
     pub received: mpsc::Receiver<ReceivedStream>,
-    /// Where the backend takes the upstream side of received streams.
+    /// Passes the upstream side of received streams to the backend.
     pub received_attempts: mpsc::Sender<ReceivedAttempt>,
 }
 
-/// The channels to the process upgrade, which are idle in a process without a coordinator.
+/// The channels to the upgrade tasks. They are idle in a process that was not announced to others.
 pub(super) struct UpgradeChannels {
-    /// Turns the migration of streams on and off. Streams stop migrating for good when it is dropped.
+    /// Turns the migration of streams on and off. Once it is dropped, migration stays as it was set last.
     pub migration_switch: watch::Sender<bool>,
-    /// What other processes are told about this one.
+    /// The state of this process that is announced to others.
     pub process_state: watch::Sender<ProcessState>,
     pub peers: watch::Receiver<PeerProcesses>,
 }
 
-/// Tasks without any of which the dispatcher would accept requests and answer none: the process ends with the first.
-pub(super) struct VitalTasks {
+/// The tasks without which the dispatcher would accept requests and not answer them. If one ends, the process ends.
+pub(super) struct CriticalTasks {
     tasks: JoinSet<()>,
     dispatcher: DispatcherHandle,
     log: Logger,
 }
 
-/// Starts all tasks, in an order that is part of the start: backend and core before what sends events to them.
+/// Starts all tasks. The backend and the core come first, as the other tasks send events to them.
 pub(super) fn spawn(startup: &mut Startup, core: CoreStartup, inputs: TaskInputs) -> RunningTasks {
     let CoreStartup {
         mut core,
@@ -81,7 +83,7 @@
         recorder,
         endpoints,
     } = core;
-    let mut vital = VitalTasks {
+    let mut critical = CriticalTasks {
         tasks: JoinSet::new(),
         dispatcher: dispatcher.clone(),
         log: startup.log.clone(),
@@ -93,9 +95,9 @@
         signal: signal.clone(),
         received_attempts: attempts,
     };
-    vital.spawn_backend(startup, backend_commands, &inputs.limits, migration);
+    critical.spawn_backend(startup, backend_commands, &inputs.limits, migration);
     let gossip_queue = spawn_gossip(startup, &mut core, &dispatcher);
-    vital.tasks.spawn(dispatcher::run(
+    critical.tasks.spawn(dispatcher::run(
         core,
         startup.clock,
         events,
@@ -103,19 +105,19 @@
         recorder,
         gossip_queue,
     ));
-    let pending_endpoints = vital.spawn_discovery(startup, endpoints, inputs.hangup);
+    let pending_endpoints = critical.spawn_discovery(startup, endpoints, inputs.hangup);
     if let Some(listener) = inputs.management {
-        // Operators are answered until the process ends.
-        let log = vital.log.clone();
+        // Unlike the frontends, it answers until the process exits.
+        let log = critical.log.clone();
         let serve = admin::serve(listener, dispatcher.clone(), log);
-        vital.tasks.spawn(serve);
+        critical.tasks.spawn(serve);
     }
     let (received_streams, received) = mpsc::channel(STREAM_QUEUE_LENGTH);
     let (upgrade, migrating_streams) =
-        vital.spawn_upgrade(startup, inputs.limits, migration_switch, received_streams);
+        critical.spawn_upgrade(startup, inputs.limits, migration_switch, received_streams);
     let migration = migrating_streams.map(|streams| MigrationHandle { streams, signal });
     RunningTasks {
-        vital,
+        critical,
         dispatcher,
         pending_endpoints,
         streams: StreamChannels {
@@ -127,8 +129,8 @@
     }
 }
 
-/// Starts gossip with the other dispatchers if the deployment allows it and there are any; returns the queue of messages
-/// to them.
+/// Starts gossip with the other dispatchers, and returns the queue of messages to them. `None` if the deployment has no
+/// gossip, or no other dispatchers.
 fn spawn_gossip(
     startup: &Startup,
     core: &mut Core,
@@ -145,13 +147,13 @@
     Some(queue)
 }
 
-impl VitalTasks {
-    /// How many tasks run.
+impl CriticalTasks {
+    /// Returns how many of the tasks are running.
     pub(super) fn count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Waits until one of the tasks has ended, which none should.
+    /// Waits until one of the tasks ends, which is an error; `None` if there are none.
     pub(super) async fn wait_for_end(&mut self) -> Option<Result<(), JoinError>> {
         self.tasks.join_next().await
     }
@@ -175,8 +177,8 @@
         ));
     }
 
-    /// Starts the discovery client and the reload that changes its address; returns the endpoint list that the core has
-    /// not received yet.
+    /// Starts the discovery client, and the task that reloads the configuration and so changes discovery's address.
+    /// Returns the configured endpoint list if the core has not received it yet.
     fn spawn_discovery(
         &mut self,
         startup: &Startup,
@@ -203,7 +205,8 @@
         endpoints.pending
     }
 
-    /// Starts what this process does beside others of its dispatcher, if there can be any: migration first.
+    /// Starts the migration of streams and then the coordinator, if this process was announced to others. Returns their
+    /// channels, and the queue of streams that are to migrate.
     fn spawn_upgrade(
         &mut self,
         startup: &mut Startup,
@@ -232,7 +235,8 @@
         (channels, migrating_streams)
     }
 
-    /// Starts the migration of streams from and to other processes; returns the queue of the latter.
+    /// Starts the tasks that receive streams from other processes and send streams to them. Returns the queue of
+    /// streams to send.
     fn spawn_migration(
         &mut self,
         coordinator: &UpgradeCoordinator,
--- a/src/process/trace_recording.rs
+++ b/src/process/trace_recording.rs
@@ -1,4 +1,4 @@
-//! The start of a recording, where the command line names a file for it.
+//! Starts the recording of a trace, if the command line names a file for it.
 
 use super::ServeError;
 use crate::config::Deployment;
@@ -8,16 +8,17 @@
 use std::fs::File;
 use std::path::Path;
 
-/// Records that may wait to be written; further ones are dropped and counted.
+/// Records that can wait to be written; further ones are dropped and counted.
 const QUEUE_LENGTH: usize = 8192;
 
-/// What records, in the core, and what writes the records to the file, in a thread of its own.
+/// Both ends of a recording: `trace` makes the records in the core, `recorder` writes them to the file in its own
+/// thread.
 pub(super) struct Recording {
     pub trace: TraceRecorder,
     pub recorder: Recorder,
 }
 
-/// Starts a recording in a new file: an existing one is never overwritten.
+/// Starts a recording in a new file. Fails if the file exists: a recording is never overwritten.
 pub(super) fn start(
     path: &Path,
     dispatcher_name: &str,
