--- a/src/upgrade/announcements.rs
+++ b/src/upgrade/announcements.rs
@@ -1,8 +1,8 @@
-//! The announcements of a dispatcher's processes, one file each: publishes this process's own, and finds out from the
-//! others' which processes live.
+//! Publishes the announcement of this process and reads those of the dispatcher's other live processes.
 //!
-//! A process keeps its file locked while it lives. The lock ends with the process however that ends, so a file without
-//! one is a dead process's and is removed; a killed process leaves nothing that would stop a start.
+//! Each process has one announcement file and keeps it locked while it lives. The operating system releases the lock
+//! when the process exits for any reason. A file that is not locked therefore belongs to a dead process and is removed,
+//! so that the files of a killed process never prevent a start.
 
 use super::process_announcement::{ProcessAnnouncement, ProcessState};
 use super::resource_shares::{MAX_SHARE, STARTING_SHARE};
@@ -14,36 +14,38 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// The folder is read after this even if its modification time is the same: a change within one tick of the file
-/// system's clock does not show in it.
+/// Maximum time between two scans of the folder. Its modification time does not always show a change: two changes
+/// within one tick of the file system's clock leave the same time.
 const MAX_SCAN_AGE: Duration = Duration::from_secs(1);
 
-/// What a process sees of the others.
+/// What a process knows of the dispatcher's other processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerProcesses {
-    /// The share of the limits that this process uses, in units of
+    /// The share of the limits that this process announces, in units of
     /// [`SHARE_UNITS`](crate::net::connection_limit::SHARE_UNITS).
     pub share: u32,
-    /// How many processes of this dispatcher live, this one included.
+    /// The number of live processes of the dispatcher, including this one.
     pub processes: u32,
-    /// Whether a process that is older than this one lives.
+    /// True if an older process than this one is alive.
     pub predecessor: bool,
-    /// When the youngest process that is younger than this one started, in Unix microseconds, if any lives.
+    /// When the youngest successor of this process started, in Unix microseconds; `None` if there is none.
     pub successor: Option<u64>,
-    /// When the youngest other process that accepts clients started, in Unix microseconds, if any does.
+    /// When the youngest other process that accepts clients started, in Unix microseconds; `None` if no other one does.
     pub serving: Option<u64>,
 }
 
 impl PeerProcesses {
-    /// When the process started, in Unix microseconds, to which this one's streams migrate. One that has not begun to serve
-    /// may never do so, and one that is told to end would have to hand them on: such a process is the last choice, which
-    /// is still better than the end of this one.
+    /// Returns when the process started, in Unix microseconds, to which this one's streams can migrate.
+    ///
+    /// A process that serves is preferred. A successor that does not serve is the fallback: if it is starting, it may
+    /// never serve, and if it is leaving, it has to migrate the streams again. Either is better than streams that are
+    /// cut when this process exits.
     pub fn stream_receiver(&self) -> Option<u64> {
         self.serving.or(self.successor)
     }
 }
 
-/// This process's announcement, whose file it owns and removes in the end, and the others' as they were last read.
+/// The announcement of this process, whose file is removed on drop, and those of the others as of the last scan.
 pub(super) struct ProcessAnnouncements {
     folder: SharedFolder,
     own_file: File,
@@ -54,24 +56,24 @@
     last_scan: Option<FolderScan>,
 }
 
-/// A reading of the folder that went to its end.
+/// A complete scan of the folder.
 #[derive(Clone, Copy)]
 struct FolderScan {
     folder_modified: SystemTime,
     finished_at: Instant,
 }
 
-/// A file of bans that was being written, by the process with this number.
+/// A ban file that a process has begun to write; `process_id` is that process's.
 struct TemporaryBans {
     process_id: Option<u32>,
     path: PathBuf,
 }
 
 impl ProcessAnnouncements {
-    /// Publishes an announcement of this process and reads the others'.
+    /// Publishes an announcement of this process and reads those of the others.
     ///
-    /// `now`, in Unix microseconds, is when it started, unless a living process has announced the same or a later time,
-    /// as after the wall clock was set back: then this one comes right after that.
+    /// `now`, in Unix microseconds, is announced as its start time, unless a live process has announced the same or a
+    /// later one, as happens after the wall clock was set back. Then the announced time is just after that one.
     pub(super) fn publish(folder: SharedFolder, now: u64) -> io::Result<ProcessAnnouncements> {
         let started_at = match youngest_live_process(&folder)? {
             Some(youngest) => now.max(youngest.saturating_add(1)),
@@ -83,7 +85,7 @@
             .write(true)
             .create_new(true)
             .open(&temporary_path)?;
-        // Nobody else would remove a file that was not finished.
+        // No other process removes an unfinished file.
         let announced = ProcessAnnouncements::announce(folder, own_file, started_at);
         if announced.is_err() {
             let _ = fs::remove_file(&temporary_path);
@@ -91,7 +93,7 @@
         announced
     }
 
-    /// Fills the file of a new process and gives it the name under which others read it.
+    /// Locks and writes the file of this process, and renames it to the name under which others read it.
     fn announce(
         folder: SharedFolder,
         own_file: File,
@@ -113,23 +115,23 @@
             last_scan: None,
         };
         announcements.write_own()?;
-        // It gets its name only now that it is locked: before, another process would take it for a dead one's.
+        // The rename comes after the lock: other processes take an unlocked file for a dead process's.
         fs::rename(&temporary_path, &announcements.own_path)?;
         announcements.scan()?;
         Ok(announcements)
     }
 
-    /// What this process announces.
+    /// Returns what this process announces.
     pub(super) fn own(&self) -> ProcessAnnouncement {
         self.own
     }
 
-    /// What the other live processes announced when the folder was last scanned.
+    /// Returns what the other live processes announced, as of the last scan.
     pub(super) fn others(&self) -> &[ProcessAnnouncement] {
         &self.others
     }
 
-    /// Announces this from now on. After an error the file is written with the next update.
+    /// Changes the announcement of this process. After an error the next update writes the file again.
     pub(super) fn update(&mut self, own: ProcessAnnouncement) -> io::Result<()> {
         if own == self.own && self.is_published {
             return Ok(());
@@ -144,8 +146,8 @@
         self.own_file.write_all_at(self.own.to_line().as_bytes(), 0)
     }
 
-    /// Whether the announcements may have changed since the last scan. While this process is alone, only a new file
-    /// matters, which shows in the folder's modification time.
+    /// Returns whether the announcements may have changed since the last scan. While this process is alone, only a new
+    /// file matters, which the folder's modification time shows.
     pub(super) fn needs_scan(&self) -> bool {
         if !self.others.is_empty() {
             return true;
@@ -160,8 +162,8 @@
             || last_scan.finished_at.elapsed() >= MAX_SCAN_AGE
     }
 
-    /// Reads the others' announcements, and removes the files of dead processes. After an error what is known of the
-    /// others stays as it was: half a reading of the folder could miss a live process.
+    /// Reads the announcements of the others, and removes the files of dead processes. After an error the result of the
+    /// previous scan is kept, as an incomplete scan could miss a live process.
     pub(super) fn scan(&mut self) -> io::Result<()> {
         let folder_modified = fs::metadata(self.folder.path())?.modified()?;
         let mut others = Vec::new();
@@ -201,8 +203,8 @@
         Ok(())
     }
 
-    /// Reads a live process's announcement. A dead process's files are removed; `None` for these, and for one that
-    /// can't be opened.
+    /// Reads the announcement of a live process. Returns `None` if the process is dead, and removes its files then;
+    /// also if the file can't be opened.
     fn read_or_remove(
         &self,
         path: &Path,
@@ -222,7 +224,7 @@
             Err(TryLockError::WouldBlock) => {
                 let mut line = String::new();
                 let _ = file.read_to_string(&mut line);
-                // A process whose announcement can't be read may be using as much as any predecessor does.
+                // A process whose announcement is unreadable may use the largest share there is.
                 let assumed = ProcessAnnouncement {
                     started_at: name.started_at.unwrap_or(0),
                     state: ProcessState::Serving,
@@ -235,7 +237,7 @@
         }
     }
 
-    /// What this process sees of the others, as of the last scan.
+    /// Returns what this process knows of the others, as of the last scan.
     pub(super) fn peer_processes(&self) -> PeerProcesses {
         let started_at = self.own.started_at;
         let mut predecessor = false;
@@ -267,7 +269,7 @@
     }
 }
 
-/// When the youngest live process started, in Unix microseconds, if any lives.
+/// Returns when the youngest live process started, in Unix microseconds; `None` if no process is alive.
 fn youngest_live_process(folder: &SharedFolder) -> io::Result<Option<u64>> {
     let mut youngest = None;
     for entry in fs::read_dir(folder.path())? {
--- a/src/upgrade/ban_file.rs
+++ b/src/upgrade/ban_file.rs
@@ -1,7 +1,8 @@
-//! The file of bans, which all processes of a dispatcher share: its format, and how it is merged, read and written.
+//! Reads, merges and writes the ban file, in which all processes of a dispatcher share their ban records.
 //!
-//! Each write is a new file that is renamed into place, so nobody reads half of one. Two processes that write at once
-//! need no lock: the one whose records are missing afterwards finds that out and writes them again.
+//! Each write creates a new file and renames it into place, so that no process reads a partial one. There is no lock:
+//! if two processes write at the same time, the one whose records are lost sees that at its next read and writes them
+//! again.
 
 use super::shared_folder::SharedFolder;
 use crate::dispatcher::bans::{BanRecord, BanRecords};
@@ -16,25 +17,25 @@
 use thiserror::Error;
 
 const FORMAT_VERSION: u32 = 1;
-/// A larger file was not written by a dispatcher.
+/// Maximum size of a ban file that is read. No dispatcher writes a larger one.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Why no bans could be read.
+/// Why the ban file could not be read.
 #[derive(Debug, Error)]
 pub(super) enum BanFileError {
-    /// The file could not be read; it is read again the next time.
+    /// A system call failed; the next call reads the file again.
     #[error(transparent)]
     Unreadable(io::Error),
-    /// It is larger than any that a dispatcher writes.
+    /// The file is larger than any that a dispatcher writes.
     #[error("too long")]
     TooLong,
-    /// It is no text.
+    /// The file is not UTF-8 text.
     #[error(transparent)]
     NotUtf8(#[from] FromUtf8Error),
-    /// It is no JSON, or not of the form that is written.
+    /// The text is not JSON, or not of the expected form.
     #[error("not the JSON object that is expected")]
     NotJson(#[source] miniserde::Error),
-    /// It is of a format that this version does not know.
+    /// The file has a format version that this program does not know.
     #[error("unknown version {0}")]
     UnknownVersion(u32),
 }
@@ -55,7 +56,7 @@
     is_banned: bool,
 }
 
-/// The file's text for these records.
+/// Formats the records as the text of a ban file.
 fn format_records(records: &BanRecords) -> String {
     let mut entries = Vec::with_capacity(records.len());
     for (id, record) in records {
@@ -71,7 +72,7 @@
     })
 }
 
-/// Reads the file's text.
+/// Parses the text of a ban file.
 pub(super) fn parse_records(text: &str) -> Result<BanRecords, BanFileError> {
     let content: BanFileContent = json::from_str(text).map_err(BanFileError::NotJson)?;
     if content.version != FORMAT_VERSION {
@@ -88,14 +89,15 @@
     Ok(records)
 }
 
-/// The records that the file should hold, the newest of each id; `None` where it holds just these.
+/// Merges the records of this process with those `published` in the file, by taking the newest of each id. `None` if
+/// the file needs no change.
 pub(super) fn merge_records(own: &BanRecords, published: &BanRecords) -> Option<BanRecords> {
     let mut merged = published.clone();
     for (id, own_record) in own {
         let newest = merged.entry(id.clone()).or_insert(*own_record);
         *newest = (*newest).max(*own_record);
     }
-    // An ended ban that only the file remembers is of no use to any process.
+    // The end of a ban is kept only while this process still remembers it.
     merged.retain(|id, record| record.banned || own.contains_key(id));
     if merged == *published {
         return None;
@@ -103,14 +105,14 @@
     Some(merged)
 }
 
-/// The file of bans, as one process uses it.
+/// The ban file as one process uses it.
 pub(super) struct BanFile {
     path: PathBuf,
     temporary_path: PathBuf,
     last_read: Option<FileVersion>,
 }
 
-/// Distinguishes a file's contents from the next ones: each is a file of its own, renamed into place.
+/// Identifies one written version of the file: as each is a new file, its inode, length or time differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -119,7 +121,7 @@
 }
 
 impl BanFile {
-    /// The file in this folder. It need not exist.
+    /// Creates a value for the ban file in this folder, which need not exist yet.
     pub(super) fn new(folder: &SharedFolder) -> BanFile {
         BanFile {
             path: folder.bans(),
@@ -137,8 +139,8 @@
         })
     }
 
-    /// Reads the file if it exists and has changed since it was last read. A file with wrong contents is reported
-    /// once; one that is [`BanFileError::Unreadable`] is read again with the next call.
+    /// Reads the file if it exists and has changed since it was last read; otherwise returns `None`. Invalid contents
+    /// are reported once. After [`BanFileError::Unreadable`] the next call reads the file again.
     pub(super) fn read_if_changed(&mut self) -> Result<Option<BanRecords>, BanFileError> {
         let Some(version) = self.current_version() else {
             return Ok(None);
@@ -156,7 +158,7 @@
         parse_records(&text).map(Some)
     }
 
-    /// Replaces the file by one with these records.
+    /// Replaces the file with one that holds these records.
     pub(super) fn write(&self, records: &BanRecords) -> io::Result<()> {
         let mut file = File::create(&self.temporary_path)?;
         file.write_all(format_records(records).as_bytes())?;
--- a/src/upgrade/coordinator.rs
+++ b/src/upgrade/coordinator.rs
@@ -1,8 +1,8 @@
 //! Coordinates this process with the others of its dispatcher: keeps its announcement and its share of the limits up to
 //! date, and exchanges bans through the shared file.
 //!
-//! The coordinator owns this process's announcement and its side of the ban file; [`run`] owns the coordinator for as
-//! long as the process runs.
+//! The coordinator owns the announcement of this process and its access to the ban file. [`run`] owns the coordinator
+//! from the end of startup until the process exits.
 
 use super::announcements::{PeerProcesses, ProcessAnnouncements};
 use super::ban_file::{self, BanFile, BanFileError};
@@ -20,21 +20,21 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// How often the folder is checked for another process while this one is alone.
+/// Time between two checks for another process while this one is alone.
 const POLL_INTERVAL_ALONE: Duration = Duration::from_millis(100);
-/// How often the others' announcements are read while there are any.
+/// Time between two readings of the announcements while there are other processes.
 const POLL_INTERVAL_WITH_PEERS: Duration = Duration::from_millis(40);
-/// The least time between two warnings of failed file operations.
+/// Minimum time between two warnings about failed file operations.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The limits that the processes of a dispatcher share.
+/// Limits on resources that the processes of a dispatcher share.
 pub trait ResourceLimits {
-    /// Lowers or raises the limits to this share, in units of [`crate::net::connection_limit::SHARE_UNITS`]. Returns
-    /// the share that is in use, rounded up; it is larger for a while after the limits were lowered.
+    /// Sets the limits to this share, in units of [`crate::net::connection_limit::SHARE_UNITS`]. Returns the share that
+    /// is in use, rounded up. After the limits were lowered, it exceeds the new share until enough has been released.
     fn apply_share(&self, share: u32) -> u32;
 }
 
-/// This process's files in the folder that it has in common with the others.
+/// The files of this process in the folder that it shares with the dispatcher's other processes.
 pub struct UpgradeCoordinator {
     folder: SharedFolder,
     announcements: ProcessAnnouncements,
@@ -44,10 +44,10 @@
 }
 
 impl UpgradeCoordinator {
-    /// Announces this process in the folder and finds out which others live.
+    /// Announces this process in the folder and reads the announcements of the others.
     ///
-    /// `name` is the dispatcher's; `now` is in Unix microseconds. This process comes after all live ones, whatever the
-    /// wall clock says now and said when they started.
+    /// `name` is the dispatcher's; `now` is in Unix microseconds. This process counts as the youngest of the live ones
+    /// even if the wall clock has been set back since they started.
     pub fn start(
         folder: &Path,
         name: &str,
@@ -64,23 +64,24 @@
         })
     }
 
-    /// What this process sees of the others.
+    /// Returns what this process knows of the others.
     pub fn peer_processes(&self) -> PeerProcesses {
         self.announcements.peer_processes()
     }
 
-    /// The path at which a process receives streams, by when it started in Unix microseconds.
+    /// Returns a function from a process's start time, in Unix microseconds, to the path of the socket on which that
+    /// process receives streams.
     pub fn stream_socket_path(&self) -> impl Fn(u64) -> PathBuf + use<> {
         let folder = self.folder.clone();
         move |started_at| folder.stream_socket_address(started_at)
     }
 
-    /// Listens at this process's path for the streams of a predecessor.
+    /// Binds the socket on which this process receives the streams of other processes.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let started_at = self.announcements.own().started_at;
         let path = self.folder.stream_socket_address(started_at);
         match UnixListener::bind(&path) {
-            // No other live process started then: a dead one has left the socket.
+            // Start times of live processes are unique, so this socket was left by a dead one.
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 fs::remove_file(&path)?;
                 UnixListener::bind(&path)
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Reads the file of bans if it has changed since it was last read. A file with wrong contents holds no records.
+    /// Reads the ban file if it has changed since it was last read, else returns `None`. An invalid file counts as one
+    /// without records.
     pub fn read_changed_bans(&mut self) -> Option<BanRecords> {
         match self.ban_file.read_if_changed() {
             Ok(records) => records,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Reads the others' announcements where they may have changed.
+    /// Reads the announcements of the others if they may have changed.
     fn scan_if_needed(&mut self) {
         if !self.announcements.needs_scan() {
             return;
@@ -114,14 +116,15 @@
         }
     }
 
-    /// Moves the limits towards this process's share and announces what it uses. Returns the share that it aims for.
+    /// Sets the limits to this process's target share, and announces the share that it may use by now. Returns the
+    /// target.
     fn update_share(&mut self, state: ProcessState, limits: &impl ResourceLimits) -> u32 {
         let announced = self.announcements.own();
         let target = resource_shares::target_share(&announced, self.announcements.others());
         let in_use = limits.apply_share(target);
         let updated = ProcessAnnouncement {
             state,
-            // What was announced before stays announced as far as it is still in use.
+            // The announced share falls only as fast as what is in use above the target is released.
             share: target.max(in_use.min(announced.share)),
             ..announced
         };
@@ -135,8 +138,8 @@
         target
     }
 
-    /// Writes the file of bans if it lacks any of these records, and returns what it holds then. After an error it is
-    /// tried again the next time: a successor depends on it.
+    /// Writes the ban file if any record in `own` is newer than or missing from `published`, and returns the records in
+    /// the file. After an error the next call tries again, as a successor depends on the file.
     fn publish_bans(&mut self, own: &BanRecords, published: BanRecords) -> BanRecords {
         let Some(merged) = ban_file::merge_records(own, &published) else {
             return published;
@@ -158,9 +161,9 @@
         }
     }
 
-    /// Logs a failed operation, which is tried again, but not each time.
+    /// Logs a failed operation, no more often than [`WARNING_INTERVAL`], as it is retried at each poll.
     fn warn_of_failure(&mut self, operation: &str, error: &io::Error) {
-        // A file that vanishes while it is read is as if it had been read a moment later.
+        // Another process may remove a file between its listing and its reading, which is no failure.
         if error.kind() == ErrorKind::NotFound {
             return;
         }
@@ -174,10 +177,10 @@
     }
 }
 
-/// Coordinates this process with the others until it ends.
+/// Coordinates this process with the others. Never returns.
 ///
-/// `process_state` is what to announce of this process; `peer_processes` gets what it sees of the others. The
-/// dispatcher is sent each change of the share, and the bans that other processes have recorded.
+/// `process_state` is the state to announce; `peer_processes` receives what this process knows of the others. The
+/// dispatcher receives each change of the share, and the ban records that other processes have published.
 pub async fn run(
     mut coordinator: UpgradeCoordinator,
     limits: impl ResourceLimits,
@@ -186,8 +189,8 @@
     peer_processes: watch::Sender<PeerProcesses>,
 ) {
     let mut own_bans = dispatcher.ban_records();
-    // Empty at first, so that the dispatcher gets the file's records also where the file was read before this task
-    // began: it may have changed in between.
+    // Empty at first, even if the startup has read the file: it may have changed since then, and the dispatcher must
+    // receive its current records.
     let mut published_bans = BanRecords::new();
     loop {
         coordinator.scan_if_needed();
--- a/src/upgrade/inherited_socket.rs
+++ b/src/upgrade/inherited_socket.rs
@@ -1,5 +1,5 @@
-//! The listening socket that a process inherits from the platform. Owns nothing: the socket goes to the caller. The
-//! only `unsafe` code of the program is here.
+//! Takes over the listening socket that a process inherits from the platform that starts it. The module keeps no state:
+//! the caller owns the socket. It contains the only `unsafe` code of the program.
 
 use socket2::Socket;
 use std::io;
@@ -8,7 +8,7 @@
 use std::os::fd::{FromRawFd, IntoRawFd, RawFd};
 use thiserror::Error;
 
-/// Descriptors below this are standard input, output and error.
+/// The lowest descriptor that can be an inherited socket; those below are standard input, output and error.
 const FIRST_INHERITABLE_DESCRIPTOR: RawFd = 3;
 
 /// Why a descriptor can't be used as the inherited listening socket.
@@ -19,10 +19,10 @@
     NotANumber {
         /// The text as it was given.
         descriptor: String,
-        /// What is wrong with it.
+        /// Why it could not be parsed.
         source: ParseIntError,
     },
-    /// The number is negative or that of a standard stream.
+    /// The number is negative or belongs to a standard stream.
     #[error(
         "the inherited socket {descriptor:?}: not the number of a descriptor that is handed on"
     )]
@@ -36,7 +36,7 @@
         /// The text as it was given.
         descriptor: String,
     },
-    /// A system call on the descriptor failed: it is not open, or not a socket.
+    /// A system call on the descriptor failed, for example because it is not open or not a socket.
     #[error("the inherited socket {descriptor:?}: {source}")]
     Unusable {
         /// The text as it was given.
@@ -48,14 +48,18 @@
 
 /// Takes ownership of the inherited listening socket with this descriptor number and makes it non-blocking.
 ///
-/// Call it once, before anything else opens a descriptor. Fails where the text is no inheritable number, and where the
-/// descriptor is not an open, listening socket; such a descriptor stays open.
+/// Must be called once, before anything else opens a descriptor.
+///
+/// # Errors
+///
+/// The text is not the number of an inheritable descriptor, or the descriptor is not an open, listening socket. In the
+/// latter case the descriptor stays open.
 #[allow(unsafe_code)]
 pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, InheritedSocketError> {
     let number = parse_descriptor(descriptor)?;
-    // SAFETY: whoever started this process left the descriptor open for it and named it in the environment, and no
-    // other code owns it: this runs once, before anything else opens one. If the environment is wrong, the number is
-    // not open or no listening socket; then it is given back untouched below, before it could be closed here.
+    // SAFETY: the parent process left the descriptor open and named it in the environment, and no other code owns it,
+    // as this runs once and before anything else opens a descriptor. If the environment is wrong, the descriptor is not
+    // open or not a listening socket; ownership is then released below, so that the descriptor is not closed here.
     let socket = unsafe { Socket::from_raw_fd(number) };
     let error = match prepare_listener(&socket) {
         Ok(true) => return Ok(socket.into()),
@@ -71,6 +75,7 @@
     Err(error)
 }
 
+/// Parses the number of an inheritable descriptor.
 fn parse_descriptor(descriptor: &str) -> Result<RawFd, InheritedSocketError> {
     let number: RawFd = descriptor
         .parse()
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -1,15 +1,16 @@
-//! Upgrades without downtime: two versions of one dispatcher run side by side on an inherited socket, until the older
-//! one has drained.
+//! Upgrades without downtime: two versions of a dispatcher run side by side on one inherited listening socket until the
+//! older one has drained.
 //!
-//! The processes find each other by files in `$TMPDIR`, whose names and contents are a contract between versions:
+//! The processes find each other by files in `$TMPDIR`. The files' names and contents are shared between versions and
+//! must stay compatible.
 //!
-//! * `inherited_socket` takes the listening socket that both accept from;
-//! * `announcements` publishes this process's `process_announcement` and finds those of live processes, in files
-//!   that `shared_folder` names;
-//! * [`resource_shares`] decides how the processes divide the dispatcher's limits;
-//! * `ban_file` shares the operators' bans;
-//! * `coordinator` keeps announcement, share and bans up to date while the process runs, and owns their state;
-//! * [`stream_migration`] moves live streams to the successor.
+//! * `inherited_socket` takes over the listening socket on which both processes accept connections;
+//! * `announcements` publishes the `process_announcement` of this process and reads those of other live processes, in
+//!   files that `shared_folder` names;
+//! * [`resource_shares`] divides the dispatcher's limits among its processes;
+//! * `ban_file` shares the bans that operators have set;
+//! * `coordinator` owns the state of announcement, share and bans, and keeps it up to date while the process runs;
+//! * [`stream_migration`] moves live streams to another process.
 
 mod announcements;
 mod ban_file;
--- a/src/upgrade/process_announcement.rs
+++ b/src/upgrade/process_announcement.rs
@@ -1,35 +1,36 @@
-//! What a process announces to the other processes of its dispatcher, and the line of text that carries it. Pure: no
-//! clock, no file.
+//! What a process announces to the other processes of its dispatcher, and the line of text in which it does so. The
+//! format is shared between versions and must stay compatible. The module does no I/O and reads no clock.
 
 use crate::net::connection_limit::SHARE_UNITS;
 
 const FORMAT_VERSION: &str = "1";
 
-/// The stage of its life that a process is in.
+/// The stage of the life of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It does not accept clients yet.
+    /// The process does not accept clients yet.
     Starting,
-    /// It accepts clients.
+    /// The process accepts clients.
     Serving,
-    /// It accepts no more clients and drains those it has.
+    /// The process shuts down: it drains, and soon accepts no more clients.
     Leaving,
 }
 
-/// What a process announces to the others.
+/// The announcement of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessAnnouncement {
-    /// When it started, in Unix microseconds. Unique among live processes, and greater for a later process.
+    /// When the process started, in Unix microseconds. Unique among live processes, and greater for a later one.
     pub started_at: u64,
-    /// The stage of its life that it is in.
+    /// The stage of the process's life.
     pub state: ProcessState,
-    /// The share of the limits that it uses at most, in units of which [`SHARE_UNITS`] are the whole.
+    /// The largest share of the limits that the process may use by now, in units of which [`SHARE_UNITS`] are the
+    /// whole.
     pub share: u32,
 }
 
 impl ProcessAnnouncement {
-    /// Formats the announcement as a line. Lines have one length, so that a write at the file's start replaces all of
-    /// the previous one.
+    /// Formats the announcement as a line. All lines have the same length, so that a write at the start of the file
+    /// replaces the whole previous line.
     pub fn to_line(&self) -> String {
         let state = match self.state {
             ProcessState::Starting => "starting",
@@ -42,8 +43,8 @@
         )
     }
 
-    /// Reads a whole line, with its line break. `None` for anything that [`ProcessAnnouncement::to_line`] can't have
-    /// written.
+    /// Parses a whole line, including its line break. Returns `None` if the line is incomplete, invalid or of another
+    /// format version.
     pub fn parse(line: &str) -> Option<ProcessAnnouncement> {
         let mut fields = line.strip_suffix('\n')?.split_ascii_whitespace();
         let version = fields.next()?;
--- a/src/upgrade/resource_shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -1,29 +1,31 @@
-//! How the processes of one dispatcher divide its limits (connections, memory for bodies). Pure: no clock, no file.
+//! Divides the limits of a dispatcher (connections, memory for bodies) among its processes. The module does no I/O and
+//! reads no clock.
 //!
-//! Shares are counted in units of which [`SHARE_UNITS`] are the whole. The invariant: while processes update their
-//! announcements and end in any order, the announced shares never add up to more than the whole. It holds because
+//! Shares are counted in units of which [`SHARE_UNITS`] are the whole. Invariant: the announced shares never add up to
+//! more than the whole, in whatever order processes update their announcements and exit. It holds because
 //!
-//! * a process that starts takes [`STARTING_SHARE`], which a process that was alone has left free;
+//! * a process starts with [`STARTING_SHARE`], which a process that is alone leaves free;
 //! * a process that has a successor never raises its share;
-//! * the youngest process takes no more than what the others' announcements leave.
+//! * the youngest process takes no more than the announcements of the others leave.
 //!
-//! Two processes together use the whole. One more that starts beside them therefore takes its [`STARTING_SHARE`] beyond
-//! it, until the second has lowered its share; a start is expected only when the previous upgrade is over.
+//! Two processes together use the whole. A third one that starts beside them exceeds it by [`STARTING_SHARE`] until the
+//! second has lowered its share. This is accepted, as an upgrade is expected to start only after the previous one has
+//! ended.
 
 pub use super::process_announcement::{ProcessAnnouncement, ProcessState};
 use crate::net::connection_limit::SHARE_UNITS;
 
-/// The share of a process that starts beside another one, which leaves it free for that.
+/// The share of a process that starts beside another one. A process that is alone leaves it free for that.
 pub const STARTING_SHARE: u32 = 1;
-/// The share of a process that is alone: the largest that any process has.
+/// The share of a process that is alone, which is the largest that any process can have.
 pub const MAX_SHARE: u32 = SHARE_UNITS - STARTING_SHARE;
-/// The share of a process that has a successor and does not leave yet.
+/// Maximum share of a process that has a successor and is not leaving yet.
 const SERVING_PREDECESSOR_SHARE: u32 = 7;
-/// The share of a process that has a successor and drains.
+/// Maximum share of a process that has a successor and is leaving.
 const LEAVING_PREDECESSOR_SHARE: u32 = 4;
 
-/// The share that a process should lower or raise its limits to, in units of [`SHARE_UNITS`], given what it and the
-/// others have announced. See the module for the invariant that this keeps.
+/// Returns the share to which a process should lower or raise its limits, in units of which [`SHARE_UNITS`] are the
+/// whole, given what it and the others have announced. The module's description states the invariant that this keeps.
 pub fn target_share(own: &ProcessAnnouncement, others: &[ProcessAnnouncement]) -> u32 {
     if others.is_empty() {
         return MAX_SHARE;
--- a/src/upgrade/shared_folder.rs
+++ b/src/upgrade/shared_folder.rs
@@ -1,6 +1,7 @@
-//! Names of the files with which the processes of one dispatcher find each other in their common folder. Owns no file.
+//! The names of the files by which the processes of a dispatcher find each other in a shared folder. The module creates
+//! and removes no files.
 //!
-//! The names are a contract between versions: a process reads those that an older or a newer one has written.
+//! The names are shared between versions and must stay compatible: a process reads files of older and newer versions.
 
 use crate::config::fnv1a_hash;
 use std::fs::File;
@@ -9,50 +10,50 @@
 use std::sync::Arc;
 
 const ANNOUNCEMENT_SUFFIX: &str = ".notice";
-/// An announcement whose file is not locked yet.
+/// The suffix of an announcement whose file is not locked yet.
 const TEMPORARY_ANNOUNCEMENT_SUFFIX: &str = ".new";
-/// A ban file that is being written.
+/// The suffix of a ban file that is being written.
 const TEMPORARY_BANS_SUFFIX: &str = ".bans-new";
 
-/// The longest path of a socket file, in bytes.
+/// Maximum length of the path of a Unix socket, without the terminating zero.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
 
-/// The folder, and the prefix that the names of one dispatcher's files have.
+/// The folder, with the prefix that the names of the dispatcher's files have in it.
 #[derive(Clone, Debug)]
 pub(super) struct SharedFolder {
     path: PathBuf,
     prefix: String,
-    /// The open folder, where its path is too long for sockets in it.
+    /// The open folder; set if its path is too long for the sockets in it.
     handle: Option<Arc<File>>,
 }
 
 /// A file that another process of the dispatcher may have left in the folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SharedFile {
-    /// A process announcement.
+    /// The announcement of a process.
     Announcement(AnnouncementName),
-    /// A ban file that was being written by this process, where the name tells which.
+    /// A ban file that a process has begun to write and not renamed yet.
     TemporaryBans {
-        /// The process's number.
+        /// The id of that process; `None` if the name does not contain a valid one.
         process_id: Option<u32>,
     },
 }
 
-/// What the name of an announcement's file says of its process, where it can be read.
+/// What the name of an announcement file says about its process. A part that can't be parsed is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AnnouncementName {
-    /// When it started, in Unix microseconds.
+    /// When the process started, in Unix microseconds.
     pub started_at: Option<u64>,
-    /// Its process number.
+    /// The id of the process.
     pub process_id: Option<u32>,
 }
 
 impl SharedFolder {
-    /// The files in this folder of the dispatcher with this name.
+    /// Names the files that the dispatcher with this name has in this folder.
     pub(super) fn new(path: &Path, dispatcher_name: &str) -> SharedFolder {
         let mut folder = SharedFolder {
             path: path.to_owned(),
-            // A hash, as the name may hold characters that have a meaning in a path.
+            // A hash, as the dispatcher's name may contain characters that are special in a path.
             prefix: format!("quartzhall-{:016x}", fnv1a_hash(dispatcher_name)),
             handle: None,
         };
@@ -63,17 +64,17 @@
         folder
     }
 
-    /// The folder's own path.
+    /// Returns the path of the folder.
     pub(super) fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The announcement of this process.
+    /// Returns the path of the announcement of this process.
     pub(super) fn announcement(&self, started_at: u64) -> PathBuf {
         self.own_announcement(started_at, ANNOUNCEMENT_SUFFIX)
     }
 
-    /// The announcement of this process while its file is not locked yet.
+    /// Returns the path of the announcement of this process while its file is not locked yet.
     pub(super) fn temporary_announcement(&self, started_at: u64) -> PathBuf {
         self.own_announcement(started_at, TEMPORARY_ANNOUNCEMENT_SUFFIX)
     }
@@ -83,13 +84,13 @@
         self.file(&format!("-{started_at:020}-{process_id}{suffix}"))
     }
 
-    /// The socket on which the process that started then receives streams.
+    /// Returns the path of the socket on which the process with this start time receives streams.
     pub(super) fn stream_socket(&self, started_at: u64) -> PathBuf {
         self.file(&format!("-{started_at:020}.sock"))
     }
 
-    /// A path by which the system finds that socket, for listening and for connecting: where its own is too long for a
-    /// socket, one by the descriptor of the folder. Valid while this folder's value lives.
+    /// Returns a path by which that socket can be bound and connected to. If its own path is too long for a socket,
+    /// this is one through the descriptor of the open folder, which is valid as long as `self` or a clone of it exists.
     pub(super) fn stream_socket_address(&self, started_at: u64) -> PathBuf {
         let path = self.stream_socket(started_at);
         match (&self.handle, path.file_name()) {
@@ -100,12 +101,12 @@
         }
     }
 
-    /// The file of bans, one for all processes.
+    /// Returns the path of the ban file, which all processes share.
     pub(super) fn bans(&self) -> PathBuf {
         self.file(".bans")
     }
 
-    /// The file of bans as the process with this number writes it.
+    /// Returns the path under which the process with this id writes a new ban file before it renames it.
     pub(super) fn temporary_bans(&self, process_id: u32) -> PathBuf {
         self.file(&format!("-{process_id}{TEMPORARY_BANS_SUFFIX}"))
     }
@@ -114,7 +115,8 @@
         self.path.join(format!("{}{rest}", self.prefix))
     }
 
-    /// What the file at this path is; `None` if it is not one of this dispatcher's announcements or temporary files.
+    /// Tells what the file at this path is; `None` if it is not an announcement or temporary ban file of this
+    /// dispatcher.
     pub(super) fn classify(&self, path: &Path) -> Option<SharedFile> {
         let file_name = path.file_name()?.to_str()?;
         let rest = file_name.strip_prefix(&self.prefix)?;
@@ -130,7 +132,7 @@
 }
 
 impl AnnouncementName {
-    /// Reads what stands between the prefix and the suffix.
+    /// Parses the part of a file name between the prefix and the suffix.
     fn parse(name: &str) -> AnnouncementName {
         let fields = name
             .strip_prefix('-')
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -1,39 +1,40 @@
-//! The bytes with which a stream goes to another process, beside the descriptors of its two sockets (the client's
-//! first). A contract between versions. Pure: no socket.
+//! The frame in which a stream's state is sent to another process. The descriptors of the client's and the upstream's
+//! socket, in this order, accompany its first byte. The format is shared between versions and must stay compatible.
 //!
-//! A header of fixed length, then the parts whose lengths it gives. The receiver answers with [`ACCEPTED`]. A receiver
-//! that does not know a frame's version closes the connection; the sender then sends the older one.
+//! A frame is a header of fixed length, followed by the parts whose lengths the header gives. The receiver answers with
+//! [`ACCEPTED`]. A receiver that does not know the frame's version closes the connection, and the sender then sends the
+//! older version. The module does no I/O.
 
 use crate::net::message_framing::ChunkedDecoder;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The receiver's answer: from here on the stream is its own.
+/// The receiver's answer by which it takes ownership of the stream.
 pub(super) const ACCEPTED: u8 = b'Y';
 
 const MAGIC_BYTES: usize = 4;
 const LENGTH_BYTES: usize = size_of::<u32>();
-/// What both versions begin with: magic, position in the chunked body, length of the partial event.
+/// Size of the header that both versions have: magic, state of the chunked decoder, length of the partial event.
 pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::BYTES + LENGTH_BYTES;
-/// What the second version adds to the header: flags, three lengths and the silence in milliseconds.
+/// Size of what the second version adds to the header: flags, three lengths and the idle time in milliseconds.
 pub(super) const EXTENSION_BYTES: usize = 1 + 4 * LENGTH_BYTES;
 
-/// No event that has not ended is longer, as in [`EventStream`](crate::backend::event_stream::EventStream).
+/// Maximum length of a partial event, the same as in [`EventStream`](crate::backend::event_stream::EventStream).
 const MAX_PARTIAL_EVENT_BYTES: u32 = 64 * 1024;
-/// More than a connection keeps back of either.
+/// Maximum length of the unsent bytes and of the pipelined bytes. A connection buffers less of either.
 const MAX_BUFFERED_BYTES: u32 = 4 << 20;
-/// No client request id is longer.
+/// Maximum length of a client request id.
 const MAX_REQUEST_ID_BYTES: u32 = 128;
-/// The flag of a client that was told that its connection ends with the response.
+/// The flag for a connection that is closed after the response.
 const CLOSES_CONNECTION: u8 = 1;
 
-/// The version of a frame.
+/// The format version of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FrameVersion {
-    /// The position in the stream alone.
+    /// The first version: only the position in the chunked body and the partial event.
     Position,
-    /// The request's id and the state of the client's connection, too.
+    /// The second version: also the idle time, the client request id and the state of the client's connection.
     WithConnection,
 }
 
@@ -55,62 +56,62 @@
 /// The state of a stream's upstream side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamState {
-    /// The position in the chunked body.
+    /// The decoder of the chunked body, at its current position.
     pub chunks: ChunkedDecoder,
-    /// The bytes received so far of the event that has not ended.
+    /// The bytes received so far of an incomplete event.
     pub partial_event: Bytes,
-    /// How long ago the last whole event came.
+    /// Time since the last complete event. Counts toward the stream's idle timeout in the receiving process.
     pub idle_for: Duration,
 }
 
 /// The state of a stream's client side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientState {
-    /// The id that the client chose for the request; `None` where the sender's version does not tell it.
+    /// The client's own id of the request; `None` if it is unknown, as after a migration in the first version.
     pub client_request_id: Option<Arc<str>>,
-    /// The client's connection.
+    /// The state of the client's connection.
     pub connection: ConnectionState,
 }
 
 /// The state of a client's connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// Bytes of the response that the client's socket has not taken.
+    /// Bytes of the response that are not written to the client's socket yet.
     pub unsent: Bytes,
-    /// Bytes that the client has sent behind its request, and that were read.
+    /// Bytes that were read from the client's socket after the request.
     pub pipelined: Bytes,
-    /// The client was told, or may have been told, that the connection ends with this response.
+    /// True if the client was told, or may have been told, that the connection is closed after this response.
     pub closes_after_response: bool,
 }
 
 impl ConnectionState {
-    /// Whether a receiver needs to know no more than the position in the stream to go on with it.
-    pub(super) fn is_position_enough(&self) -> bool {
+    /// Returns whether the first version of the frame is enough to continue the stream without losing bytes.
+    pub(super) fn fits_first_version(&self) -> bool {
         self.unsent.is_empty() && self.pipelined.is_empty()
     }
 }
 
-/// A header, as far as both versions have it.
+/// The part of the header that both versions have.
 #[derive(Debug)]
 pub(super) struct FrameHeader {
     pub(super) version: FrameVersion,
-    /// The position in the upstream's chunked body.
+    /// The decoder of the upstream's chunked body, at its current position.
     pub(super) chunks: ChunkedDecoder,
-    /// How many bytes of an event that has not ended follow.
+    /// Length of the partial event that follows the header.
     pub(super) partial_event_bytes: u32,
 }
 
-/// What the second version adds to the header.
+/// The part of the header that only the second version has.
 #[derive(Debug)]
 pub(super) struct FrameExtension {
     pub(super) closes_connection: bool,
     pub(super) unsent_bytes: u32,
     pub(super) pipelined_bytes: u32,
     pub(super) request_id_bytes: u32,
-    pub(super) silent_ms: u32,
+    pub(super) idle_ms: u32,
 }
 
-/// Formats a frame. `None` where a part is too long for one.
+/// Formats a frame; `None` if a part exceeds its maximum length.
 pub(super) fn format(
     version: FrameVersion,
     upstream: &UpstreamState,
@@ -130,12 +131,12 @@
         closes_after_response,
     } = &client.connection;
     let request_id = client.client_request_id.as_deref().unwrap_or("").as_bytes();
-    let silent_ms = u32::try_from(upstream.idle_for.as_millis()).unwrap_or(u32::MAX);
+    let idle_ms = u32::try_from(upstream.idle_for.as_millis()).unwrap_or(u32::MAX);
     frame.push(u8::from(*closes_after_response) * CLOSES_CONNECTION);
     frame.extend(length_bytes(unsent, MAX_BUFFERED_BYTES)?);
     frame.extend(length_bytes(pipelined, MAX_BUFFERED_BYTES)?);
     frame.extend(length_bytes(request_id, MAX_REQUEST_ID_BYTES)?);
-    frame.extend(silent_ms.to_be_bytes());
+    frame.extend(idle_ms.to_be_bytes());
     for part in [partial_event, unsent, pipelined] {
         frame.extend_from_slice(part);
     }
@@ -143,12 +144,13 @@
     Some(frame)
 }
 
+/// Encodes the length of a part; `None` if it exceeds `max_length`.
 fn length_bytes(part: &[u8], max_length: u32) -> Option<[u8; LENGTH_BYTES]> {
     let length = u32::try_from(part.len()).ok()?;
     (length <= max_length).then(|| length.to_be_bytes())
 }
 
-/// Takes a number off the front of `bytes`.
+/// Removes a big-endian number from the front of `bytes` and returns it; `None` if too few bytes are left.
 fn take_number(bytes: &mut &[u8]) -> Option<u32> {
     let (number, rest) = bytes.split_first_chunk()?;
     *bytes = rest;
@@ -156,7 +158,7 @@
 }
 
 impl FrameHeader {
-    /// `None` if these bytes are no header, or announce more than an event may be long.
+    /// Parses a header; `None` if it is invalid, of an unknown version, or announces too long an event.
     pub(super) fn parse(bytes: &[u8; HEADER_BYTES]) -> Option<FrameHeader> {
         let (magic, fields) = bytes.split_first_chunk()?;
         let version = FrameVersion::of(*magic)?;
@@ -174,7 +176,7 @@
 }
 
 impl FrameExtension {
-    /// `None` if these bytes announce more than a connection keeps back.
+    /// Parses the extension of a header; `None` if it announces a part that exceeds its maximum length.
     pub(super) fn parse(bytes: &[u8; EXTENSION_BYTES]) -> Option<FrameExtension> {
         let (flags, mut fields) = bytes.split_first()?;
         let extension = FrameExtension {
@@ -182,7 +184,7 @@
             unsent_bytes: take_number(&mut fields)?,
             pipelined_bytes: take_number(&mut fields)?,
             request_id_bytes: take_number(&mut fields)?,
-            silent_ms: take_number(&mut fields)?,
+            idle_ms: take_number(&mut fields)?,
         };
         let fits = extension.unsent_bytes <= MAX_BUFFERED_BYTES
             && extension.pipelined_bytes <= MAX_BUFFERED_BYTES
--- a/src/upgrade/stream_migration/mod.rs
+++ b/src/upgrade/stream_migration/mod.rs
@@ -1,13 +1,13 @@
-//! Migration of live streams to another process of the dispatcher, with the sockets of their client and of their upstream.
+//! Migrates live streams, with their client and upstream sockets, to another process of the dispatcher.
 //!
-//! The upstream side of a stream offers its [`UpstreamHalf`] down the stream's own channel, behind the last event; the
-//! client's connection adds its [`ClientHalf`] once all before the offer is written, or buffered to go along
-//! ([`MigrationSlot`]). [`send_streams`] sends both to the receiving process in one frame and reports to both sides
-//! whether it accepted them: where it did not, they go on, and try again a moment later. In the receiving process
-//! [`receive_streams`] queues each stream for the frontend and the backend, which go on with it as with one that the
-//! process took itself; it can migrate again from there.
+//! The backend offers the [`UpstreamHalf`] of a stream through the stream's own channel, after the last event that it
+//! has forwarded. The client's connection adds the [`ClientHalf`] in its [`MigrationSlot`], once everything before the
+//! offer is written to the socket or buffered as part of the connection's state. [`send_streams`] sends both halves to
+//! the receiving process in one frame, and reports to both sides whether that process has accepted the stream. If it
+//! has not, the stream continues here and tries again later. In the receiving process [`receive_streams`] queues each
+//! stream for the frontend and the backend. They continue it like one of their own, so it can migrate again.
 //!
-//! A stream belongs to one process at any time: to the sender up to the acceptance, to the receiver from then on.
+//! Invariant: exactly one process owns a stream at any time, the sender until the acceptance and the receiver after it.
 
 mod frame;
 mod receiver;
@@ -28,34 +28,34 @@
 /// Why a stream was not migrated.
 #[derive(Debug, Error)]
 enum MigrationError {
-    /// No process is there to receive it.
+    /// There is no process that could receive it.
     #[error("no process receives streams")]
     NoReceiver,
-    /// The event that has begun, or what the client has not taken, is too long for a frame.
+    /// A part of the state, such as the partial event or the unsent bytes, exceeds the limits of a frame.
     #[error("too long for a frame")]
     FrameTooLong,
     /// The receiver did not accept the stream.
     #[error("not accepted by the receiver")]
     NotAccepted,
-    /// The receiver did not answer in time, and the stream was withdrawn.
+    /// The receiver did not answer in time, and the sender has withdrawn the stream.
     #[error("not accepted in time")]
     AcceptanceTimeout,
-    /// This process ends and accepts no more streams.
+    /// This process shuts down and accepts no more streams.
     #[error("this process ends")]
     ProcessEnds,
-    /// The sender's process belongs to another user.
+    /// The sending process runs as another user.
     #[error("sender is another user's process")]
     ForeignUser,
-    /// What was received is no frame.
+    /// The received bytes are not a valid frame.
     #[error("invalid frame")]
     InvalidFrame,
-    /// The descriptors did not come along: this process is short of them.
+    /// The frame came without its two descriptors. The system drops them if this process has too many open.
     #[error("descriptors missing")]
     MissingDescriptor,
-    /// The sender did not send the whole frame in time.
+    /// The whole frame did not arrive in time.
     #[error("frame timed out")]
     FrameTimeout,
-    /// A system call on one of the sockets failed.
+    /// A system call on a socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -1,4 +1,7 @@
-//! Receives streams from another process. Owns each stream until the frontend has it.
+//! Receives streams from other processes, and owns each until the frontend takes it from the queue.
+//!
+//! A stream is accepted only when it has a place in the frontend's queue, so that none is accepted and then lost while
+//! the process shuts down.
 
 use super::frame::{
     ClientState, ConnectionState, FrameExtension, FrameHeader, FrameVersion, UpstreamState,
@@ -19,7 +22,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// How long the sender may take for a frame.
+/// Maximum time in which a frame has to arrive.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A stream that this process has accepted.
@@ -27,7 +30,7 @@
 pub struct ReceivedStream {
     /// The client's socket.
     pub client: TcpStream,
-    /// The state of its connection.
+    /// The state of the client's connection.
     pub client_state: ClientState,
     /// The upstream side.
     pub upstream: ReceivedUpstream,
@@ -38,12 +41,12 @@
 pub struct ReceivedUpstream {
     /// The upstream's socket.
     pub socket: TcpStream,
-    /// Where the stream stands.
+    /// The position in the stream.
     pub state: UpstreamState,
 }
 
-/// Receives the streams of other processes and queues each for the frontend, which owns it from then on. None is
-/// accepted once the queue is closed. Never returns, as the process may have more to end.
+/// Receives streams from other processes and queues them for the frontend, which owns them from then on. Accepts none
+/// once the queue is closed. Never returns, as the process exits if one of its tasks ends.
 pub async fn receive_streams(
     listener: UnixListener,
     queue: mpsc::Sender<ReceivedStream>,
@@ -69,6 +72,7 @@
     }
 }
 
+/// Handles one connection of a sender: receives its frame, and accepts the stream or logs why not.
 async fn receive_and_queue(
     connection: UnixStream,
     queue: mpsc::Sender<ReceivedStream>,
@@ -88,8 +92,8 @@
     }
 }
 
-/// Accepts a stream and queues it. A place in the queue comes first: the frontend, which closes the queue as the
-/// process ends, waits for such places, so that no accepted stream is left without an owner.
+/// Accepts a stream and queues it. Reserves a place in the queue first: when the frontend closes the queue at shutdown,
+/// it still waits for reserved places, so that every accepted stream has an owner.
 async fn accept(
     connection: &UnixStream,
     stream: ReceivedStream,
@@ -101,8 +105,8 @@
         .reserve()
         .await
         .map_err(|_| MigrationError::ProcessEnds)?;
-    // A single byte fits into the connection's empty buffer. Where the sender has withdrawn the stream, the write fails;
-    // once it has succeeded, the sender forwards no more of the stream.
+    // The write needs no wait, as a single byte fits into the connection's empty send buffer. It fails if the sender
+    // has withdrawn the stream. Once it has succeeded, the sender forwards no more of the stream.
     send(
         connection,
         &[ACCEPTED],
@@ -116,9 +120,9 @@
     Ok(())
 }
 
-/// Receives a frame with its descriptors.
+/// Receives a frame and its descriptors.
 async fn receive(connection: &UnixStream) -> Result<ReceivedStream, MigrationError> {
-    // The folder may be writable for other users; their processes are never predecessors.
+    // The folder may be writable by other users, whose processes do not belong to this dispatcher.
     if connection.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
         return Err(MigrationError::ForeignUser);
     }
@@ -143,7 +147,7 @@
             },
         },
     };
-    let silent_ms = extension.map_or(0, |extension| extension.silent_ms);
+    let idle_ms = extension.map_or(0, |extension| extension.idle_ms);
     let [client, upstream] =
         <[OwnedFd; 2]>::try_from(descriptors).map_err(|_| MigrationError::MissingDescriptor)?;
     Ok(ReceivedStream {
@@ -154,13 +158,13 @@
             state: UpstreamState {
                 chunks: header.chunks,
                 partial_event,
-                idle_for: Duration::from_millis(silent_ms.into()),
+                idle_for: Duration::from_millis(idle_ms.into()),
             },
         },
     })
 }
 
-/// Receives the header, and the descriptors that come with its first byte.
+/// Receives the header and the descriptors, which accompany its first byte.
 async fn receive_header(
     connection: &UnixStream,
 ) -> Result<(FrameHeader, Vec<OwnedFd>), MigrationError> {
@@ -189,7 +193,7 @@
     Ok((header, descriptors))
 }
 
-/// Reads the parts of a frame behind its header.
+/// Reads the parts of a frame that follow the header.
 struct FrameReader<'a>(&'a UnixStream);
 
 impl FrameReader<'_> {
--- a/src/upgrade/stream_migration/sender.rs
+++ b/src/upgrade/stream_migration/sender.rs
@@ -1,4 +1,5 @@
-//! Sends streams to another process. Owns each stream until that process has accepted it.
+//! Sends streams to another process. Owns each stream until that process accepts it, or until both of its sides are
+//! told that it has not migrated.
 
 use super::frame::{self, FrameVersion, ACCEPTED};
 use super::slot::{ClientHalf, MigratingStream, UpstreamHalf};
@@ -20,31 +21,33 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-/// How long a process may take to accept a stream: meanwhile none of its events is forwarded, and none may be late by
-/// 0.3 s.
+/// Maximum time for the receiver to accept a stream. The stream's events are held back meanwhile, and none may be
+/// delayed by 0.3 s.
 const ACCEPTANCE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Failures are logged no more often than this: streams try again several times a second.
+/// Minimum time between two warnings of failed migrations, as each stream retries several times a second.
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A process that receives streams.
+/// The process to which streams are sent.
 #[derive(Clone, Debug)]
 pub struct ReceiverProcess {
-    /// When it started, in Unix microseconds; names it in the log.
+    /// When the process started, in Unix microseconds. Identifies it in the log.
     pub started_at: u64,
-    /// Where it receives streams.
+    /// The path of the Unix socket on which it receives streams.
     pub socket_path: PathBuf,
 }
 
-/// What the migrations of a process have learned and logged, shared by their tasks.
+/// State that the tasks of all migrations share.
 struct SenderState {
-    /// When the process started that knows no more than the first version of the frame.
-    old_receiver: AtomicU64,
+    /// The start time of a receiver that knows only the first version of the frame; 0 if none is known.
+    first_version_receiver: AtomicU64,
+    /// When a failed migration was last logged as a warning.
     last_warning_at: Mutex<Option<Instant>>,
     log: Logger,
 }
 
 impl SenderState {
+    /// Logs a failed migration: as a warning once per [`WARNING_INTERVAL`], otherwise at debug level.
     fn warn_of_failure(
         &self,
         client_request_id: Option<&str>,
@@ -66,23 +69,24 @@
     }
 }
 
-/// Whether a stream has migrated, where no error occurred.
+/// A receiver's reaction to a frame, if no error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Acceptance {
+    /// The stream has migrated.
     Accepted,
-    /// The receiver has closed the connection over unread bytes: it does not know the frame's version.
+    /// The receiver has closed the connection before it read the whole frame, as it does not know the frame's version.
     UnknownVersion,
 }
 
-/// Sends each of these streams to the process that receives them at that moment, where there is one, and reports to
-/// both of its sides whether it has migrated. Never returns, as the process may have more to end than its connections.
+/// Sends each of these streams to the process that `receiver` returns at that moment, if any, and reports to both sides
+/// of the stream whether it has migrated. Never returns, as the process exits if one of its tasks ends.
 pub async fn send_streams(
     receiver: impl Fn() -> Option<ReceiverProcess>,
     mut streams: mpsc::Receiver<MigratingStream>,
     log: Logger,
 ) {
     let state = Arc::new(SenderState {
-        old_receiver: AtomicU64::new(0),
+        first_version_receiver: AtomicU64::new(0),
         last_warning_at: Mutex::default(),
         log,
     });
@@ -90,7 +94,7 @@
     loop {
         tokio::select! {
             stream = streams.recv() => match stream {
-                // A task of its own: a stream that takes long delays no other.
+                // Each in its own task, so that a slow migration does not delay the others.
                 Some(stream) => {
                     tasks.spawn(send_and_report(receiver(), stream, state.clone()));
                 }
@@ -114,7 +118,15 @@
     let client_request_id = client_half.state.client_request_id.as_deref();
     let receiver_started_at = receiver.as_ref().map(|receiver| receiver.started_at);
     let result = match receiver {
-        Some(receiver) => send(&receiver, &upstream_half, &client_half, &state.old_receiver).await,
+        Some(receiver) => {
+            send(
+                &receiver,
+                &upstream_half,
+                &client_half,
+                &state.first_version_receiver,
+            )
+            .await
+        }
         None => Err(MigrationError::NoReceiver),
     };
     match &result {
@@ -124,39 +136,40 @@
         }
         Err(error) => state.warn_of_failure(client_request_id, receiver_started_at, error),
     }
-    // The upstream side first: the end of the attempt is then reported before the client's side is gone.
+    // The upstream side is told first, so that the end of the attempt is reported before the client's side has ended.
     let _ = upstream_half.migrated.send(result.is_ok());
     let _ = migrated.send(result.is_ok());
 }
 
-/// Sends a stream in the newest version of the frame that the receiver knows.
+/// Sends a stream in the newest frame version that the receiver knows.
 async fn send(
     receiver: &ReceiverProcess,
     upstream_half: &UpstreamHalf,
     client_half: &ClientHalf,
-    old_receiver: &AtomicU64,
+    first_version_receiver: &AtomicU64,
 ) -> Result<(), MigrationError> {
-    if old_receiver.load(Ordering::Relaxed) != receiver.started_at {
+    if first_version_receiver.load(Ordering::Relaxed) != receiver.started_at {
         let version = FrameVersion::WithConnection;
         let path = &receiver.socket_path;
         if send_frame(path, version, upstream_half, client_half).await? == Acceptance::Accepted {
             return Ok(());
         }
     }
-    // What the first version can't carry would be lost.
-    if !client_half.state.connection.is_position_enough() {
+    // The first version would lose the unsent and the pipelined bytes.
+    if !client_half.state.connection.fits_first_version() {
         return Err(MigrationError::NotAccepted);
     }
     let version = FrameVersion::Position;
     match send_frame(&receiver.socket_path, version, upstream_half, client_half).await? {
         Acceptance::Accepted => {
-            old_receiver.store(receiver.started_at, Ordering::Relaxed);
+            first_version_receiver.store(receiver.started_at, Ordering::Relaxed);
             Ok(())
         }
         Acceptance::UnknownVersion => Err(MigrationError::NotAccepted),
     }
 }
 
+/// Sends a stream in a frame of this version and waits for the receiver's answer.
 async fn send_frame(
     path: &Path,
     version: FrameVersion,
@@ -186,6 +199,7 @@
     }
 }
 
+/// Writes the frame, with the descriptors of both sockets at its first byte.
 async fn send_with_descriptors(
     connection: &mut UnixStream,
     frame: &[u8],
@@ -217,8 +231,11 @@
     )
 }
 
-/// Takes the offer back, or returns the answer that has come before that. The order is what keeps the stream with one
-/// process: from the shutdown on the receiver's write of its acceptance fails, and it then drops the stream.
+/// Withdraws a stream that the receiver has not accepted in time; returns the receiver's answer if it arrived before
+/// the withdrawal.
+///
+/// The order of the two steps ensures that only one process owns the stream: after the shutdown the receiver can't
+/// write its acceptance any more and drops the stream, and an acceptance written before is read here.
 fn withdraw(connection: &UnixStream) -> io::Result<Option<u8>> {
     SockRef::from(connection).shutdown(Shutdown::Read)?;
     let mut answer = [0];
--- a/src/upgrade/stream_migration/slot.rs
+++ b/src/upgrade/stream_migration/slot.rs
@@ -1,6 +1,7 @@
-//! The sending process's view of a stream that is to migrate: when that is due, and where its two sides meet.
+//! The sending process's side of a migration before the frame is sent: tells streams when to migrate, and brings the
+//! two halves of a stream together.
 //!
-//! Each client connection owns a [`MigrationSlot`]; the process owns one [`MigrationSignal`].
+//! Each client connection owns a [`MigrationSlot`]; the process has one [`MigrationSignal`].
 
 use super::frame::{ClientState, ConnectionState, UpstreamState};
 use std::os::fd::{AsFd, OwnedFd};
@@ -8,74 +9,75 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{mpsc, oneshot, watch, Notify, OwnedSemaphorePermit, Semaphore};
 
-/// How many streams migrate at a time: each needs descriptors beyond its own meanwhile.
+/// Maximum number of streams that migrate at a time, as each needs additional descriptors meanwhile.
 const MAX_CONCURRENT_MIGRATIONS: usize = 12;
 
-/// What connections send their streams to; `None` in a process that is alone.
+/// How connections send their streams to another process; `None` in a process that was not announced to others.
 pub type MigrationSender = Option<MigrationHandle>;
 
-/// The way of a connection's stream to another process.
+/// What a connection needs to migrate its stream to another process.
 #[derive(Clone)]
 pub struct MigrationHandle {
-    /// Takes the streams that are ready.
+    /// The queue of streams whose halves are both ready.
     pub streams: mpsc::Sender<MigratingStream>,
-    /// When streams are to migrate.
+    /// Tells when streams are to migrate.
     pub signal: MigrationSignal,
 }
 
-/// A slot that a connection shares with the response that it writes.
+/// A slot that a connection shares with the response being written on it.
 pub type SharedMigrationSlot = Arc<MigrationSlot>;
 
-/// Settles once whether an offer is taken or withdrawn: the first to claim it decides.
+/// Decides once whether an offer is taken by the client's side or withdrawn by the upstream side: the first claim wins.
 #[derive(Clone, Debug, Default)]
 pub struct OfferClaim(Arc<AtomicBool>);
 
 impl OfferClaim {
-    /// Claims the offer; false where the other side did before.
+    /// Claims the offer; returns false if the other side has claimed it before.
     pub fn claim(&self) -> bool {
         !self.0.swap(true, Ordering::Relaxed)
     }
 }
 
-/// The upstream side of a stream. Whoever offers it reads nothing from its socket until it has withdrawn the offer, or
-/// knows that the stream has not migrated.
+/// The upstream side of a stream. The side that offers it must not read from its socket until it has withdrawn the
+/// offer or was told that the stream has not migrated.
 #[derive(Debug)]
 pub struct UpstreamHalf {
     /// The upstream's socket.
     pub upstream: OwnedFd,
-    /// Where the stream stands.
+    /// The position in the stream.
     pub state: UpstreamState,
-    /// Whether the offer still stands.
+    /// Claimed by the side that takes or withdraws the offer.
     pub claim: OfferClaim,
-    /// Receives whether the stream has migrated; it has not where this is dropped.
+    /// Reports to the upstream side whether the stream has migrated; dropping it means that it has not.
     pub migrated: oneshot::Sender<bool>,
 }
 
-/// Never equal: chunks of a stream are compared in tests, and an offer stands for one stream only.
+/// Two halves are never equal, as each belongs to a stream of its own. Exists because tests compare the chunks of a
+/// stream.
 impl PartialEq for UpstreamHalf {
     fn eq(&self, _: &UpstreamHalf) -> bool {
         false
     }
 }
 
-/// The client's side of a stream.
+/// The client side of a stream.
 #[derive(Debug)]
 pub struct ClientHalf {
     /// The client's socket.
     pub client: OwnedFd,
-    /// The state of its connection.
+    /// The state of the client's connection.
     pub state: ClientState,
 }
 
-/// Both sides of a stream on its way to another process.
+/// Both halves of a stream that is being sent to another process.
 pub struct MigratingStream {
     pub(super) upstream_half: UpstreamHalf,
     pub(super) client_half: ClientHalf,
-    /// Receives whether the stream has migrated, for the client's side.
+    /// Reports to the client's side whether the stream has migrated.
     pub(super) migrated: oneshot::Sender<bool>,
 }
 
-/// Tells streams when to migrate, a few at a time.
+/// Tells streams when to migrate, and limits how many do so at a time.
 #[derive(Clone)]
 pub struct MigrationSignal {
     is_due: watch::Receiver<bool>,
@@ -83,7 +85,8 @@
 }
 
 impl MigrationSignal {
-    /// Waits until streams are to migrate, and for a permit, which is kept while the stream tries to.
+    /// Waits until streams are to migrate and a permit is free. The permit must be held while the stream tries to
+    /// migrate.
     pub async fn acquire(self) -> OwnedSemaphorePermit {
         let MigrationSignal {
             mut is_due,
@@ -97,12 +100,12 @@
         std::future::pending().await
     }
 
-    /// Whether streams are to migrate now.
+    /// Returns whether streams are to migrate now.
     pub fn is_due(&self) -> bool {
         *self.is_due.borrow()
     }
 
-    /// Waits until it changes whether streams are to migrate.
+    /// Waits until the result of [`MigrationSignal::is_due`] may have changed.
     pub async fn changed(&mut self) {
         if self.is_due.changed().await.is_err() {
             std::future::pending::<()>().await;
@@ -110,7 +113,7 @@
     }
 }
 
-/// A signal, and the sender that starts the migration with `true` and pauses it with `false`.
+/// Creates a signal, and the sender that starts migrations with `true` and pauses them with `false`.
 pub fn migration_signal() -> (watch::Sender<bool>, MigrationSignal) {
     let (set_due, is_due) = watch::channel(false);
     let signal = MigrationSignal {
@@ -120,7 +123,7 @@
     (set_due, signal)
 }
 
-/// Where the two sides of a client connection's stream meet before it migrates.
+/// Holds the halves of the stream on a client connection until both are ready to migrate.
 #[derive(Default)]
 pub struct MigrationSlot {
     state: Mutex<SlotState>,
@@ -129,14 +132,15 @@
 
 #[derive(Default)]
 enum SlotState {
-    /// The stream, if any, does not migrate.
+    /// No stream of the connection is migrating.
     #[default]
     Empty,
-    /// The upstream side is there; the client's side has not handed on all that came before the offer.
+    /// The upstream half is offered; the client's side still has to write what came before the offer. Also holds the
+    /// client request id.
     Offered(UpstreamHalf, Option<Arc<str>>),
-    /// Both sides are there.
+    /// Both halves are ready.
     Ready(UpstreamHalf, ClientHalf),
-    /// Both sides are on their way to another process, or back.
+    /// Both halves are with the sender, and it is open whether the stream migrates.
     InTransit,
 }
 
@@ -145,26 +149,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds the upstream side of the stream, when the connection has been given all that was received before.
+    /// Adds the upstream half. The connection must have been given all events that came before the offer.
     pub fn offer(&self, upstream_half: UpstreamHalf, client_request_id: Option<Arc<str>>) {
         *self.state() = SlotState::Offered(upstream_half, client_request_id);
     }
 
-    /// Whether the connection's socket must not be used, as another process may own it.
+    /// Returns whether the connection's socket must not be used, as another process may own it.
     pub fn is_frozen(&self) -> bool {
         matches!(*self.state(), SlotState::Ready(..) | SlotState::InTransit)
     }
 
-    /// Adds the client's side to an offer, when all that the connection was given is written or part of its state.
+    /// Adds the client half if there is an offer. All that the connection was given must be written to the socket or be
+    /// part of the state that `connection` returns.
     pub fn on_flushed(&self, client: impl AsFd, connection: impl FnOnce() -> ConnectionState) {
         let mut state = self.state();
         match std::mem::take(&mut *state) {
             SlotState::Offered(upstream_half, client_request_id) => {
-                // Without a descriptor for the client's socket the offer is dropped, and the stream goes on here.
+                // If the client's socket can't be duplicated, the offer is dropped and the stream continues here.
                 let Ok(client) = client.as_fd().try_clone_to_owned() else {
                     return;
                 };
-                // An offer that was withdrawn meanwhile is dropped, too.
+                // The upstream side has withdrawn the offer meanwhile.
                 if !upstream_half.claim.claim() {
                     return;
                 }
@@ -182,8 +187,10 @@
         }
     }
 
-    /// Waits until both sides of the stream are there and sends them to another process. Returns whether it accepted
-    /// them: if so, this side of the stream is over, else it goes on here. Not to be dropped in between.
+    /// Waits until both halves of the stream are ready and sends them to another process. Returns whether that process
+    /// has accepted the stream: if so, the stream has ended here, else it continues here.
+    ///
+    /// The future must not be dropped before it completes.
     pub async fn migrate(&self, sender: &MigrationSender) -> bool {
         let (upstream_half, client_half) = loop {
             self.is_ready.notified().await;
@@ -197,7 +204,7 @@
             }
         };
         let (migrated, was_migrated) = oneshot::channel();
-        // Without a sender both sides are dropped here, which tells the upstream that the stream goes on.
+        // Without a sender both halves are dropped, which tells both sides that the stream continues here.
         if let Some(sender) = sender {
             let stream = MigratingStream {
                 upstream_half,
