--- a/src/process/limits.rs
+++ b/src/process/limits.rs
@@ -5,7 +5,7 @@
 
 use crate::config::{Config, SessionBudget, SessionConfig, SocketBudgets};
 use crate::frontend::memory_budget::BodyMemoryBudget;
-use crate::net::connection_limit::{ConnectionLimit, SHARE_UNITS};
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, SHARE_UNITS};
 use crate::upgrade::ResourceLimits;
 
 /// Minimum limit for connections to clients and for those to endpoints, however small the process's share is.
@@ -43,9 +43,9 @@
 #[derive(Clone)]
 pub(super) struct SharedLimits {
     /// Connections of clients to the HTTP listener. Sessions have a limit of their own.
-    pub clients: ConnectionLimit,
+    pub clients: AdjustableSemaphore,
     /// Connections to endpoints.
-    pub endpoints: ConnectionLimit,
+    pub endpoints: AdjustableSemaphore,
     /// Memory for request bodies.
     pub body_memory: BodyMemoryBudget,
 }
@@ -56,8 +56,8 @@
     pub(super) fn new(budgets: &ResourceBudgets, session_sockets: usize) -> Self {
         let body_memory_kilobytes = budgets.memory_bytes / 1024 / BODY_MEMORY_DIVISOR;
         SharedLimits {
-            clients: ConnectionLimit::new(budgets.sockets.clients - session_sockets),
-            endpoints: ConnectionLimit::new(budgets.sockets.endpoints),
+            clients: AdjustableSemaphore::new(budgets.sockets.clients - session_sockets),
+            endpoints: AdjustableSemaphore::new(budgets.sockets.endpoints),
             body_memory: BodyMemoryBudget::new(body_memory_kilobytes),
         }
     }
--- a/src/process/takeover.rs
+++ b/src/process/takeover.rs
@@ -5,7 +5,7 @@
 //! configured list and the share that it has. Without any endpoint list it does not take over.
 
 use crate::dispatcher::{Clock, DispatcherHandle, Event, Readiness};
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 use crate::upgrade::{PeerProcesses, UpgradeCoordinator};
 use slog::{warn, Logger};
 use std::path::Path;
--- a/src/upgrade/coordinator.rs
+++ b/src/upgrade/coordinator.rs
@@ -29,8 +29,9 @@
 
 /// Limits on resources that the processes of a dispatcher share.
 pub trait ResourceLimits {
-    /// Sets the limits to this share, in units of [`crate::net::connection_limit::SHARE_UNITS`]. Returns the share that
-    /// is in use, rounded up. After the limits were lowered, it exceeds the new share until enough has been released.
+    /// Sets the limits to this share, in units of [`crate::net::adjustable_semaphore::SHARE_UNITS`]. Returns the share
+    /// that is in use, rounded up. After the limits were lowered, it exceeds the new share until enough has been
+    /// released.
     fn apply_share(&self, share: u32) -> u32;
 }
 
--- a/src/upgrade/process_announcement.rs
+++ b/src/upgrade/process_announcement.rs
@@ -1,7 +1,7 @@
 //! What a process announces to the other processes of its dispatcher, and the line of text in which it does so. The
 //! format is shared between versions and must stay compatible. The module does no I/O and reads no clock.
 
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 
 const FORMAT_VERSION: &str = "1";
 
--- a/src/upgrade/resource_shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -13,7 +13,7 @@
 //! ended.
 
 pub use super::process_announcement::{ProcessAnnouncement, ProcessState};
-use crate::net::connection_limit::SHARE_UNITS;
+use crate::net::adjustable_semaphore::SHARE_UNITS;
 
 /// The share of a process that starts beside another one. A process that is alone leaves it free for that.
 pub const STARTING_SHARE: u32 = 1;
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -16,11 +16,11 @@
 const MAGIC_BYTES: usize = 4;
 const LENGTH_BYTES: usize = size_of::<u32>();
 /// Size of the header that both versions have: magic, state of the chunked decoder, length of the partial event.
-pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::BYTES + LENGTH_BYTES;
+pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::ENCODED_BYTES + LENGTH_BYTES;
 /// Size of what the second version adds to the header: flags, three lengths and the idle time in milliseconds.
 pub(super) const EXTENSION_BYTES: usize = 1 + 4 * LENGTH_BYTES;
 
-/// Maximum length of a partial event, the same as in [`EventStream`](crate::backend::event_stream::EventStream).
+/// Maximum length of a partial event, the same as in [`EventSplitter`](crate::backend::event_stream::EventSplitter).
 const MAX_PARTIAL_EVENT_BYTES: u32 = 64 * 1024;
 /// Maximum length of the unsent bytes and of the pipelined bytes. A connection buffers less of either.
 const MAX_BUFFERED_BYTES: u32 = 4 << 20;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -33,17 +33,17 @@
 /// Gives every parser the bytes; true where one of the JSON parsers took them.
 fn feed(site: &Deployment, bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
-    backend_http::parse_tail(bytes);
-    load_report::parse_load(&text);
+    backend_http::parse_stream_tail(bytes);
+    load_report::parse_load_report(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
-    identifiers::is_name(&text);
+    identifiers::is_valid_name(&text);
     identifiers::parse_key(&text);
     let mut partial = bytes.to_vec();
-    if let Some(whole) = websocket::take_text(&mut partial) {
+    if let Some(whole) = websocket::take_complete_utf8(&mut partial) {
         assert_eq!([whole.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
-    let told = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
+    let told = !matches!(backend_websocket::parse_message(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
     let said = websocket::parse(&text, site).is_ok();
     told || said
         || discovery::parse_list(bytes).is_ok()
@@ -91,7 +91,7 @@
 
 #[test]
 fn what_is_valid_is_read_as_it_is_meant() {
-    let report = backend_http::parse_tail(TAIL.as_bytes());
+    let report = backend_http::parse_stream_tail(TAIL.as_bytes());
     let load = report.load.expect("a report");
     assert_eq!(report.completion_tokens, 200.0);
     assert_eq!(
@@ -104,10 +104,10 @@
         (4096.0, Some(7.0), Some(0.5), None)
     );
     assert!(
-        load_report::parse_load("TEXT what=7").is_none()
-            && load_report::parse_load("JSON inflight=7").is_none()
+        load_report::parse_load_report("TEXT what=7").is_none()
+            && load_report::parse_load_report("JSON inflight=7").is_none()
     );
-    assert!(load_report::parse_load("TEXT inflight=inf").is_none());
+    assert!(load_report::parse_load_report("TEXT inflight=inf").is_none());
     let mut ask = RequestMetadata::default();
     http::parse_props(
         "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1",
@@ -119,9 +119,9 @@
         (Some(0x5c), 5120.0, 800.0)
     );
     assert!(
-        identifiers::is_name("9b1f-03_a.5~")
-            && !identifiers::is_name("..")
-            && !identifiers::is_name("a b")
+        identifiers::is_valid_name("9b1f-03_a.5~")
+            && !identifiers::is_valid_name("..")
+            && !identifiers::is_valid_name("a b")
     );
 }
 
@@ -131,7 +131,7 @@
     let text = MEMBERS.replace("]}", r#",{"id":"s-2","host_port":"nowhere","phase":"Ready"},{"id":"s-3","host_port":"127.0.0.1:2","phase":"Dancing"}]}"#);
     let list = discovery::parse_list(text.as_bytes()).unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let event = discovery::endpoints_changed(&mut site(), &list, &log);
+    let event = discovery::endpoints_changed_event(&mut site(), &list, &log);
     let quartzhall::dispatcher::Event::EndpointsChanged {
         is_full: true,
         endpoints: members,
@@ -168,7 +168,7 @@
                 r#"{{"revision":42,"complete":false,"members":[{odd},"what?",{{"phase":"Gone"}},{whole}]}}"#
             );
             let list = discovery::parse_list(text.as_bytes()).unwrap();
-            let event = discovery::endpoints_changed(&mut site(), &list, &log);
+            let event = discovery::endpoints_changed_event(&mut site(), &list, &log);
             let quartzhall::dispatcher::Event::EndpointsChanged {
                 is_full: false,
                 endpoints: members,
@@ -199,7 +199,7 @@
     let mut random = Gen::from_size_and_seed(40, 5);
     for _ in 0..500 {
         let (mut events, mut rest, mut out) = (
-            event_stream::EventStream::default(),
+            event_stream::EventSplitter::default(),
             stream.as_bytes(),
             Vec::new(),
         );
@@ -218,11 +218,11 @@
 
         let mut garbage = Vec::<u8>::arbitrary(&mut random);
         garbage.insert(0, b'?');
-        let mut events = event_stream::EventStream::default();
+        let mut events = event_stream::EventSplitter::default();
         assert_eq!(events.push(b"data: 1\n\n").unwrap(), "data: 1\n\n");
         assert_eq!(events.push(&garbage), Err(event_stream::MalformedEvent));
     }
-    let mut events = event_stream::EventStream::default();
+    let mut events = event_stream::EventSplitter::default();
     let took = (0..70)
         .map(|_| events.push(&[b':'; 1024]))
         .take_while(Result::is_ok)
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -9,10 +9,10 @@
 use quartzhall::config::{Deployment, SettingsObject};
 use quartzhall::dispatcher::{self, Clock, Core, DispatcherHandle};
 use quartzhall::frontend::http::StreamResumer;
-use quartzhall::frontend::listener::{self, PeerStreams};
+use quartzhall::frontend::listener::{self, MigrationChannels};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{http, ShutdownPhase};
-use quartzhall::net::connection_limit::ConnectionLimit;
+use quartzhall::net::adjustable_semaphore::AdjustableSemaphore;
 use quartzhall::net::message_framing::ChunkedDecoder;
 use quartzhall::upgrade::stream_migration::{
     self, migration_signal, ClientState, ConnectionState, MigratingStream, MigrationHandle,
@@ -40,8 +40,8 @@
 struct Receiver {
     streams: mpsc::Sender<ReceivedStream>,
     dispatcher: DispatcherHandle,
-    clients: ConnectionLimit,
-    endpoints: ConnectionLimit,
+    clients: AdjustableSemaphore,
+    endpoints: AdjustableSemaphore,
     shutdown: watch::Sender<ShutdownPhase>,
     set_migration_due: watch::Sender<bool>,
     migrating: mpsc::Receiver<MigratingStream>,
@@ -60,11 +60,11 @@
         tokio::spawn(dispatcher::run(core, clock, events, commands, None, None));
         let (set_migration_due, signal) = migration_signal();
         let (attempts, received_attempts) = mpsc::channel(4);
-        let endpoints = ConnectionLimit::new(MAX_CONNECTIONS);
+        let endpoints = AdjustableSemaphore::new(MAX_CONNECTIONS);
         tokio::spawn(backend::run(
             backend_commands,
             dispatcher.clone(),
-            deployment.bounds,
+            deployment.limits,
             endpoints.clone(),
             HashSet::new(),
             StreamMigration {
@@ -76,8 +76,8 @@
         let (shutdown, phase) = watch::channel(ShutdownPhase::Serving);
         let (streams, received) = mpsc::channel(4);
         let (migrating_streams, migrating) = mpsc::channel(4);
-        let peer_streams = PeerStreams {
-            migration: Some(MigrationHandle {
+        let migration_channels = MigrationChannels {
+            migration_sender: Some(MigrationHandle {
                 streams: migrating_streams,
                 signal,
             }),
@@ -89,14 +89,14 @@
             // The listener does not accept new connections, as in a process that is not serving yet.
             accepts: watch::channel(false).1,
         };
-        let clients = ConnectionLimit::new(MAX_CONNECTIONS);
+        let clients = AdjustableSemaphore::new(MAX_CONNECTIONS);
         let body_memory = BodyMemoryBudget::new(1_000);
-        let listener_task = tokio::spawn(listener::serve_beside_peers(
+        let listener_task = tokio::spawn(listener::serve_with_migration(
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             http::routes(dispatcher.clone(), body_memory, log.clone()),
             clients.clone(),
             phase,
-            peer_streams,
+            migration_channels,
             log,
         ));
         Receiver {
