--- a/src/process/frontends.rs
+++ b/src/process/frontends.rs
@@ -1,7 +1,7 @@
 //! The tasks that serve clients and load balancers, each on a listener of its own.
 //!
-//! All of them start together with the process. HTTP clients are accepted only after [`Frontends::accept_clients`];
-//! migrated streams of other processes are received from the start.
+//! All tasks start with the process; one whose address a predecessor still uses waits for it. HTTP clients are accepted
+//! only after [`Frontends::accept_clients`], but migrated streams of other processes are received from the start.
 
 use super::limits::SharedLimits;
 use super::listeners::DeferredListener;
@@ -98,14 +98,14 @@
             let connections = AdjustableSemaphore::new(session_budget.handshake_sockets);
             let (phase, log) = (phase.clone(), log.clone());
             tasks.spawn(async move {
-                if let Some(listener) = listener.listener(phase.clone()).await {
+                if let Some(listener) = listener.wait_until_bound(phase.clone()).await {
                     listener::serve(listener, routes, connections, phase, log).await;
                 }
             });
         }
         if let Some(listener) = agent_listener {
             tasks.spawn(async move {
-                if let Some(listener) = listener.listener(phase.clone()).await {
+                if let Some(listener) = listener.wait_until_bound(phase.clone()).await {
                     health_check::serve_agent_checks(listener, dispatcher, phase, log).await;
                 }
             });
--- a/src/process/limits.rs
+++ b/src/process/limits.rs
@@ -10,7 +10,7 @@
 
 /// Minimum limit for connections to clients and for those to endpoints, however small the process's share is.
 const MIN_CONNECTIONS: usize = 4;
-/// Request bodies get the process's memory divided by this.
+/// The limit for all request bodies is the process's memory divided by this.
 const BODY_MEMORY_DIVISOR: usize = 3;
 
 /// The machine's limits, divided among their uses within one process.
--- a/src/process/listeners.rs
+++ b/src/process/listeners.rs
@@ -52,22 +52,22 @@
 /// All listeners of the process.
 pub(super) struct Listeners {
     pub clients: TcpListener,
-    pub side: SideListeners,
+    pub auxiliary: AuxiliaryListeners,
 }
 
 /// The listeners other than the one for HTTP clients; `None` if the configuration has no address for it.
-pub(super) struct SideListeners {
+pub(super) struct AuxiliaryListeners {
     pub sessions: Option<DeferredListener>,
     pub agent_check: Option<DeferredListener>,
     pub management: Option<TcpListener>,
 }
 
-impl SideListeners {
+impl AuxiliaryListeners {
     /// Binds the listeners; those that a predecessor may still have are left pending.
     pub(super) async fn bind(
         options: &ServeOptions,
         has_predecessor: bool,
-    ) -> Result<SideListeners, ServeError> {
+    ) -> Result<AuxiliaryListeners, ServeError> {
         let files = &options.files;
         let sessions =
             DeferredListener::bind(files.sessions.listen.as_deref(), has_predecessor).await?;
@@ -77,7 +77,7 @@
             Some(address) => Some(bind(address).await?),
             None => None,
         };
-        Ok(SideListeners {
+        Ok(AuxiliaryListeners {
             sessions,
             agent_check,
             management,
@@ -107,7 +107,7 @@
     }
 
     /// Returns the listener when its address can be bound; `None` if the process shuts down before that.
-    pub(super) async fn listener(
+    pub(super) async fn wait_until_bound(
         self,
         mut shutdown_phase: watch::Receiver<ShutdownPhase>,
     ) -> Option<TcpListener> {
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -24,7 +24,7 @@
 use core_startup::CoreStartup;
 use frontends::{FrontendInputs, Frontends};
 use limits::{ResourceBudgets, SharedLimits};
-use listeners::{Listeners, SideListeners};
+use listeners::{AuxiliaryListeners, Listeners};
 use shutdown::Process;
 use signals::Signals;
 use slog::{info, warn, Level, Logger};
@@ -93,11 +93,11 @@
     let signals = Signals::install()?;
     let (mut startup, listeners) = Startup::prepare(options, log.clone()).await?;
     let core = CoreStartup::create(&mut startup)?;
-    let limits = startup.shared_limits(listeners.side.sessions.is_some());
+    let limits = startup.shared_limits(listeners.auxiliary.sessions.is_some());
     let inputs = TaskInputs {
         hangup: signals.hangup,
         limits: limits.clone(),
-        management: listeners.side.management,
+        management: listeners.auxiliary.management,
     };
     let RunningTasks {
         mut critical,
@@ -121,8 +121,8 @@
     let frontends = Frontends::start(
         inputs,
         listeners.clients,
-        listeners.side.sessions,
-        listeners.side.agent_check,
+        listeners.auxiliary.sessions,
+        listeners.auxiliary.agent_check,
     );
     info!(log, "serving"; "name" => startup.config.name, "listen" => startup.config.listen,
         "max_open_requests" => max_open_requests.min(endpoint_sockets),
@@ -170,7 +170,7 @@
             Some(coordinator) => coordinator.peer_processes(),
             None => PeerProcesses::default(),
         };
-        let side = SideListeners::bind(&options, peers.predecessor).await?;
+        let auxiliary = AuxiliaryListeners::bind(&options, peers.predecessor).await?;
         let seed = u64::from_str_radix(&config.seed, 16).map_err(ServeError::InvalidSeed)?;
         let startup = Startup {
             budgets: ResourceBudgets::new(config, options.files.sessions),
@@ -185,7 +185,7 @@
             peers,
             log,
         };
-        Ok((startup, Listeners { clients, side }))
+        Ok((startup, Listeners { clients, auxiliary }))
     }
 
     /// Creates the limits that this process shares with others. A successor begins with the share that its predecessor
--- a/src/upgrade/announcements.rs
+++ b/src/upgrade/announcements.rs
@@ -63,7 +63,7 @@
     finished_at: Instant,
 }
 
-/// A ban file that a process has begun to write; `process_id` is that process's.
+/// A ban file that a process has begun to write; its name contains the id of that process, if it is valid.
 struct TemporaryBans {
     process_id: Option<u32>,
     path: PathBuf,
--- a/src/upgrade/coordinator.rs
+++ b/src/upgrade/coordinator.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Sets the limits to this process's target share, and announces the share that it may use by now. Returns the
-    /// target.
+    /// Sets the limits to this process's target share, and announces that share, or a larger one while more is still in
+    /// use. Returns the target.
     fn update_share(&mut self, state: ProcessState, limits: &impl ResourceLimits) -> u32 {
         let announced = self.announcements.own();
         let target = resource_shares::target_share(&announced, self.announcements.others());
@@ -139,8 +139,8 @@
         target
     }
 
-    /// Writes the ban file if any record in `own` is newer than or missing from `published`, and returns the records in
-    /// the file. After an error the next call tries again, as a successor depends on the file.
+    /// Merges the records of this process with those in the file, writes the file if it changes, and returns the
+    /// records in it. After an error the next call tries again, as a successor depends on the file.
     fn publish_bans(&mut self, own: &BanRecords, published: BanRecords) -> BanRecords {
         let Some(merged) = ban_file::merge_records(own, &published) else {
             return published;
--- a/src/upgrade/process_announcement.rs
+++ b/src/upgrade/process_announcement.rs
@@ -23,7 +23,7 @@
     pub started_at: u64,
     /// The stage of the process's life.
     pub state: ProcessState,
-    /// The largest share of the limits that the process may use by now, in units of which [`SHARE_UNITS`] are the
+    /// The largest share of the limits that the process may be using, in units of which [`SHARE_UNITS`] are the
     /// whole.
     pub share: u32,
 }
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -26,7 +26,7 @@
 const MAX_BUFFERED_BYTES: u32 = 4 << 20;
 /// Maximum length of a client request id.
 const MAX_REQUEST_ID_BYTES: u32 = 128;
-/// The flag for a connection that is closed after the response.
+/// Flag of the extension: the client's connection is closed after the response.
 const CLOSES_CONNECTION: u8 = 1;
 
 /// The format version of a frame.
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -52,7 +52,7 @@
     queue: mpsc::Sender<ReceivedStream>,
     log: Logger,
 ) {
-    let mut pauses = AcceptBackoff::default();
+    let mut backoff = AcceptBackoff::default();
     let mut tasks = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -61,12 +61,12 @@
         };
         match accepted {
             Ok((connection, _)) => {
-                pauses.reset();
+                backoff.reset();
                 tasks.spawn(receive_and_queue(connection, queue.clone(), log.clone()));
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(pauses.delay_after(&error)).await;
+                sleep(backoff.delay_after(&error)).await;
             }
         }
     }
@@ -101,7 +101,7 @@
     sender_process: Option<i32>,
     log: &Logger,
 ) -> Result<(), MigrationError> {
-    let place = queue
+    let permit = queue
         .reserve()
         .await
         .map_err(|_| MigrationError::ProcessEnds)?;
@@ -116,7 +116,7 @@
     info!(log, "stream received"; "client_request_id" => stream.client_state.client_request_id.as_deref(),
         "sender_process" => sender_process, "unsent_bytes" => stream.client_state.connection.unsent.len(),
         "pipelined_bytes" => stream.client_state.connection.pipelined.len());
-    place.send(stream);
+    permit.send(stream);
     Ok(())
 }
 
--- a/src/upgrade/stream_migration/sender.rs
+++ b/src/upgrade/stream_migration/sender.rs
@@ -22,7 +22,7 @@
 use tokio::time::{timeout, Instant};
 
 /// Maximum time for the receiver to accept a stream. The stream's events are held back meanwhile, and none may be
-/// delayed by 0.3 s.
+/// delayed by as much as 0.3 s.
 const ACCEPTANCE_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Minimum time between two warnings of failed migrations, as each stream retries several times a second.
--- a/src/upgrade/stream_migration/slot.rs
+++ b/src/upgrade/stream_migration/slot.rs
@@ -140,7 +140,7 @@
     Offered(UpstreamHalf, Option<Arc<str>>),
     /// Both halves are ready.
     Ready(UpstreamHalf, ClientHalf),
-    /// Both halves are with the sender, and it is open whether the stream migrates.
+    /// Both halves have been passed to the sender, and the result is not known yet.
     InTransit,
 }
 
--- a/tests/migrated_streams.rs
+++ b/tests/migrated_streams.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against a process that exits while streams that it has received are still open. A received stream used to be
 //! forwarded by a detached task, which neither the shutdown nor the migration of streams knew of. In a second upgrade
-//! within the life of a stream the process took itself for idle: it exited with status 0, half a second after SIGTERM
+//! within the life of a stream the process considered itself idle: it exited with status 0, half a second after SIGTERM
 //! and over three seconds before the earliest kill, logged unfinished work, and cut the streams.
 
 mod free_address;
@@ -77,7 +77,7 @@
     let successor = setup.start_process().await;
     terminate_after_migration(predecessor).await;
     successor.send_sigterm();
-    // The listener closes half a second after SIGTERM. A process that takes itself for idle exits then.
+    // The listener closes half a second after SIGTERM. A process that considers itself idle exits then.
     successor.wait_for_log("listener closed").await;
     assert_complete(&setup, streams).await;
     assert_eq!(successor.exit_code().await, Some(0));
@@ -102,7 +102,7 @@
     let mut response = stream.finish_connected().await;
     assert!(response.text().ends_with("0\r\n\r\n"));
     response.received.clear();
-    let both_responses = async {
+    let read_second_response = async {
         while !response.text().contains(testbed::STREAM_EVENTS[0]) {
             let read_bytes = response.connection.read_buf(&mut response.received).await;
             assert_ne!(read_bytes.unwrap(), 0, "{}", response.text());
@@ -110,7 +110,7 @@
         setup.fleet.resume.notify_waiters();
         response.finish().await
     };
-    let second = tokio::time::timeout(std::time::Duration::from_secs(20), both_responses)
+    let second = tokio::time::timeout(std::time::Duration::from_secs(20), read_second_response)
         .await
         .expect("the second response");
     assert!(
@@ -167,7 +167,7 @@
 /// The successor is stopped when the streams are sent to it. They continue in the predecessor, which exits when they
 /// are complete.
 #[tokio::test]
-async fn streams_go_on_here_while_the_successor_stands_still() {
+async fn streams_continue_here_while_the_successor_is_stopped() {
     let setup = setup_with_pausing_endpoints("stopped").await;
     let predecessor = setup.start_process().await;
     let streams = start_streams(&setup, 4).await;
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -37,7 +37,7 @@
 const GET_READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// A process that receives streams.
-struct Receiver {
+struct ReceivingProcess {
     streams: mpsc::Sender<ReceivedStream>,
     dispatcher: DispatcherHandle,
     clients: AdjustableSemaphore,
@@ -48,8 +48,8 @@
     listener_task: JoinHandle<()>,
 }
 
-impl Receiver {
-    async fn start() -> Receiver {
+impl ReceivingProcess {
+    async fn start() -> ReceivingProcess {
         let log = Logger::root(Discard, o!());
         let settings: SettingsObject = json::from_str(testbed::SETTINGS).unwrap();
         let deployment = Arc::new(Deployment::new(&settings).unwrap());
@@ -99,7 +99,7 @@
             migration_channels,
             log,
         ));
-        Receiver {
+        ReceivingProcess {
             streams,
             dispatcher,
             clients,
@@ -195,7 +195,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn received_stream_is_whole_counted_and_its_connection_kept() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let mut stream = receiver.receive(Duration::ZERO, kept_connection()).await;
     stream.send(CHUNK).await;
     assert_eq!(stream.read_until(CHUNK).await, CHUNK);
@@ -216,7 +216,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn connection_ends_with_the_response_where_the_client_was_told_so() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let mut connection = kept_connection();
     connection.closes_after_response = true;
     let mut stream = receiver.receive(Duration::ZERO, connection).await;
@@ -227,7 +227,7 @@
 /// The unsent bytes of the response come first, and the pipelined request is answered.
 #[tokio::test(start_paused = true)]
 async fn buffered_bytes_of_the_connection_come_along() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let connection = ConnectionState {
         unsent: Bytes::from_static(b"ata: 0\n\n\r\n"),
         pipelined: Bytes::from_static(GET_READY.as_bytes()),
@@ -243,7 +243,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn silent_endpoint_is_waited_for_as_long_as_one_of_an_own_stream() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let mut stream = receiver.receive(Duration::ZERO, kept_connection()).await;
     receiver.wait_for_open_requests(1).await;
     sleep(Duration::from_millis(4_400)).await;
@@ -258,7 +258,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn silence_before_the_migration_counts() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let started_at = Instant::now();
     let idle_for = Duration::from_millis(3_000);
     let mut stream = receiver.receive(idle_for, kept_connection()).await;
@@ -269,7 +269,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn broken_stream_ends_without_the_last_chunk() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let mut stream = receiver.receive(Duration::ZERO, kept_connection()).await;
     stream.send(CHUNK).await;
     assert_eq!(stream.read_until(CHUNK).await, CHUNK);
@@ -279,8 +279,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn endpoint_is_left_when_the_client_leaves() {
-    let receiver = Receiver::start().await;
+async fn endpoint_connection_is_closed_when_the_client_disconnects() {
+    let receiver = ReceivingProcess::start().await;
     let stream = receiver.receive(Duration::ZERO, kept_connection()).await;
     receiver.wait_for_open_requests(1).await;
     let StreamPeers {
@@ -297,7 +297,7 @@
 /// Streams that arrive while all permits are in use are served, and counted beyond the limit.
 #[tokio::test(start_paused = true)]
 async fn received_streams_count_beyond_the_limits() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let count = MAX_CONNECTIONS + 3;
     let mut streams = Vec::new();
     for _ in 0..count {
@@ -320,7 +320,7 @@
 /// has ended.
 #[tokio::test(start_paused = true)]
 async fn process_that_closes_finishes_received_streams_and_then_takes_none() {
-    let receiver = Receiver::start().await;
+    let receiver = ReceivingProcess::start().await;
     let mut first = receiver.receive(Duration::ZERO, kept_connection()).await;
     receiver.wait_for_open_requests(1).await;
     receiver.shutdown.send(ShutdownPhase::Closing).unwrap();
@@ -338,8 +338,8 @@
 /// A received stream migrates again while its client reads nothing: the unsent bytes migrate with it.
 #[tokio::test(start_paused = true)]
 async fn stream_of_a_stalled_client_migrates_and_is_whole() {
-    let mut first = Receiver::start().await;
-    let second = Receiver::start().await;
+    let mut first = ReceivingProcess::start().await;
+    let second = ReceivingProcess::start().await;
     let socket_path = std::env::temp_dir().join(format!(
         "quartzhall-received-{}-stalled.sock",
         std::process::id()
