--- a/src/upgrade/inherited_socket.rs
+++ b/src/upgrade/inherited_socket.rs
@@ -52,8 +52,8 @@
 ///
 /// # Errors
 ///
-/// The text is not the number of an inheritable descriptor, or the descriptor is not an open, listening socket. In the
-/// latter case the descriptor stays open.
+/// The text is not the number of an inheritable descriptor, or the descriptor is not an open, listening socket. A
+/// descriptor that is open but unsuitable stays open.
 #[allow(unsafe_code)]
 pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, InheritedSocketError> {
     let number = parse_descriptor(descriptor)?;
--- a/tests/migrated_streams.rs
+++ b/tests/migrated_streams.rs
@@ -164,8 +164,8 @@
     assert_eq!(second.exit_code().await, Some(0));
 }
 
-/// The successor is stopped when the streams are sent to it. They continue in the predecessor, which exits when they
-/// are complete.
+/// SIGSTOP has stopped the successor when the streams are sent to it. They continue in the predecessor, which exits
+/// when they are complete.
 #[tokio::test]
 async fn streams_continue_here_while_the_successor_is_stopped() {
     let setup = setup_with_pausing_endpoints("stopped").await;
--- a/tests/received_streams.rs
+++ b/tests/received_streams.rs
@@ -30,7 +30,7 @@
 
 const MAX_CONNECTIONS: usize = 4;
 /// Number of 16 KB events that exceeds what the buffers of all sockets of a stream can hold.
-const MANY_EVENTS: usize = 1_000;
+const STALLED_STREAM_EVENTS: usize = 1_000;
 /// A chunk that contains one event.
 const CHUNK: &str = "9\r\ndata: 1\n\n\r\n";
 const LAST_CHUNK: &str = "0\r\n\r\n";
@@ -241,6 +241,7 @@
     assert!(text[response.len()..].starts_with("HTTP/1.1 503"), "{text}");
 }
 
+/// A received stream has the same idle timeout as one that the process has started, 4.7 s.
 #[tokio::test(start_paused = true)]
 async fn silent_endpoint_is_waited_for_as_long_as_one_of_an_own_stream() {
     let receiver = ReceivingProcess::start().await;
@@ -256,6 +257,7 @@
     receiver.wait_for_open_requests(0).await;
 }
 
+/// The idle time before the migration, 3 s, counts toward the idle timeout of 4.7 s.
 #[tokio::test(start_paused = true)]
 async fn silence_before_the_migration_counts() {
     let receiver = ReceivingProcess::start().await;
@@ -289,8 +291,8 @@
     } = stream;
     drop(client);
     let mut rest = Vec::new();
-    let left = timeout(Duration::from_millis(100), endpoint.read_to_end(&mut rest)).await;
-    assert!(left.is_ok());
+    let closed = timeout(Duration::from_millis(100), endpoint.read_to_end(&mut rest)).await;
+    assert!(closed.is_ok());
     receiver.wait_for_open_requests(0).await;
 }
 
@@ -368,7 +370,7 @@
     // More than the sockets' buffers hold, so that backpressure reaches the endpoint.
     let event = format!("data: {}\n\n", "x".repeat(16_376));
     let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-    let response = [chunk.repeat(MANY_EVENTS), LAST_CHUNK.to_owned()].concat();
+    let response = [chunk.repeat(STALLED_STREAM_EVENTS), LAST_CHUNK.to_owned()].concat();
     let written = response.clone();
     let endpoint = tokio::spawn(async move {
         endpoint.write_all(written.as_bytes()).await.unwrap();
