--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -95,22 +95,24 @@
 impl Observations {
     fn add(&mut self, record: Record) {
         match record {
-            Record::Node { node, role, .. } => {
-                self.roles.insert(node, role);
+            Record::Endpoint { endpoint, role, .. } => {
+                self.roles.insert(endpoint, role);
             }
             Record::Arrival {
-                request, prompt, ..
+                request,
+                prompt_tokens,
+                ..
             } => {
                 self.requests += 1;
-                self.prompt_tokens.insert(request, f64::from(prompt));
+                self.prompt_tokens.insert(request, f64::from(prompt_tokens));
             }
-            Record::Sent {
+            Record::AttemptSent {
                 at,
                 request,
                 attempt,
-                node,
-            } => self.on_sent(at, (request, attempt), node),
-            Record::First {
+                endpoint,
+            } => self.on_sent(at, (request, attempt), endpoint),
+            Record::FirstEvent {
                 at,
                 request,
                 attempt,
@@ -119,23 +121,23 @@
                     attempt.first_event_at = Some(at);
                 }
             }
-            Record::Ended {
+            Record::AttemptEnded {
                 at,
                 request,
                 attempt,
                 status,
-                kept,
-                written,
+                cached_tokens,
+                completion_tokens,
             } => {
                 let end = AttemptEnd {
                     at,
                     status,
-                    cached_tokens: kept,
-                    completion_tokens: written,
+                    cached_tokens,
+                    completion_tokens,
                 };
                 self.on_ended(request, attempt, &end);
             }
-            Record::Final { request, .. } => {
+            Record::RequestEnded { request, .. } => {
                 self.prompt_tokens.remove(&request);
             }
             Record::Dropped { records } => self.dropped += records,
--- a/crates/calibration/src/main.rs
+++ b/crates/calibration/src/main.rs
@@ -106,7 +106,7 @@
         return Err(damaged(damage));
     }
     println!("{}: {} requests", path.display(), calibration.requests);
-    if reader.was_cut() {
+    if reader.is_truncated() {
         println!("  cut off at byte {}: read up to there", reader.offset());
     }
     print_calibration(&calibration);
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -19,9 +19,9 @@
 const DECODE_NODE: u32 = 1;
 
 fn node(at: u64, node: u32, role: RecordedRole) -> Record {
-    Record::Node {
+    Record::Endpoint {
         at,
-        node,
+        endpoint: node,
         role,
         cell: 0,
         ready: true,
@@ -36,10 +36,10 @@
         class: 0,
         tenant: None,
         session: None,
-        opening: None,
-        prompt,
-        prefix: 0,
-        most: 500,
+        shared_prefix: None,
+        prompt_tokens: prompt,
+        prefix_tokens: 0,
+        max_output_tokens: 500,
         expires_in: 7_500_000,
     }
 }
@@ -53,19 +53,19 @@
     let prefill_end = at + noise(PREFILL_WAIT_S + uncached_tokens / PREFILL_TOKENS_PER_S);
     let first_event = prefill_end + noise(DECODE_WAIT_S);
     let end = first_event + noise(TOKEN_TIME_S * f64::from(OUTPUT_TOKENS));
-    let sent = |at, attempt, node| Record::Sent {
+    let sent = |at, attempt, node| Record::AttemptSent {
         at,
         request,
         attempt,
-        node,
+        endpoint: node,
     };
-    let ended = |at, attempt, status, cached_tokens, completion_tokens| Record::Ended {
+    let ended = |at, attempt, status, cached_tokens, completion_tokens| Record::AttemptEnded {
         at,
         request,
         attempt,
         status,
-        kept: cached_tokens,
-        written: completion_tokens,
+        cached_tokens,
+        completion_tokens,
     };
     let prefill_done = RecordedStatus::PrefillDone;
     vec![
@@ -73,16 +73,16 @@
         sent(at, 0, PREFILL_NODE),
         ended(prefill_end, 0, prefill_done, cached_tokens, 0),
         sent(prefill_end, 1, DECODE_NODE),
-        Record::First {
+        Record::FirstEvent {
             at: first_event,
             request,
             attempt: 1,
         },
         ended(end, 1, RecordedStatus::Served, 0, OUTPUT_TOKENS),
-        Record::Final {
+        Record::RequestEnded {
             at: end,
             request,
-            answer: RecordedOutcome::Served,
+            outcome: RecordedOutcome::Served,
         },
     ]
 }
@@ -101,8 +101,10 @@
     }
     // Sorted by time, as a dispatcher writes them.
     all.sort_by_key(|record| match record {
-        Record::Arrival { at, .. } | Record::Sent { at, .. } | Record::First { at, .. } => *at,
-        Record::Ended { at, .. } | Record::Final { at, .. } => *at,
+        Record::Arrival { at, .. }
+        | Record::AttemptSent { at, .. }
+        | Record::FirstEvent { at, .. } => *at,
+        Record::AttemptEnded { at, .. } | Record::RequestEnded { at, .. } => *at,
         _ => 0,
     });
     all
@@ -170,7 +172,7 @@
     // Missing ends are counted, and so are the records that the recorder dropped.
     let cut = records(1, 100, 0)
         .into_iter()
-        .filter(|record| !matches!(record, Record::Ended { attempt: 1, .. }));
+        .filter(|record| !matches!(record, Record::AttemptEnded { attempt: 1, .. }));
     let calibration = calibrate(cut.chain([Record::Dropped { records: 100 }]), 1);
     assert_eq!((calibration.unended, calibration.dropped), (100, 100));
     assert!(matches!(
--- a/crates/recording/src/file.rs
+++ b/crates/recording/src/file.rs
@@ -196,7 +196,7 @@
     }
 
     /// Whether the file ended within a record, because its writer was interrupted.
-    pub fn was_cut(&self) -> bool {
+    pub fn is_truncated(&self) -> bool {
         self.is_truncated
     }
 
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -48,7 +48,7 @@
     /// A session.
     Session = 1,
     /// A shared prefix.
-    Opening = 2,
+    SharedPrefix = 2,
 }
 
 /// The table of names that a number in other records refers to.
@@ -59,7 +59,7 @@
     /// Tenants.
     Tenant,
     /// Endpoints.
-    Node,
+    Endpoint,
 }
 
 /// The role of an endpoint.
@@ -137,11 +137,11 @@
         name: String,
     },
     /// An endpoint as discovery lists it.
-    Node {
+    Endpoint {
         /// When.
         at: u64,
         /// Its number.
-        node: u32,
+        endpoint: u32,
         /// Its role.
         role: RecordedRole,
         /// Its cell.
@@ -155,7 +155,7 @@
     Arrival {
         /// When.
         at: u64,
-        /// Its number, until its `Final`.
+        /// Its number, until its `RequestEnded`.
         request: u64,
         /// Its class.
         class: u32,
@@ -164,18 +164,18 @@
         /// Its session.
         session: Option<Digest>,
         /// Its shared prefix.
-        opening: Option<Digest>,
+        shared_prefix: Option<Digest>,
         /// The length of its prompt.
-        prompt: u32,
+        prompt_tokens: u32,
         /// The length of its shared prefix.
-        prefix: u32,
+        prefix_tokens: u32,
         /// The maximum length of its output.
-        most: u32,
+        max_output_tokens: u32,
         /// How long its client waits, in microseconds.
         expires_in: u64,
     },
     /// An attempt has been sent.
-    Sent {
+    AttemptSent {
         /// When.
         at: u64,
         /// Its request.
@@ -183,10 +183,10 @@
         /// The number of the attempt.
         attempt: u32,
         /// The endpoint's number.
-        node: u32,
+        endpoint: u32,
     },
     /// An attempt's first event has arrived.
-    First {
+    FirstEvent {
         /// When.
         at: u64,
         /// Its request.
@@ -195,7 +195,7 @@
         attempt: u32,
     },
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// When.
         at: u64,
         /// Its request.
@@ -205,18 +205,18 @@
         /// How it ended.
         status: RecordedStatus,
         /// Prompt tokens found in the prefix cache.
-        kept: u32,
+        cached_tokens: u32,
         /// Output tokens; 0 if the endpoint did not report them.
-        written: u32,
+        completion_tokens: u32,
     },
     /// The request has ended.
-    Final {
+    RequestEnded {
         /// When.
         at: u64,
         /// The request.
         request: u64,
         /// Its outcome.
-        answer: RecordedOutcome,
+        outcome: RecordedOutcome,
     },
     /// Records are missing here, because the recorder could not keep up.
     Dropped {
--- a/crates/recording/src/recorder.rs
+++ b/crates/recording/src/recorder.rs
@@ -42,7 +42,7 @@
     }
 
     /// Queues a record, or counts it as dropped if the queue is full. Never waits.
-    pub fn note(&self, record: Record) {
+    pub fn record(&self, record: Record) {
         let Some(queue) = &self.queue else { return };
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = queue.try_send(record) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -16,10 +16,10 @@
         class: 1,
         tenant: Some(2),
         session: Some(Digest(request / 3)),
-        opening: None,
-        prompt: 5120,
-        prefix: 0,
-        most: 800,
+        shared_prefix: None,
+        prompt_tokens: 5120,
+        prefix_tokens: 0,
+        max_output_tokens: 800,
         expires_in: 7_500_000,
     };
     let mut all = vec![
@@ -36,29 +36,29 @@
     ];
     for request in 0..50 {
         all.push(arrival(request));
-        all.push(Record::Sent {
+        all.push(Record::AttemptSent {
             at: 2,
             request,
             attempt: 0,
-            node: 7,
+            endpoint: 7,
         });
-        all.push(Record::First {
+        all.push(Record::FirstEvent {
             at: 3,
             request,
             attempt: 0,
         });
-        all.push(Record::Ended {
+        all.push(Record::AttemptEnded {
             at: 4,
             request,
             attempt: 0,
             status: RecordedStatus::Served,
-            kept: 4096,
-            written: 200,
+            cached_tokens: 4096,
+            completion_tokens: 200,
         });
-        all.push(Record::Final {
+        all.push(Record::RequestEnded {
             at: 5,
             request,
-            answer: RecordedOutcome::Served,
+            outcome: RecordedOutcome::Served,
         });
     }
     all
@@ -79,7 +79,7 @@
     let mut reader = Reader::new(bytes.as_slice()).unwrap();
     let read: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
     assert_eq!(read, records());
-    assert!(!reader.was_cut());
+    assert!(!reader.is_truncated());
     assert_eq!(reader.offset(), bytes.len() as u64);
     // 250 records about 50 requests: what a day of a million requests would take.
     assert!(
@@ -101,7 +101,7 @@
         let read: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
         let complete = ends.iter().filter(|end| **end <= cut).count() - 1;
         assert_eq!(
-            (read.len(), reader.was_cut()),
+            (read.len(), reader.is_truncated()),
             (complete, !ends.contains(&cut)),
             "cut at {cut}"
         );
@@ -132,7 +132,7 @@
                 Some(damage) => assert!(damage.offset as usize <= index, "{damage}, at {index}"),
                 // A length that points behind the end looks like a truncation.
                 None => assert!(
-                    reader.was_cut() && reader.offset() as usize <= index,
+                    reader.is_truncated() && reader.offset() as usize <= index,
                     "at {index}"
                 ),
             }
@@ -157,7 +157,7 @@
         let file = [&MARK[..], &VERSION.to_le_bytes(), &bytes].concat();
         let mut reader = Reader::new(file.as_slice()).unwrap();
         let last = reader.by_ref().last();
-        bytes.is_empty() || reader.was_cut() || last.is_some_and(|record| record.is_err())
+        bytes.is_empty() || reader.is_truncated() || last.is_some_and(|record| record.is_err())
     };
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(300, 5))
@@ -173,7 +173,7 @@
     assert_eq!(digest, key.digest(DigestKind::Session, b"7f3a"));
     let others = [
         key.digest(DigestKind::Session, b"7f3b"),
-        key.digest(DigestKind::Opening, b"7f3a"),
+        key.digest(DigestKind::SharedPrefix, b"7f3a"),
         other.digest(DigestKind::Session, b"7f3a"),
     ];
     assert!(!others.contains(&digest));
@@ -220,19 +220,19 @@
     )
     .unwrap();
     let long_record = |number| Record::Name {
-        table: Table::Node,
+        table: Table::Endpoint,
         number,
         name: "n".repeat(3000),
     };
     // More than the buffer holds: the thread reaches a write and blocks.
     let mut number = 0;
     while output_blocked.try_recv().is_err() {
-        recorder.note(long_record(number));
+        recorder.record(long_record(number));
         number += 1;
         std::thread::yield_now();
     }
     for more in 0..100 {
-        recorder.note(long_record(number + more));
+        recorder.record(long_record(number + more));
     }
     drop(unblock_output);
     recorder.end().unwrap();
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -118,7 +118,7 @@
         handle_request(&mut core, now, id);
         if let Some(recorder) = &recorder {
             for record in core.take_records() {
-                recorder.note(record);
+                recorder.record(record);
             }
         }
     }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -80,7 +80,7 @@
         }
         if let Some(recorder) = &recorder {
             for record in core.take_records() {
-                recorder.note(record);
+                recorder.record(record);
             }
         }
         publish_changes(&mut core, &receiver);
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -84,14 +84,14 @@
         let endpoint = record.endpoint;
         if self.named_endpoints.insert(endpoint) {
             self.records.push(Record::Name {
-                table: Table::Node,
+                table: Table::Endpoint,
                 number: endpoint,
                 name: endpoint_id.to_string(),
             });
         }
-        self.records.push(Record::Node {
+        self.records.push(Record::Endpoint {
             at: now,
-            node: endpoint,
+            endpoint,
             role: recorded_role(record.role),
             cell: record.cell,
             ready: record.status == EndpointStatus::Ready,
@@ -116,27 +116,27 @@
             class: metadata.class as u32,
             tenant: metadata.tenant.map(|tenant| tenant as u32),
             session: digest(DigestKind::Session, metadata.session),
-            opening: digest(DigestKind::Opening, metadata.prefix),
-            prompt: token_count(metadata.prompt_tokens),
-            prefix: token_count(metadata.prefix_tokens),
-            most: token_count(metadata.max_output_tokens),
+            shared_prefix: digest(DigestKind::SharedPrefix, metadata.prefix),
+            prompt_tokens: token_count(metadata.prompt_tokens),
+            prefix_tokens: token_count(metadata.prefix_tokens),
+            max_output_tokens: token_count(metadata.max_output_tokens),
             expires_in: metadata.time_left,
         });
     }
 
     /// Records that an attempt has started.
     pub fn record_attempt(&mut self, now: Time, request: u64, attempt: u32, endpoint: EndpointId) {
-        self.records.push(Record::Sent {
+        self.records.push(Record::AttemptSent {
             at: now,
             request,
             attempt,
-            node: endpoint,
+            endpoint,
         });
     }
 
     /// Records that an attempt's first event has been received.
     pub fn record_first_event(&mut self, now: Time, request: u64, attempt: u32) {
-        self.records.push(Record::First {
+        self.records.push(Record::FirstEvent {
             at: now,
             request,
             attempt,
@@ -159,22 +159,22 @@
             AttemptStatus::KvStateMissing => 1,
             _ => token_count(cached_tokens),
         };
-        self.records.push(Record::Ended {
+        self.records.push(Record::AttemptEnded {
             at: now,
             request,
             attempt,
             status: recorded_status(status),
-            kept: cached_tokens,
-            written: token_count(completion_tokens),
+            cached_tokens,
+            completion_tokens: token_count(completion_tokens),
         });
     }
 
     /// Records a request's outcome.
     pub fn record_outcome(&mut self, now: Time, request: u64, outcome: RecordedOutcome) {
-        self.records.push(Record::Final {
+        self.records.push(Record::RequestEnded {
             at: now,
             request,
-            answer: outcome,
+            outcome,
         });
     }
 
--- a/tests/dispatcher_recording.rs
+++ b/tests/dispatcher_recording.rs
@@ -75,7 +75,7 @@
     );
     assert_eq!(names(Table::Tenant), [(0, "acme".into())]);
     assert_eq!(
-        names(Table::Node).len(),
+        names(Table::Endpoint).len(),
         1,
         "one name per endpoint, however often it is reported"
     );
@@ -96,13 +96,13 @@
 #[test]
 fn a_recording_has_the_end_of_an_attempt_with_its_tokens() {
     let records = record_four_requests();
-    let expected = Record::Ended {
+    let expected = Record::AttemptEnded {
         at: START,
         request: 1,
         attempt: 1,
         status: quartzhall_recording::RecordedStatus::Served,
-        kept: 4096,
-        written: 200,
+        cached_tokens: 4096,
+        completion_tokens: 200,
     };
     let without_time = |record: &Record| {
         format!("{record:?}")
@@ -120,11 +120,11 @@
 #[test]
 fn a_recording_has_the_outcome_of_each_request_once() {
     let mut records = record_four_requests();
-    records.retain(|record| matches!(record, Record::Final { .. }));
+    records.retain(|record| matches!(record, Record::RequestEnded { .. }));
     let outcomes = records.iter().map(|record| match record {
-        Record::Final {
-            request, answer, ..
-        } => (*request, *answer),
+        Record::RequestEnded {
+            request, outcome, ..
+        } => (*request, *outcome),
         _ => unreachable!(),
     });
     let mut outcomes: Vec<_> = outcomes.collect();
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -256,7 +256,7 @@
                 name: "acme".into(),
             },
             Record::Name {
-                table: Table::Node,
+                table: Table::Endpoint,
                 number: 7,
                 name: "r1".into(),
             },
@@ -266,19 +266,19 @@
                 class: 1,
                 tenant: Some(2),
                 session: Some(Digest(77)),
-                opening: None,
-                prompt: 5120,
-                prefix: 12,
-                most: 800,
+                shared_prefix: None,
+                prompt_tokens: 5120,
+                prefix_tokens: 12,
+                max_output_tokens: 800,
                 expires_in: 7_500_000,
             },
-            Record::Sent {
+            Record::AttemptSent {
                 at: 6,
                 request: 9,
                 attempt: 0,
-                node: 7,
+                endpoint: 7,
             },
-            Record::First {
+            Record::FirstEvent {
                 at: 7,
                 request: 9,
                 attempt: 0,
@@ -290,9 +290,9 @@
             RecordedRole::Decode,
             RecordedRole::Mixed,
         ] {
-            records.push(Record::Node {
+            records.push(Record::Endpoint {
                 at: 2,
-                node: 7,
+                endpoint: 7,
                 role,
                 cell: 1,
                 ready: true,
@@ -312,26 +312,26 @@
             RecordedStatus::NotSent,
             RecordedStatus::InvalidRequest,
         ] {
-            records.push(Record::Ended {
+            records.push(Record::AttemptEnded {
                 at: 8,
                 request: 9,
                 attempt: 0,
                 status,
-                kept: 4096,
-                written: 200,
+                cached_tokens: 4096,
+                completion_tokens: 200,
             });
         }
-        for answer in [
+        for outcome in [
             RecordedOutcome::Served,
             RecordedOutcome::StreamBroken,
             RecordedOutcome::Shed,
             RecordedOutcome::Failed,
             RecordedOutcome::ClientDisconnected,
         ] {
-            records.push(Record::Final {
+            records.push(Record::RequestEnded {
                 at: 9,
                 request: 9,
-                answer,
+                outcome,
             });
         }
         let mut bytes = Vec::new();
--- a/tests/unit/recording.rs
+++ b/tests/unit/recording.rs
@@ -14,21 +14,21 @@
 fn a_missing_kv_cache_is_recorded_as_overloaded_with_one_cached_token() {
     let mut recorder = recorder();
     recorder.take_records();
-    for cached_tokens in [0.0, 1.0, 4096.0] {
-        recorder.record_attempt_end(7, 3, 1, AttemptStatus::KvStateMissing, cached_tokens, 0.0);
+    for reported_tokens in [0.0, 1.0, 4096.0] {
+        recorder.record_attempt_end(7, 3, 1, AttemptStatus::KvStateMissing, reported_tokens, 0.0);
         let records = recorder.take_records();
-        let [Record::Ended {
+        let [Record::AttemptEnded {
             at: 7,
             request: 3,
             attempt: 1,
             status,
-            kept,
-            written: 0,
+            cached_tokens,
+            completion_tokens: 0,
         }] = records[..]
         else {
             panic!("{records:?}");
         };
-        assert_eq!((status, kept), (RecordedStatus::Overloaded, 1));
+        assert_eq!((status, cached_tokens), (RecordedStatus::Overloaded, 1));
     }
 }
 
@@ -38,8 +38,13 @@
     recorder.take_records();
     recorder.record_attempt_end(7, 3, 1, AttemptStatus::Overloaded, 0.0, 0.0);
     let records = recorder.take_records();
-    let [Record::Ended { status, kept, .. }] = records[..] else {
+    let [Record::AttemptEnded {
+        status,
+        cached_tokens,
+        ..
+    }] = records[..]
+    else {
         panic!("{records:?}");
     };
-    assert_eq!((status, kept), (RecordedStatus::Overloaded, 0));
+    assert_eq!((status, cached_tokens), (RecordedStatus::Overloaded, 0));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -275,15 +275,15 @@
     assert_eq!(process.exit_code().await, Some(0));
     let mut reader = Reader::new(std::fs::File::open(&file).unwrap()).unwrap();
     let records: Vec<Record> = reader.by_ref().map(Result::unwrap).collect();
-    assert!(!reader.was_cut());
+    assert!(!reader.is_truncated());
     let count =
         |matches: fn(&Record) -> bool| records.iter().filter(|record| matches(record)).count();
     assert_eq!(count(|record| matches!(record, Record::Arrival { .. })), 20);
     assert_eq!(
         count(|record| matches!(
             record,
-            Record::Final {
-                answer: RecordedOutcome::Served,
+            Record::RequestEnded {
+                outcome: RecordedOutcome::Served,
                 ..
             }
         )),
