--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -1,66 +1,67 @@
-//! The speed of recorded endpoints: how fast they prefill and decode, and how long requests wait. The module does no I/O.
+//! Estimates of the speed of recorded endpoints, by role: tokens per second of prefill and decode, and the latency before.
 //!
-//! Only spans between two records of one dispatcher are used, so clocks of several dispatchers may differ. The load of other
-//! dispatchers at an endpoint is not in the recording. Prefill estimates use only attempts that were sent while this
-//! dispatcher had no other attempt in flight at the endpoint. Decode replicas always have some, so their estimates are those
-//! under the recorded load. The intervals contain the effect of other dispatchers.
+//! Only time differences between records of one recording are used, so the clocks of dispatchers may differ. A recording does
+//! not contain the load that other dispatchers put on an endpoint; its effect is part of the intervals. Prefill estimates use
+//! only attempts that were sent while this dispatcher had no other attempt in flight at the endpoint. Decode endpoints nearly
+//! always have some, so decode estimates hold for the recorded load.
 
 use crate::estimate::{estimate, Estimate, Estimator, Sample};
 use quartzhall_recording::{Record, RecordedRole, RecordedStatus};
 use std::collections::{BTreeMap, HashMap};
 
-/// Attempts that may be in flight at once; in a recording with more, the ends of attempts are missing.
+/// The maximum number of attempts in flight, which bounds the memory. A recording with more lacks the ends of attempts.
 const MAX_IN_FLIGHT: usize = 100_000;
 
-/// What is known of the endpoints of one role.
+/// Estimates for the endpoints of one role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleCalibration {
     /// The role.
     pub role: RecordedRole,
-    /// Endpoints of this role.
+    /// The number of recorded endpoints with this role.
     pub endpoints: usize,
-    /// Attempts that ended.
+    /// The number of attempts that ended at these endpoints.
     pub attempts: usize,
-    /// The share of them that neither succeeded nor were cancelled.
+    /// The share of these attempts that neither succeeded nor were cancelled, from 0 to 1.
     pub failed_share: f64,
-    /// Tokens per second, of prefill or of decode.
+    /// For prefill, uncached prompt tokens per second; for decode, output tokens per second of one stream.
     pub tokens_per_s: Estimate,
-    /// Seconds before that: for prefill with no tokens to process, for decode up to the first token under the recorded load.
-    pub wait_s: Estimate,
+    /// For prefill, the duration with no tokens to process; for decode, the time from sending to the first event under the
+    /// recorded load. In seconds.
+    pub latency_s: Estimate,
 }
 
-/// What is known from a recording.
+/// What a recording tells about the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Calibration {
-    /// By role.
+    /// The estimates for each role that has recorded endpoints.
     pub roles: Vec<RoleCalibration>,
-    /// Requests that arrived.
+    /// The number of requests that arrived.
     pub requests: usize,
-    /// Records that the recorder dropped.
+    /// The number of records that the recorder dropped.
     pub dropped: u64,
-    /// Attempts whose end is missing.
+    /// The number of attempts whose end is not recorded.
     pub unended: usize,
 }
 
-/// What was observed of one role.
+/// Observations of the endpoints of one role.
 #[derive(Default)]
 struct RoleObservations {
     attempts: usize,
     failed: usize,
     rates: Vec<Sample>,
-    waits: Vec<Sample>,
+    latencies: Vec<Sample>,
 }
 
-/// An attempt in flight.
+/// An attempt whose end has not been read yet. Times are as recorded, in microseconds.
 struct Attempt {
     sent_at: u64,
     endpoint: u32,
-    /// No other attempt was in flight at the endpoint when it was sent.
+    /// Whether this dispatcher had no other attempt in flight at the endpoint when this one was sent.
     was_alone: bool,
     first_event_at: Option<u64>,
 }
 
-/// The end of an attempt, as it is recorded.
+/// The fields of [`Record::AttemptEnded`] that the observations need.
 struct AttemptEnd {
     at: u64,
     status: RecordedStatus,
@@ -68,14 +69,19 @@
     completion_tokens: u32,
 }
 
-/// What is collected over all records.
+/// The state while records are read.
 #[derive(Default)]
 struct Observations {
-    roles: HashMap<u32, RecordedRole>,          // by endpoint
-    prompt_tokens: HashMap<u64, f64>,           // by request
-    in_flight: BTreeMap<(u64, u32), Attempt>,   // by request and attempt
-    in_flight_at_endpoint: HashMap<u32, usize>, // by endpoint
-    by_role: [RoleObservations; 3],             // in the order of `RecordedRole`
+    /// By endpoint.
+    roles: HashMap<u32, RecordedRole>,
+    /// By request, until its outcome.
+    prompt_tokens: HashMap<u64, f64>,
+    /// By request and attempt.
+    in_flight: BTreeMap<(u64, u32), Attempt>,
+    /// By endpoint.
+    in_flight_at_endpoint: HashMap<u32, usize>,
+    /// Indexed by `RecordedRole`.
+    by_role: [RoleObservations; 3],
     requests: usize,
     dropped: u64,
     unended: usize,
@@ -111,7 +117,7 @@
                 request,
                 attempt,
                 endpoint,
-            } => self.on_sent(at, (request, attempt), endpoint),
+            } => self.on_attempt_sent(at, (request, attempt), endpoint),
             Record::FirstEvent {
                 at,
                 request,
@@ -135,7 +141,7 @@
                     cached_tokens,
                     completion_tokens,
                 };
-                self.on_ended(request, attempt, &end);
+                self.on_attempt_ended(request, attempt, &end);
             }
             Record::RequestEnded { request, .. } => {
                 self.prompt_tokens.remove(&request);
@@ -145,7 +151,7 @@
         }
     }
 
-    fn on_sent(&mut self, at: u64, key: (u64, u32), endpoint: u32) {
+    fn on_attempt_sent(&mut self, at: u64, key: (u64, u32), endpoint: u32) {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             self.unended += self.in_flight.len();
             self.in_flight.clear();
@@ -163,7 +169,7 @@
         self.in_flight.insert(key, attempt);
     }
 
-    fn on_ended(&mut self, request: u64, attempt: u32, end: &AttemptEnd) {
+    fn on_attempt_ended(&mut self, request: u64, attempt: u32, end: &AttemptEnd) {
         let Some(attempt) = self.in_flight.remove(&(request, attempt)) else {
             return;
         };
@@ -193,8 +199,9 @@
 
     fn calibrate_role(&self, role: RecordedRole, seed: u64) -> RoleCalibration {
         let observations = &self.by_role[role as usize];
-        // The time of a prefill grows with the uncached tokens; the rate of decode is observed stream by stream.
-        let (rate_estimator, wait_estimator) = if role == RecordedRole::Prefill {
+        // The duration of a prefill grows with the uncached tokens, so a line is fitted to it. Decode is measured per stream,
+        // as the time per token and the time to the first event.
+        let (rate_estimator, latency_estimator) = if role == RecordedRole::Prefill {
             (Estimator::Slope, Estimator::Intercept)
         } else {
             (Estimator::Mean, Estimator::Mean)
@@ -205,13 +212,13 @@
             attempts: observations.attempts,
             failed_share: observations.failed as f64 / observations.attempts.max(1) as f64,
             tokens_per_s: estimate(&observations.rates, rate_estimator, seed).inverse(),
-            wait_s: estimate(&observations.waits, wait_estimator, seed),
+            latency_s: estimate(&observations.latencies, latency_estimator, seed),
         }
     }
 }
 
 impl RoleObservations {
-    /// Adds the time of a whole prefill against its uncached tokens.
+    /// Adds the duration of a prefill, with its uncached tokens as the size.
     fn add_prefill(&mut self, attempt: &Attempt, end: &AttemptEnd, prompt_tokens: f64) {
         let sample = Sample {
             at_us: attempt.sent_at,
@@ -219,10 +226,10 @@
             seconds: seconds(attempt.sent_at, end.at),
         };
         self.rates.push(sample);
-        self.waits.push(sample);
+        self.latencies.push(sample);
     }
 
-    /// Adds the time to the first token, and the time per token after it.
+    /// Adds the time to the first event, and the time per output token after it if the endpoint reported their number.
     fn add_decode(&mut self, attempt: &Attempt, end: &AttemptEnd, first_event_at: u64) {
         let sample = |seconds| Sample {
             at_us: attempt.sent_at,
@@ -234,12 +241,13 @@
             let per_token = stream_seconds / f64::from(end.completion_tokens);
             self.rates.push(sample(per_token));
         }
-        self.waits
+        self.latencies
             .push(sample(seconds(attempt.sent_at, first_event_at)));
     }
 }
 
-/// Estimates the speed of the endpoints from the records. The seed determines the resampling of the intervals.
+/// Estimates the speed of the endpoints from the records of one recording. `seed` determines the resampling for the
+/// intervals.
 pub fn calibrate(records: impl Iterator<Item = Record>, seed: u64) -> Calibration {
     let mut observations = Observations::default();
     for record in records {
--- a/crates/calibration/src/compare.rs
+++ b/crates/calibration/src/compare.rs
@@ -1,22 +1,22 @@
-//! Comparison of two sets of runs, run by run. The module does no I/O.
+//! Paired comparison of two sets of runs of the fleet model, such as those of two versions of the dispatcher.
 //!
-//! Runs are paired by scenario and seed, so that both met the same traffic and the same faults. The unit is the pair, because
-//! requests within a run are not independent. An interval covers what other seeds would change, and nothing else: neither the
-//! uncertainty of the calibration nor the errors of the model.
+//! Runs are paired by scenario and seed, so both runs of a pair have the same traffic and faults. The pair is the unit of
+//! observation, because requests within a run are not independent. The 95% intervals cover the variation between seeds only:
+//! neither the uncertainty of the calibration nor the errors of the model.
 
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::fmt;
 
-/// A run, by its scenario and its seed.
+/// Identifies a run by its scenario and seed.
 pub type RunKey = (String, u64);
-/// What was measured in each run, by the measure's name.
+/// The measured values of each run, by the name of the measure.
 pub type RunMeasures = BTreeMap<RunKey, BTreeMap<String, f64>>;
 
-/// With fewer pairs in a scenario there is no comparison.
+/// The minimum number of pairs in each scenario.
 pub const MIN_PAIRS: usize = 5;
 
-/// Student's t at 97.5% by degrees of freedom.
+/// The 97.5% quantile of Student's t distribution, by degrees of freedom.
 const STUDENT_T: [(usize, f64); 14] = [
     (1, 12.706),
     (2, 4.303),
@@ -34,12 +34,12 @@
     (120, 1.980),
 ];
 
-/// The difference of a measure: the second set's value minus the first's.
+/// The difference of a measure between the sets: the value in the second set minus that in the first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The measure.
+    /// The name of the measure.
     pub measure: String,
-    /// The scenario; `None`: over all of them.
+    /// The scenario; `None` for the difference over all scenarios.
     pub scenario: Option<String>,
     /// The number of pairs.
     pub pairs: usize,
@@ -52,41 +52,41 @@
 }
 
 impl Difference {
-    /// Whether the sets differ significantly.
-    pub fn is_distinct(&self) -> bool {
+    /// Returns whether the 95% interval excludes 0.
+    pub fn is_significant(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
 
-/// Which of the two sets.
+/// One of the two compared sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunSet {
-    /// The first one.
+    /// The first argument of [`compare`].
     First,
-    /// The second one.
+    /// The second argument of [`compare`].
     Second,
 }
 
 /// Why two sets cannot be compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CompareError {
-    /// A set has no run for a run of the other one.
+    /// A run of one set is missing from the other set.
     MissingRun {
-        /// The set.
+        /// The set that lacks the run.
         set: RunSet,
         /// The run's scenario.
         scenario: String,
         /// The run's seed.
         seed: u64,
     },
-    /// A run has another number of measures in both sets.
+    /// A run has different numbers of measures in the two sets.
     DifferentMeasures {
         /// The run's scenario.
         scenario: String,
         /// The run's seed.
         seed: u64,
     },
-    /// A measure is missing or not finite in a set.
+    /// A measure of a run is missing from the second set, or is not finite in one of the sets.
     NotFinite {
         /// The measure.
         measure: String,
@@ -95,7 +95,7 @@
         /// The run's seed.
         seed: u64,
     },
-    /// A scenario has fewer than [`MIN_PAIRS`] pairs.
+    /// A measure has fewer than [`MIN_PAIRS`] pairs in a scenario.
     TooFewPairs {
         /// The measure.
         measure: String,
@@ -121,7 +121,7 @@
             }
             CompareError::DifferentMeasures { scenario, seed } => write!(
                 formatter,
-                "scenario {scenario:?} with seed {seed} was not measured alike"
+                "scenario {scenario:?} with seed {seed} has different measures in the two sets"
             ),
             CompareError::NotFinite {
                 measure,
@@ -129,7 +129,7 @@
                 seed,
             } => write!(
                 formatter,
-                "{measure:?} of {scenario:?}, seed {seed}, is no number in both"
+                "measure {measure:?} of scenario {scenario:?} with seed {seed} is missing or not finite in a set"
             ),
             CompareError::TooFewPairs { measure } => write!(
                 formatter,
@@ -141,7 +141,7 @@
 
 impl Error for CompareError {}
 
-/// A mean with its 95% interval.
+/// A mean with its 95% confidence interval.
 struct Interval {
     mean: f64,
     low: f64,
@@ -158,7 +158,8 @@
     }
 }
 
-/// Student's t at 97.5%. Between two rows of the table, the lower row gives the wider interval.
+/// Returns the 97.5% quantile of Student's t distribution. Between two rows of the table it is that of the lower row, which
+/// makes the interval wider, never narrower.
 fn student_t(degrees_of_freedom: usize) -> f64 {
     for (row, t) in STUDENT_T.iter().rev() {
         if *row <= degrees_of_freedom {
@@ -168,7 +169,7 @@
     f64::INFINITY
 }
 
-/// The mean and the sum of the squared deviations from it.
+/// Returns the mean and the sum of squared deviations from it.
 fn mean_and_squares(differences: &[f64]) -> (f64, f64) {
     let mean = differences.iter().sum::<f64>() / differences.len() as f64;
     let squares = differences
@@ -178,7 +179,7 @@
     (mean, squares)
 }
 
-/// The interval of one scenario; `None` with too few pairs.
+/// Returns the interval of one scenario; `None` with too few pairs.
 fn scenario_interval(differences: &[f64]) -> Option<Interval> {
     let count = differences.len();
     if count < MIN_PAIRS {
@@ -192,8 +193,8 @@
     ))
 }
 
-/// The interval over all scenarios, which have equal weights whatever their numbers of pairs. The variance is that within
-/// scenarios. `None` with too few pairs in any of them.
+/// Returns the interval over all scenarios; `None` with too few pairs in any of them. Scenarios have equal weights, whatever
+/// their numbers of pairs, and only the variance within scenarios counts.
 fn overall_interval(by_scenario: &[&Vec<f64>]) -> Option<Interval> {
     let mut mean = 0.0;
     let mut variance = 0.0;
@@ -216,6 +217,7 @@
     Some(Interval::around(mean, half_width))
 }
 
+/// Checks that both sets have the same runs.
 fn check_runs(first: &RunMeasures, second: &RunMeasures) -> Result<(), CompareError> {
     let missing = |set, key: &RunKey| CompareError::MissingRun {
         set,
@@ -231,9 +233,10 @@
     Ok(())
 }
 
-/// The differences of all pairs, by measure and scenario.
+/// The difference of each pair, by measure and scenario.
 type Differences<'a> = BTreeMap<&'a str, BTreeMap<&'a str, Vec<f64>>>;
 
+/// Returns the difference of each measure in each pair of runs. Both sets must have the same runs.
 fn pair_runs<'a>(
     first: &'a RunMeasures,
     second: &RunMeasures,
@@ -270,11 +273,11 @@
     Ok(differences)
 }
 
-/// Compares two sets of runs: for each measure the difference over all scenarios, then that of each scenario.
+/// Compares two sets of runs. Returns for each measure the difference over all scenarios, then that of each scenario.
 ///
 /// # Errors
 ///
-/// Fails if the sets have not the same runs and measures, or too few pairs.
+/// Fails if the sets differ in their runs or measures, if a value is not finite, or if a scenario has too few pairs.
 pub fn compare(first: &RunMeasures, second: &RunMeasures) -> Result<Vec<Difference>, CompareError> {
     check_runs(first, second)?;
     let mut comparison = Vec::new();
--- a/crates/calibration/src/estimate.rs
+++ b/crates/calibration/src/estimate.rs
@@ -1,41 +1,41 @@
-//! Estimates with confidence intervals. The module does no I/O; random draws come from a seed.
+//! Estimates with 90% confidence intervals, by a block bootstrap.
 //!
-//! Samples that lie close together in time are not independent, because they met the same queue. So whole blocks of time are
-//! resampled, never single samples (block bootstrap).
+//! Samples that are close in time are not independent, because the requests met the same queue. So whole blocks of time are
+//! resampled, never single samples. The same samples and seed give the same estimate.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Samples within the same span of this many microseconds form a block.
+/// The length of a block of time, in microseconds.
 const BLOCK_US: u64 = 5_000_000;
-/// With fewer blocks there is no estimate.
+/// The minimum number of blocks for an estimate.
 pub const MIN_BLOCKS: usize = 8;
-/// With fewer samples there is no estimate.
+/// The minimum number of samples for an estimate.
 pub const MIN_SAMPLES: usize = 40;
-/// The number of resamplings.
+/// The number of bootstrap resamples.
 const RESAMPLES: usize = 400;
-/// The share of resampled values outside the interval on either side: 90% are within.
+/// The share of resampled values below the interval, and likewise above it.
 const TAIL_SHARE: f64 = 0.05;
-/// Sizes whose relative variance is lower count as equal.
+/// Sizes with a lower relative variance count as equal, because no line can be fitted to them.
 const MIN_RELATIVE_VARIANCE: f64 = 1e-9;
 
-/// One observation of a duration that may grow with a size.
+/// One observation of a duration that may depend on a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// When it was made, in microseconds.
+    /// The time of the observation in microseconds, which assigns it to a block.
     pub at_us: u64,
-    /// The size.
+    /// The size, such as a number of tokens; [`Estimator::Mean`] ignores it.
     pub size: f64,
-    /// The duration, in seconds.
+    /// The observed duration.
     pub seconds: f64,
 }
 
-/// An estimated value.
+/// The result of an estimate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Estimate {
-    /// The data suffice.
+    /// The samples suffice.
     Known {
-        /// The value.
+        /// The value for all samples.
         value: f64,
         /// The lower end of the 90% interval.
         low: f64,
@@ -44,11 +44,11 @@
         /// The number of samples.
         samples: usize,
     },
-    /// The data do not suffice, or all sizes are equal.
+    /// There are too few samples or blocks, all sizes are equal so that no line can be fitted, or an inverse may be infinite.
     Unknown {
         /// The number of samples.
         samples: usize,
-        /// The number of blocks.
+        /// The number of blocks with samples; 0 for an inverse that may be infinite.
         blocks: usize,
     },
 }
@@ -56,16 +56,16 @@
 /// What is estimated from the samples.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Estimator {
-    /// The duration at size 0, by a fitted line.
+    /// The duration at size 0, from a line fitted by least squares.
     Intercept,
-    /// The duration per unit of size, by a fitted line.
+    /// The duration per unit of size, from a line fitted by least squares.
     Slope,
-    /// The mean duration, whatever the size.
+    /// The mean duration.
     Mean,
 }
 
 impl Estimator {
-    /// Applies the estimator; `None` without samples, or if a line is to be fitted and all sizes are equal.
+    /// Returns the value for the samples; `None` without samples, or if a line cannot be fitted because all sizes are equal.
     fn apply(self, samples: impl Iterator<Item = Sample> + Clone) -> Option<f64> {
         let count = samples.clone().count() as f64;
         if count == 0.0 {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Estimates a value from samples, with the interval that resampled blocks give. The seed determines the resampling.
+/// Estimates a value from samples in any order, with its confidence interval. `seed` determines the resampling.
 pub fn estimate(samples: &[Sample], estimator: Estimator, seed: u64) -> Estimate {
     let mut sorted = samples.to_vec();
     sorted.sort_by_key(|sample| sample.at_us);
@@ -115,14 +115,14 @@
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut resampled = Vec::with_capacity(RESAMPLES);
     for _ in 0..RESAMPLES {
-        let picks: Vec<usize> = blocks
+        let drawn_blocks: Vec<usize> = blocks
             .iter()
             .map(|_| rng.gen_range(0..blocks.len()))
             .collect();
-        let picked_samples = picks
+        let resample = drawn_blocks
             .iter()
             .flat_map(|index| blocks[*index].iter().copied());
-        resampled.extend(estimator.apply(picked_samples));
+        resampled.extend(estimator.apply(resample));
     }
     if resampled.len() < RESAMPLES / 2 {
         return unknown;
@@ -138,7 +138,8 @@
 }
 
 impl Estimate {
-    /// The estimate of the inverse, such as the rate for a time per token; unknown if that may be infinite.
+    /// Returns the estimate of the inverse, such as the rate for a time per token. It is unknown if the interval reaches
+    /// 0 or below, because the inverse may then be infinite.
     pub fn inverse(self) -> Estimate {
         match self {
             Estimate::Known {
--- a/crates/calibration/src/lib.rs
+++ b/crates/calibration/src/lib.rs
@@ -1,7 +1,8 @@
-//! Calibration of a fleet model from recorded traffic: the speed of the recorded endpoints ([`calibrate`]) with confidence
-//! intervals ([`estimate`]), and the comparison of two sets of runs ([`compare`]).
+//! Calibration of a fleet model from recorded traffic.
 //!
-//! `docs/fleet-model.md` weighs the options and says what comes next.
+//! [`calibrate`] derives the speed of the endpoints from a recording, [`estimate`] computes the estimates with confidence
+//! intervals, and [`compare`] compares two sets of runs. The modules do no I/O; the command line reads the recordings.
+//! `docs/fleet-model.md` discusses the alternatives and the next steps.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/calibration/src/main.rs
+++ b/crates/calibration/src/main.rs
@@ -1,9 +1,9 @@
-//! The command line of the calibration.
+//! The command line of the calibration: reads recordings and prints the estimates made from them.
 
 use clap::{Parser, Subcommand};
 use quartzhall_calibration::calibrate::{calibrate, Calibration};
 use quartzhall_calibration::estimate::Estimate;
-use quartzhall_recording::{Damage, Reader};
+use quartzhall_recording::{ReadError, Reader};
 use std::error::Error;
 use std::fmt;
 use std::fs::File;
@@ -11,28 +11,28 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A model of the fleet, fed with recorded traffic.
+/// Estimates the speed of endpoints from recorded traffic.
 #[derive(Parser)]
 #[command(name = "quartzhall-calibration", version)]
 struct Arguments {
     #[command(subcommand)]
-    task: Task,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Task {
-    /// Say what recordings tell of their nodes, with 90% intervals. Each recording by itself.
+enum Command {
+    /// Estimate the speed of the recorded endpoints, with 90% confidence intervals, for each recording separately.
     Calibrate {
-        /// The recordings.
+        /// Paths of the recordings.
         #[arg(required = true)]
         recordings: Vec<PathBuf>,
-        /// Settles the draws of the intervals.
+        /// Seed of the random resampling for the intervals.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
 }
 
-/// Why a recording could not be used.
+/// Why a recording could not be read.
 #[derive(Debug)]
 enum CalibrationError {
     /// The file cannot be opened.
@@ -40,8 +40,8 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    /// The file is damaged, or not a recording.
-    Damaged { path: PathBuf, source: Damage },
+    /// The file cannot be read as a recording.
+    Read { path: PathBuf, source: ReadError },
 }
 
 impl fmt::Display for CalibrationError {
@@ -50,7 +50,7 @@
             CalibrationError::Open { path, source } => {
                 write!(formatter, "{}: {source}", path.display())
             }
-            CalibrationError::Damaged { path, source } => {
+            CalibrationError::Read { path, source } => {
                 write!(formatter, "{}: {source}", path.display())
             }
         }
@@ -61,7 +61,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             CalibrationError::Open { source, .. } => Some(source),
-            CalibrationError::Damaged { source, .. } => Some(source),
+            CalibrationError::Read { source, .. } => Some(source),
         }
     }
 }
@@ -77,14 +77,14 @@
             format!("{value:.4} {unit} ({low:.4} to {high:.4}, {samples} samples)")
         }
         Estimate::Unknown { samples, blocks } => {
-            format!("not told by {samples} samples in {blocks} spans of 5 s")
+            format!("no estimate ({samples} samples in {blocks} blocks of 5 s)")
         }
     }
 }
 
-/// Calibrates from one recording, and prints the result.
+/// Calibrates from one recording and prints the result. Prints nothing if the recording is damaged.
 fn calibrate_recording(path: &Path, seed: u64) -> Result<(), CalibrationError> {
-    let damaged = |source| CalibrationError::Damaged {
+    let read_error = |source| CalibrationError::Read {
         path: path.to_owned(),
         source,
     };
@@ -92,18 +92,18 @@
         path: path.to_owned(),
         source,
     })?;
-    let mut reader = Reader::new(BufReader::new(file)).map_err(damaged)?;
-    let mut damage = None;
+    let mut reader = Reader::new(BufReader::new(file)).map_err(read_error)?;
+    let mut first_error = None;
     let records = std::iter::from_fn(|| match reader.next()? {
         Ok(record) => Some(record),
         Err(error) => {
-            damage = Some(error);
+            first_error = Some(error);
             None
         }
     });
     let calibration = calibrate(records, seed);
-    if let Some(damage) = damage {
-        return Err(damaged(damage));
+    if let Some(error) = first_error {
+        return Err(read_error(error));
     }
     println!("{}: {} requests", path.display(), calibration.requests);
     if reader.is_truncated() {
@@ -116,13 +116,13 @@
 fn print_calibration(calibration: &Calibration) {
     if calibration.dropped > 0 || calibration.unended > 0 {
         println!(
-            "  {} records dropped, {} attempts without an end",
+            "  {} records dropped, {} attempts without a recorded end",
             calibration.dropped, calibration.unended
         );
     }
     for role in &calibration.roles {
         println!(
-            "  {:?}: {} nodes, {} attempts, {:.2}% failed",
+            "  {:?}: {} endpoints, {} attempts, {:.2}% failed",
             role.role,
             role.endpoints,
             role.attempts,
@@ -130,12 +130,12 @@
         );
         let rate = format_estimate(role.tokens_per_s, "tokens a second");
         println!("    rate: {rate}");
-        println!("    wait: {}", format_estimate(role.wait_s, "s"));
+        println!("    latency: {}", format_estimate(role.latency_s, "s"));
     }
 }
 
 fn main() -> ExitCode {
-    let Task::Calibrate { recordings, seed } = Arguments::parse().task;
+    let Command::Calibrate { recordings, seed } = Arguments::parse().command;
     for recording in recordings {
         if let Err(error) = calibrate_recording(&recording, seed) {
             eprintln!("quartzhall-calibration: {error}");
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -1,4 +1,4 @@
-//! Recordings of a fleet with known speeds: the calibration estimates them, or reports that it cannot.
+//! Calibration from generated recordings of a fleet whose speeds are known, and from incomplete or damaged ones.
 
 use quartzhall_calibration::calibrate::{calibrate, Calibration};
 use quartzhall_calibration::estimate::Estimate;
@@ -8,20 +8,23 @@
 use std::process::Command;
 
 const PREFILL_TOKENS_PER_S: f64 = 18_000.0;
-const PREFILL_WAIT_S: f64 = 0.03;
+/// The duration of a prefill without uncached tokens.
+const PREFILL_LATENCY_S: f64 = 0.03;
+/// The time per output token of a stream.
 const TOKEN_TIME_S: f64 = 0.025;
-const DECODE_WAIT_S: f64 = 0.2;
+/// The time to the first event of a decode attempt.
+const DECODE_LATENCY_S: f64 = 0.2;
 
 const REQUEST_INTERVAL_US: u64 = 600_000;
 const OUTPUT_TOKENS: u32 = 150;
 
-const PREFILL_NODE: u32 = 0;
-const DECODE_NODE: u32 = 1;
+const PREFILL_ENDPOINT: u32 = 0;
+const DECODE_ENDPOINT: u32 = 1;
 
-fn node(at: u64, node: u32, role: RecordedRole) -> Record {
+fn endpoint(at: u64, endpoint: u32, role: RecordedRole) -> Record {
     Record::Endpoint {
         at,
-        endpoint: node,
+        endpoint,
         role,
         cell: 0,
         ready: true,
@@ -29,7 +32,7 @@
     }
 }
 
-fn arrival(at: u64, request: u64, prompt: u32) -> Record {
+fn arrival(at: u64, request: u64, prompt_tokens: u32) -> Record {
     Record::Arrival {
         at,
         request,
@@ -37,27 +40,28 @@
         tenant: None,
         session: None,
         shared_prefix: None,
-        prompt_tokens: prompt,
+        prompt_tokens,
         prefix_tokens: 0,
         max_output_tokens: 500,
         expires_in: 7_500_000,
     }
 }
 
-/// The records of one request that arrives at `at`: prefill, then decode.
+/// Returns the records of one request that arrives at `at`: a prefill attempt, then a decode attempt, with random sizes and
+/// noise in the durations.
 fn request_records(at: u64, request: u64, rng: &mut Pcg64) -> Vec<Record> {
-    let prompt = rng.gen_range(500..8_000);
-    let cached_tokens = rng.gen_range(0..prompt / 2);
+    let prompt_tokens = rng.gen_range(500..8_000);
+    let cached_tokens = rng.gen_range(0..prompt_tokens / 2);
     let mut noise = |time: f64| (time * rng.gen_range(0.8..1.2) * 1e6) as u64;
-    let uncached_tokens = f64::from(prompt - cached_tokens);
-    let prefill_end = at + noise(PREFILL_WAIT_S + uncached_tokens / PREFILL_TOKENS_PER_S);
-    let first_event = prefill_end + noise(DECODE_WAIT_S);
+    let uncached_tokens = f64::from(prompt_tokens - cached_tokens);
+    let prefill_end = at + noise(PREFILL_LATENCY_S + uncached_tokens / PREFILL_TOKENS_PER_S);
+    let first_event = prefill_end + noise(DECODE_LATENCY_S);
     let end = first_event + noise(TOKEN_TIME_S * f64::from(OUTPUT_TOKENS));
-    let sent = |at, attempt, node| Record::AttemptSent {
+    let sent = |at, attempt, endpoint| Record::AttemptSent {
         at,
         request,
         attempt,
-        endpoint: node,
+        endpoint,
     };
     let ended = |at, attempt, status, cached_tokens, completion_tokens| Record::AttemptEnded {
         at,
@@ -69,10 +73,10 @@
     };
     let prefill_done = RecordedStatus::PrefillDone;
     vec![
-        arrival(at, request, prompt),
-        sent(at, 0, PREFILL_NODE),
+        arrival(at, request, prompt_tokens),
+        sent(at, 0, PREFILL_ENDPOINT),
         ended(prefill_end, 0, prefill_done, cached_tokens, 0),
-        sent(prefill_end, 1, DECODE_NODE),
+        sent(prefill_end, 1, DECODE_ENDPOINT),
         Record::FirstEvent {
             at: first_event,
             request,
@@ -87,19 +91,20 @@
     ]
 }
 
-/// Requests one after another at one prefill and one decode replica, by a clock that starts at `clock`.
+/// Returns the records of requests at a constant interval, at one prefill and one decode endpoint. `clock` is the time at the
+/// start, in Unix microseconds.
 fn records(seed: u64, requests: u64, clock: u64) -> Vec<Record> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut all = vec![
-        node(clock, PREFILL_NODE, RecordedRole::Prefill),
-        node(clock, DECODE_NODE, RecordedRole::Decode),
+        endpoint(clock, PREFILL_ENDPOINT, RecordedRole::Prefill),
+        endpoint(clock, DECODE_ENDPOINT, RecordedRole::Decode),
     ];
     let mut at = clock;
     for request in 0..requests {
         at += REQUEST_INTERVAL_US;
         all.extend(request_records(at, request, &mut rng));
     }
-    // Sorted by time, as a dispatcher writes them.
+    // A dispatcher writes its records in the order of time.
     all.sort_by_key(|record| match record {
         Record::Arrival { at, .. }
         | Record::AttemptSent { at, .. }
@@ -110,7 +115,9 @@
     all
 }
 
-fn contains(estimate: Estimate, truth: f64, max_relative_width: f64) -> bool {
+/// Returns whether the interval contains the true value. Panics if there is no estimate, or if the interval is wider than this
+/// share of the true value.
+fn interval_contains(estimate: Estimate, truth: f64, max_relative_width: f64) -> bool {
     let Estimate::Known { low, high, .. } = estimate else {
         panic!("{estimate:?}")
     };
@@ -120,16 +127,24 @@
 
 #[test]
 fn known_speeds_are_within_the_intervals() {
-    let mut found = [0; 4];
+    let mut covered = [0; 4];
     for seed in 0..40 {
         let calibration = calibrate(records(seed, 400, 1_700_000_000_000_000).into_iter(), seed);
         let [prefill, decode] = &calibration.roles[..] else {
             panic!("{calibration:?}")
         };
-        found[0] += u32::from(contains(prefill.tokens_per_s, PREFILL_TOKENS_PER_S, 0.2));
-        found[1] += u32::from(contains(prefill.wait_s, PREFILL_WAIT_S, 0.8));
-        found[2] += u32::from(contains(decode.tokens_per_s, 1.0 / TOKEN_TIME_S, 0.1));
-        found[3] += u32::from(contains(decode.wait_s, DECODE_WAIT_S, 0.1));
+        covered[0] += u32::from(interval_contains(
+            prefill.tokens_per_s,
+            PREFILL_TOKENS_PER_S,
+            0.2,
+        ));
+        covered[1] += u32::from(interval_contains(prefill.latency_s, PREFILL_LATENCY_S, 0.8));
+        covered[2] += u32::from(interval_contains(
+            decode.tokens_per_s,
+            1.0 / TOKEN_TIME_S,
+            0.1,
+        ));
+        covered[3] += u32::from(interval_contains(decode.latency_s, DECODE_LATENCY_S, 0.1));
         assert_eq!(
             (
                 calibration.requests,
@@ -140,12 +155,12 @@
         );
     }
     assert!(
-        found.iter().all(|found| (30..=40).contains(found)),
-        "{found:?} of 40"
+        covered.iter().all(|covered| (30..=40).contains(covered)),
+        "{covered:?} of 40"
     );
 }
 
-/// Only spans between records count, neither the clock of a dispatcher nor the start of a block.
+/// The calibration uses only differences of times, so the clock of a dispatcher may be wrong.
 #[test]
 fn offset_of_the_clock_does_not_change_the_estimate() {
     let value = |calibration: Calibration| match calibration.roles[0].tokens_per_s {
@@ -169,7 +184,7 @@
         .roles
         .iter()
         .all(|role| matches!(role.tokens_per_s, Estimate::Unknown { .. })));
-    // Missing ends are counted, and so are the records that the recorder dropped.
+    // Attempts without a recorded end are counted, and so are the records that the recorder dropped.
     let cut = records(1, 100, 0)
         .into_iter()
         .filter(|record| !matches!(record, Record::AttemptEnded { attempt: 1, .. }));
--- a/crates/calibration/tests/unit/compare.rs
+++ b/crates/calibration/tests/unit/compare.rs
@@ -2,49 +2,49 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Runs whose service depends on scenario and seed, and also on the version.
+/// Returns runs in three scenarios whose served share varies with scenario and seed, and a little with the version.
 fn measures(version: u64, improvement: f64, seeds: u64) -> RunMeasures {
     let mut all = RunMeasures::new();
     for (number, scenario) in ["jump", "deploy", "slow"].iter().enumerate() {
         for seed in 0..seeds {
             let mut shared = Pcg64::seed_from_u64(seed * 10 + number as u64);
             let mut own = Pcg64::seed_from_u64(version * 100_000 + seed * 10 + number as u64);
-            let service =
+            let served_share =
                 0.8 + shared.gen_range(-0.15..0.15) + own.gen_range(-0.02..0.02) + improvement;
             let key = ((*scenario).to_owned(), seed);
-            all.insert(key, BTreeMap::from([("service".to_owned(), service)]));
+            all.insert(key, BTreeMap::from([("service".to_owned(), served_share)]));
         }
     }
     all
 }
 
-/// Two equal versions differ significantly as often as the interval allows: once in twenty comparisons.
+/// Versions without a difference are reported as different in 5% of the comparisons, as 95% intervals promise.
 #[test]
 fn equal_versions_differ_as_rarely_as_stated() {
-    let mut distinct = [0; 2];
+    let mut significant = [0; 2];
     for round in 0..400 {
         let differences = compare(
             &measures(2 * round + 1, 0.0, 12),
             &measures(2 * round + 2, 0.0, 12),
         )
         .unwrap();
-        distinct[0] += u32::from(differences[0].is_distinct());
-        distinct[1] += u32::from(differences[1].is_distinct());
+        significant[0] += u32::from(differences[0].is_significant());
+        significant[1] += u32::from(differences[1].is_significant());
     }
-    // 20 of 400 are expected; chance alone gives 8 to 34.
+    // 20 of 400 are expected; random variation alone gives 8 to 34.
     assert!(
-        distinct.iter().all(|count| (8..=34).contains(count)),
-        "{distinct:?}"
+        significant.iter().all(|count| (8..=34).contains(count)),
+        "{significant:?}"
     );
 }
 
-/// One percent is detected although seeds differ by thirty, because the pairs met the same traffic.
+/// A difference of 0.01 is detected although the served share varies by 0.3 between seeds, because runs are compared in pairs.
 #[test]
 fn worse_version_differs_significantly() {
     let differences = compare(&measures(1, 0.0, 20), &measures(2, -0.01, 20)).unwrap();
     let all = &differences[0];
     assert!(
-        all.is_distinct() && all.scenario.is_none() && all.pairs == 60,
+        all.is_significant() && all.scenario.is_none() && all.pairs == 60,
         "{all:?}"
     );
     assert!(
@@ -76,7 +76,7 @@
     assert!(compare(&whole, &other)
         .unwrap_err()
         .to_string()
-        .contains("not measured alike"));
+        .contains("has different measures in the two sets"));
     let mut broken = whole.clone();
     for run in broken.values_mut() {
         run.insert("service".into(), f64::NAN);
@@ -84,7 +84,7 @@
     assert!(compare(&whole, &broken)
         .unwrap_err()
         .to_string()
-        .contains("no number"));
+        .contains("is missing or not finite"));
     assert_eq!(
         compare(&RunMeasures::new(), &RunMeasures::new()),
         Ok(vec![])
--- a/crates/calibration/tests/unit/estimate.rs
+++ b/crates/calibration/tests/unit/estimate.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A line with noise that samples of one block share in part, as samples that met the same queue do.
+/// Returns samples of a line with noise, part of which all samples of a block share, as requests that met the same queue do.
 fn noisy_samples(seed: u64, blocks: u64) -> Vec<Sample> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut samples = Vec::new();
@@ -19,7 +19,7 @@
     samples
 }
 
-/// The intervals contain the true value about as often as they should, and are not wide for it.
+/// The 90% intervals contain the true value in about 90% of the cases, and are narrow.
 #[test]
 fn intervals_contain_the_true_value_as_often_as_stated() {
     for (estimator, truth, max_width) in [
@@ -36,7 +36,7 @@
             covered += u32::from((low..=high).contains(&truth));
             assert!(high - low < max_width, "{estimator:?}: {low} to {high}");
         }
-        // 90% of 200, with the chance in that and what few blocks lose.
+        // 180 of 200 are expected. The bounds allow for random variation and for the narrower intervals that few blocks give.
         assert!(
             (160..=196).contains(&covered),
             "{estimator:?}: {covered} of 200"
--- a/crates/recording/src/file.rs
+++ b/crates/recording/src/file.rs
@@ -1,23 +1,27 @@
-//! The recording file: a header, then records, each framed with its length and its checksum.
+//! Encoding and decoding of recording files: a header, then a sequence of framed records.
 //!
-//! Header: [`MARK`] and [`VERSION`]. Frame: the body's length (2 bytes), the checksum (4 bytes), the body in postcard. All
-//! numbers are little-endian.
+//! - Header: [`MAGIC`] (8 bytes), [`VERSION`] (2 bytes).
+//! - Frame of a record: the length of the body (2 bytes), the CRC-32 of length and body (4 bytes), the body in the postcard
+//!   encoding.
+//!
+//! The integers of the header and the frames are little-endian. A writer that is interrupted leaves a truncated last record,
+//! which the reader reports apart from damage.
 
 use crate::Record;
 use std::error::Error;
 use std::fmt;
 use std::io::{self, Read, Write};
 
-/// The first bytes of a recording.
-pub const MARK: [u8; 8] = *b"QHRECORD";
-/// The version that is written. Readers accept it and those before it.
+/// The magic bytes at the start of a recording.
+pub const MAGIC: [u8; 8] = *b"QHRECORD";
+/// The format version that [`Writer`] writes. [`Reader`] accepts versions 1 to this one.
 pub const VERSION: u16 = 1;
 
-/// Bytes of the header.
-const HEADER_BYTES: usize = MARK.len() + 2;
-/// Bytes of the length and the checksum before each record.
-const FRAME_BYTES: usize = 2 + 4;
-/// The longest body of a record, in bytes.
+/// The length of the header.
+const HEADER_BYTES: usize = MAGIC.len() + 2;
+/// The length of what precedes the body in a frame: the body's length and the checksum.
+const FRAME_HEADER_BYTES: usize = 2 + 4;
+/// The maximum length of a record's body. It bounds what a reader allocates for a damaged length.
 const MAX_BODY_BYTES: usize = 4096;
 
 /// Writes a recording.
@@ -26,13 +30,13 @@
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a recording by writing its header.
+    /// Writes the header.
     ///
     /// # Errors
     ///
     /// Returns the error of the output.
     pub fn new(mut output: W) -> io::Result<Writer<W>> {
-        output.write_all(&MARK)?;
+        output.write_all(&MAGIC)?;
         output.write_all(&VERSION.to_le_bytes())?;
         Ok(Writer { output })
     }
@@ -41,18 +45,19 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the output, or one of the kind `Other` if the record cannot be encoded or is too long.
+    /// Returns the error of the output, or one of the kind [`io::ErrorKind::Other`] if the record cannot be encoded or is longer
+    /// than the format allows.
     pub fn write(&mut self, record: &Record) -> io::Result<()> {
         let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
         if body.len() > MAX_BODY_BYTES {
-            return Err(io::Error::other("a record that is too long"));
+            return Err(io::Error::other("record exceeds the maximum length"));
         }
         let length = body.len() as u16;
-        let mut framed = Vec::with_capacity(FRAME_BYTES + body.len());
-        framed.extend_from_slice(&length.to_le_bytes());
-        framed.extend_from_slice(&checksum(length, &body).to_le_bytes());
-        framed.extend_from_slice(&body);
-        self.output.write_all(&framed)
+        let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + body.len());
+        frame.extend_from_slice(&length.to_le_bytes());
+        frame.extend_from_slice(&checksum(length, &body).to_le_bytes());
+        frame.extend_from_slice(&body);
+        self.output.write_all(&frame)
     }
 
     /// Flushes the output.
@@ -65,7 +70,7 @@
     }
 }
 
-/// The checksum covers the length too: a damaged length must not pass for the end of a record.
+/// Returns the CRC-32 of a frame. It includes the length, so that a damaged length is detected.
 fn checksum(length: u16, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length.to_le_bytes());
@@ -73,74 +78,80 @@
     hasher.finalize()
 }
 
-/// What is wrong with a recording.
+/// What made reading fail.
 #[derive(Debug)]
-pub enum DamageReason {
-    /// The file cannot be read.
+pub enum ReadErrorKind {
+    /// The input returned an error.
     Io(io::Error),
-    /// The header is missing.
+    /// The input does not begin with a complete header.
     NotARecording,
-    /// The file is of a version that this program does not know.
-    UnknownVersion(u16),
-    /// A record has this length in bytes, which is not possible.
+    /// The format version is 0 or newer than [`VERSION`].
+    UnsupportedVersion(u16),
+    /// The length of a body, in bytes, is 0 or greater than the maximum.
     BadLength(u16),
-    /// A record's checksum does not match.
+    /// The checksum of a frame does not match.
     BadChecksum,
-    /// A record cannot be decoded.
+    /// A body cannot be decoded.
     Decode(postcard::Error),
-    /// A record is shorter than its frame says.
+    /// A body has more bytes than its record.
     TrailingBytes,
 }
 
-impl fmt::Display for DamageReason {
+impl fmt::Display for ReadErrorKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DamageReason::Io(error) => error.fmt(formatter),
-            DamageReason::NotARecording => formatter.write_str("not a recording"),
-            DamageReason::UnknownVersion(version) => {
+            ReadErrorKind::Io(error) => error.fmt(formatter),
+            ReadErrorKind::NotARecording => formatter.write_str("not a recording"),
+            ReadErrorKind::UnsupportedVersion(version) => {
                 write!(
                     formatter,
-                    "version {version}, and up to {VERSION} are known"
+                    "unsupported version {version}, the newest supported version is {VERSION}"
                 )
             }
-            DamageReason::BadLength(length) => write!(formatter, "a record of {length} bytes"),
-            DamageReason::BadChecksum => formatter.write_str("a record whose sum is wrong"),
-            DamageReason::Decode(error) => error.fmt(formatter),
-            DamageReason::TrailingBytes => formatter.write_str("a record with more than it says"),
+            ReadErrorKind::BadLength(length) => {
+                write!(formatter, "invalid record length of {length} bytes")
+            }
+            ReadErrorKind::BadChecksum => {
+                formatter.write_str("checksum of the record does not match")
+            }
+            ReadErrorKind::Decode(error) => error.fmt(formatter),
+            ReadErrorKind::TrailingBytes => {
+                formatter.write_str("extra bytes after the record in its frame")
+            }
         }
     }
 }
 
-/// Why a recording is not read any further, and where.
+/// Where and why reading failed.
 #[derive(Debug)]
-pub struct Damage {
-    /// The offset in bytes.
+pub struct ReadError {
+    /// Bytes from the start of the file to the header field or the frame that could not be read.
     pub offset: u64,
-    /// The reason.
-    pub reason: DamageReason,
+    /// The cause.
+    pub kind: ReadErrorKind,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for ReadError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "at byte {}: {}", self.offset, self.reason)
+        write!(formatter, "at byte {}: {}", self.offset, self.kind)
     }
 }
 
-impl Error for Damage {
+impl Error for ReadError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match &self.reason {
-            DamageReason::Io(error) => Some(error),
-            DamageReason::Decode(error) => Some(error),
-            DamageReason::NotARecording
-            | DamageReason::UnknownVersion(_)
-            | DamageReason::BadLength(_)
-            | DamageReason::BadChecksum
-            | DamageReason::TrailingBytes => None,
+        match &self.kind {
+            ReadErrorKind::Io(error) => Some(error),
+            ReadErrorKind::Decode(error) => Some(error),
+            ReadErrorKind::NotARecording
+            | ReadErrorKind::UnsupportedVersion(_)
+            | ReadErrorKind::BadLength(_)
+            | ReadErrorKind::BadChecksum
+            | ReadErrorKind::TrailingBytes => None,
         }
     }
 }
 
-/// Reads a recording, record by record.
+/// Iterates over the records of a recording. It ends after the last complete record or after the first error.
 pub struct Reader<R> {
     input: R,
     offset: u64,
@@ -148,7 +159,7 @@
     is_finished: bool,
 }
 
-/// Reads until the buffer is full or the input ends, and returns the number of bytes.
+/// Reads until the buffer is full or the input ends. Returns the number of bytes read.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -163,28 +174,28 @@
 }
 
 impl<R: Read> Reader<R> {
-    /// Reads the header.
+    /// Reads and checks the header.
     ///
     /// # Errors
     ///
-    /// Fails if the input cannot be read, is not a recording, or is of a newer version.
-    pub fn new(mut input: R) -> Result<Reader<R>, Damage> {
+    /// Fails if the input cannot be read, is not a recording, or has an unsupported version.
+    pub fn new(mut input: R) -> Result<Reader<R>, ReadError> {
         let mut header = [0; HEADER_BYTES];
-        let count = read_up_to(&mut input, &mut header).map_err(|error| Damage {
+        let count = read_up_to(&mut input, &mut header).map_err(|error| ReadError {
             offset: 0,
-            reason: DamageReason::Io(error),
+            kind: ReadErrorKind::Io(error),
         })?;
-        if count < header.len() || !header.starts_with(&MARK) {
-            return Err(Damage {
+        if count < header.len() || !header.starts_with(&MAGIC) {
+            return Err(ReadError {
                 offset: 0,
-                reason: DamageReason::NotARecording,
+                kind: ReadErrorKind::NotARecording,
             });
         }
-        let version = u16::from_le_bytes([header[MARK.len()], header[MARK.len() + 1]]);
+        let version = u16::from_le_bytes([header[MAGIC.len()], header[MAGIC.len() + 1]]);
         if version == 0 || version > VERSION {
-            return Err(Damage {
-                offset: MARK.len() as u64,
-                reason: DamageReason::UnknownVersion(version),
+            return Err(ReadError {
+                offset: MAGIC.len() as u64,
+                kind: ReadErrorKind::UnsupportedVersion(version),
             });
         }
         Ok(Reader {
@@ -195,47 +206,49 @@
         })
     }
 
-    /// Whether the file ended within a record, because its writer was interrupted.
+    /// Returns whether the input ended within a record, because its writer was interrupted. False until the iterator has
+    /// reached the end of the input.
     pub fn is_truncated(&self) -> bool {
         self.is_truncated
     }
 
-    /// Bytes up to the end of the last complete record.
+    /// Returns the bytes from the start of the input to the end of the last record that was read.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    fn read_record(&mut self) -> Result<Option<Record>, DamageReason> {
-        let mut frame = [0; FRAME_BYTES];
-        let count = read_up_to(&mut self.input, &mut frame).map_err(DamageReason::Io)?;
-        if count < FRAME_BYTES {
+    /// Reads the next record; `None` at the end of the input, also if that is within a record.
+    fn read_record(&mut self) -> Result<Option<Record>, ReadErrorKind> {
+        let mut frame_header = [0; FRAME_HEADER_BYTES];
+        let count = read_up_to(&mut self.input, &mut frame_header).map_err(ReadErrorKind::Io)?;
+        if count < FRAME_HEADER_BYTES {
             self.is_truncated = count > 0;
             return Ok(None);
         }
-        let length = u16::from_le_bytes([frame[0], frame[1]]);
+        let length = u16::from_le_bytes([frame_header[0], frame_header[1]]);
         if usize::from(length) > MAX_BODY_BYTES || length == 0 {
-            return Err(DamageReason::BadLength(length));
+            return Err(ReadErrorKind::BadLength(length));
         }
         let mut body = vec![0; usize::from(length)];
-        let count = read_up_to(&mut self.input, &mut body).map_err(DamageReason::Io)?;
+        let count = read_up_to(&mut self.input, &mut body).map_err(ReadErrorKind::Io)?;
         if count < body.len() {
             self.is_truncated = true;
             return Ok(None);
         }
-        if frame[2..] != checksum(length, &body).to_le_bytes() {
-            return Err(DamageReason::BadChecksum);
+        if frame_header[2..] != checksum(length, &body).to_le_bytes() {
+            return Err(ReadErrorKind::BadChecksum);
         }
-        let (record, rest) = postcard::take_from_bytes(&body).map_err(DamageReason::Decode)?;
+        let (record, rest) = postcard::take_from_bytes(&body).map_err(ReadErrorKind::Decode)?;
         if !rest.is_empty() {
-            return Err(DamageReason::TrailingBytes);
+            return Err(ReadErrorKind::TrailingBytes);
         }
-        self.offset += (FRAME_BYTES + body.len()) as u64;
+        self.offset += (FRAME_HEADER_BYTES + body.len()) as u64;
         Ok(Some(record))
     }
 }
 
 impl<R: Read> Iterator for Reader<R> {
-    type Item = Result<Record, Damage>;
+    type Item = Result<Record, ReadError>;
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.is_finished {
@@ -247,10 +260,10 @@
                 self.is_finished = true;
                 None
             }
-            Err(reason) => {
+            Err(kind) => {
                 self.is_finished = true;
                 let offset = self.offset;
-                Some(Err(Damage { offset, reason }))
+                Some(Err(ReadError { offset, kind }))
             }
         }
     }
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -1,8 +1,8 @@
-//! Recordings of a dispatcher's traffic: requests, attempts and outcomes.
+//! The file format for recordings of a dispatcher's traffic: requests, attempts, outcomes and the endpoints that served them.
 //!
-//! `docs/fleet-model.md` explains the format. [`Recorder`] writes a recording beside a running dispatcher, from a thread of
-//! its own; [`Reader`] reads one up to its last complete record. Records are encoded by the order of variants and fields,
-//! which must not change.
+//! A running dispatcher passes its records to a [`Recorder`], which writes them in its own thread. The calibration reads them
+//! back with a [`Reader`], up to the last complete record. The encoding depends only on the order and the types of variants
+//! and fields, so neither may change within a [`VERSION`]; names may. `docs/fleet-model.md` explains the format.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -10,20 +10,21 @@
 mod file;
 mod recorder;
 
-pub use file::{Damage, DamageReason, Reader, Writer, MARK, VERSION};
+pub use file::{ReadError, ReadErrorKind, Reader, Writer, MAGIC, VERSION};
 pub use recorder::Recorder;
 
 use serde::{Deserialize, Serialize};
 
-/// The keyed digest of a name: equal names have equal digests, and the name cannot be derived from it.
+/// The keyed digest of a name. Equal names have equal digests within a recording; the name cannot be derived from its digest.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Digest(pub u64);
 
-/// The key of a recording's digests. It is never written to the file.
+/// The secret key of a recording's digests. It is never written to the file.
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Derives a key from a secret that only this process knows.
+    /// Derives a key from a secret. Only this process may know it: with the secret, guesses of names could be tested against
+    /// their digests.
     pub fn from_secret(secret: &[u8]) -> Key {
         Key(blake3::derive_key(
             "quartzhall recording: keyed digests, version 1",
@@ -31,7 +32,7 @@
         ))
     }
 
-    /// The digest of a name. `kind` separates a session and a shared prefix of the same name.
+    /// Returns the digest of a name. A session and a shared prefix of the same name have different digests.
     pub fn digest(&self, kind: DigestKind, name: &[u8]) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&[kind as u8]).update(name);
@@ -41,186 +42,188 @@
     }
 }
 
-/// What a digest identifies.
+/// What a digest identifies. The discriminant is an input of the digest.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
 pub enum DigestKind {
-    /// A session.
+    /// A client session.
     Session = 1,
-    /// A shared prefix.
+    /// A prefix that prompts of several requests share.
     SharedPrefix = 2,
 }
 
-/// The table of names that a number in other records refers to.
+/// A table that assigns names to the numbers in records.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Table {
-    /// Request classes.
+    /// Names of request classes.
     Class,
-    /// Tenants.
+    /// Names of tenants.
     Tenant,
-    /// Endpoints.
+    /// Endpoint ids, as discovery reports them.
     Endpoint,
 }
 
-/// The role of an endpoint.
+/// Which stages of a request an endpoint serves.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedRole {
-    /// Prefill.
+    /// Prefill only.
     Prefill,
-    /// Decode.
+    /// Decode only.
     Decode,
-    /// Both.
+    /// Prefill and decode.
     Mixed,
 }
 
-/// How an attempt ended.
+/// The status with which an attempt ended.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedStatus {
-    /// The stream was completed.
+    /// The response was complete.
     Served,
-    /// Prefill finished.
+    /// The prefill was complete.
     PrefillDone,
-    /// An error response.
+    /// The endpoint returned an error.
     Error,
-    /// Rejected because of overload, or because the KV cache is missing.
+    /// The endpoint refused the attempt because of overload, or because it had no KV cache for the request.
     Overloaded,
-    /// No response in time.
+    /// No response arrived in time.
     Timeout,
-    /// No connection could be made.
+    /// No connection was established.
     ConnectFailed,
-    /// The connection was reset.
+    /// The connection was lost.
     Reset,
-    /// A pooled connection was reset before any response.
+    /// A pooled connection was lost before any response byte arrived.
     StaleConnection,
-    /// Cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// The request is not valid.
+    /// The endpoint refused the request as invalid.
     InvalidRequest,
 }
 
-/// A request's final outcome.
+/// The final outcome of a request.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedOutcome {
-    /// Its stream was forwarded to the end.
+    /// The stream ended complete.
     Served,
-    /// Its stream was forwarded and aborted.
+    /// The stream ended before it was complete.
     StreamBroken,
-    /// It was shed.
+    /// The request was rejected because of load; the client may retry it.
     Shed,
-    /// It failed.
+    /// The request failed before its stream started.
     Failed,
-    /// The client disconnected before.
+    /// The client disconnected before the request had another outcome.
     ClientDisconnected,
 }
 
-/// One record. Times are Unix microseconds on the recording dispatcher's clock; lengths are in tokens.
+/// One record. Times (`at`, `started`) are Unix times in microseconds on the recording dispatcher's clock.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum Record {
-    /// The recording begins.
+    /// The start of the recording.
     Start {
-        /// When.
+        /// When the recording was started.
         at: u64,
-        /// The dispatcher's name.
+        /// The name of the recording dispatcher.
         dispatcher: String,
-        /// Dispatchers that share the endpoints.
+        /// The number of dispatchers that share the endpoints; 0 if it is not configured.
         dispatchers: u32,
     },
-    /// From here on a number refers to this name.
+    /// Assigns a name to a number. Later records refer to the name by this number.
     Name {
-        /// The table.
+        /// The table that the number belongs to.
         table: Table,
-        /// The number.
+        /// The number. A later record with the same table and number replaces the name.
         number: u32,
-        /// The name.
+        /// The name of the class, tenant or endpoint.
         name: String,
     },
-    /// An endpoint as discovery lists it.
+    /// Discovery has reported an endpoint, or a change of its status or address.
     Endpoint {
-        /// When.
+        /// When the dispatcher processed the report.
         at: u64,
-        /// Its number.
+        /// The endpoint's number in [`Table::Endpoint`].
         endpoint: u32,
-        /// Its role.
+        /// The stages that the endpoint serves.
         role: RecordedRole,
-        /// Its cell.
+        /// The number of the endpoint's cell.
         cell: u32,
-        /// It accepts requests.
+        /// Whether the endpoint accepts new requests.
         ready: bool,
-        /// When it last started; 0: long ago.
+        /// When the endpoint last started; 0 if that is unknown.
         started: u64,
     },
     /// A request has arrived.
     Arrival {
-        /// When.
+        /// When the request arrived.
         at: u64,
-        /// Its number, until its `RequestEnded`.
+        /// The request id, to which the records of the request and of its attempts refer.
         request: u64,
-        /// Its class.
+        /// The number of the request's class in [`Table::Class`].
         class: u32,
-        /// Its tenant.
+        /// The number of the request's tenant in [`Table::Tenant`]; `None` if no quota applies.
         tenant: Option<u32>,
-        /// Its session.
+        /// The digest of the request's session; `None` if the request belongs to no session.
         session: Option<Digest>,
-        /// Its shared prefix.
+        /// The digest of the shared prefix that the prompt begins with; `None` if it has none.
         shared_prefix: Option<Digest>,
-        /// The length of its prompt.
+        /// Tokens in the prompt, including the shared prefix.
         prompt_tokens: u32,
-        /// The length of its shared prefix.
+        /// Tokens in the shared prefix.
         prefix_tokens: u32,
-        /// The maximum length of its output.
+        /// Maximum tokens in the response.
         max_output_tokens: u32,
-        /// How long its client waits, in microseconds.
+        /// Time left until the client's deadline, in microseconds.
         expires_in: u64,
     },
     /// An attempt has been sent.
     AttemptSent {
-        /// When.
+        /// When the attempt was sent.
         at: u64,
-        /// Its request.
+        /// The id of its request.
         request: u64,
-        /// The number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
-        /// The endpoint's number.
+        /// The endpoint's number in [`Table::Endpoint`].
         endpoint: u32,
     },
-    /// An attempt's first event has arrived.
+    /// The first event of an attempt's stream has arrived.
     FirstEvent {
-        /// When.
+        /// When the event arrived.
         at: u64,
-        /// Its request.
+        /// The id of its request.
         request: u64,
-        /// The number of the attempt.
+        /// The number of the attempt within the request.
         attempt: u32,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// When.
+        /// When the attempt ended.
         at: u64,
-        /// Its request.
+        /// The id of its request.
         request: u64,
-        /// The number of the attempt.
+        /// The number of the attempt within the request.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         status: RecordedStatus,
-        /// Prompt tokens found in the prefix cache.
+        /// Prompt tokens that the endpoint found in its prefix cache. With [`RecordedStatus::Overloaded`], 1 means that the
+        /// endpoint had no KV cache for the request.
         cached_tokens: u32,
         /// Output tokens; 0 if the endpoint did not report them.
         completion_tokens: u32,
     },
-    /// The request has ended.
+    /// A request has its outcome. Attempts of the request may still end afterwards.
     RequestEnded {
-        /// When.
+        /// When the outcome was known.
         at: u64,
-        /// The request.
+        /// The id of the request.
         request: u64,
-        /// Its outcome.
+        /// The outcome.
         outcome: RecordedOutcome,
     },
-    /// Records are missing here, because the recorder could not keep up.
+    /// Records are missing from the recording, because the recorder's queue was full. The gap follows within as many records
+    /// as the queue holds.
     Dropped {
-        /// How many.
+        /// The number of missing records.
         records: u64,
     },
 }
--- a/crates/recording/src/recorder.rs
+++ b/crates/recording/src/recorder.rs
@@ -1,5 +1,7 @@
-//! Recording beside a running dispatcher: a bounded queue and a thread that owns the file. If the queue is full, records are
-//! dropped and counted, and the dispatcher does not wait.
+//! The recorder of a running dispatcher: a bounded queue, and a thread that owns the file.
+//!
+//! The dispatcher never waits for the file. If the queue is full, records are dropped and counted, and the thread writes their
+//! number as [`Record::Dropped`].
 
 use crate::{Record, Writer};
 use std::io::{self, Write};
@@ -9,10 +11,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Written records reach the file within this time.
-const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
+/// The writer is flushed when no record has arrived for this long.
+const FLUSH_DELAY: Duration = Duration::from_secs(1);
 
-/// Writes records from a thread of its own. Dropping it finishes the file.
+/// Writes records in its own thread. Dropping the recorder writes the queued records and discards any error.
 pub struct Recorder {
     queue: Option<SyncSender<Record>>,
     dropped: Arc<AtomicU64>,
@@ -20,7 +22,7 @@
 }
 
 impl Recorder {
-    /// Writes the header and starts the thread; up to `capacity` records are queued.
+    /// Writes the header and starts the thread. The queue holds up to `capacity` records.
     ///
     /// # Errors
     ///
@@ -41,7 +43,7 @@
         })
     }
 
-    /// Queues a record, or counts it as dropped if the queue is full. Never waits.
+    /// Queues a record without waiting. Counts it as dropped if the queue is full or the thread has ended after an error.
     pub fn record(&self, record: Record) {
         let Some(queue) = &self.queue else { return };
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = queue.try_send(record) {
@@ -49,32 +51,33 @@
         }
     }
 
-    /// Writes the queued records and finishes the file.
+    /// Writes the queued records, flushes the output and waits for the thread to end.
     ///
     /// # Errors
     ///
-    /// Returns the first error of the output.
+    /// Returns the first error that the thread met; it ends the recording.
     pub fn end(mut self) -> io::Result<()> {
-        self.finish()
+        self.join_thread()
     }
 
-    fn finish(&mut self) -> io::Result<()> {
+    fn join_thread(&mut self) -> io::Result<()> {
         self.queue = None;
         let Some(thread) = self.thread.take() else {
             return Ok(());
         };
         thread
             .join()
-            .unwrap_or_else(|_| Err(io::Error::other("the recorder's thread died")))
+            .unwrap_or_else(|_| Err(io::Error::other("the recorder thread panicked")))
     }
 }
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        let _ = self.finish();
+        let _ = self.join_thread();
     }
 }
 
+/// Writes records until the sender is dropped and the queue is empty.
 fn write_records<W: Write>(
     writer: &mut Writer<W>,
     records: &Receiver<Record>,
@@ -82,8 +85,9 @@
 ) -> io::Result<()> {
     let mut is_flushed = true;
     loop {
-        let next = records.recv_timeout(FLUSH_INTERVAL);
-        // The count is written where the gap is: before the first record that was queued again.
+        let next = records.recv_timeout(FLUSH_DELAY);
+        // `next` may have been queued before the records were dropped, so the count can precede the gap by up to the queue's
+        // capacity.
         let missing = dropped.swap(0, Ordering::Relaxed);
         if missing > 0 {
             writer.write(&Record::Dropped { records: missing })?;
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -1,14 +1,16 @@
-//! Recordings that are complete, truncated, damaged, or of a newer version.
+//! Writing and reading of recordings that are complete, truncated, damaged or of a newer version, digests, and the recorder's
+//! queue.
 
 use quartzhall_recording::{
     Digest, DigestKind, Key, Reader, Record, RecordedOutcome, RecordedStatus, Recorder, Table,
-    Writer, MARK, VERSION,
+    Writer, MAGIC, VERSION,
 };
 use quickcheck::{Gen, QuickCheck};
 use std::io::{self, Write};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 
+/// Returns the records of 50 requests with one attempt each, after a start and a name.
 fn records() -> Vec<Record> {
     let arrival = |request| Record::Arrival {
         at: 1_700_000_000_000_000 + request * 50_000,
@@ -81,10 +83,10 @@
     assert_eq!(read, records());
     assert!(!reader.is_truncated());
     assert_eq!(reader.offset(), bytes.len() as u64);
-    // 250 records about 50 requests: what a day of a million requests would take.
+    // Limits the size of a recording: a day with a million requests stays below 150 MB.
     assert!(
         bytes.len() / 50 < 150,
-        "{} bytes a request",
+        "{} bytes per request",
         bytes.len() / 50
     );
 }
@@ -112,11 +114,12 @@
     }
 }
 
-/// One flipped bit anywhere is detected: reading ends at that record, or, in a length, at the latest at the file's end.
+/// Reading ends at the record with the flipped bit. A flipped bit in a length may look like a truncation instead, because the
+/// body then reaches beyond the end of the file.
 #[test]
 fn flipped_bit_is_detected_with_its_offset() {
     let bytes = encode(&records()[..12]);
-    let header = MARK.len() + 2;
+    let header = MAGIC.len() + 2;
     for index in 0..bytes.len() {
         for bit in 0..8 {
             let mut bytes = bytes.clone();
@@ -125,12 +128,15 @@
                 assert!(index < header);
                 continue;
             };
-            assert!(index >= header, "the header, at {index}");
+            assert!(
+                index >= header,
+                "damage in the header was not detected, at byte {index}"
+            );
             let read: Vec<_> = reader.by_ref().collect();
-            let damage = read.last().and_then(|last| last.as_ref().err());
-            match damage {
-                Some(damage) => assert!(damage.offset as usize <= index, "{damage}, at {index}"),
-                // A length that points behind the end looks like a truncation.
+            let error = read.last().and_then(|last| last.as_ref().err());
+            match error {
+                Some(error) => assert!(error.offset as usize <= index, "{error}, at {index}"),
+                // The damaged length reaches beyond the end of the file.
                 None => assert!(
                     reader.is_truncated() && reader.offset() as usize <= index,
                     "at {index}"
@@ -141,9 +147,9 @@
 }
 
 #[test]
-fn newer_version_is_rejected() {
+fn newer_version_ends_in_error_or_truncation() {
     let mut bytes = encode(&records());
-    bytes[MARK.len()..MARK.len() + 2].copy_from_slice(&(VERSION + 1).to_le_bytes());
+    bytes[MAGIC.len()..MAGIC.len() + 2].copy_from_slice(&(VERSION + 1).to_le_bytes());
     let error = Reader::new(bytes.as_slice()).err().unwrap().to_string();
     assert!(
         error.contains("at byte 8") && error.contains("version 2"),
@@ -153,8 +159,8 @@
 
 #[test]
 fn random_bytes_end_in_an_error_or_truncation() {
-    let garbage = |bytes: Vec<u8>| {
-        let file = [&MARK[..], &VERSION.to_le_bytes(), &bytes].concat();
+    let ends_in_error_or_truncation = |bytes: Vec<u8>| {
+        let file = [&MAGIC[..], &VERSION.to_le_bytes(), &bytes].concat();
         let mut reader = Reader::new(file.as_slice()).unwrap();
         let last = reader.by_ref().last();
         bytes.is_empty() || reader.is_truncated() || last.is_some_and(|record| record.is_err())
@@ -162,7 +168,7 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(300, 5))
         .tests(500)
-        .quickcheck(garbage as fn(_) -> _);
+        .quickcheck(ends_in_error_or_truncation as fn(_) -> _);
 }
 
 #[test]
@@ -179,9 +185,10 @@
     assert!(!others.contains(&digest));
 }
 
-/// An output that blocks after the first write until the other end of `unblock` is dropped.
+/// An output that blocks from the second write on, until the sender of `unblock` is dropped.
 struct BlockingOutput {
     unblock: Receiver<()>,
+    /// Notified before each write that blocks.
     blocked: Sender<()>,
     bytes: Arc<Mutex<Vec<u8>>>,
     has_header: bool,
@@ -189,7 +196,7 @@
 
 impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // The header is written by the thread that starts the recorder.
+        // `Recorder::start` writes the header in the thread of the test, which must not block.
         if std::mem::replace(&mut self.has_header, true) {
             let _ = self.blocked.send(());
             let _ = self.unblock.recv();
@@ -203,11 +210,12 @@
     }
 }
 
-/// While the output blocks, records are dropped and counted without waiting; afterwards the count is written in the gap.
+/// While the output blocks, the recorder drops and counts records without waiting. The count is written once the output
+/// accepts records again.
 #[test]
 fn full_queue_drops_and_counts_records() {
-    let (unblock_output, unblock) = channel();
-    let (blocked, output_blocked) = channel();
+    let (unblock_sender, unblock) = channel();
+    let (blocked, blocked_receiver) = channel();
     let bytes: Arc<Mutex<Vec<u8>>> = Arc::default();
     let recorder = Recorder::start(
         BlockingOutput {
@@ -224,9 +232,9 @@
         number,
         name: "n".repeat(3000),
     };
-    // More than the buffer holds: the thread reaches a write and blocks.
+    // Fills the writer's buffer, until the recorder's thread blocks in a write.
     let mut number = 0;
-    while output_blocked.try_recv().is_err() {
+    while blocked_receiver.try_recv().is_err() {
         recorder.record(long_record(number));
         number += 1;
         std::thread::yield_now();
@@ -234,7 +242,7 @@
     for more in 0..100 {
         recorder.record(long_record(number + more));
     }
-    drop(unblock_output);
+    drop(unblock_sender);
     recorder.end().unwrap();
     let bytes = bytes.lock().unwrap().clone();
     let read: Vec<Record> = Reader::new(bytes.as_slice())
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -1,9 +1,10 @@
-//! The cost of recording: the core handles the same requests with and without it, alternately, on this machine.
+//! Measures the cost of recording: the dispatcher's core handles the same requests alternately without and with a recorder.
 //!
 //!     cargo run --release --example recording_cost -- FILE [ROUNDS] [REQUESTS]
 //!
-//! Each request succeeds in both stages. Printed are the microseconds per request of each round and mode, then the medians
-//! and what recording adds.
+//! Every request is served after one prefill and one decode attempt. Prints the microseconds per request for each round and
+//! mode, then the minimum, the median and the maximum of each mode and the difference of the medians. Each recording
+//! overwrites FILE.
 
 use quartzhall::config::{Deployment, SettingsObject};
 use quartzhall::dispatcher::{Core, DiscoveredEndpoint, EndReason, Event, UpstreamRequest};
@@ -16,16 +17,17 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
-const PROFILE: &str = r#"{"balancers":2,"classes":[{"name":"q","aim":1500.0,"deadline":7500.0,"repeat":"free","worth":3.0}],
+/// The settings of the fleet.
+const SETTINGS: &str = r#"{"balancers":2,"classes":[{"name":"q","aim":1500.0,"deadline":7500.0,"repeat":"free","worth":3.0}],
  "family_info":{"role_by_kind":["read","write"],"tokens_by_kind":[200000,100000],"release_within":1000.0},
  "limits":{"most_tries":5,"cancel":true},"machine_types":["prefill","decode"],"reporting":{"via":"answers"},"tick":4.0}"#;
 
-/// The simulated time at the start, in Unix microseconds.
+/// The simulated time at the start.
 const START_TIME: Time = 1_700_000_000_000_000;
-/// Endpoints of the fleet; the first ones prefill.
+/// The number of endpoints; the first [`PREFILL_ENDPOINTS`] of them prefill, the others decode.
 const ENDPOINTS: usize = 10;
 const PREFILL_ENDPOINTS: usize = 5;
-/// Records that may be queued.
+/// The capacity of the recorder's queue, in records. The same as that of a dispatcher.
 const QUEUE_CAPACITY: usize = 8192;
 
 fn endpoint(number: usize) -> DiscoveredEndpoint {
@@ -48,7 +50,7 @@
     }
 }
 
-/// A request's way through both stages.
+/// Handles a request from its arrival to the end of its decode attempt.
 fn handle_request(core: &mut Core, now: Time, id: u64) {
     let metadata = RequestMetadata {
         id,
@@ -90,9 +92,9 @@
     core.take_commands();
 }
 
-/// Handles this many requests, and returns the microseconds per request.
+/// Returns the microseconds per request over this many requests, which are recorded to `file` if it is given.
 fn measure(requests: u64, file: Option<&str>) -> Result<f64, Box<dyn Error>> {
-    let settings: SettingsObject = miniserde::json::from_str(PROFILE)?;
+    let settings: SettingsObject = miniserde::json::from_str(SETTINGS)?;
     let deployment = Arc::new(Deployment::new(&settings)?);
     let mut now = START_TIME;
     let log = Logger::root(Discard, o!());
@@ -129,7 +131,7 @@
     Ok(micros_per_request)
 }
 
-/// The minimum, the median and the maximum of sorted values.
+/// Returns the minimum, the median and the maximum of sorted values.
 fn summarize(sorted: &[f64]) -> (f64, f64, f64) {
     (
         sorted[0],
