--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -1,4 +1,5 @@
-//! Estimates of the speed of recorded endpoints, by role: tokens per second of prefill and decode, and the latency before.
+//! Estimates of the speed of recorded endpoints, by role: tokens per second, and the latency that does not depend on the
+//! number of tokens.
 //!
 //! Only time differences between records of one recording are used, so the clocks of dispatchers may differ. A recording does
 //! not contain the load that other dispatchers put on an endpoint; its effect is part of the intervals. Prefill estimates use
@@ -9,7 +10,8 @@
 use quartzhall_recording::{Record, RecordedRole, RecordedStatus};
 use std::collections::{BTreeMap, HashMap};
 
-/// The maximum number of attempts in flight, which bounds the memory. A recording with more lacks the ends of attempts.
+/// The maximum number of attempts in flight, which bounds the memory. A recording with more lacks the ends of attempts: all
+/// that are in flight are then counted as unended and forgotten.
 const MAX_IN_FLIGHT: usize = 100_000;
 
 /// Estimates for the endpoints of one role.
@@ -48,8 +50,8 @@
 struct RoleObservations {
     attempts: usize,
     failed: usize,
-    rates: Vec<Sample>,
-    latencies: Vec<Sample>,
+    rate_samples: Vec<Sample>,
+    latency_samples: Vec<Sample>,
 }
 
 /// An attempt whose end has not been read yet. Times are as recorded, in microseconds.
@@ -87,7 +89,7 @@
     unended: usize,
 }
 
-fn seconds(from_us: u64, to_us: u64) -> f64 {
+fn seconds_between(from_us: u64, to_us: u64) -> f64 {
     to_us.saturating_sub(from_us) as f64 / 1e6
 }
 
@@ -211,8 +213,8 @@
             endpoints: self.roles.values().filter(|other| **other == role).count(),
             attempts: observations.attempts,
             failed_share: observations.failed as f64 / observations.attempts.max(1) as f64,
-            tokens_per_s: estimate(&observations.rates, rate_estimator, seed).inverse(),
-            latency_s: estimate(&observations.latencies, latency_estimator, seed),
+            tokens_per_s: estimate(&observations.rate_samples, rate_estimator, seed).inverse(),
+            latency_s: estimate(&observations.latency_samples, latency_estimator, seed),
         }
     }
 }
@@ -223,10 +225,10 @@
         let sample = Sample {
             at_us: attempt.sent_at,
             size: (prompt_tokens - f64::from(end.cached_tokens)).max(0.0),
-            seconds: seconds(attempt.sent_at, end.at),
+            seconds: seconds_between(attempt.sent_at, end.at),
         };
-        self.rates.push(sample);
-        self.latencies.push(sample);
+        self.rate_samples.push(sample);
+        self.latency_samples.push(sample);
     }
 
     /// Adds the time to the first event, and the time per output token after it if the endpoint reported their number.
@@ -237,12 +239,12 @@
             seconds,
         };
         if end.completion_tokens > 0 {
-            let stream_seconds = seconds(first_event_at, end.at);
+            let stream_seconds = seconds_between(first_event_at, end.at);
             let per_token = stream_seconds / f64::from(end.completion_tokens);
-            self.rates.push(sample(per_token));
+            self.rate_samples.push(sample(per_token));
         }
-        self.latencies
-            .push(sample(seconds(attempt.sent_at, first_event_at)));
+        self.latency_samples
+            .push(sample(seconds_between(attempt.sent_at, first_event_at)));
     }
 }
 
--- a/crates/calibration/src/estimate.rs
+++ b/crates/calibration/src/estimate.rs
@@ -76,6 +76,7 @@
         if self == Estimator::Mean {
             return Some(mean_seconds);
         }
+        // Variance and covariance are multiplied by the number of samples.
         let variance = samples
             .clone()
             .map(|sample| (sample.size - mean_size) * (sample.size - mean_size))
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -185,10 +185,13 @@
         .iter()
         .all(|role| matches!(role.tokens_per_s, Estimate::Unknown { .. })));
     // Attempts without a recorded end are counted, and so are the records that the recorder dropped.
-    let cut = records(1, 100, 0)
+    let without_decode_ends = records(1, 100, 0)
         .into_iter()
         .filter(|record| !matches!(record, Record::AttemptEnded { attempt: 1, .. }));
-    let calibration = calibrate(cut.chain([Record::Dropped { records: 100 }]), 1);
+    let calibration = calibrate(
+        without_decode_ends.chain([Record::Dropped { records: 100 }]),
+        1,
+    );
     assert_eq!((calibration.unended, calibration.dropped), (100, 100));
     assert!(matches!(
         calibration.roles[1].tokens_per_s,
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -220,8 +220,8 @@
         /// The outcome.
         outcome: RecordedOutcome,
     },
-    /// Records are missing from the recording, because the recorder's queue was full. The gap follows within as many records
-    /// as the queue holds.
+    /// Records are missing, because the recorder's queue was full. The gap is after this record, by at most as many records as
+    /// the queue holds.
     Dropped {
         /// The number of missing records.
         records: u64,
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn newer_version_ends_in_error_or_truncation() {
+fn newer_version_is_rejected() {
     let mut bytes = encode(&records());
     bytes[MAGIC.len()..MAGIC.len() + 2].copy_from_slice(&(VERSION + 1).to_le_bytes());
     let error = Reader::new(bytes.as_slice()).err().unwrap().to_string();
