--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' commands: one line a connection, answered by one line that begins with `ACK` or `NAK`.
+//! The frontend for operators: one command line per connection, answered by one line that begins with `ACK` or `NAK`.
 //!
-//! It renders what the dispatcher reports and submits bans to it; the dispatcher decides and owns the ban list.
+//! It reports the dispatcher's readiness and submits bans. The dispatcher decides on them and owns the ban list.
 
 use crate::dispatcher::bans::BanError;
 use crate::dispatcher::{DispatcherHandle, Readiness};
@@ -15,37 +15,37 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Connections at once, out of the descriptors in reserve. When there are more, the oldest is closed: it has not
-/// completed its line for longest.
+/// The most connections at once, out of the reserved file descriptors. When one more arrives, the oldest is closed: its
+/// line has been incomplete for longest.
 const MAX_CONNECTIONS: usize = 12;
-/// The longest line, its end included.
+/// The longest accepted line, including its line end.
 const MAX_LINE_BYTES: usize = 512;
-/// For the complete line.
+/// Time for the client to send its complete line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(10);
-/// For the client to read the response and close.
+/// Time for the client to read the response and close the connection.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A command.
+/// An operator's command.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether this process accepts clients.
+    /// Asks whether this process accepts clients.
     Ready,
-    /// Bans an endpoint, by its id.
+    /// Bans an endpoint, given by its id.
     Disable(Arc<str>),
-    /// Lifts an endpoint's ban.
+    /// Lifts the ban of an endpoint, given by its id.
     Enable(Arc<str>),
 }
 
-/// Why a command was not carried out; the text is sent to the operator behind `NAK`.
+/// Why a command was not executed. The text is sent to the operator after `NAK`.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
-    /// The connection failed before the line's end.
+    /// The connection failed before the end of the line.
     #[error("the line broke")]
     Read(#[source] io::Error),
-    /// The connection ended before the line did.
+    /// The client closed the connection before the end of the line.
     #[error("the line has no end")]
     Unterminated,
-    /// The line is over 512 bytes.
+    /// The line is longer than 512 bytes.
     #[error("the line is too long")]
     LineTooLong,
     /// The line is not UTF-8.
@@ -54,37 +54,37 @@
     /// The line has no words.
     #[error("the line is empty")]
     Empty,
-    /// The first word is no command.
+    /// The first word is not a command.
     #[error("unknown call: ready, disable-server ID and enable-server ID are known")]
     UnknownCommand,
     /// A command lacks the endpoint's id.
     #[error("the replica's id is missing")]
     MissingId,
-    /// Words follow a complete command.
+    /// Further words follow a complete command.
     #[error("a word too many")]
     TrailingWords,
-    /// The process does not serve yet.
+    /// The process does not serve clients yet.
     #[error("starting")]
     Starting,
-    /// The process accepts no new clients any more.
+    /// The process is shutting down.
     #[error("draining")]
     Draining,
-    /// The endpoint was never listed.
+    /// No endpoint with this id was ever listed.
     #[error("no replica of this id was listed")]
     UnknownEndpoint,
     /// The ban list is full.
     #[error("too many replicas are out of use")]
     TooManyBans,
-    /// The dispatcher has ended.
+    /// The dispatcher has stopped.
     #[error("the dispatcher ends")]
     DispatcherEnded,
 }
 
-/// Parses a line without its end.
+/// Parses a line that has no line end.
 ///
 /// # Errors
 ///
-/// Returns why the line is not a command.
+/// Returns why the line is not a valid command.
 pub fn parse(line: &[u8]) -> Result<AdminCommand, AdminError> {
     let line = std::str::from_utf8(line).map_err(AdminError::NotUtf8)?;
     let mut words = line.split_ascii_whitespace();
@@ -106,7 +106,7 @@
     Ok(id.into())
 }
 
-/// Reads a line, and returns it without its end.
+/// Reads a line and returns it without its line end.
 async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, AdminError> {
     let mut line = Vec::new();
     let mut buffer = [0; MAX_LINE_BYTES];
@@ -121,7 +121,7 @@
             line.truncate(end);
             return Ok(line);
         }
-        // Half a line is not carried out: its id may be the beginning of another one.
+        // An incomplete line is not executed: its id may be only the beginning of the intended one.
         if read_bytes == 0 {
             return Err(AdminError::Unterminated);
         }
@@ -188,8 +188,8 @@
         Err(error) => Err(error),
     };
     let response = response_line(&result);
-    // What the client sends behind its line is read and discarded: a close over unread bytes would reset the connection,
-    // and the client would lose the response.
+    // Anything that the client sends after its line is read and discarded. Closing a socket with unread bytes would
+    // reset the connection, and the client would lose the response.
     let _ = timeout(CLOSE_TIMEOUT, async {
         stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await?;
--- a/src/frontend/admission.rs
+++ b/src/frontend/admission.rs
@@ -1,6 +1,6 @@
-//! Admission of connections: which new ones get a permit, and which ones are closed for them at the limit.
+//! Admission of client connections: grants permits to new ones, and evicts idle ones at the limit.
 
-use super::connection::{ClientConnection, REPLACEABLE_IDLE_TIME, REPLACEABLE_SILENT_TIME};
+use super::connection::{ClientConnection, EVICTION_IDLE_TIME, EVICTION_SILENT_TIME};
 use super::ShutdownPhase;
 use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
 use crate::upgrade::stream_migration::MigrationSender;
@@ -11,11 +11,11 @@
 use tokio::task;
 use tokio::time::{sleep_until, Instant};
 
-/// What a listener and its connections share. Cheap to clone.
+/// The state that a listener shares with its connections. Clones share it.
 #[derive(Clone)]
 pub(super) struct ListenerState {
     connection_limit: ConnectionLimit,
-    /// When a new connection last had to wait although none could be closed for it.
+    /// When a new connection last had to wait because no connection could be evicted for it.
     last_full_at: Arc<Mutex<Option<Instant>>>,
     shutdown: watch::Receiver<ShutdownPhase>,
     migration_sender: MigrationSender,
@@ -41,13 +41,13 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a new connection recently found no permit, nor a connection that could be closed for it. Responses then
-    /// end their connections, as HTTP allows at any time: crowds of clients that send one request and stay connected
-    /// would otherwise take all permits for the idle timeout.
+    /// Returns whether a new connection recently found neither a permit nor a connection to evict, or more connections
+    /// are open than the limit allows. Responses then close their connections, as HTTP allows at any time. Otherwise
+    /// many clients that send one request and stay connected would hold all permits until the idle timeout.
     pub(super) fn is_full(&self) -> bool {
         let was_full = self
             .last_full_at()
-            .is_some_and(|instant| instant.elapsed() < REPLACEABLE_IDLE_TIME);
+            .is_some_and(|instant| instant.elapsed() < EVICTION_IDLE_TIME);
         was_full || self.connection_limit.over_limit() > 0
     }
 
@@ -59,19 +59,19 @@
         &self.shutdown
     }
 
-    /// The same for a connection whose streams don't migrate.
+    /// Returns this state without migration, for a connection whose streams stay in this process.
     pub(super) fn without_migration(mut self) -> Self {
         self.migration_sender = None;
         self
     }
 
-    /// Whether streams are to migrate to another process now.
+    /// Returns whether streams are to migrate to another process now.
     pub(super) fn is_migration_due(&self) -> bool {
         let sender = self.migration_sender.as_ref();
         sender.is_some_and(|sender| sender.signal.is_due())
     }
 
-    /// Waits until it changes whether streams are to migrate to another process.
+    /// Waits until [`ListenerState::is_migration_due`] changes.
     pub(super) async fn migration_due_changed(&mut self) {
         match &mut self.migration_sender {
             Some(sender) => sender.signal.changed().await,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The open connections of a listener, and the permits for new ones.
+/// The open connections of a listener. Grants the permits for new ones.
 pub(super) struct Admission {
     listener_state: ListenerState,
     connections: HashMap<task::Id, Arc<ClientConnection>>,
@@ -110,34 +110,34 @@
         self.connections.remove(&task);
     }
 
-    /// A permit for a connection that another process has handed over. Where it is beyond the limit, an idle connection is
-    /// closed for it.
+    /// Acquires a permit for a connection that another process has handed over. If this exceeds the limit, an idle
+    /// connection is evicted.
     pub(super) fn acquire_for_received(&self) -> Option<ConnectionPermit> {
         let connection_limit = &self.listener_state.connection_limit;
         let permit = connection_limit.acquire_beyond_limit();
         if connection_limit.over_limit() > 0 {
-            if let Some((_, client)) = self.first_replaceable() {
+            if let Some((_, client)) = self.first_evictable() {
                 client.request_close();
             }
         }
         permit
     }
 
-    /// A permit if one is free now.
+    /// Acquires a permit if one is free now.
     pub(super) fn try_acquire_permit(&self) -> Option<ConnectionPermit> {
         self.listener_state.connection_limit.try_acquire(1)
     }
 
-    /// Waits for a permit for a new connection. At the limit a silent connection, or the one that has been idle for
-    /// longest, is closed for it; where none has been so for long enough, the new one waits in the listener's queue.
+    /// Waits for a permit for a new connection. At the limit, a silent connection or the one that has been idle for
+    /// longest is evicted. While none may be evicted yet, the new connection waits in the accept queue.
     pub(super) async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         let connection_limit = &self.listener_state.connection_limit;
         let mut permit = pin!(connection_limit.acquire(1));
         loop {
-            let replaceable = self.first_replaceable();
-            let wait_until = match replaceable {
-                Some((replaceable_at, _)) => replaceable_at,
-                None => Instant::now() + REPLACEABLE_SILENT_TIME,
+            let evictable = self.first_evictable();
+            let wait_until = match evictable {
+                Some((evictable_at, _)) => evictable_at,
+                None => Instant::now() + EVICTION_SILENT_TIME,
             };
             if connection_limit.available() == 0 && wait_until > Instant::now() {
                 *self.listener_state.last_full_at() = Some(Instant::now());
@@ -147,19 +147,20 @@
                 permit = permit.as_mut() => return permit,
                 () = sleep_until(wait_until) => {}
             }
-            if let Some((_, client)) = replaceable {
+            if let Some((_, client)) = evictable {
                 client.request_close();
-                // Its task releases the permit as soon as it runs, unless a request has arrived meanwhile.
+                // The evicted connection's task releases its permit as soon as it runs, unless a request has arrived
+                // meanwhile.
                 task::yield_now().await;
             }
         }
     }
 
-    /// The connection that may be closed first, and from when on.
-    fn first_replaceable(&self) -> Option<(Instant, &ClientConnection)> {
+    /// Returns the connection that may be evicted first, and the time from which it may.
+    fn first_evictable(&self) -> Option<(Instant, &ClientConnection)> {
         self.connections
             .values()
-            .filter_map(|client| Some((client.replaceable_at()?, client.as_ref())))
-            .min_by_key(|(replaceable_at, _)| *replaceable_at)
+            .filter_map(|client| Some((client.evictable_at()?, client.as_ref())))
+            .min_by_key(|(evictable_at, _)| *evictable_at)
     }
 }
--- a/src/frontend/client_socket.rs
+++ b/src/frontend/client_socket.rs
@@ -1,10 +1,11 @@
-//! A client's socket: reports its progress to its [`ClientConnection`], and buffers what is pipelined.
+//! The socket of a client connection: reports its progress to its [`ClientConnection`], and buffers pipelined requests.
 //!
-//! hyper reads on only after it has used up all that it was given, and would otherwise not notice that the client has
-//! disconnected. So bytes that arrive behind a request in flight are buffered here, where the end of the stream is seen.
+//! hyper reads on only after it has consumed all bytes that it was given, and would otherwise not notice that the
+//! client has disconnected. So bytes that arrive after a request in flight are buffered here, and the end of the
+//! client's stream is detected here.
 //!
-//! A connection whose stream another process has begun is served by hyper as any other: hyper is given a request of this
-//! program's own, and the head that it writes for the response is discarded, as the other process has sent one.
+//! hyper also serves connections on which another process has begun a response. The socket gives hyper a synthetic
+//! request, and discards the response head that hyper writes, because the other process has already sent one.
 
 use super::admission::ListenerState;
 use super::connection::ClientConnection;
@@ -23,46 +24,48 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// A connection's read buffer: a head must fit, and so much may be buffered behind a request in flight.
+/// The size of a connection's read buffer. It bounds a request's head, and the bytes that are buffered after a request
+/// in flight.
 pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// After the last response of a connection, what the client still sends is read for so long ...
+/// How long a connection lingers after its last response: what the client still sends is read and discarded. Closing a
+/// socket with unread bytes would reset the connection, and the client would lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// ... and up to so many bytes: a close over unread bytes resets the connection, and the client loses the response.
+/// The most bytes that are discarded while a connection lingers.
 const MAX_LINGER_BYTES: usize = 1 << 20;
-/// While the buffer behind a request in flight is full, how often it is checked whether the client has disconnected.
+/// How often the connection is checked for a disconnect while the buffer for pipelined requests is full.
 const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// Bytes read at once behind a request in flight.
+/// The most bytes per read after a request in flight.
 const PIPELINE_READ_BYTES: usize = 1024;
-/// Bytes read at once while a connection lingers.
+/// The most bytes per read while a connection lingers.
 const LINGER_READ_BYTES: usize = 4096;
 
-/// So many bytes of a response may wait here for a client that reads slowly, so that they can go along when its stream
-/// migrates. More is left to hyper, and so to the endpoint's back-pressure.
+/// The most response bytes that are buffered here for a slow client, to be handed over when its stream migrates. Any
+/// more stays with hyper, so that back-pressure reaches the endpoint.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
-/// What hyper reads first on a connection whose stream another process has begun.
+/// The request that hyper reads first on a connection on which another process has begun a response.
 const RESUMING_REQUEST: &[u8] = b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
 
-/// What remains of the time and the bytes for a connection that lingers.
+/// The remaining time and bytes of a connection that lingers.
 struct Linger {
     timer: Pin<Box<Sleep>>,
     bytes_left: usize,
 }
 
-/// The socket of a connection.
+/// The socket of a client connection.
 pub(super) struct ClientSocket {
     stream: TcpStream,
     client: Arc<ClientConnection>,
-    /// What has arrived behind the request in flight.
+    /// Bytes received after the request in flight.
     pipelined: BytesMut,
-    /// What hyper has written of a response and the socket has not taken.
+    /// Response bytes that hyper has written and the socket has not accepted yet.
     unsent: BytesMut,
-    /// The head of a response that is not sent.
+    /// Set while the head of a resumed response is discarded.
     discarded_head: Option<DiscardedHead>,
-    /// Whether the client has ended its sending, so that nothing comes behind `pipelined`.
-    has_ended: bool,
+    /// Whether the client has closed its sending side, so that nothing follows `pipelined`.
+    is_read_closed: bool,
     listener_state: ListenerState,
     linger: Option<Linger>,
-    /// Set while `pipelined` is full.
+    /// The timer of the next check for a disconnect; set while `pipelined` is full.
     hangup_check: Option<Pin<Box<Sleep>>>,
 }
 
@@ -78,14 +81,14 @@
             pipelined: BytesMut::new(),
             unsent: BytesMut::new(),
             discarded_head: None,
-            has_ended: false,
+            is_read_closed: false,
             listener_state,
             linger: None,
             hangup_check: None,
         }
     }
 
-    /// Goes on from where another process has left the connection, in the middle of a response.
+    /// Resumes a connection that another process has left in the middle of a response.
     pub(super) fn resume(mut self, state: &ConnectionState) -> Self {
         self.pipelined.extend_from_slice(RESUMING_REQUEST);
         self.pipelined.extend_from_slice(&state.pipelined);
@@ -94,7 +97,7 @@
         self
     }
 
-    /// The state in which another process can go on with the connection.
+    /// Returns the state from which another process can resume the connection.
     fn state(&self) -> ConnectionState {
         ConnectionState {
             unsent: self.unsent.clone().freeze(),
@@ -103,12 +106,12 @@
         }
     }
 
-    /// Whether another process may own the socket at this moment.
+    /// Returns whether another process may own the socket at this moment.
     fn is_frozen(&self) -> bool {
         self.client.migration_slot().is_frozen()
     }
 
-    /// Writes what waits here for the client. Ready when nothing does.
+    /// Writes the unsent bytes. Ready when there are none left.
     fn poll_unsent(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.unsent.is_empty() {
             let written = Pin::new(&mut self.stream).poll_write(context, &self.unsent);
@@ -122,8 +125,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Takes bytes that the socket does not take, where the stream is to migrate: hyper then comes to the stream's offer
-    /// although its client reads slowly.
+    /// Buffers bytes that the socket does not accept, if the stream is to migrate. hyper can then get as far as the
+    /// stream's offer to migrate although the client reads slowly.
     fn buffer_for_migration(&mut self, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let has_room = self.unsent.len() + bytes.len() <= MAX_UNSENT_BYTES;
         if !has_room || !self.listener_state.is_migration_due() {
@@ -133,11 +136,11 @@
         Poll::Ready(Ok(bytes.len()))
     }
 
-    /// Ready when the client has disconnected, whatever bytes are unread before that; checks at intervals.
+    /// Ready when the client has disconnected, even if bytes before that are unread. Checks at intervals.
     fn poll_hangup(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
             if has_hung_up(&self.stream) {
-                self.has_ended = true;
+                self.is_read_closed = true;
                 return Poll::Ready(Ok(()));
             }
             let next_check = self
@@ -148,24 +151,25 @@
         }
     }
 
-    /// Buffers what arrives behind a request in flight, up to the limit. Ready when the client has ended its sending.
+    /// Buffers bytes that arrive after a request in flight, up to the limit. Ready when the client has closed its
+    /// sending side.
     fn poll_pipelined(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while !self.has_ended {
+        while !self.is_read_closed {
             let room = READ_BUFFER_BYTES.saturating_sub(self.pipelined.len());
             if room == 0 {
-                return self.poll_hangup(context); // read on when the request is answered
+                return self.poll_hangup(context); // reading resumes when the request is answered
             }
             let mut bytes = [MaybeUninit::uninit(); PIPELINE_READ_BYTES];
             let mut buffer = ReadBuf::uninit(&mut bytes[..room.min(PIPELINE_READ_BYTES)]);
             ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer))?;
-            self.has_ended = buffer.filled().is_empty();
+            self.is_read_closed = buffer.filled().is_empty();
             self.pipelined.extend_from_slice(buffer.filled());
             self.client.set_has_pipelined(!self.pipelined.is_empty());
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Reads from the socket into `buffer`, and keeps back what belongs to a later request.
+    /// Reads from the socket into `buffer`, and holds back the bytes of a later request in `pipelined`.
     fn poll_stream(
         &mut self,
         context: &mut Context<'_>,
@@ -173,7 +177,7 @@
     ) -> Poll<io::Result<()>> {
         let start = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        self.has_ended = buffer.filled().len() == start;
+        self.is_read_closed = buffer.filled().len() == start;
         let request_bytes = self.client.on_bytes_received(&buffer.filled()[start..]);
         let request_end = start + request_bytes;
         self.pipelined
@@ -183,7 +187,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Moves what was buffered of the next request into `buffer`.
+    /// Moves buffered bytes of the next request into `buffer`.
     fn read_pipelined(&mut self, buffer: &mut ReadBuf<'_>) {
         let readable = self.pipelined.len().min(buffer.remaining());
         if readable == 0 {
@@ -195,11 +199,12 @@
     }
 }
 
-/// Whether the client has ended its sending or the connection is broken, whatever is unread before that.
+/// Returns whether the client has closed its sending side or the connection is broken, even if bytes before that are
+/// unread.
 fn has_hung_up(stream: &TcpStream) -> bool {
     let mut poll_fds = [PollFd::new(stream, PollFlags::RDHUP)];
     let hangup = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    // A failed call says nothing about the connection: the next check calls again.
+    // A failed `poll` says nothing about the connection; the next check repeats it.
     let polled = poll(&mut poll_fds, Some(&Timespec::default()));
     polled.is_ok() && poll_fds[0].revents().intersects(hangup)
 }
@@ -211,12 +216,12 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.is_frozen() {
-            return Poll::Pending; // polled again when the stream goes on here
+            return Poll::Pending; // polled again when the stream continues in this process
         }
         if self.client.is_response_pending(context) {
             return self.poll_pipelined(context);
         }
-        if self.pipelined.is_empty() && !self.has_ended {
+        if self.pipelined.is_empty() && !self.is_read_closed {
             return self.poll_stream(context, buffer);
         }
         self.read_pipelined(buffer);
@@ -233,13 +238,13 @@
         let this = &mut *self;
         if let Some(head) = &mut this.discarded_head {
             let discarded_bytes = head.feed(bytes);
-            if head.has_ended() {
+            if head.is_complete() {
                 this.discarded_head = None;
             }
             return Poll::Ready(Ok(discarded_bytes));
         }
         if this.is_frozen() {
-            return Poll::Pending; // polled again when the stream goes on here
+            return Poll::Pending; // polled again when the stream continues in this process
         }
         if this.poll_unsent(context)?.is_pending() {
             return this.buffer_for_migration(bytes);
@@ -266,7 +271,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Ends the sending, and then discards what still arrives, up to the client's end or for a bounded time.
+    /// Closes the sending side, then discards what still arrives until the client closes its side or a limit is
+    /// reached.
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
         if this.linger.is_none() {
@@ -276,7 +282,7 @@
             Some(linger) => linger,
             None => {
                 ready!(Pin::new(&mut this.stream).poll_shutdown(context))?;
-                // While others wait for a permit, only what has arrived already is read.
+                // While other clients wait for a permit, only bytes that have already arrived are read.
                 let linger_time = if this.listener_state.is_full() {
                     Duration::ZERO
                 } else {
@@ -288,12 +294,12 @@
                 })
             }
         };
-        while !this.has_ended && linger.bytes_left > 0 {
+        while !this.is_read_closed && linger.bytes_left > 0 {
             let mut bytes = [MaybeUninit::uninit(); LINGER_READ_BYTES];
             let mut buffer = ReadBuf::uninit(&mut bytes);
             match Pin::new(&mut this.stream).poll_read(context, &mut buffer) {
-                Poll::Ready(Ok(())) => this.has_ended = buffer.filled().is_empty(),
-                Poll::Ready(Err(_)) => this.has_ended = true,
+                Poll::Ready(Ok(())) => this.is_read_closed = buffer.filled().is_empty(),
+                Poll::Ready(Err(_)) => this.is_read_closed = true,
                 Poll::Pending => return linger.timer.as_mut().poll(context).map(Ok),
             }
             linger.bytes_left = linger.bytes_left.saturating_sub(buffer.filled().len());
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,7 +1,7 @@
-//! What a client's connection is doing, and for how long it may.
+//! The state of one client connection and its time limits.
 //!
 //! A [`ClientConnection`] is shared by the connection's task, its socket and its listener. It owns the time limits of
-//! the connection; the listener owns the limit on their number.
+//! the connection; the listener owns the limit on the number of connections.
 
 use super::ShutdownPhase;
 use crate::net::message_framing::RequestFraming;
@@ -13,31 +13,31 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// For a request's complete head: from the connection's start, or from the first byte of a later request.
+/// Time for a complete request head, from the connection's start or from the first byte of a later request.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A connection that is idle for longer is closed.
+/// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// At the limit, a connection that has been idle for so long is closed for a new one.
-pub(super) const REPLACEABLE_IDLE_TIME: Duration = Duration::from_millis(2000);
-/// A client that reads nothing of its response for so long is disconnected, so that its endpoint is released.
+/// At the connection limit, a connection that has been idle for this long may be evicted for a new one.
+pub(super) const EVICTION_IDLE_TIME: Duration = Duration::from_millis(2000);
+/// A client that reads nothing of its response for this long is disconnected, so that its endpoint is released.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// At the limit, a connection that has sent nothing at all is closed sooner: a client connects when it has a request, so
-/// that the request has arrived by the time the connection is accepted, and crowds of silent connections would keep
-/// clients waiting for seconds.
-pub(super) const REPLACEABLE_SILENT_TIME: Duration = Duration::from_millis(300);
-/// During the shutdown, how often a connection is checked for a request that has begun to arrive.
+/// At the connection limit, a connection that has sent nothing at all may be evicted after this shorter time. A client
+/// connects when it has a request, so the request has arrived by the time the connection is accepted. Many silent
+/// connections would otherwise keep other clients waiting for seconds.
+pub(super) const EVICTION_SILENT_TIME: Duration = Duration::from_millis(300);
+/// How often a connection is checked at shutdown for a request that has begun to arrive.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a connection is doing.
+/// The phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionPhase {
-    /// Nothing has arrived yet.
+    /// Nothing has been received yet.
     New,
-    /// Between two requests.
+    /// Between two requests: nothing of the next one has been received.
     Idle,
-    /// A request's head has begun to arrive.
+    /// A part of a request's head has been received.
     ReadingHead,
-    /// A request is in flight.
+    /// A request's head is complete, and its response is not.
     RequestInFlight,
 }
 
@@ -62,12 +62,12 @@
     write_blocked_since: Mutex<Option<Instant>>,
     framing: Mutex<RequestFraming>,
     completed_responses: AtomicU64,
-    /// Wakes the task that reads on when the response in flight is complete.
+    /// Wakes the reading task when the response in flight is complete.
     read_waker: Mutex<Option<Waker>>,
     migration_slot: SharedMigrationSlot,
-    /// The client was told that the connection ends with the response in flight.
+    /// Set once the client or this process has announced that the connection closes after the response in flight.
     closes_after_response: AtomicBool,
-    /// A further request, or its beginning, has been read behind the one in flight.
+    /// Set while bytes of a further request, received after the one in flight, are buffered.
     has_pipelined: AtomicBool,
     /// Notified when a time limit may have changed.
     limits_changed: Notify,
@@ -117,39 +117,39 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where a response's stream is offered for migration to a successor process.
+    /// Returns the slot in which a response's stream is offered for migration to another process.
     pub(super) fn migration_slot(&self) -> &SharedMigrationSlot {
         &self.migration_slot
     }
 
-    /// Records that the client is told that the connection ends with the response in flight.
+    /// Records that the connection closes after the response in flight.
     pub(super) fn set_closes_after_response(&self) {
         self.closes_after_response.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the client was told that the connection ends with the response in flight.
+    /// Returns whether the connection closes after the response in flight.
     pub(super) fn closes_after_response(&self) -> bool {
         self.closes_after_response.load(Ordering::Relaxed)
     }
 
-    /// Records whether bytes of a further request have been read behind the one in flight.
+    /// Records whether bytes of a further request are buffered after the one in flight.
     pub(super) fn set_has_pipelined(&self, has_pipelined: bool) {
         self.has_pipelined.store(has_pipelined, Ordering::Relaxed);
     }
 
-    /// Whether the connection owes an answer beyond the one in flight: a request that was read is answered, also where
-    /// the client sent it before the first response has ended.
-    fn owes_further_response(&self) -> bool {
+    /// Returns whether a further response is due after the one in flight: a pipelined request that was read is
+    /// answered, unless the connection closes first.
+    fn must_answer_pipelined(&self) -> bool {
         self.has_pipelined.load(Ordering::Relaxed) && !self.closes_after_response()
     }
 
-    /// Asks the connection to close, which it does if it is still replaceable.
+    /// Asks the connection to close, which it does only if it may still be evicted.
     pub(super) fn request_close(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Records bytes that have arrived, and returns how many of them belong to the current request. The first bytes of a
-    /// connection don't extend its time for the head.
+    /// Records received bytes, and returns how many of them belong to the current request. The first bytes of a
+    /// connection don't extend the time for its first head.
     pub(super) fn on_bytes_received(&self, bytes: &[u8]) -> usize {
         let request_bytes = self.framing().feed(bytes);
         let mut state = self.phase_state();
@@ -167,7 +167,8 @@
         request_bytes
     }
 
-    /// Whether a complete request has no complete response yet. If so, the task is woken when it has.
+    /// Returns whether a complete request still lacks its complete response. If so, the task of `context` is woken when
+    /// the response is complete.
     pub(super) fn is_response_pending(&self, context: &Context<'_>) -> bool {
         let is_pending = self.framing().ended() > self.completed_responses.load(Ordering::Relaxed);
         *self.read_waker() = if is_pending {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Records whether the client has read some of a response, or its receive window is full.
+    /// Records the result of a write: while it is pending, the client reads nothing and its receive window is full.
     pub(super) fn on_write_polled<T>(&self, written: &Poll<T>) {
         let mut write_blocked_since = self.write_blocked_since();
         if written.is_ready() {
@@ -197,20 +198,21 @@
         }
     }
 
-    /// From when on the connection may be closed for a new one: while neither side owes the other anything.
-    pub(super) fn replaceable_at(&self) -> Option<Instant> {
+    /// Returns the time from which the connection may be evicted for a new one; `None` while a request is being
+    /// received or served, or a response is not completely written.
+    pub(super) fn evictable_at(&self) -> Option<Instant> {
         if self.write_blocked_since().is_some() {
-            return None; // the last of a response is still to be sent
+            return None; // the end of a response is still to be written
         }
         let PhaseState { phase, since } = *self.phase_state();
         match phase {
-            ConnectionPhase::New => Some(since + REPLACEABLE_SILENT_TIME),
-            ConnectionPhase::Idle => Some(since + REPLACEABLE_IDLE_TIME),
+            ConnectionPhase::New => Some(since + EVICTION_SILENT_TIME),
+            ConnectionPhase::Idle => Some(since + EVICTION_IDLE_TIME),
             ConnectionPhase::ReadingHead | ConnectionPhase::RequestInFlight => None,
         }
     }
 
-    /// When the connection expires in its present phase; `None` if that has no time limit.
+    /// Returns when the connection expires in its current phase; `None` if that phase has no time limit.
     fn expires_at(&self) -> Option<Instant> {
         let write_stalls_at = self
             .write_blocked_since()
@@ -225,22 +227,22 @@
         }
     }
 
-    /// Returns when the dispatcher shuts down and no request has begun to arrive: a new client sends its request at once,
-    /// and half a head is completed or runs into its timeout.
+    /// Waits until the dispatcher closes and no request is arriving. A new connection gets some time to send its first
+    /// request, and an incomplete head is either completed or times out.
     pub(super) async fn wait_until_closable(&self, shutdown: &mut watch::Receiver<ShutdownPhase>) {
         let _ = shutdown
             .wait_for(|phase| *phase == ShutdownPhase::Closing)
             .await;
         loop {
-            // What has arrived by now is read first.
+            // Lets the connection's task read first what has already arrived.
             tokio::task::yield_now().await;
             let PhaseState { phase, since } = *self.phase_state();
             match phase {
-                ConnectionPhase::RequestInFlight if self.owes_further_response() => {
+                ConnectionPhase::RequestInFlight if self.must_answer_pipelined() => {
                     sleep(SHUTDOWN_POLL_INTERVAL).await;
                 }
                 ConnectionPhase::Idle | ConnectionPhase::RequestInFlight => return,
-                ConnectionPhase::New if since.elapsed() >= REPLACEABLE_SILENT_TIME => return,
+                ConnectionPhase::New if since.elapsed() >= EVICTION_SILENT_TIME => return,
                 ConnectionPhase::New | ConnectionPhase::ReadingHead => {
                     sleep(SHUTDOWN_POLL_INTERVAL).await;
                 }
@@ -248,14 +250,14 @@
         }
     }
 
-    /// Whether a time limit of this connection has passed. What lies in the socket's buffer is read first, so that a
-    /// request which arrived in time is served although the runtime had not yet noticed it.
+    /// Returns whether a time limit of this connection has passed. Yields first, so that bytes in the socket buffer are
+    /// read: a request that arrived in time is served even if the runtime had not noticed it yet.
     async fn has_passed(&self, time_limit: impl Fn(&Self) -> Option<Instant>) -> bool {
         tokio::task::yield_now().await;
         time_limit(self).is_some_and(|limit| limit <= Instant::now())
     }
 
-    /// Returns when the connection has expired, or was asked to close and is replaceable.
+    /// Waits until the connection has expired, or until it was asked to close and may be evicted.
     pub(super) async fn wait_until_expired(&self) {
         loop {
             let expires_at = self.expires_at();
@@ -267,7 +269,7 @@
             };
             let has_expired = tokio::select! {
                 () = expiry => self.has_passed(ClientConnection::expires_at).await,
-                () = self.close_requested.notified() => self.has_passed(ClientConnection::replaceable_at).await,
+                () = self.close_requested.notified() => self.has_passed(ClientConnection::evictable_at).await,
                 () = self.limits_changed.notified() => false,
             };
             if has_expired {
--- a/src/frontend/discarded_head.rs
+++ b/src/frontend/discarded_head.rs
@@ -1,20 +1,20 @@
-//! Finds the end of a response's head that is written and not sent. Pure: no socket.
+//! Finds the end of a response head that hyper writes but that must not be sent. Does no I/O.
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A head of which so much has been discarded.
+/// The progress through a head that is discarded.
 #[derive(Debug, Default)]
 pub(super) struct DiscardedHead {
-    /// How many bytes of [`HEAD_END`] came last.
+    /// The number of bytes of [`HEAD_END`] that the last bytes matched.
     matched_bytes: usize,
 }
 
 impl DiscardedHead {
-    /// Discards bytes up to the head's end, and returns how many these are.
+    /// Discards bytes up to the end of the head, and returns how many were discarded.
     pub(super) fn feed(&mut self, bytes: &[u8]) -> usize {
         let mut discarded_bytes = 0;
         for byte in bytes {
-            if self.has_ended() {
+            if self.is_complete() {
                 break;
             }
             discarded_bytes += 1;
@@ -27,8 +27,8 @@
         discarded_bytes
     }
 
-    /// Whether all of the head has been discarded.
-    pub(super) fn has_ended(&self) -> bool {
+    /// Returns whether the whole head has been discarded.
+    pub(super) fn is_complete(&self) -> bool {
         self.matched_bytes == HEAD_END.len()
     }
 }
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -1,6 +1,6 @@
-//! Health checks for load balancers in front, over HTTP and as agent checks.
+//! Health checks for load balancers, over HTTP and as HAProxy agent checks.
 //!
-//! They render the dispatcher's readiness, and decide nothing.
+//! They report the dispatcher's readiness and make no decisions.
 
 use super::ShutdownPhase;
 use crate::dispatcher::{DispatcherHandle, Readiness};
@@ -16,10 +16,10 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// For a load balancer to read the line of its agent check.
+/// Time for a load balancer to read the response to its agent check.
 const AGENT_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// `GET /ready`: 200 only while the process accepts requests.
+/// Handles `GET /ready`: responds with 200 only while the process accepts clients.
 pub async fn ready(State(dispatcher): State<DispatcherHandle>) -> (StatusCode, &'static str) {
     match dispatcher.readiness() {
         Readiness::Ready => (StatusCode::OK, "ready\n"),
@@ -28,7 +28,7 @@
     }
 }
 
-/// `GET /health`: 200 while the process serves the requests that it has, also when it accepts no more.
+/// Handles `GET /health`: responds with 200 while the process serves requests, also while it drains.
 async fn health(State(dispatcher): State<DispatcherHandle>) -> (StatusCode, &'static str) {
     match dispatcher.readiness() {
         Readiness::Starting | Readiness::Standby => (StatusCode::SERVICE_UNAVAILABLE, "starting\n"),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The routes for load balancers that check over HTTP.
+/// Returns the routes for load balancers that check over HTTP.
 pub fn routes(dispatcher: DispatcherHandle) -> Router {
     Router::new()
         .route("/ready", get(ready))
@@ -44,7 +44,7 @@
         .with_state(dispatcher)
 }
 
-/// The response to an agent check, as HAProxy's `agent-check` parses it.
+/// Returns the response to an agent check, in the format of HAProxy's `agent-check`.
 pub fn agent_line(readiness: Readiness) -> &'static str {
     match readiness {
         Readiness::Starting | Readiness::Standby => "down\n",
@@ -53,7 +53,7 @@
     }
 }
 
-/// Answers agent checks, one line a connection, until the process shuts down.
+/// Answers agent checks, one line per connection, until the process closes.
 pub async fn serve_agent_checks(
     listener: TcpListener,
     dispatcher: DispatcherHandle,
@@ -67,7 +67,7 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            // One at a time: the response is one short line, and a load balancer checks again.
+            // Served one at a time: the response is one short line, and a load balancer repeats its checks.
             Ok((stream, _)) => {
                 pauses.reset();
                 send_agent_line(stream, agent_line(dispatcher.readiness())).await;
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,6 +1,7 @@
-//! The HTTP/1.1 frontend: parses requests, submits them to the dispatcher, and streams its responses.
+//! The HTTP/1.1 frontend: parses requests, submits them to the dispatcher, and streams the responses.
 //!
-//! It owns no state beyond the request that it serves; header names and response texts are the platform's.
+//! It owns no state beyond the request that it serves. The platform's clients define the header names and rely on the
+//! response texts.
 
 use crate::config::{micros, Deployment};
 use crate::dispatcher::{
@@ -31,11 +32,11 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
-/// For memory and the complete body, from the end of the head on. It does not depend on the request's deadline, which is
-/// the client's choice.
+/// Time to reserve memory for the body and to read it completely, from the end of the head. It does not depend on the
+/// request's deadline, which the client chooses.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// What the handlers share.
+/// The state that the handlers share.
 #[derive(Clone)]
 struct HttpFrontend {
     dispatcher: DispatcherHandle,
@@ -43,7 +44,7 @@
     log: Logger,
 }
 
-/// The routes. `body_memory` limits the bodies in memory.
+/// Returns the routes for client requests and the readiness check. `body_memory` limits the memory for request bodies.
 pub fn routes(dispatcher: DispatcherHandle, body_memory: BodyMemoryBudget, log: Logger) -> Router {
     let ready = Router::new()
         .route("/ready", get(ready))
@@ -59,7 +60,7 @@
         .merge(ready)
 }
 
-/// Why a request's head is invalid; the text is sent to the client.
+/// Why a request's head is invalid. The text is sent to the client.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// A required header is missing.
@@ -68,7 +69,7 @@
     /// A header's value has bytes other than visible ASCII.
     #[error("{0} is not plain text")]
     NotText(&'static str),
-    /// The request's id is not a name as in [`is_valid_name`].
+    /// The client request id is not a valid name, see [`is_valid_name`].
     #[error("X-Trace-Id is not a plain name")]
     InvalidId,
     /// No request class has this name.
@@ -83,7 +84,7 @@
     /// `X-Props` has an item without a `=`.
     #[error("X-Props is not a list of pairs")]
     MalformedProps,
-    /// A length in `X-Props` is not a number.
+    /// A length in `X-Props` is not a number of tokens.
     #[error("{0} is not a number of tokens")]
     InvalidTokenCount(&'static str),
     /// A required length is missing in `X-Props`.
@@ -98,11 +99,11 @@
     }
 }
 
-/// Parses `X-Props` into the metadata: lengths in tokens, and the shared prefix if there is one.
+/// Parses `X-Props` into the metadata: lengths in tokens, and the key of the shared prefix if there is one.
 ///
 /// # Errors
 ///
-/// Returns what is malformed or missing.
+/// Returns the item that is malformed, or the required one that is missing.
 pub fn parse_props(text: &str, metadata: &mut RequestMetadata) -> Result<(), InvalidRequest> {
     let mut prompt_tokens = None;
     let mut max_output_tokens = None;
@@ -131,7 +132,7 @@
     value.to_str().map_err(|_| InvalidRequest::NotText(name))
 }
 
-/// Parses a request's headers: the client's id for it, and what the dispatcher routes by.
+/// Parses a request's headers into the client request id and the metadata that the dispatcher routes by.
 ///
 /// # Errors
 ///
@@ -191,7 +192,7 @@
     Incomplete,
     #[error("the body took too long")]
     TimedOut,
-    /// Nothing was done for the request, so that it may be sent again.
+    /// The request did not run, so the client may retry it.
     #[error("no memory is free for the body")]
     NoMemory,
 }
@@ -208,11 +209,12 @@
     }
 }
 
-/// Reads a body into memory that is reserved for it. Without a declared length, memory for the longest is reserved.
+/// Reads a body into memory that is reserved for it. If the body has no declared length, memory for the longest
+/// accepted body is reserved.
 async fn read_body(
     body: Body,
     body_memory: &BodyMemoryBudget,
-    timeout: Instant,
+    times_out_at: Instant,
 ) -> Result<Bytes, BodyError> {
     let declared_bytes = http_body::Body::size_hint(&body)
         .exact()
@@ -221,10 +223,10 @@
         return Err(BodyError::TooLarge);
     }
     let reserving = body_memory.reserve(declared_bytes as usize);
-    let Ok(Some(reservation)) = timeout_at(timeout, reserving).await else {
+    let Ok(Some(reservation)) = timeout_at(times_out_at, reserving).await else {
         return Err(BodyError::NoMemory);
     };
-    match timeout_at(timeout, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+    match timeout_at(times_out_at, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(reservation.attach(body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
         Ok(Err(_)) => Err(BodyError::Incomplete),
@@ -232,6 +234,7 @@
     }
 }
 
+/// Handles `POST /v1/chat/completions`.
 async fn complete(State(frontend): State<HttpFrontend>, request: Request) -> Response {
     let received_at = Instant::now();
     let (head, body) = request.into_parts();
@@ -284,18 +287,18 @@
     }
 }
 
-/// Goes on with streams that another process of this dispatcher has begun.
+/// Resumes response streams that another process of this dispatcher has begun.
 #[derive(Clone)]
 pub struct StreamResumer {
-    /// Counts the streams among the open requests.
+    /// Counts resumed streams among the open requests.
     pub dispatcher: DispatcherHandle,
-    /// Gives their upstream side to the backend.
+    /// Passes the upstream side of resumed streams to the backend.
     pub attempts: mpsc::Sender<ReceivedAttempt>,
 }
 
 impl StreamResumer {
-    /// The response that goes on with a stream. Its connection writes it as any other, but for the head, which the other
-    /// process has sent.
+    /// Returns the response that continues a stream. Its connection writes it like any other response, except for the
+    /// head, which the other process has already sent.
     pub(super) async fn resume(
         &self,
         upstream: ReceivedUpstream,
@@ -314,7 +317,7 @@
             upstream,
             chunks: chunk_sender,
         };
-        // Where the backend has ended, the process ends, too; the response then ends as a broken one.
+        // If the backend has stopped, the process is about to exit; the response then ends as a broken stream.
         let _ = self.attempts.send(attempt).await;
         stream_response(ResponseStream {
             chunks,
@@ -340,14 +343,14 @@
 #[derive(PartialEq, Eq)]
 enum StreamState {
     Open,
-    /// The upstream broke off; what came before has had its turn to be sent.
+    /// The stream has broken. The chunks before that could be sent during one more poll.
     Broken,
     /// The response is complete.
     Ended,
 }
 
-/// A response on its way to the client. If the client disconnects, the pending request is dropped with it, which cancels
-/// it at the dispatcher.
+/// The body of a streamed response. If the client disconnects, the pending request is dropped with the body, which
+/// cancels the request at the dispatcher.
 struct ResponseStream {
     chunks: mpsc::Receiver<StreamChunk>,
     state: StreamState,
@@ -371,7 +374,7 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(StreamChunk::Data(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
             Poll::Ready(Some(StreamChunk::Migrate(half))) => {
-                // No chunk comes until the stream is migrated, or continues here.
+                // No chunk follows until the stream has migrated or continues in this process.
                 match &self.migration_slot {
                     Some(migration_slot) => {
                         migration_slot.offer(half, self.client_request_id.clone());
@@ -384,8 +387,9 @@
                 self.state = StreamState::Ended;
                 Poll::Ready(None)
             }
-            // The stream broke off. An error makes hyper close the connection at once, with what it has not sent yet: if
-            // the break came right behind the first event, the client would get no response at all.
+            // The stream has broken. An error makes hyper close the connection at once and discard what it has not sent
+            // yet. If the stream broke right after its first event, the client would get no response at all, so the
+            // error is returned only at the next poll.
             Poll::Ready(None) if breaks(Variant::StreamEnd) => Poll::Ready(None),
             Poll::Ready(None) if self.state == StreamState::Open => {
                 self.state = StreamState::Broken;
--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -1,10 +1,11 @@
-//! Names and keys as the clients of all frontends write them.
+//! Parses the names and keys that clients send, in the same notation at all frontends.
 
 use crate::config::fnv1a_hash;
 
-/// A session's or a shared prefix's key: the value of up to 16 hexadecimal digits, or the hash of any other word.
+/// Parses the key of a session or a shared prefix: the value of up to 16 hexadecimal digits, or the hash of any other
+/// text.
 pub fn parse_key(word: &str) -> u64 {
-    // The conversion alone would take a sign.
+    // `from_str_radix` alone would also accept a sign.
     let is_number = word.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(word, 16).ok();
     number
@@ -12,7 +13,7 @@
         .unwrap_or_else(|| fnv1a_hash(word))
 }
 
-/// Whether a name may stand in an endpoint's path without escapes: 1 to 128 unreserved characters, and not dots alone.
+/// Returns whether a name needs no escapes in an endpoint's path: 1 to 128 unreserved characters, and not only dots.
 pub fn is_valid_name(name: &str) -> bool {
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     (1..=128).contains(&name.len())
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -1,8 +1,8 @@
-//! Accepts connections from clients, up to a limit, takes those that another process hands over, and ends them in order at
-//! the shutdown.
+//! Accepts client connections up to a limit, takes over connections from other processes, and closes all of them in an
+//! orderly way at shutdown.
 //!
-//! Silent and slow clients lose their connection in time, and at the limit an idle one is closed for a new one, so that
-//! nobody can lock the others out.
+//! Silent and slow clients are disconnected by timeouts. At the limit, an idle connection is evicted for a new one, so
+//! that no group of clients can lock out the others.
 
 use super::admission::{Admission, ListenerState};
 use super::connection::ClientConnection;
@@ -22,20 +22,22 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// What a clients' listener has to do with other processes of its dispatcher.
+/// The channels by which a listener exchanges live streams with other processes of its dispatcher.
 pub struct MigrationChannels {
-    /// Where streams are sent that migrate to another process.
+    /// Sends streams that migrate to another process; `None` in a process that runs alone.
     pub migration_sender: MigrationSender,
-    /// The streams of other processes. Whoever has a place in this queue when it is closed may still use it.
+    /// Receives streams from other processes. A sender that has reserved a slot in this queue may still use it after
+    /// the queue is closed.
     pub received: mpsc::Receiver<ReceivedStream>,
-    /// Goes on with received streams; `None` where there are none.
+    /// Resumes received streams; `None` if there are none.
     pub resumer: Option<StreamResumer>,
-    /// Whether new connections are accepted. Received streams are served before that, too.
+    /// Whether new connections are accepted. Received streams are served even while this is false.
     pub accepts: watch::Receiver<bool>,
 }
 
 impl MigrationChannels {
-    /// For a listener of a process that is alone.
+    /// Returns the channels for a process that runs alone: no stream arrives or leaves, and connections are accepted at
+    /// once.
     fn none() -> MigrationChannels {
         MigrationChannels {
             migration_sender: None,
@@ -46,7 +48,7 @@
     }
 }
 
-/// The connections of a listener and their tasks.
+/// The open connections of a listener and the tasks that serve them.
 struct ConnectionTasks {
     admission: Admission,
     tasks: JoinSet<()>,
@@ -55,7 +57,7 @@
 }
 
 impl ConnectionTasks {
-    /// Serves a connection in a task of its own, which holds the permit.
+    /// Serves a connection in a task of its own, which holds the permit until the connection ends.
     fn spawn(&mut self, stream: TcpStream, permit: ConnectionPermit) {
         let client = ClientConnection::new();
         let serving = serve_connection(
@@ -72,7 +74,7 @@
         self.admission.add(task.id(), client);
     }
 
-    /// Goes on with a connection that another process has handed over, as with one that was accepted here.
+    /// Resumes a connection that another process has handed over. It is served in the same way as one accepted here.
     fn spawn_received(&mut self, stream: ReceivedStream) {
         let Some(resumer) = self.resumer.clone() else {
             return;
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Serves received streams until all connections have ended and no stream can come any more. The queue is closed only
-    /// while no connection is open, so that this process takes streams for as long as it has others to end.
+    /// Serves received streams until all connections have ended and no further stream can arrive. The queue is closed
+    /// only once no connection is open: as long as this process has connections to finish, it also takes over streams.
     async fn finish(&mut self, received: &mut mpsc::Receiver<ReceivedStream>) {
         loop {
             tokio::select! {
@@ -145,14 +147,14 @@
     }
 }
 
-/// What a listener takes next.
+/// What a listener handles next: a connection that it accepted, or a stream from another process.
 enum Incoming {
     Accepted(Option<ConnectionPermit>, io::Result<TcpStream>),
     Received(ReceivedStream),
 }
 
-/// Serves clients, up to `connection_limit` connections at once. While the dispatcher drains, no new ones are accepted;
-/// when it closes, idle ones are closed, and this returns when all have ended.
+/// Serves clients, with at most `connection_limit` connections at once. Stops accepting connections when the dispatcher
+/// drains, closes idle connections when it closes, and returns when all connections have ended.
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
@@ -164,7 +166,7 @@
     serve_with_migration(listener, routes, connection_limit, shutdown, streams, log).await;
 }
 
-/// The same, for a process that may have others beside it: streams come from there and go there.
+/// Does the same as [`serve`], and also exchanges streams with other processes of the dispatcher.
 pub async fn serve_with_migration(
     listener: TcpListener,
     routes: Router,
@@ -196,7 +198,7 @@
         .serve_until_draining(&mut connections, shutdown.clone())
         .await;
     if *shutdown.borrow() == ShutdownPhase::Closing && *accepts.borrow() {
-        // No other process accepts the connections that are in the queue already.
+        // No other process will accept the connections that already wait in the accept queue.
         while let Some(permit) = connections.admission.try_acquire_permit() {
             let Some(Ok((stream, _))) = listener.accept().now_or_never() else {
                 break;
@@ -217,7 +219,7 @@
     connections.finish(&mut received).await;
 }
 
-/// Where a listener's connections come from.
+/// The sources of a listener's connections.
 struct IncomingConnections<'a> {
     listener: &'a TcpListener,
     received: &'a mut mpsc::Receiver<ReceivedStream>,
@@ -226,6 +228,7 @@
 }
 
 impl IncomingConnections<'_> {
+    /// Serves accepted connections and received streams until the dispatcher drains.
     async fn serve_until_draining(
         &mut self,
         connections: &mut ConnectionTasks,
@@ -263,9 +266,10 @@
         }
     }
 
+    /// Waits for the next connection or stream. The permit is acquired before the connection is accepted.
     async fn next(&mut self, connections: &ConnectionTasks) -> Incoming {
         let accept = async {
-            // Where the sender is gone, nothing will change any more.
+            // If the sender was dropped, the value can't change any more.
             if self.accepts.wait_for(|accepts| *accepts).await.is_err() {
                 std::future::pending::<()>().await;
             }
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,24 +1,24 @@
-//! The memory that the bodies of requests may take, in all frontends together.
+//! The limit on the memory for request bodies, shared by all frontends.
 
 use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
 use bytes::Bytes;
 
-/// The longest body that is accepted.
+/// The longest accepted body.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// Enough for one body, in kilobytes.
+/// The smallest budget, which is enough for one body.
 const MIN_BUDGET_KILOBYTES: usize = MAX_BODY_BYTES / 1024 + 1;
 
-/// The budget, in kilobytes. Cheap to clone; clones share it.
+/// The memory budget for request bodies, in kilobytes. Clones share it.
 #[derive(Clone)]
 pub struct BodyMemoryBudget(ConnectionLimit);
 
-/// Memory of the budget that is reserved for one body, and released when this is dropped.
+/// Memory reserved for one body. It returns to the budget when this is dropped.
 pub struct MemoryReservation {
     permit: ConnectionPermit,
 }
 
-/// A body and the memory that is reserved for it.
+/// A body with the reservation of its memory.
 struct ReservedBody {
     body: Bytes,
     _reservation: MemoryReservation,
@@ -35,15 +35,15 @@
 }
 
 impl BodyMemoryBudget {
-    /// A budget of so many kilobytes, but enough for one body at least.
+    /// Creates a budget of `budget_kilobytes`, but enough for at least one body.
     pub fn new(budget_kilobytes: usize) -> Self {
         BodyMemoryBudget(ConnectionLimit::new(
             budget_kilobytes.max(MIN_BUDGET_KILOBYTES),
         ))
     }
 
-    /// Limits the budget to this process's share, in the units of [`ConnectionLimit::set_share`], but to enough for one
-    /// body at least.
+    /// Limits the budget to this process's share, in the units of [`ConnectionLimit::set_share`], but to enough for at
+    /// least one body.
     pub fn set_share(&self, share_units: u32) {
         self.0.set_share(share_units, MIN_BUDGET_KILOBYTES);
     }
@@ -54,7 +54,7 @@
         Some(MemoryReservation { permit })
     }
 
-    /// Reserves memory for a body of this length if that is free now.
+    /// Reserves memory for a body of this length if it is free now.
     pub fn try_reserve(&self, body_bytes: usize) -> Option<MemoryReservation> {
         let permit = self.0.try_acquire(kilobytes(body_bytes))?;
         Some(MemoryReservation { permit })
@@ -62,8 +62,8 @@
 }
 
 impl MemoryReservation {
-    /// Ties the reservation to the body, less what the body does not need: it is released with the last clone of the
-    /// body.
+    /// Ties the reservation to the body, and releases at once what the body does not need. The rest is released with
+    /// the last clone of the body.
     pub fn attach(mut self, body: Bytes) -> Bytes {
         let needed = kilobytes(body.len()) as usize;
         let unneeded = self.permit.num_permits().saturating_sub(needed);
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,6 +1,7 @@
-//! The frontends: each translates between its clients' protocol and the dispatcher, and makes no decisions.
+//! The frontends: they translate between the dispatcher and the protocols of clients, operators and load balancers.
 //!
-//! The state of requests is the dispatcher's; the frontends own their connections and sessions.
+//! Frontends own their connections and sessions. The dispatcher owns the state of all requests and makes every decision
+//! about them.
 
 pub mod admin;
 mod admission;
@@ -15,13 +16,13 @@
 mod request_service;
 pub mod websocket;
 
-/// How far a process is in its shutdown. The phases are in order: a process never goes back to an earlier one.
+/// The progress of a process's shutdown. The phases are ordered, and a process never returns to an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// New connections are accepted.
     Serving,
-    /// A successor accepts new connections; open ones are closed with their next response.
+    /// A successor process accepts new connections; open ones are closed after their next response.
     Draining,
-    /// Idle connections are closed, and the others when their requests end.
+    /// Idle connections are closed at once, the others after the requests in flight.
     Closing,
 }
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -1,4 +1,4 @@
-//! Serves one connection: runs HTTP over its socket, and each request through the routes.
+//! Serves one client connection: runs HTTP/1.1 on its socket, and passes each request to the routes.
 
 use super::admission::ListenerState;
 use super::client_socket::{ClientSocket, READ_BUFFER_BYTES};
@@ -23,19 +23,19 @@
 use tokio::net::TcpStream;
 use tower_service::Service;
 
-/// A request in flight: its connection is idle again when this is dropped, with the end of the response.
-struct OpenRequest(Arc<ClientConnection>);
+/// A guard for a request in flight. It is dropped at the end of the response, which makes the connection idle again.
+struct RequestGuard(Arc<ClientConnection>);
 
-impl Drop for OpenRequest {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.on_response_completed();
     }
 }
 
-/// A response's body, which keeps its request open until it is sent.
+/// A response's body, which keeps its request in flight until the body is sent.
 struct TrackedBody {
     body: Body,
-    _open_request: OpenRequest,
+    _request_guard: RequestGuard,
 }
 
 impl http_body::Body for TrackedBody {
@@ -58,8 +58,9 @@
     }
 }
 
-/// Whether a request's body can hide a second request (request smuggling): one that declares a length beside its
-/// chunks, which hyper does not report, or whose head could not be followed.
+/// Returns whether a second request could hide in a request's body (request smuggling). This is possible if a transfer
+/// encoding comes with a declared length, which hyper does not report, or if [`crate::net::message_framing`] could not
+/// follow the head.
 fn has_ambiguous_body(request: &Request<Incoming>, declared: Option<DeclaredBody>) -> bool {
     if !request.headers().contains_key(header::TRANSFER_ENCODING) {
         return false;
@@ -76,13 +77,13 @@
         .into_response()
 }
 
-/// What serves the requests of one connection.
+/// Serves the requests of one connection.
 #[derive(Clone)]
 struct RequestService {
     routes: Router,
     listener_state: ListenerState,
     client: Arc<ClientConnection>,
-    /// The response that another process has begun, up to the first request.
+    /// The rest of a response that another process has begun; the first request takes it.
     resumed_response: Arc<Mutex<Option<Response>>>,
 }
 
@@ -91,44 +92,45 @@
     async fn respond(self, request: Request<Incoming>) -> Response {
         let declared_body = self.client.framing().next_head();
         self.client.set_phase(ConnectionPhase::RequestInFlight);
-        let open_request = OpenRequest(self.client.clone());
+        let request_guard = RequestGuard(self.client.clone());
         let resumed_response = self
             .resumed_response
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take();
         let response = match resumed_response {
-            Some(response) => self.end_resumed_connection_if_told(response),
-            None => self.respond_by_route(request, declared_body).await,
+            Some(response) => self.set_close_on_resumed_response(response),
+            None => self.route_request(request, declared_body).await,
         };
         response.map(|body| {
             Body::new(TrackedBody {
                 body,
-                _open_request: open_request,
+                _request_guard: request_guard,
             })
         })
     }
 
-    /// The client was told by the other process, or was not, how the connection goes on: the head is not sent again.
-    fn end_resumed_connection_if_told(&self, mut response: Response) -> Response {
+    /// Marks a resumed response as the last one of its connection if that was announced. This only makes hyper close
+    /// the connection: the client has already received the head from the other process.
+    fn set_close_on_resumed_response(&self, mut response: Response) -> Response {
         if self.client.closes_after_response() {
             set_connection_close(&mut response);
         }
         response
     }
 
-    /// Serves a request of the client's. An ambiguous body is rejected on every route.
-    async fn respond_by_route(
+    /// Serves a request from the client. An ambiguous body is rejected on every route.
+    async fn route_request(
         mut self,
         mut request: Request<Incoming>,
         declared_body: Option<DeclaredBody>,
     ) -> Response {
-        // Streams to older clients have no chunks, and can't go on elsewhere.
+        // Streams to clients before HTTP/1.1 are not chunked, so another process can't resume them.
         if request.version() == Version::HTTP_11 {
             let slot = self.client.migration_slot().clone();
             request.extensions_mut().insert(slot);
         }
-        if asks_for_close(&request) {
+        if wants_connection_close(&request) {
             self.client.set_closes_after_response();
         }
         let mut response = if has_ambiguous_body(&request, declared_body) {
@@ -157,8 +159,8 @@
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Whether the client wants the connection to end with the response.
-fn asks_for_close(request: &Request<Incoming>) -> bool {
+/// Returns whether the client wants the connection to close after the response.
+fn wants_connection_close(request: &Request<Incoming>) -> bool {
     let connection = request.headers().get(header::CONNECTION);
     let connection = connection.and_then(|value| value.to_str().ok());
     connection.is_some_and(|value| value.to_ascii_lowercase().contains("close"))
@@ -166,13 +168,14 @@
 
 /// A connection in the middle of a response that another process has begun.
 pub(super) struct ResumedConnection {
-    /// Where the other process has left it.
+    /// The state in which the other process has left the connection.
     pub state: ConnectionState,
-    /// What goes on with the response.
+    /// The rest of the response.
     pub response: Response,
 }
 
-/// Serves a connection until it ends, expires, or is migrated. `resumed`: another process has begun it.
+/// Serves a connection until it ends, expires or migrates. `resumed` is set if another process has served the
+/// connection before.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     client: Arc<ClientConnection>,
@@ -212,7 +215,7 @@
     let mut is_closing = false;
     loop {
         tokio::select! {
-            // In this order, so that a close does not come between a migration and its end.
+            // The order matters: a close must not fall between a migration and its completion.
             biased;
             () = client.wait_until_closable(&mut shutdown), if !is_closing => {
                 if breaks(Variant::Unanswered) {
@@ -223,14 +226,14 @@
             }
             _ = connection.as_mut() => return,
             () = client.wait_until_expired() => return,
-            // The socket is dropped without a shutdown: another process has it, too.
+            // The socket is dropped without a shutdown, because the other process now uses it.
             is_migrated = migration.as_mut() => {
                 if is_migrated {
                     return;
                 }
                 migration.set(client.migration_slot().migrate(&migration_sender));
             }
-            // The next turn of the loop polls the connection, whose socket then buffers what its client does not take.
+            // The next iteration polls the connection, whose socket then buffers what the client does not read.
             () = listener_state.migration_due_changed() => {}
         }
     }
--- a/src/frontend/websocket/idempotency_cache.rs
+++ b/src/frontend/websocket/idempotency_cache.rs
@@ -1,4 +1,4 @@
-//! The outcomes of recent requests by their ids, so that a request submitted again is not run again.
+//! Caches the outcomes of recent requests by client request id, so that a request submitted again does not run again.
 //!
 //! The cache is bounded in entries and in bytes of text. Each dispatcher has its own.
 
@@ -12,35 +12,36 @@
 /// Queues messages for a session's socket.
 pub(super) type MessageSender = mpsc::Sender<Message>;
 
-/// Identifies a request: ids are unique within a tenant.
+/// Identifies a request. Client request ids are unique within a tenant.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(super) struct RequestKey {
-    /// By name, as a tenant's number may be given to another when settings change.
+    /// The tenant's name: changed settings may give its number to another tenant.
     pub(super) tenant: Option<String>,
-    pub(super) request_id: String,
+    pub(super) client_request_id: String,
 }
 
 /// How a request ended.
 #[derive(Clone)]
 pub(super) enum FinalOutcome {
-    /// Served, with its text if that was short enough to be cached.
+    /// Served, with the response text if that was short enough to be cached.
     Served(Option<Arc<str>>),
-    /// Nothing was done; the request may be submitted again from this instant on.
+    /// Shed; the request may be submitted again from this time on.
     Shed { retry_at: Instant },
     /// Failed, with the reason that the client receives.
     Failed(&'static str),
 }
 
-/// How far a request is.
+/// The progress of a request.
 pub(super) enum RequestState {
-    /// A task runs it; a session that submits it again is attached to that task.
+    /// A task runs the request. A session that submits the request again is attached to that task.
     InFlight(mpsc::Sender<MessageSender>),
-    /// Its client disconnected before anything could have run: it may be submitted again.
+    /// The client disconnected before the response began, and the request did not run or is idempotent. It may be
+    /// submitted again.
     Abandoned,
     Finished(FinalOutcome),
 }
 
-/// What is known about a request.
+/// A request in the cache.
 pub(super) struct CachedRequest {
     /// Set by the first submission; later ones don't extend it.
     pub(super) deadline: Instant,
@@ -56,7 +57,7 @@
     }
 }
 
-/// Requests by key. The oldest are evicted first.
+/// The cached requests by key. The oldest are evicted first.
 #[derive(Default)]
 pub(super) struct IdempotencyCache {
     requests: HashMap<RequestKey, CachedRequest>,
@@ -69,14 +70,14 @@
         self.requests.get(key)
     }
 
-    /// Adds a request, or replaces it without a change to its age.
+    /// Adds a request, or replaces it without changing its age.
     pub(super) fn insert(&mut self, key: RequestKey, request: CachedRequest) {
         if self.requests.insert(key.clone(), request).is_none() {
             self.insertion_order.push_back(key);
         }
     }
 
-    /// Records the state of a request that its task leaves, and evicts what exceeds the limits.
+    /// Records the state in which a task leaves its request, and evicts the oldest requests beyond the limits.
     pub(super) fn finish(&mut self, key: &RequestKey, state: RequestState, config: &SessionConfig) {
         if let Some(request) = self.requests.get_mut(key) {
             request.state = state;
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Evicts the oldest request, or makes it the newest if it is in flight: those are bounded by the limits on sessions
-    /// and on their requests.
+    /// Evicts the oldest request. One in flight becomes the newest instead: the limits on sessions and on their
+    /// requests bound the number of those.
     fn evict_oldest(&mut self) {
         let Some(oldest) = self.insertion_order.pop_front() else {
             return;
--- a/src/frontend/websocket/messages.rs
+++ b/src/frontend/websocket/messages.rs
@@ -1,6 +1,6 @@
-//! The JSON messages of a session: parses what clients send and formats what they receive.
+//! The JSON messages of a session: parses what clients send, and formats what they receive.
 //!
-//! The messages are described in `docs/websocket.md`. The field names on the wire stay as clients know them.
+//! `docs/websocket.md` describes the messages. Clients rely on the field names.
 
 use crate::config::{micros, Deployment};
 use crate::frontend::identifiers::{is_valid_name, parse_key};
@@ -11,7 +11,7 @@
 use miniserde::{json, Deserialize};
 use std::time::Duration;
 
-/// The fields of every type of client message.
+/// The fields of all types of client messages.
 #[derive(Deserialize)]
 struct ClientMessageFields {
     #[serde(rename = "type")]
@@ -28,14 +28,14 @@
     body: Option<String>,
 }
 
-/// A valid message from a client.
+/// A valid client message.
 #[derive(Debug)]
 pub enum ClientMessage {
-    /// Submits a request, or attaches to one with the same id.
+    /// Submits a request, or attaches to an earlier one with the same id.
     Request(ClientRequest),
     /// Cancels a request.
     Cancel {
-        /// The request's id.
+        /// The client request id.
         id: String,
     },
 }
@@ -43,31 +43,31 @@
 /// A request as the client submitted it.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Chosen by the client, unique within its tenant.
+    /// The client request id, unique within its tenant.
     pub id: String,
-    /// What the dispatcher routes by.
+    /// The metadata that the dispatcher routes by.
     pub metadata: RequestMetadata,
-    /// The body that the endpoint receives unchanged.
+    /// The body, which endpoints receive unchanged.
     pub body: Bytes,
 }
 
-/// A message that was not accepted, with the request's id if it could be read.
+/// A client message that was rejected.
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
 pub struct InvalidMessage {
-    /// The id of the request that the message is about.
+    /// The client request id; `None` if it is missing or invalid.
     pub id: Option<String>,
-    /// What is wrong with it.
+    /// Why the message was rejected.
     pub reason: InvalidMessageReason,
 }
 
-/// Why a message was not accepted; the text is sent to the client.
+/// Why a client message was rejected. The text is sent to the client.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidMessageReason {
     /// The text is not JSON, or a field has the wrong type.
     #[error("not a message of the session")]
     Malformed,
-    /// The id is missing, or not a name as in [`is_valid_name`].
+    /// The id is missing or not a valid name, see [`is_valid_name`].
     #[error("id is missing or no plain name")]
     InvalidId,
     /// The type is neither `request` nor `cancel`.
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the message is invalid, and the id that it names if that is valid itself.
+/// Returns why the message is invalid, with its id if that is valid.
 pub fn parse(text: &str, deployment: &Deployment) -> Result<ClientMessage, InvalidMessage> {
     let without_id = |reason| InvalidMessage { id: None, reason };
     let fields: ClientMessageFields =
@@ -143,7 +143,7 @@
     Ok((metadata, body.into()))
 }
 
-/// The tenant's number. A deployment without tenants ignores the field.
+/// Returns the tenant's number. A deployment without tenants ignores the field.
 fn parse_tenant(
     tenant: Option<String>,
     deployment: &Deployment,
@@ -164,13 +164,13 @@
     Event { id: &'a str, data: &'a str },
     /// Final: the response is complete.
     Served { id: &'a str },
-    /// Final: the request was served before. Without its text, the response was too long to be cached.
+    /// Final: the request was served before. `has_text` is false if the response was too long to be cached.
     ServedBefore { id: &'a str, has_text: bool },
-    /// Final: nothing was done, and the request may be submitted again.
+    /// Final: the request did not run, or is safe to run twice, and may be submitted again.
     Shed { id: &'a str, retry_after: Duration },
     /// Final: the request failed.
     Failed { id: &'a str, reason: &'a str },
-    /// The message was not accepted; not final for any request.
+    /// The client's message was rejected. Not final for any request.
     Error {
         id: Option<&'a str>,
         reason: &'a str,
@@ -178,7 +178,7 @@
 }
 
 impl ServerMessage<'_> {
-    /// The WebSocket message with the JSON text.
+    /// Formats the WebSocket message with its JSON text.
     pub(super) fn to_message(&self) -> Message {
         let text = match self {
             ServerMessage::Event { id, data } => with_id(
@@ -193,7 +193,7 @@
                 &format!(",\"recorded\":true,\"whole\":{has_text}"),
             ),
             ServerMessage::Shed { id, retry_after } => {
-                // Rounded up, so that the client does not come back early.
+                // Rounded up, so that the client does not retry too early.
                 let retry_after_ms = retry_after.as_micros().div_ceil(1000);
                 with_id(
                     "refused",
@@ -225,8 +225,8 @@
     format!(",\"reason\":{}", json::to_string(reason))
 }
 
-/// Takes the text up to the last complete character; the bytes of an incomplete one stay in the buffer. `None` if the
-/// bytes are not UTF-8.
+/// Takes the text up to the last complete character from the buffer; the bytes of an incomplete one stay. Returns
+/// `None` if the bytes are not UTF-8.
 pub fn take_complete_utf8(buffer: &mut Vec<u8>) -> Option<String> {
     let complete_bytes = match std::str::from_utf8(buffer) {
         Ok(text) => text.len(),
--- a/src/frontend/websocket/mod.rs
+++ b/src/frontend/websocket/mod.rs
@@ -1,10 +1,10 @@
-//! WebSocket sessions (RFC 6455): many requests a session, one final message each.
+//! WebSocket sessions (RFC 6455): each carries many requests, and each request gets one final message.
 //!
-//! A request outlives the socket that submitted it for a short time, so that a reconnect is no new attempt: the same id,
-//! submitted again, keeps the first deadline and is answered from the `idempotency_cache`. That cache is bounded, and
-//! each dispatcher has its own. The messages are described in `docs/websocket.md`.
+//! A request outlives the socket that submitted it for a short time, so that a reconnect does not start it anew. If the
+//! same id is submitted again, the first deadline stays in force and the response comes from the `idempotency_cache`.
+//! That cache is bounded, and each dispatcher has its own. `docs/websocket.md` describes the messages.
 //!
-//! [`SessionFrontend`] owns what sessions share; `session` runs one socket, and `request_task` one request.
+//! [`SessionFrontend`] owns the state that sessions share; `session` runs one socket, and `request_task` one request.
 
 mod idempotency_cache;
 mod messages;
@@ -35,14 +35,15 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// At the limit, a session without a request in flight that submitted nothing for so long is closed for a new one.
-const REPLACEABLE_SESSION_IDLE_TIME: Duration = Duration::from_millis(2000);
-/// How long a new session waits for the one that is closed for it.
-const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A socket's read buffer. A larger message takes more while it is read, an idle session does not.
+/// At the session limit, a session without a request in flight that has submitted nothing for this long is evicted for
+/// a new one.
+const SESSION_EVICTION_IDLE_TIME: Duration = Duration::from_millis(2000);
+/// How long a new session waits for the evicted one to close.
+const SESSION_EVICTION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The size of a socket's read buffer. A larger message takes more memory, but only while it is read.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What all sessions share. Cheap to clone.
+/// The state that all sessions share. Clones share it.
 #[derive(Clone)]
 pub struct SessionFrontend {
     dispatcher: DispatcherHandle,
@@ -51,16 +52,17 @@
     cache: Arc<Mutex<IdempotencyCache>>,
     session_slots: Arc<Semaphore>,
     sessions: Arc<Mutex<HashMap<u64, Arc<SessionActivity>>>>,
-    /// Numbers sessions and the requests that endpoints receive.
+    /// The next number for a session, or for a request id that an endpoint receives.
     next_number: Arc<AtomicU64>,
-    /// Makes the names of requests differ between starts.
+    /// Part of the request ids that endpoints receive. It differs between starts of the process.
     boot_id: u64,
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 }
 
 impl SessionFrontend {
-    /// Creates the shared state. `seed` makes the names under which endpoints know requests differ between starts.
+    /// Creates the shared state. `seed` makes the request ids that endpoints receive differ between starts of the
+    /// process.
     pub fn new(
         dispatcher: DispatcherHandle,
         config: Arc<SessionConfig>,
@@ -99,19 +101,19 @@
         self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A slot for a new session. At the limit, the session that has been idle for longest is closed for it: its client
-    /// loses nothing by a reconnect, and silent sessions must not lock others out.
+    /// Acquires a slot for a new session. At the limit, the session that has been idle for longest is evicted: its
+    /// client loses nothing by a reconnect, and silent sessions must not lock others out.
     async fn acquire_session_slot(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(slot) = self.session_slots.clone().try_acquire_owned() {
             return Some(slot);
         }
-        let replaceable = self.longest_idle_session()?;
-        if replaceable.idle_time() < REPLACEABLE_SESSION_IDLE_TIME {
+        let evictable = self.longest_idle_session()?;
+        if evictable.idle_time() < SESSION_EVICTION_IDLE_TIME {
             return None;
         }
-        replaceable.request_close();
+        evictable.request_close();
         timeout(
-            REPLACEMENT_TIMEOUT,
+            SESSION_EVICTION_TIMEOUT,
             self.session_slots.clone().acquire_owned(),
         )
         .await
@@ -127,19 +129,23 @@
             .cloned()
     }
 
-    fn take_number(&self) -> u64 {
+    fn allocate_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// The routes: sessions at `/v1/sessions`.
+/// Returns the routes: sessions at `/v1/sessions`.
 pub fn routes(frontend: SessionFrontend) -> Router {
     Router::new()
-        .route("/v1/sessions", get(upgrade))
+        .route("/v1/sessions", get(open_session))
         .with_state(frontend)
 }
 
-async fn upgrade(State(frontend): State<SessionFrontend>, upgrade: WebSocketUpgrade) -> Response {
+/// Handles the WebSocket handshake, and runs the session in a task of its own.
+async fn open_session(
+    State(frontend): State<SessionFrontend>,
+    upgrade: WebSocketUpgrade,
+) -> Response {
     if *frontend.shutdown.borrow() == ShutdownPhase::Closing {
         return (StatusCode::SERVICE_UNAVAILABLE, "draining\n").into_response();
     }
@@ -153,7 +159,7 @@
         .read_buffer_size(READ_BUFFER_BYTES);
     upgrade.on_upgrade(move |socket| async move {
         let activity = Arc::new(SessionActivity::new(frontend.config.max_requests));
-        let number = frontend.take_number();
+        let number = frontend.allocate_number();
         frontend.sessions().insert(number, activity.clone());
         Session::new(frontend.clone(), activity, socket).run().await;
         frontend.sessions().remove(&number);
--- a/src/frontend/websocket/request_task.rs
+++ b/src/frontend/websocket/request_task.rs
@@ -1,6 +1,7 @@
 //! One request of a session: submits it to the dispatcher and forwards the response.
 //!
-//! The task owns the request from its submission to its final message, and may move to another socket in between.
+//! The task owns the request from its submission to its final message. Meanwhile the client may reconnect: the response
+//! then goes to another socket.
 
 use super::idempotency_cache::{FinalOutcome, MessageSender, RequestKey, RequestState};
 use super::messages::{take_complete_utf8, ServerMessage};
@@ -15,7 +16,7 @@
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How long the dispatcher may take to report whether a request may have run whose client has disconnected.
+/// Time for the dispatcher to report whether a request may have run whose client has disconnected.
 const DISCONNECT_REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One request of a session.
@@ -27,17 +28,17 @@
     pub(super) metadata: RequestMetadata,
     pub(super) body: Bytes,
     pub(super) deadline: Instant,
-    /// To the socket that submitted the request last.
+    /// Queues messages for the socket that submitted the request last.
     pub(super) message_sender: MessageSender,
-    /// Sessions that submit the request again while it is in flight.
+    /// Receives the sessions that submit the request again while it is in flight.
     pub(super) attachments: mpsc::Receiver<MessageSender>,
     pub(super) cancelled: mpsc::Receiver<()>,
-    /// While no socket is attached: until when one may be.
-    pub(super) detached_until: Option<Instant>,
+    /// Set while no socket is attached: the time until which a session may attach.
+    pub(super) reattach_until: Option<Instant>,
     pub(super) response: CacheableText,
 }
 
-/// The text of a response so far, while it is short enough to be cached.
+/// The text of a response so far, as long as it is short enough to be cached.
 #[derive(Default)]
 pub(super) struct CacheableText {
     text: String,
@@ -45,7 +46,7 @@
 }
 
 impl CacheableText {
-    /// Adds to the text. Once that is over the limit, nothing more is added.
+    /// Appends to the text. Once the text exceeds the limit, nothing more is appended.
     fn push(&mut self, text: &str, max_bytes: usize) {
         if self.text.len() + text.len() > max_bytes {
             self.is_over_limit = true;
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The complete text, unless it is over the limit.
+    /// Returns the complete text; `None` if it exceeded the limit.
     fn complete_text(&self) -> Option<Arc<str>> {
         if self.is_over_limit {
             return None;
@@ -64,17 +65,17 @@
     }
 }
 
-/// How an attempt to run the request ended.
-enum AttemptResult {
+/// How a submission of the request to the dispatcher ended.
+enum SubmissionResult {
     Final(FinalOutcome),
-    /// Its client disconnected before a first event.
+    /// The client disconnected before the first event.
     Abandoned {
         may_have_run: bool,
     },
 }
 
-/// What happened to an attempt in flight.
-enum AttemptEvent {
+/// An event during a submission to the dispatcher.
+enum SubmissionEvent {
     Cancelled,
     Attached(MessageSender),
     Detached,
@@ -84,17 +85,17 @@
 }
 
 impl RequestTask {
-    /// Runs the request and reports its outcome. `slot` is the session's permit for it.
+    /// Runs the request and reports its outcome. `slot` is the permit of the session for this request.
     pub(super) async fn run(mut self, slot: OwnedSemaphorePermit) {
-        let is_repeatable = self.class.idempotency == Idempotency::Idempotent;
+        let is_idempotent = self.class.idempotency == Idempotency::Idempotent;
         let outcome = loop {
-            match self.run_attempt().await {
-                AttemptResult::Final(outcome) => break outcome,
-                // What may have run is never sent again, unless its class allows a repeat.
-                AttemptResult::Abandoned { may_have_run: true } if !is_repeatable => {
+            match self.run_submission().await {
+                SubmissionResult::Final(outcome) => break outcome,
+                // A request that may have run is submitted again only if its class is idempotent.
+                SubmissionResult::Abandoned { may_have_run: true } if !is_idempotent => {
                     break FinalOutcome::Failed("the session closed; it may have run");
                 }
-                AttemptResult::Abandoned { .. } => {}
+                SubmissionResult::Abandoned { .. } => {}
             }
             if !self.reattach_or_abandon() {
                 return;
@@ -107,9 +108,9 @@
         drop(slot);
     }
 
-    /// Attaches to a session that has submitted the request again; without one, marks the request abandoned and returns
-    /// false. Both happen under the cache's lock, so that a session that submits it now finds either this task or the
-    /// abandoned request.
+    /// Attaches to a session that has submitted the request again. Without one, marks the request as abandoned and
+    /// returns false. Both happen under the cache's lock, so that a session that submits the request now finds either
+    /// this task or the abandoned request.
     fn reattach_or_abandon(&mut self) -> bool {
         let mut cache = self.frontend.cache();
         match self.attachments.try_recv() {
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Sends the final message, and caches the outcome.
+    /// Sends the final message and caches the outcome.
     async fn finish(&mut self, outcome: FinalOutcome) {
-        let id = &self.key.request_id;
+        let id = &self.key.client_request_id;
         let final_message = match &outcome {
             FinalOutcome::Served(_) => ServerMessage::Served { id },
             FinalOutcome::Shed { retry_at } => ServerMessage::Shed {
@@ -142,7 +143,7 @@
             RequestState::Finished(outcome),
             &self.frontend.config,
         );
-        // From here on a session that submits the request finds it in the cache; one that did so just before is
+        // From here on, a session that submits the request finds it in the cache. One that submitted it just before is
         // answered here.
         while let Ok(message_sender) = self.attachments.try_recv() {
             if !self.response.text.is_empty() {
@@ -153,63 +154,63 @@
     }
 
     fn event(&self, data: &str) -> Message {
-        let id = &self.key.request_id;
+        let id = &self.key.client_request_id;
         ServerMessage::Event { id, data }.to_message()
     }
 
     /// Submits the request to the dispatcher and forwards its response.
-    async fn run_attempt(&mut self) -> AttemptResult {
+    async fn run_submission(&mut self) -> SubmissionResult {
         if !self.is_class_unchanged() {
-            return AttemptResult::Final(FinalOutcome::Failed("its class is gone"));
+            return SubmissionResult::Final(FinalOutcome::Failed("its class is gone"));
         }
         let (pending_request, mut outcome) = self.submit().await;
-        self.detached_until = None;
+        self.reattach_until = None;
         let mut chunks: Option<mpsc::Receiver<StreamChunk>> = None;
         let mut undecoded: Vec<u8> = Vec::new();
         loop {
             let is_streaming = chunks.is_some();
             let event = self.next_event(&mut outcome, &mut chunks).await;
             let final_outcome = match event {
-                AttemptEvent::Cancelled => {
+                SubmissionEvent::Cancelled => {
                     drop(pending_request);
-                    return AttemptResult::Final(FinalOutcome::Failed("cancelled"));
+                    return SubmissionResult::Final(FinalOutcome::Failed("cancelled"));
                 }
-                AttemptEvent::Attached(message_sender) => self.on_attached(message_sender).await,
-                AttemptEvent::Detached => {
+                SubmissionEvent::Attached(message_sender) => self.on_attached(message_sender).await,
+                SubmissionEvent::Detached => {
                     self.start_reattach_window();
                     None
                 }
-                AttemptEvent::ReattachWindowEnded => {
+                SubmissionEvent::ReattachWindowEnded => {
                     debug!(self.frontend.log, "session closed with a request in flight"; "is_streaming" => is_streaming);
                     if is_streaming {
                         drop(pending_request);
-                        return AttemptResult::Final(FinalOutcome::Failed(
+                        return SubmissionResult::Final(FinalOutcome::Failed(
                             "the session closed while the answer streamed",
                         ));
                     }
                     return self.disconnect(pending_request).await;
                 }
-                AttemptEvent::Outcome(Some(Outcome::Stream(stream))) => {
+                SubmissionEvent::Outcome(Some(Outcome::Stream(stream))) => {
                     chunks = Some(stream);
                     None
                 }
-                AttemptEvent::Outcome(outcome) => Some(final_outcome(outcome)),
-                AttemptEvent::Chunk(chunk) => self.on_chunk(chunk, &mut undecoded).await,
+                SubmissionEvent::Outcome(outcome) => Some(final_outcome(outcome)),
+                SubmissionEvent::Chunk(chunk) => self.on_chunk(chunk, &mut undecoded).await,
             };
             if let Some(final_outcome) = final_outcome {
-                return AttemptResult::Final(final_outcome);
+                return SubmissionResult::Final(final_outcome);
             }
         }
     }
 
-    /// Whether the class is still the one that the request was submitted with: a request that waited for its client may
-    /// find its class's number given to another.
+    /// Returns whether the class is still the one that the request was submitted with. While a request waits for its
+    /// client to reconnect, changed settings may give the number of its class to another class.
     fn is_class_unchanged(&self) -> bool {
         let deployment = self.frontend.dispatcher.deployment();
         let Some(class) = deployment.settings.classes.get(self.metadata.class) else {
             return false;
         };
-        // A class that takes no new requests still serves those that it has.
+        // A class that accepts no new requests still serves the earlier ones.
         let class = RequestClass {
             is_active: true,
             ..class.clone()
@@ -218,7 +219,7 @@
     }
 
     async fn submit(&self) -> (PendingRequest, oneshot::Receiver<Outcome>) {
-        let number = self.frontend.take_number();
+        let number = self.frontend.allocate_number();
         let upstream_id = format!("ws-{:016x}-{number}", self.frontend.boot_id);
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         let metadata = RequestMetadata {
@@ -240,7 +241,7 @@
         &mut self,
         outcome: &mut oneshot::Receiver<Outcome>,
         chunks: &mut Option<mpsc::Receiver<StreamChunk>>,
-    ) -> AttemptEvent {
+    ) -> SubmissionEvent {
         let is_streaming = chunks.is_some();
         let next_chunk = async {
             match chunks {
@@ -248,28 +249,28 @@
                 None => std::future::pending().await,
             }
         };
-        let is_detached = self.detached_until.is_some();
-        let reattach_window_end = self.detached_until.unwrap_or_else(Instant::now);
+        let is_detached = self.reattach_until.is_some();
+        let reattach_window_end = self.reattach_until.unwrap_or_else(Instant::now);
         tokio::select! {
             biased;
-            Some(()) = self.cancelled.recv() => AttemptEvent::Cancelled,
-            Some(message_sender) = self.attachments.recv() => AttemptEvent::Attached(message_sender),
-            () = self.message_sender.closed(), if !is_detached => AttemptEvent::Detached,
-            () = sleep_until(reattach_window_end), if is_detached => AttemptEvent::ReattachWindowEnded,
-            outcome = outcome, if !is_streaming => AttemptEvent::Outcome(outcome.ok()),
-            chunk = next_chunk, if is_streaming && !is_detached => AttemptEvent::Chunk(chunk),
+            Some(()) = self.cancelled.recv() => SubmissionEvent::Cancelled,
+            Some(message_sender) = self.attachments.recv() => SubmissionEvent::Attached(message_sender),
+            () = self.message_sender.closed(), if !is_detached => SubmissionEvent::Detached,
+            () = sleep_until(reattach_window_end), if is_detached => SubmissionEvent::ReattachWindowEnded,
+            outcome = outcome, if !is_streaming => SubmissionEvent::Outcome(outcome.ok()),
+            chunk = next_chunk, if is_streaming && !is_detached => SubmissionEvent::Chunk(chunk),
         }
     }
 
     fn start_reattach_window(&mut self) {
         let reattach_window = Duration::from_millis(self.frontend.config.reattach_window_ms);
-        self.detached_until = Some(Instant::now() + reattach_window);
+        self.reattach_until = Some(Instant::now() + reattach_window);
     }
 
-    /// Moves to another socket, which receives the response from its beginning.
+    /// Switches to another socket, which receives the response from its beginning.
     async fn on_attached(&mut self, message_sender: MessageSender) -> Option<FinalOutcome> {
         self.message_sender = message_sender;
-        self.detached_until = None;
+        self.reattach_until = None;
         if self.response.is_over_limit {
             return Some(FinalOutcome::Failed(
                 "its answer is too long to be sent anew",
@@ -283,17 +284,17 @@
     }
 
     /// Tells the dispatcher that the client has disconnected. If the dispatcher does not report in time whether the
-    /// request may have run, it may have.
-    async fn disconnect(&self, pending_request: PendingRequest) -> AttemptResult {
+    /// request may have run, assumes that it may have.
+    async fn disconnect(&self, pending_request: PendingRequest) -> SubmissionResult {
         let report = self.frontend.dispatcher.disconnect(pending_request);
         let may_have_run = match timeout(DISCONNECT_REPORT_TIMEOUT, report).await {
             Ok(Some(may_have_run)) => may_have_run,
             Ok(None) | Err(_) => true,
         };
-        AttemptResult::Abandoned { may_have_run }
+        SubmissionResult::Abandoned { may_have_run }
     }
 
-    /// Forwards a chunk of the response. `undecoded` has the bytes of a character that the last chunk ended in.
+    /// Forwards a chunk of the response. `undecoded` holds the bytes of a character that is not complete yet.
     async fn on_chunk(
         &mut self,
         chunk: Option<StreamChunk>,
@@ -314,7 +315,7 @@
                 Some(FinalOutcome::Served(self.response.complete_text()))
             }
             Some(StreamChunk::Migrate(half)) => {
-                // A session stays with its process: its streams are not migrated.
+                // A session stays with its process, so its streams don't migrate.
                 drop(half);
                 None
             }
@@ -332,7 +333,7 @@
     }
 }
 
-/// The final outcome for one that is no stream. `None`: the dispatcher has ended without an outcome.
+/// Returns the final outcome of a request that has no stream. `None`: the dispatcher has stopped without an outcome.
 fn final_outcome(outcome: Option<Outcome>) -> FinalOutcome {
     match outcome {
         Some(Outcome::Shed { retry_after }) => FinalOutcome::Shed {
--- a/src/frontend/websocket/session.rs
+++ b/src/frontend/websocket/session.rs
@@ -1,4 +1,4 @@
-//! One socket of a session: receives client messages, sends what answers them, and closes with the code that fits.
+//! One socket of a session: receives client messages, sends the responses, and closes with the matching close code.
 
 use super::idempotency_cache::{
     CachedRequest, FinalOutcome, IdempotencyCache, MessageSender, RequestKey, RequestState,
@@ -17,19 +17,20 @@
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::time::{interval_at, timeout, Instant, Interval};
 
-/// Messages that may be queued for a session's socket.
+/// The most messages that may be queued for a session's socket.
 const MAX_QUEUED_MESSAGES: usize = 32;
-/// Sessions that may submit a request in flight again before its task has answered the first of them.
+/// How many sessions that submitted a request in flight again may wait for its task at a time.
 const MAX_QUEUED_ATTACHMENTS: usize = 4;
-/// When a request that exceeded a limit may be submitted again.
+/// The retry delay for a request that exceeded a limit.
 const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// How long the closing handshake may take.
+/// Time for the closing handshake.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What other sessions see of a session: since when it is idle, and whether it has requests in flight.
+/// The part of a session's state that other sessions see: how long it has been idle, and whether it has requests in
+/// flight.
 pub(super) struct SessionActivity {
     last_message_at: Mutex<Instant>,
-    /// One permit for each request that may be in flight.
+    /// One permit per request that may be in flight.
     request_slots: Arc<Semaphore>,
     max_requests: usize,
     close_requested: Notify,
@@ -63,7 +64,7 @@
         self.request_slots.available_permits() != self.max_requests
     }
 
-    /// Asks the session to close, which it does if it is still idle.
+    /// Asks the session to close, which it does only if it is still idle.
     pub(super) fn request_close(&self) {
         self.close_requested.notify_one();
     }
@@ -71,24 +72,24 @@
 
 type CloseReason = (u16, &'static str);
 
-/// What follows from an event of a session.
+/// The action that follows an event of a session.
 enum SessionStep {
     Continue,
     Send(Message),
-    /// Close with this code.
+    /// Close with this code and this reason.
     Close(CloseReason),
-    /// The client has disconnected or is silent: there is nobody to close with.
+    /// The client has disconnected or timed out, so that there is no closing handshake.
     Disconnect,
 }
 
-/// One socket of a session.
+/// A session while it is on one socket.
 pub(super) struct Session {
     frontend: SessionFrontend,
     activity: Arc<SessionActivity>,
     socket: WebSocket,
     message_sender: MessageSender,
     queued_messages: mpsc::Receiver<Message>,
-    /// Cancels the requests that this socket submitted, by their ids.
+    /// Cancels the requests that this socket submitted, by client request id.
     cancel_senders: HashMap<String, mpsc::Sender<()>>,
     last_received_at: Instant,
     is_shutting_down: bool,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Whether no request is in flight and no message is queued.
+    /// Returns whether no request is in flight and no message is queued.
     fn is_idle(&self) -> bool {
         !self.activity.has_requests() && self.queued_messages.is_empty()
     }
@@ -154,7 +155,7 @@
                 self.is_shutting_down = true;
                 SessionStep::Continue
             }
-            // A request that ends frees its slot: during the shutdown, that may be the last one.
+            // Ready once no request is in flight, so that the session is checked for being idle again.
             Ok(_) = activity.request_slots.acquire_many(activity.max_requests as u32), if self.is_shutting_down => {
                 SessionStep::Continue
             }
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Sends a message; false if the client has disconnected, or has read nothing for the session's timeout.
+    /// Sends a message. Returns false if the client has disconnected, or has read nothing for the session timeout.
     async fn send(&mut self, message: Message) -> bool {
         let sent = timeout(self.session_timeout(), self.socket.send(message)).await;
         matches!(sent, Ok(Ok(())))
@@ -216,14 +217,15 @@
         }));
         let handshake = async {
             if self.socket.send(close).await.is_ok() {
-                // The client's own close ends the handshake; what it still sends is read and discarded.
+                // The client's own close frame ends the handshake; anything that it sends before that is read and
+                // discarded.
                 while let Some(Ok(_)) = self.socket.recv().await {}
             }
         };
         let _ = timeout(CLOSE_TIMEOUT, handshake).await;
     }
 
-    /// Handles a client message. Returns the response if there is one at once.
+    /// Handles a client message. Returns the response if it is available at once.
     fn on_text(&mut self, text: &str) -> Option<Message> {
         let deployment = self.frontend.dispatcher.deployment();
         match parse(text, &deployment) {
@@ -245,14 +247,14 @@
         }
     }
 
-    /// Answers a request from the cache, or starts its task. The cache stays locked from the look-up to the insertion.
+    /// Answers a request from the cache, or starts its task. The cache stays locked from the lookup to the insertion.
     fn on_request(&mut self, request: ClientRequest, deployment: &Deployment) -> Option<Message> {
         let ClientRequest { id, metadata, body } = request;
         let key = RequestKey {
             tenant: metadata
                 .tenant
                 .map(|tenant| deployment.tenants.name(tenant as u32).to_owned()),
-            request_id: id,
+            client_request_id: id,
         };
         let now = Instant::now();
         let mut cache = self.frontend.cache();
@@ -263,13 +265,13 @@
             Lookup::Answered(response) => return Some(response),
         };
         let shed = |retry_after| {
-            let id = &key.request_id;
+            let id = &key.client_request_id;
             Some(ServerMessage::Shed { id, retry_after }.to_message())
         };
         if self.is_shutting_down {
             return shed(Duration::ZERO);
         }
-        // Over a limit nothing is done, so that the same id may be submitted again.
+        // A request over a limit is not started, so that the same id may be submitted again.
         let slot = self.activity.request_slots.clone().try_acquire_owned();
         let Ok(slot) = slot else {
             return shed(LIMIT_RETRY_AFTER);
@@ -280,7 +282,7 @@
         let (attachment_sender, attachments) = mpsc::channel(MAX_QUEUED_ATTACHMENTS);
         let (cancel_sender, cancelled) = mpsc::channel(1);
         self.cancel_senders
-            .insert(key.request_id.clone(), cancel_sender);
+            .insert(key.client_request_id.clone(), cancel_sender);
         cache.insert(
             key.clone(),
             CachedRequest {
@@ -298,19 +300,19 @@
             message_sender: self.message_sender.clone(),
             attachments,
             cancelled,
-            detached_until: None,
+            reattach_until: None,
             response: CacheableText::default(),
         };
         tokio::spawn(task.run(slot));
         None
     }
 
-    /// Looks a request up in the cache, and attaches this session to its task if it is in flight.
+    /// Looks up a request in the cache, and attaches this session to its task if it is in flight.
     fn look_up(&self, cache: &IdempotencyCache, key: &RequestKey, now: Instant) -> Lookup {
         let Some(request) = cache.get(key) else {
             return Lookup::Unknown;
         };
-        let id = &key.request_id;
+        let id = &key.client_request_id;
         let deadline = request.deadline;
         let response = match &request.state {
             RequestState::InFlight(attachment_sender) => {
@@ -320,8 +322,8 @@
                 {
                     return Lookup::ResponseQueued;
                 }
-                // Its task has not yet answered the sessions that were attached before. That is no final message, as
-                // the request is still in flight.
+                // The task has not yet answered the sessions that attached before, and its queue is full. This is not a
+                // final message, as the request is still in flight.
                 ServerMessage::Error {
                     id: Some(id),
                     reason: "asked too often",
@@ -367,15 +369,15 @@
     }
 }
 
-/// What the cache tells about a request that is submitted.
+/// What the cache knows about a request that is submitted.
 enum Lookup {
-    /// It was not submitted before.
+    /// The request was not submitted before, or is no longer cached.
     Unknown,
-    /// It was submitted before and nothing was done: it may run, by its first deadline.
+    /// The request was submitted before and may run again. Its first deadline stays in force.
     MayRun { deadline: Instant },
     /// Another task queues the response for this session.
     ResponseQueued,
-    /// This is the response.
+    /// The response to send now.
     Answered(Message),
 }
 
--- a/tests/unit/frontend/discarded_head.rs
+++ b/tests/unit/frontend/discarded_head.rs
@@ -8,9 +8,9 @@
         let mut head = DiscardedHead::default();
         let (first, second) = response.split_at(split);
         assert_eq!(head.feed(first), split);
-        assert_eq!(head.has_ended(), split == head_bytes);
+        assert_eq!(head.is_complete(), split == head_bytes);
         assert_eq!(head.feed(second), head_bytes - split);
-        assert!(head.has_ended());
+        assert!(head.is_complete());
         assert_eq!(head.feed(b"more"), 0);
     }
 }
