--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -59,6 +59,7 @@
 /// The state of one connection.
 pub(super) struct ClientConnection {
     phase_state: Mutex<PhaseState>,
+    /// Since when the socket has accepted no bytes of a response; `None` while it does.
     write_blocked_since: Mutex<Option<Instant>>,
     framing: Mutex<RequestFraming>,
     completed_responses: AtomicU64,
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Waits until the dispatcher closes and no request is arriving. A new connection gets some time to send its first
-    /// request, and an incomplete head is either completed or times out.
+    /// Waits until the process closes its connections and no request is arriving on this one. A new connection gets
+    /// some time to send its first request, and an incomplete head is either completed or times out.
     pub(super) async fn wait_until_closable(&self, shutdown: &mut watch::Receiver<ShutdownPhase>) {
         let _ = shutdown
             .wait_for(|phase| *phase == ShutdownPhase::Closing)
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -343,7 +343,7 @@
 #[derive(PartialEq, Eq)]
 enum StreamState {
     Open,
-    /// The stream has broken. The chunks before that could be sent during one more poll.
+    /// The stream has broken. The error is returned at the next poll, when the chunks before it could be sent.
     Broken,
     /// The response is complete.
     Ended,
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -162,8 +162,8 @@
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
-    let streams = MigrationChannels::none();
-    serve_with_migration(listener, routes, connection_limit, shutdown, streams, log).await;
+    let channels = MigrationChannels::none();
+    serve_with_migration(listener, routes, connection_limit, shutdown, channels, log).await;
 }
 
 /// Does the same as [`serve`], and also exchanges streams with other processes of the dispatcher.
@@ -172,7 +172,7 @@
     routes: Router,
     connection_limit: ConnectionLimit,
     mut shutdown: watch::Receiver<ShutdownPhase>,
-    streams: MigrationChannels,
+    channels: MigrationChannels,
     log: Logger,
 ) {
     let MigrationChannels {
@@ -180,7 +180,7 @@
         mut received,
         resumer,
         mut accepts,
-    } = streams;
+    } = channels;
     let listener_state = ListenerState::new(connection_limit, shutdown.clone(), migration_sender);
     let mut connections = ConnectionTasks {
         admission: Admission::new(listener_state),
--- a/src/frontend/websocket/mod.rs
+++ b/src/frontend/websocket/mod.rs
@@ -52,16 +52,16 @@
     cache: Arc<Mutex<IdempotencyCache>>,
     session_slots: Arc<Semaphore>,
     sessions: Arc<Mutex<HashMap<u64, Arc<SessionActivity>>>>,
-    /// The next number for a session, or for a request id that an endpoint receives.
+    /// The next number for a session, or for the id under which endpoints know a request.
     next_number: Arc<AtomicU64>,
-    /// Part of the request ids that endpoints receive. It differs between starts of the process.
+    /// Part of the ids under which endpoints know requests. It differs between starts of the process.
     boot_id: u64,
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 }
 
 impl SessionFrontend {
-    /// Creates the shared state. `seed` makes the request ids that endpoints receive differ between starts of the
+    /// Creates the shared state. `seed` makes the ids under which endpoints know requests differ between starts of the
     /// process.
     pub fn new(
         dispatcher: DispatcherHandle,
--- a/src/frontend/websocket/request_task.rs
+++ b/src/frontend/websocket/request_task.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Time for the dispatcher to report whether a request may have run whose client has disconnected.
+/// Time for the dispatcher to report, after a client has disconnected, whether its request may have run.
 const DISCONNECT_REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One request of a session.
@@ -210,7 +210,7 @@
         let Some(class) = deployment.settings.classes.get(self.metadata.class) else {
             return false;
         };
-        // A class that accepts no new requests still serves the earlier ones.
+        // `is_active` is not compared: a class that accepts no new requests still serves the earlier ones.
         let class = RequestClass {
             is_active: true,
             ..class.clone()
--- a/src/frontend/websocket/session.rs
+++ b/src/frontend/websocket/session.rs
@@ -19,7 +19,7 @@
 
 /// The most messages that may be queued for a session's socket.
 const MAX_QUEUED_MESSAGES: usize = 32;
-/// How many sessions that submitted a request in flight again may wait for its task at a time.
+/// The most repeated submissions of a request in flight that may wait for its task.
 const MAX_QUEUED_ATTACHMENTS: usize = 4;
 /// The retry delay for a request that exceeded a limit.
 const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -155,7 +155,8 @@
                 self.is_shutting_down = true;
                 SessionStep::Continue
             }
-            // Ready once no request is in flight, so that the session is checked for being idle again.
+            // Ready when the last request in flight has ended, so that the loop checks again whether the session is
+            // idle.
             Ok(_) = activity.request_slots.acquire_many(activity.max_requests as u32), if self.is_shutting_down => {
                 SessionStep::Continue
             }
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' commands over their own socket, byte by byte where that matters.
+//! Operators' commands, tested over connections to the management address.
 
 mod testbed;
 
@@ -46,21 +46,21 @@
             "{response}"
         );
     }
-    // An id that is not listed, and a listed one's line that was cut.
+    // An endpoint id that is not listed, and a line without its end.
     assert!(send_command(&fleet, b"disable-server nobody\n")
         .await
         .starts_with("NAK "));
-    let mut cut = TcpStream::connect(&fleet.management_address).await.unwrap();
-    cut.write_all(b"disable-server n1").await.unwrap();
-    cut.shutdown().await.unwrap();
+    let mut unterminated = TcpStream::connect(&fleet.management_address).await.unwrap();
+    unterminated.write_all(b"disable-server n1").await.unwrap();
+    unterminated.shutdown().await.unwrap();
     let mut response = String::new();
-    cut.read_to_string(&mut response).await.unwrap();
+    unterminated.read_to_string(&mut response).await.unwrap();
     assert!(response.starts_with("NAK "), "{response}");
     fleet.drain().await;
     assert!(send_command(&fleet, b"ready\n").await.starts_with("NAK "));
 }
 
-/// Connections that never complete their line are closed for new ones.
+/// Connections that never complete their line are closed to make room for new ones.
 #[tokio::test]
 async fn incomplete_commands_do_not_lock_operators_out() {
     let fleet = Fleet::start(false).await;
@@ -71,7 +71,7 @@
         incomplete.push(stream);
         assert_eq!(send_command(&fleet, b"ready\n").await, "ACK\n");
     }
-    // The first ones were closed for later ones.
+    // The oldest connection was closed to make room.
     let mut rest = [0; 8];
     assert!(matches!(
         incomplete[0].read(&mut rest).await,
@@ -79,17 +79,18 @@
     ));
 }
 
-/// A banned endpoint receives nothing: neither on a pooled connection nor from the queue, whatever discovery reports.
+/// A banned endpoint receives no new requests, neither on a pooled connection nor from the queue, whatever discovery
+/// reports.
 #[tokio::test]
 async fn a_banned_endpoint_receives_nothing_until_its_ban_is_lifted() {
     for over_sessions in [false, true] {
         let fleet = Fleet::start(over_sessions).await;
         let mut client = SessionClient::connect(&fleet).await;
-        // The only listed decode endpoint serves, so that a connection to it is pooled.
+        // The only listed decode endpoint serves a request, so that a connection to it is pooled.
         client.send_request("a", "status-query", 4000).await;
         assert_eq!(client.receive_response("a").await.0, "served");
         assert_eq!(fleet.attempts_at(2), 1);
-        // A request in flight at the endpoint during the ban is served: a ban drains.
+        // A request that is in flight at the endpoint when the ban begins is still served: a ban drains the endpoint.
         fleet.set_behavior(2, Behavior::Pause);
         client.send_request("b", "status-query", 4000).await;
         assert_eq!(client.receive().await.0, "event");
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -1,4 +1,5 @@
-//! Clients that send nothing, too little, or something ambiguous: on a paused clock.
+//! Client connections that are idle, slow, pipelined or ambiguous: their timeouts, limits and shutdown, mostly on a
+//! paused clock.
 
 mod testbed;
 
@@ -23,7 +24,7 @@
 
 async fn send(address: &str, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // Otherwise a second small write would wait for the first one's acknowledgement, in real time.
+    // With Nagle's algorithm, a second small write would wait for the acknowledgement of the first one, in real time.
     stream.set_nodelay(true).unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     stream
@@ -49,7 +50,7 @@
         .starts_with("HTTP/1.1 200"));
 }
 
-/// A listener without a dispatcher.
+/// A running listener without a dispatcher.
 struct TestListener {
     address: String,
     shutdown: watch::Sender<ShutdownPhase>,
@@ -74,7 +75,7 @@
     }
 }
 
-/// A listener with routes for all tests.
+/// Starts a listener with the routes that most tests use.
 async fn listen(max_connections: usize) -> (String, watch::Sender<ShutdownPhase>) {
     let routes = Router::new()
         .route("/ready", get(|| async { "ready." }))
@@ -148,7 +149,7 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_millis(500)).await;
-    // A connection that has begun a head is neither idle nor silent.
+    // A connection that has sent a part of a head is neither idle nor silent.
     let partial_head = "GET /re";
     let _reading_head = [
         send(&address, partial_head).await,
@@ -158,7 +159,7 @@
     let started_at = Instant::now();
     let mut new = send(&address, GET).await;
     expect_ready(&mut new).await;
-    // Not before the connection had been idle for 2 s, and not much later.
+    // The connection was closed when it had been idle for 2 s, and not much later.
     assert!(
         (900..1200).contains(&started_at.elapsed().as_millis()),
         "{:?}",
@@ -169,8 +170,8 @@
     expect_ready(&mut idle[1]).await;
 }
 
-/// A request that arrives in the very step in which its idle connection would be closed for a new one is served: the
-/// runtime has not reported its bytes yet, and a close over them would reset the connection.
+/// A request that arrives at the very moment at which its idle connection would be evicted is served. The runtime has
+/// not reported its bytes yet, and closing the socket with unread bytes would reset the connection.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_arrives_as_its_connection_is_replaced_is_answered() {
     for _ in 0..5 {
@@ -180,14 +181,14 @@
         let idle_since = Instant::now();
         sleep(Duration::from_millis(1900)).await;
         let _last_permit = send(&address, "GET /re").await;
-        // The timer of the listener is due in the same step; the test's own future is polled first.
+        // The listener's timer is due at the same moment; the test's own future is polled first.
         sleep_until(idle_since + Duration::from_millis(2000)).await;
         assert_eq!(client.try_write(GET.as_bytes()).unwrap(), GET.len());
         expect_ready(&mut client).await;
     }
 }
 
-/// A client that has not read all of its response keeps its connection at the limit, though its request is complete.
+/// At the limit, a connection whose response is not completely read is not evicted, although its request is complete.
 #[tokio::test(start_paused = true)]
 async fn at_the_limit_a_response_that_is_not_read_yet_is_not_cut() {
     let (address, _stop) = listen(1).await;
@@ -210,12 +211,12 @@
     }
 }
 
-/// Clients that send one request and stay connected don't take all permits: once one had to wait, responses close their
-/// connections.
+/// Clients that send one request and stay connected don't hold all permits: once a new connection had to wait,
+/// responses close their connections.
 #[tokio::test(start_paused = true)]
 async fn near_the_limit_responses_close_their_connections() {
     let (address, _stop) = listen(4).await;
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     let started_at = Instant::now();
     for number in 0..40 {
         let mut client = send(&address, GET).await;
@@ -226,7 +227,7 @@
             number >= 3,
             "{number}: {response}"
         );
-        crowd.push(client);
+        connections.push(client);
     }
     assert!(
         started_at.elapsed() < Duration::from_millis(3000),
@@ -235,13 +236,13 @@
     );
 }
 
-/// A crowd that connects and sends nothing does not keep a client waiting for the full head timeout.
+/// Many connections that send nothing don't keep a client waiting for the full head timeout.
 #[tokio::test(start_paused = true)]
 async fn at_the_limit_silent_connections_are_closed_soon() {
     let (address, _stop) = listen(3).await;
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..30 {
-        crowd.push(TcpStream::connect(&address).await.unwrap());
+        connections.push(TcpStream::connect(&address).await.unwrap());
     }
     let started_at = Instant::now();
     let mut client = send(&address, GET).await;
@@ -253,19 +254,19 @@
     );
 }
 
-/// With a length and an encoding a body may end in two places, and what lies between them is a request to one parser and
-/// part of the body to another.
+/// A body with both a declared length and a transfer encoding may end in two places. What lies between them is a
+/// request to one parser and part of the body to another.
 #[tokio::test]
 async fn a_request_with_an_ambiguous_body_is_rejected_and_its_connection_closed() {
     let (address, _stop) = listen(9).await;
-    let both = [
+    let ambiguous_headers = [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 3",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ];
-    for heads in both {
+    for heads in ambiguous_headers {
         let text = format!("POST /post HTTP/1.1\r\nHost: x\r\n{heads}\r\n\r\n0\r\n\r\n{GET}");
-        // First on its connection, behind another request, and split anywhere.
+        // As the first request of its connection or after another one, and split at several positions.
         for before in ["", GET] {
             for cut in [0, 20, before.len() + 40, before.len() + 70] {
                 let text = format!("{before}{text}");
@@ -300,7 +301,8 @@
     assert!(read_until(&mut client, "ready.").await.ends_with("ready."));
 }
 
-/// A response that nobody reads would occupy its endpoint for ever; one that is read, however late, continues.
+/// A response that the client never reads would occupy its endpoint forever, so the client is disconnected. A response
+/// that is read late, but before the timeout, continues.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_reads_nothing_of_its_response_is_disconnected() {
     const FLOOD_BYTES: usize = 64 << 20;
@@ -326,13 +328,13 @@
     }
 }
 
-/// A client that has sent more than its request and closes its connection has disconnected: hyper noticed that only while
-/// nothing had arrived behind the request, and went on with a response that nobody waited for.
+/// The disconnect of a client is noticed even if bytes have arrived after its request. hyper alone notices it only if
+/// nothing has arrived after the request, and would continue a response that nobody waits for.
 #[tokio::test(start_paused = true)]
 async fn the_disconnect_of_a_client_with_pipelined_bytes_is_noticed() {
     let request = format!("{HEAD}Content-Length: 2\r\n\r\n{{}}");
     let many = GET.repeat(300);
-    // More than is buffered behind a request: the end lies behind bytes that are not read.
+    // More than is buffered after a request in flight: the end of the stream follows unread bytes.
     let very_many = GET.repeat(3_000);
     for behind in ["", "\r\n", GET, &HEAD[..40], "what?", &many, &very_many] {
         let fleet = Fleet::start(false).await;
@@ -353,7 +355,7 @@
     }
 }
 
-/// Requests behind another are served when that is answered, however they are split, up to the client's end.
+/// Pipelined requests are served one after the other, wherever their bytes are split, until the client's stream ends.
 #[tokio::test]
 async fn pipelined_requests_are_served_in_order() {
     let (address, _stop) = listen(9).await;
@@ -377,8 +379,9 @@
     }
 }
 
-/// A head's last byte arrives in the step in which its timeout ends, and a request in the one in which an idle connection
-/// is closed for a new one: either is answered. Decided by the state before the wait, half of them were dropped.
+/// A request whose last byte arrives at the very moment at which its head times out is answered, as is one that arrives
+/// when its idle connection is evicted. When this was decided by the state before the wait, half of these requests were
+/// dropped.
 #[tokio::test(start_paused = true)]
 async fn a_request_completed_as_its_head_times_out_is_answered() {
     let (address, _stop) = listen(90).await;
@@ -403,8 +406,9 @@
     }
 }
 
-/// A response is the last one of its connection, and more has arrived behind the request: a close over unread bytes would
-/// reset the connection, and the client would lose what it has not read of the response.
+/// The last response of a connection is received completely even if more bytes have arrived after its request. Closing
+/// the socket with unread bytes would reset the connection, and the client would lose what it has not read of the
+/// response.
 #[tokio::test]
 async fn the_last_response_reaches_a_client_with_pipelined_bytes() {
     const RESPONSE_BYTES: usize = 1 << 20;
@@ -425,7 +429,7 @@
             response.len()
         );
     }
-    // A client that is idle until the connection is ended, and then sends, is not reset either.
+    // A client that is idle until its connection is closed, and only then sends, gets no reset either.
     let mut client = send(&address, GET).await;
     let mut received_bytes = 0;
     while received_bytes < RESPONSE_BYTES {
@@ -443,7 +447,7 @@
         .unwrap();
 }
 
-/// At the shutdown, a request of which half has arrived is answered, and connections in the listener's queue are accepted.
+/// At shutdown, a request that has partly arrived is answered, and connections in the accept queue are accepted.
 #[tokio::test(start_paused = true)]
 async fn at_shutdown_requests_that_have_begun_to_arrive_are_answered() {
     for read_before in [false, true] {
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -1,5 +1,5 @@
-//! Discovery from its HTTP responses to the core's events: no request may go to an endpoint that discovery has announced as
-//! draining.
+//! The path from discovery's HTTP responses to the core's events. A list must reach the core in time: no request may go
+//! to an endpoint that discovery has announced as draining.
 
 mod testbed;
 
@@ -26,7 +26,7 @@
     Deployment::new(&profile).unwrap()
 }
 
-/// What the fake discovery answers a request with: bytes as they are, and whether it closes the connection then.
+/// A response of the fake discovery: raw bytes, and whether it closes the connection after them.
 #[derive(Clone, Copy)]
 enum FakeResponse {
     Nothing,
@@ -34,7 +34,7 @@
     TextAndClose(&'static str),
 }
 
-/// A discovery that answers the requests in their order with these responses, and all further ones with the last.
+/// A fake discovery. It answers requests with the given responses in order, and all further requests with the last one.
 struct FakeDiscovery {
     address: String,
     request_count: Arc<AtomicUsize>,
@@ -109,7 +109,7 @@
     Some(end + 4)
 }
 
-/// The watch on a discovery, and the core's ends of its events. The watch ends when this is dropped.
+/// A running watch on discovery, and the core's ends of its event channel. The watch stops when this is dropped.
 struct Watch {
     dispatcher: DispatcherHandle,
     events: EventReceiver,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Waits for a list, and returns how long that took.
+    /// Waits for a list of endpoints, and returns how long that took.
     async fn wait_for_list(&mut self) -> Duration {
         let started = Instant::now();
         let list = timeout(Duration::from_secs(60), async {
@@ -158,8 +158,8 @@
     }
 }
 
-/// The core's queue is full of requests when a list arrives: the list is handled first. It used to wait for a place behind
-/// them.
+/// A list that arrives while the core's queue is full of requests is handled before them. It used to wait for a free
+/// place in that queue.
 #[tokio::test]
 async fn list_is_handled_before_queued_requests() {
     let discovery = FakeDiscovery::start(&[FakeResponse::Text(OK), FakeResponse::Nothing]).await;
@@ -179,33 +179,37 @@
         queued.push(pending);
     }
     assert!(queued.len() > 4000, "a full queue");
-    // The list has been sent to the core when discovery is requested again.
+    // The next request to discovery shows that the list has been sent to the core.
     let list_sent = timeout(Duration::from_secs(20), async {
         while discovery.request_count() < 2 {
             tokio::task::yield_now().await;
         }
     });
-    list_sent.await.expect("a list that waits for no request");
+    list_sent
+        .await
+        .expect("the list is sent although the queue is full");
     assert!(
         matches!(
             watch.events.recv().await,
             Some(Event::EndpointsChanged { .. })
         ),
-        "a request came first"
+        "a request was handled before the list"
     );
 }
 
 const OK: &str =
     "HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n{\"revision\":7,\"complete\":true,\"members\":[]}";
 const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno";
-const BUSY: &str = "HTTP/1.1 503 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
-const GARBLED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n[what?";
-const HALF: &str = "HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n{\"revision\":7,";
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Le";
-const ENDLESS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"rev\r\n";
+const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
+const MALFORMED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n[what?";
+const TRUNCATED_BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n{\"revision\":7,";
+const TRUNCATED_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Le";
+const UNFINISHED_CHUNKS: &str =
+    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"rev\r\n";
 
-/// Whatever came of earlier requests, a list arrives within 6 s where discovery answers by then, and at once where it is an
-/// agent on this machine. After a response that was no list the next request used to be sent up to 24 s later.
+/// Whatever the outcome of earlier requests, a list arrives within 6 s if discovery answers by then, and at once if
+/// discovery is an agent on this machine. After a response that was not a list, the next request used to be sent up to
+/// 24 s later.
 #[tokio::test(start_paused = true)]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 async fn list_arrives_in_time_after_any_failed_requests() {
@@ -216,38 +220,38 @@
             FakeResponse::Nothing,
         ],
         &[
-            FakeResponse::Text(BUSY),
-            FakeResponse::Text(BUSY),
+            FakeResponse::Text(SERVICE_UNAVAILABLE),
+            FakeResponse::Text(SERVICE_UNAVAILABLE),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
         &[
-            FakeResponse::Text(GARBLED),
-            FakeResponse::Text(GARBLED),
-            FakeResponse::Text(GARBLED),
+            FakeResponse::Text(MALFORMED),
+            FakeResponse::Text(MALFORMED),
+            FakeResponse::Text(MALFORMED),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
         &[
-            FakeResponse::TextAndClose(HALF),
+            FakeResponse::TextAndClose(TRUNCATED_BODY),
             FakeResponse::Text(ERROR),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
         &[
-            FakeResponse::TextAndClose(HEAD),
+            FakeResponse::TextAndClose(TRUNCATED_HEAD),
             FakeResponse::TextAndClose(""),
             FakeResponse::Text(ERROR),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
         &[
-            FakeResponse::Text(ENDLESS),
+            FakeResponse::Text(UNFINISHED_CHUNKS),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
         &[
-            FakeResponse::Text(HEAD),
+            FakeResponse::Text(TRUNCATED_HEAD),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
@@ -258,7 +262,7 @@
         ],
         &[
             FakeResponse::Nothing,
-            FakeResponse::Text(GARBLED),
+            FakeResponse::Text(MALFORMED),
             FakeResponse::Text(OK),
             FakeResponse::Nothing,
         ],
@@ -275,7 +279,8 @@
                 let mut watch =
                     Watch::start(&discovery, is_pushed, dispatcher_count, known_revision);
                 let elapsed = watch.wait_for_list().await;
-                // Each failed request is the last one before discovery could be reached: the bound is for one of them.
+                // The bound holds for each failed request, because any of them may be the last one before discovery
+                // recovers.
                 let failures = responses.len() as u32 - 2;
                 let max_elapsed = Duration::from_millis(max_ms_per_failure) * failures;
                 assert!(
@@ -289,7 +294,7 @@
     }
 }
 
-/// Discovery is silent for a long time: the connection of each request is closed when the request times out.
+/// While discovery does not respond, the connection of each request is closed when the request times out.
 #[tokio::test(start_paused = true)]
 async fn requests_that_timed_out_leave_no_connections() {
     let discovery = FakeDiscovery::start(&[FakeResponse::Nothing]).await;
@@ -301,7 +306,7 @@
     assert!(max_open <= 2, "{max_open} connections at once");
 }
 
-/// A discovery that ignores the hold time, and always has the same list, is not requested in a busy loop.
+/// A discovery that ignores the hold time and always returns the same list is not requested in a busy loop.
 #[tokio::test(start_paused = true)]
 async fn discovery_that_ignores_the_hold_time_is_polled_with_delays() {
     let discovery = FakeDiscovery::start(&[FakeResponse::Text(OK)]).await;
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 frontend from end to end, byte by byte where that matters.
+//! End-to-end tests of the HTTP/1.1 frontend, which compare bytes where they matter.
 
 mod testbed;
 
@@ -133,7 +133,7 @@
     fleet.assert_all_released().await;
 }
 
-/// A chunked body reaches the endpoint whole, with its length declared.
+/// A chunked body reaches the endpoint complete, with its length declared.
 #[tokio::test]
 async fn a_chunked_body_is_served() {
     let fleet = Fleet::start(false).await;
@@ -167,8 +167,8 @@
     }
 }
 
-/// A client that requests the rest of a stream sends a request of its own: new id, complete response. The same holds for
-/// a client that merely retries.
+/// A client that requests the rest of a stream, or that just retries, sends a new request with a new id and receives a
+/// complete response.
 #[tokio::test]
 async fn a_client_that_requests_the_rest_of_a_stream_is_served_a_complete_response() {
     let fleet = Fleet::start(false).await;
@@ -299,7 +299,8 @@
     assert!(fleet.activity.lock().unwrap().attempts.is_empty());
 }
 
-/// Text messages can't carry a body that is not UTF-8, so that it is not sent to an endpoint over a session.
+/// A WebSocket text message can't carry a body that is not UTF-8, so the request is not sent to an endpoint over a
+/// session.
 #[tokio::test]
 async fn a_body_that_is_not_utf8_is_not_sent_to_a_websocket_endpoint() {
     let fleet = Fleet::start(true).await;
@@ -313,8 +314,8 @@
     fleet.assert_all_released().await;
 }
 
-/// A stream breaks right behind its first event, before any of it was sent: the client receives the event, and the
-/// connection ends without the last chunk.
+/// If a stream breaks right after its first event, before any of it was sent, the client still receives the event. The
+/// connection then ends without the last chunk.
 #[tokio::test]
 async fn chunks_received_before_a_stream_breaks_are_sent() {
     let log = Logger::root(Discard, o!());
--- a/tests/unit/frontend/memory_budget.rs
+++ b/tests/unit/frontend/memory_budget.rs
@@ -13,7 +13,7 @@
     assert!(budget.try_reserve(200 * 1024).is_none());
     assert_eq!(&clone[..], text.as_bytes());
     drop(clone);
-    // What was reserved beyond the body's length is released at once.
+    // What was reserved beyond the length of the body is released at once.
     let _short = budget
         .try_reserve(200 * 1024)
         .expect("memory for one body")
--- a/tests/websocket_sessions.rs
+++ b/tests/websocket_sessions.rs
@@ -1,4 +1,4 @@
-//! WebSocket sessions from end to end: clients, the dispatcher, and endpoints over both of their protocols.
+//! End-to-end tests of WebSocket sessions, with endpoints over both of their protocols.
 
 mod testbed;
 
@@ -63,7 +63,7 @@
         let mut client = SessionClient::connect(&fleet).await;
         let start = Instant::now();
         client.send_request("late", "return-request", 400).await;
-        // It may have run at the decode endpoint: it is not shed, which would mean that a retry is harmless.
+        // The request may have run at the decode endpoint, so it is not shed: that would mean that a retry is harmless.
         assert_eq!(client.receive_response("late").await.0, "failed");
         assert!(
             start.elapsed() >= Duration::from_millis(300)
@@ -91,7 +91,7 @@
         let retry_after_ms: u64 = retry_after_ms.parse().expect("milliseconds");
         assert!((1..=500).contains(&retry_after_ms), "{text}");
         fleet.assert_all_released().await;
-        // Until then the cached outcome answers.
+        // Until the retry time, the cached outcome is sent again.
         let attempts = fleet.activity.lock().unwrap().attempts.len();
         client.send_request("no", "return-request", 9000).await;
         assert_eq!(client.receive().await.0, "refused");
@@ -121,7 +121,7 @@
                 1,
                 "{behavior:?}"
             );
-            // The same id again is not a second attempt.
+            // Submitting the same id again starts no second attempt.
             client.send_request("x", "return-request", 2000).await;
             assert_eq!(
                 client.receive_response("x").await.0,
@@ -167,7 +167,7 @@
             .await;
         drop(client);
         fleet.assert_all_released().await;
-        // It may have run: it never runs again, whichever session submits it.
+        // The request may have run, so it never runs again, whichever session submits it.
         fleet.set_behavior(2, Behavior::Serve);
         let mut again = SessionClient::connect(&fleet).await;
         again.send_request("w", "return-request", 9000).await;
@@ -185,7 +185,8 @@
     let mut first = SessionClient::connect(&fleet).await;
     first.send_request("r", "return-request", 9000).await;
     assert_eq!(first.receive().await.0, "event");
-    // The new session connects while the old socket is still open: the request moves to it, with its text.
+    // The new session connects while the old socket is still open: the response moves to the new socket, with the text
+    // so far.
     let mut second = SessionClient::connect(&fleet).await;
     second.send_request("r", "return-request", 9000).await;
     assert_eq!(second.receive().await.0, "event");
@@ -196,7 +197,7 @@
         (kind.as_str(), rest),
         ("served", STREAM_EVENTS[1..].concat())
     );
-    // And once more after its end: the cached outcome, with the response.
+    // After the end of the request, the cached outcome is sent with the response.
     let mut third = SessionClient::connect(&fleet).await;
     third.send_request("r", "return-request", 9000).await;
     assert_eq!(
@@ -442,8 +443,8 @@
     assert_eq!(fleet.attempts_at(2), 1);
 }
 
-/// Idle sessions do not lock others out: at the limit, the one that has been idle for longest is closed for a new one, and
-/// none with a request in flight.
+/// Idle sessions don't lock others out: at the limit, the one that has been idle for longest is evicted for a new one.
+/// A session with a request in flight is not.
 #[tokio::test]
 async fn at_the_limit_an_idle_session_is_closed_for_a_new_one() {
     let fleet = Fleet::start(false).await;
