--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -171,7 +171,8 @@
     /// Returns whether a complete request still lacks its complete response. If so, the task of `context` is woken when
     /// the response is complete.
     pub(super) fn is_response_pending(&self, context: &Context<'_>) -> bool {
-        let is_pending = self.framing().ended() > self.completed_responses.load(Ordering::Relaxed);
+        let is_pending =
+            self.framing().completed_requests() > self.completed_responses.load(Ordering::Relaxed);
         *self.read_waker() = if is_pending {
             Some(context.waker().clone())
         } else {
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -9,10 +9,10 @@
 use super::http::StreamResumer;
 use super::request_service::{serve_connection, ResumedConnection};
 use super::ShutdownPhase;
-use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
-use crate::net::system_errors::AcceptPauses;
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
+use crate::net::system_errors::AcceptBackoff;
 use crate::upgrade::stream_migration::{MigrationSender, ReceivedStream};
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use axum::Router;
 use futures_util::FutureExt;
 use slog::{info, warn, Logger};
@@ -58,7 +58,7 @@
 
 impl ConnectionTasks {
     /// Serves a connection in a task of its own, which holds the permit until the connection ends.
-    fn spawn(&mut self, stream: TcpStream, permit: ConnectionPermit) {
+    fn spawn(&mut self, stream: TcpStream, permit: Permit) {
         let client = ClientConnection::new();
         let serving = serve_connection(
             stream,
@@ -84,7 +84,7 @@
         let served_client = client.clone();
         let routes = self.routes.clone();
         let mut listener_state = self.admission.listener_state().clone();
-        if breaks(Variant::StreamCut) {
+        if is_enabled(Variant::StreamCut) {
             listener_state = listener_state.without_migration();
         }
         let serving = async move {
@@ -107,7 +107,7 @@
             .await;
             drop(permit);
         };
-        if breaks(Variant::StreamCut) {
+        if is_enabled(Variant::StreamCut) {
             tokio::spawn(serving);
             return;
         }
@@ -149,7 +149,7 @@
 
 /// What a listener handles next: a connection that it accepted, or a stream from another process.
 enum Incoming {
-    Accepted(Option<ConnectionPermit>, io::Result<TcpStream>),
+    Accepted(Option<Permit>, io::Result<TcpStream>),
     Received(ReceivedStream),
 }
 
@@ -158,7 +158,7 @@
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
@@ -170,7 +170,7 @@
 pub async fn serve_with_migration(
     listener: TcpListener,
     routes: Router,
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     mut shutdown: watch::Receiver<ShutdownPhase>,
     channels: MigrationChannels,
     log: Logger,
@@ -234,7 +234,7 @@
         connections: &mut ConnectionTasks,
         mut shutdown: watch::Receiver<ShutdownPhase>,
     ) {
-        let mut pauses = AcceptPauses::default();
+        let mut pauses = AcceptBackoff::default();
         loop {
             connections.remove_finished();
             let incoming = tokio::select! {
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,6 +1,6 @@
 //! The limit on the memory for request bodies, shared by all frontends.
 
-use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
 use bytes::Bytes;
 
 /// The longest accepted body.
@@ -11,11 +11,11 @@
 
 /// The memory budget for request bodies, in kilobytes. Clones share it.
 #[derive(Clone)]
-pub struct BodyMemoryBudget(ConnectionLimit);
+pub struct BodyMemoryBudget(AdjustableSemaphore);
 
 /// Memory reserved for one body. It returns to the budget when this is dropped.
 pub struct MemoryReservation {
-    permit: ConnectionPermit,
+    permit: Permit,
 }
 
 /// A body with the reservation of its memory.
@@ -37,12 +37,12 @@
 impl BodyMemoryBudget {
     /// Creates a budget of `budget_kilobytes`, but enough for at least one body.
     pub fn new(budget_kilobytes: usize) -> Self {
-        BodyMemoryBudget(ConnectionLimit::new(
+        BodyMemoryBudget(AdjustableSemaphore::new(
             budget_kilobytes.max(MIN_BUDGET_KILOBYTES),
         ))
     }
 
-    /// Limits the budget to this process's share, in the units of [`ConnectionLimit::set_share`], but to enough for at
+    /// Limits the budget to this process's share, in the units of [`AdjustableSemaphore::set_share`], but to enough for at
     /// least one body.
     pub fn set_share(&self, share_units: u32) {
         self.0.set_share(share_units, MIN_BUDGET_KILOBYTES);
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -5,7 +5,7 @@
 use super::connection::{ClientConnection, ConnectionPhase};
 use crate::net::message_framing::DeclaredBody;
 use crate::upgrade::stream_migration::ConnectionState;
-use crate::variants::{breaks, Variant};
+use crate::variants::{is_enabled, Variant};
 use axum::body::Body;
 use axum::http::{header, HeaderValue, StatusCode, Version};
 use axum::response::{IntoResponse, Response};
@@ -65,7 +65,7 @@
     if !request.headers().contains_key(header::TRANSFER_ENCODING) {
         return false;
     }
-    declared.is_none_or(|declared| !declared.chunked || declared.length.is_some())
+    declared.is_none_or(|declared| !declared.is_chunked || declared.length.is_some())
 }
 
 fn reject_ambiguous_body() -> Response {
@@ -189,7 +189,7 @@
     let mut socket = ClientSocket::new(stream, client.clone(), listener_state.clone());
     let mut resumed_response = None;
     if let Some(ResumedConnection { state, response }) = resumed {
-        if state.closes {
+        if state.closes_after_response {
             client.set_closes_after_response();
         }
         socket = socket.resume(&state);
@@ -218,7 +218,7 @@
             // The order matters: a close must not fall between a migration and its completion.
             biased;
             () = client.wait_until_closable(&mut shutdown), if !is_closing => {
-                if breaks(Variant::Unanswered) {
+                if is_enabled(Variant::Unanswered) {
                     return;
                 }
                 is_closing = true;
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -5,7 +5,7 @@
     ACCEPTED, EXTENSION_BYTES, HEADER_BYTES,
 };
 use super::MigrationError;
-use crate::net::system_errors::AcceptPauses;
+use crate::net::system_errors::AcceptBackoff;
 use bytes::Bytes;
 use rustix::net::{recvmsg, send, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendFlags};
 use slog::{info, warn, Logger};
@@ -49,7 +49,7 @@
     queue: mpsc::Sender<ReceivedStream>,
     log: Logger,
 ) {
-    let mut pauses = AcceptPauses::default();
+    let mut pauses = AcceptBackoff::default();
     let mut tasks = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -139,7 +139,7 @@
             connection: ConnectionState {
                 unsent: Bytes::new(),
                 pipelined: Bytes::new(),
-                closes: true,
+                closes_after_response: true,
             },
         },
     };
@@ -154,7 +154,7 @@
             state: UpstreamState {
                 chunks: header.chunks,
                 partial_event,
-                silent_for: Duration::from_millis(silent_ms.into()),
+                idle_for: Duration::from_millis(silent_ms.into()),
             },
         },
     })
@@ -232,7 +232,7 @@
             connection: ConnectionState {
                 unsent,
                 pipelined,
-                closes: extension.closes_connection,
+                closes_after_response: extension.closes_connection,
             },
         })
     }
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -14,7 +14,7 @@
 use quartzhall::dispatcher::{self, Clock, Core, DispatcherHandle, Event};
 use quartzhall::frontend::memory_budget::BodyMemoryBudget;
 use quartzhall::frontend::{admin, health_check, http, listener, websocket, ShutdownPhase};
-use quartzhall::net::connection_limit::ConnectionLimit;
+use quartzhall::net::adjustable_semaphore::AdjustableSemaphore;
 use quartzhall::{backend, discovery};
 use slog::{o, Discard, Logger};
 use std::sync::{Arc, Mutex};
@@ -43,7 +43,7 @@
 ) -> (mpsc::Sender<dispatcher::Command>, dispatcher::EventReceiver) {
     let settings: SettingsObject = json::from_str(SETTINGS).unwrap();
     let deployment = Arc::new(Deployment::new(&settings).unwrap());
-    let bounds = deployment.bounds;
+    let bounds = deployment.limits;
     let (dispatcher, events) = dispatcher::channel(deployment);
     let (commands, command_queue) = mpsc::channel(queue_length);
     let websocket_addresses = websocket_addresses.iter().cloned().collect();
@@ -51,7 +51,7 @@
         command_queue,
         dispatcher,
         bounds,
-        ConnectionLimit::new(10),
+        AdjustableSemaphore::new(10),
         websocket_addresses,
         backend::StreamMigration::disabled(),
         Logger::root(Discard, o!()),
@@ -126,8 +126,8 @@
         tokio::spawn(backend::run(
             command_queue,
             dispatcher.clone(),
-            deployment.bounds,
-            ConnectionLimit::new(100),
+            deployment.limits,
+            AdjustableSemaphore::new(100),
             websocket_addresses,
             backend::StreamMigration::disabled(),
             log.clone(),
@@ -151,7 +151,7 @@
         let websocket_server = listener::serve(
             listener,
             routes,
-            ConnectionLimit::new(50),
+            AdjustableSemaphore::new(50),
             shutdown_phase.clone(),
             log.clone(),
         );
@@ -166,7 +166,7 @@
         let http_server = listener::serve(
             listener,
             routes,
-            ConnectionLimit::new(50),
+            AdjustableSemaphore::new(50),
             shutdown_phase,
             log.clone(),
         );
@@ -220,8 +220,11 @@
             members.join(",")
         );
         let list: EndpointList = discovery::parse_list(text.as_bytes()).unwrap();
-        let event =
-            discovery::endpoints_changed(&mut self.deployment.lock().unwrap(), &list, &self.log);
+        let event = discovery::endpoints_changed_event(
+            &mut self.deployment.lock().unwrap(),
+            &list,
+            &self.log,
+        );
         self.dispatcher.send(event).await;
     }
 
