--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -203,11 +203,11 @@
 /// Serves operators for as long as the process runs.
 pub async fn serve(listener: TcpListener, dispatcher: DispatcherHandle, log: Logger) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
-    let mut pauses = AcceptBackoff::default();
+    let mut backoff = AcceptBackoff::default();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                pauses.reset();
+                backoff.reset();
                 connections.retain(|connection| !connection.is_finished());
                 if connections.len() >= MAX_CONNECTIONS {
                     if let Some(oldest) = connections.pop_front() {
@@ -219,7 +219,7 @@
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(pauses.delay_after(&error)).await;
+                sleep(backoff.delay_after(&error)).await;
             }
         }
     }
--- a/src/frontend/admission.rs
+++ b/src/frontend/admission.rs
@@ -1,4 +1,7 @@
 //! Admission of client connections: grants permits to new ones, and evicts idle ones at the limit.
+//!
+//! The listener acquires a permit before it accepts a connection, and the connection's task holds the permit until it
+//! ends. [`Admission`] knows the open connections; [`ListenerState`] is what they share.
 
 use super::connection::{ClientConnection, EVICTION_IDLE_TIME, EVICTION_SILENT_TIME};
 use super::ShutdownPhase;
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -21,9 +21,9 @@
 pub(super) const EVICTION_IDLE_TIME: Duration = Duration::from_millis(2000);
 /// A client that reads nothing of its response for this long is disconnected, so that its endpoint is released.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// At the connection limit, a connection that has sent nothing at all may be evicted after this shorter time. A client
-/// connects when it has a request, so the request has arrived by the time the connection is accepted. Many silent
-/// connections would otherwise keep other clients waiting for seconds.
+/// At the connection limit, a connection that has sent nothing at all may be evicted after this time, which is shorter
+/// than [`EVICTION_IDLE_TIME`]. A client connects when it has a request, so the request has arrived by the time the
+/// connection is accepted. Many silent connections would otherwise keep other clients waiting for seconds.
 pub(super) const EVICTION_SILENT_TIME: Duration = Duration::from_millis(300);
 /// How often a connection is checked at shutdown for a request that has begun to arrive.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/frontend/discarded_head.rs
+++ b/src/frontend/discarded_head.rs
@@ -1,11 +1,13 @@
 //! Finds the end of a response head that hyper writes but that must not be sent. Does no I/O.
+//!
+//! The head is matched byte by byte, so that the result does not depend on how it is split into writes.
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// The progress through a head that is discarded.
 #[derive(Debug, Default)]
 pub(super) struct DiscardedHead {
-    /// The number of bytes of [`HEAD_END`] that the last bytes matched.
+    /// How many bytes of [`HEAD_END`] the most recent bytes match.
     matched_bytes: usize,
 }
 
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -53,14 +53,14 @@
     }
 }
 
-/// Answers agent checks, one line per connection, until the process closes.
+/// Answers agent checks, one line per connection, until [`ShutdownPhase::Closing`].
 pub async fn serve_agent_checks(
     listener: TcpListener,
     dispatcher: DispatcherHandle,
     mut shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
-    let mut pauses = AcceptBackoff::default();
+    let mut backoff = AcceptBackoff::default();
     loop {
         let accepted = tokio::select! {
             _ = shutdown.wait_for(|phase| *phase == ShutdownPhase::Closing) => return,
@@ -69,12 +69,12 @@
         match accepted {
             // Served one at a time: the response is one short line, and a load balancer repeats its checks.
             Ok((stream, _)) => {
-                pauses.reset();
+                backoff.reset();
                 send_agent_line(stream, agent_line(dispatcher.readiness())).await;
             }
             Err(error) => {
                 warn!(log, "accept failed"; "error" => %error);
-                sleep(pauses.delay_after(&error)).await;
+                sleep(backoff.delay_after(&error)).await;
             }
         }
     }
--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -1,4 +1,6 @@
-//! Parses the names and keys that clients send, in the same notation at all frontends.
+//! Parses the names and keys that clients send.
+//!
+//! All frontends use these functions, so that a session or a shared prefix has the same key over HTTP and over WebSocket.
 
 use crate::config::fnv1a_hash;
 
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -153,8 +153,8 @@
     Received(ReceivedStream),
 }
 
-/// Serves clients, with at most `connection_limit` connections at once. Stops accepting connections when the dispatcher
-/// drains, closes idle connections when it closes, and returns when all connections have ended.
+/// Serves clients, with at most `connection_limit` connections at once. Stops accepting connections in
+/// [`ShutdownPhase::Draining`], closes idle ones in [`ShutdownPhase::Closing`], and returns when all have ended.
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
@@ -228,13 +228,13 @@
 }
 
 impl IncomingConnections<'_> {
-    /// Serves accepted connections and received streams until the dispatcher drains.
+    /// Serves accepted connections and received streams until [`ShutdownPhase::Draining`] or a later phase.
     async fn serve_until_draining(
         &mut self,
         connections: &mut ConnectionTasks,
         mut shutdown: watch::Receiver<ShutdownPhase>,
     ) {
-        let mut pauses = AcceptBackoff::default();
+        let mut backoff = AcceptBackoff::default();
         loop {
             connections.remove_finished();
             let incoming = tokio::select! {
@@ -252,16 +252,16 @@
             let stream = match accepted {
                 Ok(stream) => stream,
                 Err(error) => {
-                    let pause = pauses.delay_after(&error);
-                    warn!(self.log, "accept failed"; "error" => %error, "pause_ms" => pause.as_millis() as u64);
-                    sleep(pause).await;
+                    let delay = backoff.delay_after(&error);
+                    warn!(self.log, "accept failed"; "error" => %error, "pause_ms" => delay.as_millis() as u64);
+                    sleep(delay).await;
                     continue;
                 }
             };
             let Some(permit) = permit else {
                 return;
             };
-            pauses.reset();
+            backoff.reset();
             connections.spawn(stream, permit);
         }
     }
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,4 +1,6 @@
 //! The limit on the memory for request bodies, shared by all frontends.
+//!
+//! Memory is reserved before a body is read or accepted, and stays reserved until the last clone of the body is dropped.
 
 use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
 use bytes::Bytes;
--- a/src/frontend/websocket/session.rs
+++ b/src/frontend/websocket/session.rs
@@ -1,4 +1,7 @@
 //! One socket of a session: receives client messages, sends the responses, and closes with the matching close code.
+//!
+//! The session owns the socket. Its requests run in tasks of their own, which queue their messages here and may outlive
+//! the session for a short time.
 
 use super::idempotency_cache::{
     CachedRequest, FinalOutcome, IdempotencyCache, MessageSender, RequestKey, RequestState,
@@ -29,6 +32,7 @@
 /// The part of a session's state that other sessions see: how long it has been idle, and whether it has requests in
 /// flight.
 pub(super) struct SessionActivity {
+    /// When the client sent its last text message; at first, when it connected.
     last_message_at: Mutex<Instant>,
     /// One permit per request that may be in flight.
     request_slots: Arc<Semaphore>,
@@ -70,6 +74,7 @@
     }
 }
 
+/// A close code and the reason that is sent with it.
 type CloseReason = (u16, &'static str);
 
 /// The action that follows an event of a session.
@@ -82,7 +87,7 @@
     Disconnect,
 }
 
-/// A session while it is on one socket.
+/// One session, which lasts as long as its socket.
 pub(super) struct Session {
     frontend: SessionFrontend,
     activity: Arc<SessionActivity>,
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -140,7 +140,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn at_the_limit_the_longest_idle_connection_is_closed_for_a_new_one() {
-    let (address, _stop) = listen(8).await;
+    let (address, _shutdown) = listen(8).await;
     let mut idle = Vec::new();
     for _ in 0..5 {
         let mut client = send(&address, GET).await;
@@ -175,7 +175,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_arrives_as_its_connection_is_replaced_is_answered() {
     for _ in 0..5 {
-        let (address, _stop) = listen(2).await;
+        let (address, _shutdown) = listen(2).await;
         let mut client = send(&address, GET).await;
         expect_ready(&mut client).await;
         let idle_since = Instant::now();
@@ -191,7 +191,7 @@
 /// At the limit, a connection whose response is not completely read is not evicted, although its request is complete.
 #[tokio::test(start_paused = true)]
 async fn at_the_limit_a_response_that_is_not_read_yet_is_not_cut() {
-    let (address, _stop) = listen(1).await;
+    let (address, _shutdown) = listen(1).await;
     let mut client = send(&address, &GET.replace("/ready", "/long")).await;
     sleep(Duration::from_secs(5)).await;
     let response = read_until(&mut client, "x").await;
@@ -215,7 +215,7 @@
 /// responses close their connections.
 #[tokio::test(start_paused = true)]
 async fn near_the_limit_responses_close_their_connections() {
-    let (address, _stop) = listen(4).await;
+    let (address, _shutdown) = listen(4).await;
     let mut connections = Vec::new();
     let started_at = Instant::now();
     for number in 0..40 {
@@ -239,7 +239,7 @@
 /// Many connections that send nothing don't keep a client waiting for the full head timeout.
 #[tokio::test(start_paused = true)]
 async fn at_the_limit_silent_connections_are_closed_soon() {
-    let (address, _stop) = listen(3).await;
+    let (address, _shutdown) = listen(3).await;
     let mut connections = Vec::new();
     for _ in 0..30 {
         connections.push(TcpStream::connect(&address).await.unwrap());
@@ -258,7 +258,7 @@
 /// request to one parser and part of the body to another.
 #[tokio::test]
 async fn a_request_with_an_ambiguous_body_is_rejected_and_its_connection_closed() {
-    let (address, _stop) = listen(9).await;
+    let (address, _shutdown) = listen(9).await;
     let ambiguous_headers = [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 3",
@@ -291,7 +291,7 @@
 /// Chunks without a declared length are not ambiguous.
 #[tokio::test]
 async fn chunked_bodies_are_read_and_the_connection_is_reused() {
-    let (address, _stop) = listen(9).await;
+    let (address, _shutdown) = listen(9).await;
     let post =
         "POST /post HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut client = send(&address, &format!("{post}{post}{GET}")).await;
@@ -358,7 +358,7 @@
 /// Pipelined requests are served one after the other, wherever their bytes are split, until the client's stream ends.
 #[tokio::test]
 async fn pipelined_requests_are_served_in_order() {
-    let (address, _stop) = listen(9).await;
+    let (address, _shutdown) = listen(9).await;
     let post = "POST /post HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     let text = format!("{GET}{post}\r\n{}", GET.repeat(500));
     for cut in [0, 1, GET.len(), GET.len() + post.len() - 1, text.len()] {
@@ -384,7 +384,7 @@
 /// dropped.
 #[tokio::test(start_paused = true)]
 async fn a_request_completed_as_its_head_times_out_is_answered() {
-    let (address, _stop) = listen(90).await;
+    let (address, _shutdown) = listen(90).await;
     for before in ["", GET] {
         for _ in 0..20 {
             let later = GET.replace("ready", "later");
--- a/tests/websocket_sessions.rs
+++ b/tests/websocket_sessions.rs
@@ -169,9 +169,9 @@
         fleet.assert_all_released().await;
         // The request may have run, so it never runs again, whichever session submits it.
         fleet.set_behavior(2, Behavior::Serve);
-        let mut again = SessionClient::connect(&fleet).await;
-        again.send_request("w", "return-request", 9000).await;
-        let (kind, text) = again.receive().await;
+        let mut reconnected = SessionClient::connect(&fleet).await;
+        reconnected.send_request("w", "return-request", 9000).await;
+        let (kind, text) = reconnected.receive().await;
         assert_eq!(kind, "failed");
         assert!(text.contains("may have run"), "{text}");
         assert_eq!(fleet.attempts_at(2), 1);
@@ -222,9 +222,9 @@
         .await;
     drop(client);
     fleet.assert_all_released().await;
-    let mut again = SessionClient::connect(&fleet).await;
-    again.send_request("s", "status-query", 60_000).await;
-    let (kind, _) = again.receive_response("s").await;
+    let mut reconnected = SessionClient::connect(&fleet).await;
+    reconnected.send_request("s", "status-query", 60_000).await;
+    let (kind, _) = reconnected.receive_response("s").await;
     assert!(kind == "refused" || kind == "failed", "{kind}");
     assert!(
         start.elapsed() < Duration::from_secs(4),
