--- a/src/frontend/identifiers.rs
+++ b/src/frontend/identifiers.rs
@@ -1,6 +1,7 @@
 //! Parses the names and keys that clients send.
 //!
-//! All frontends use these functions, so that a session or a shared prefix has the same key over HTTP and over WebSocket.
+//! All frontends use these functions, so that a session or a shared prefix has the same key over HTTP and over
+//! WebSocket.
 
 use crate::config::fnv1a_hash;
 
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -1,6 +1,7 @@
 //! The limit on the memory for request bodies, shared by all frontends.
 //!
-//! Memory is reserved before a body is read or accepted, and stays reserved until the last clone of the body is dropped.
+//! Memory is reserved before a body is read or accepted, and stays reserved until the last clone of the body
+//! is dropped.
 
 use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
 use bytes::Bytes;
@@ -44,8 +45,8 @@
         ))
     }
 
-    /// Limits the budget to this process's share, in the units of [`AdjustableSemaphore::set_share`], but to enough for at
-    /// least one body.
+    /// Limits the budget to this process's share, in the units of [`AdjustableSemaphore::set_share`], but to enough for
+    /// at least one body.
     pub fn set_share(&self, share_units: u32) {
         self.0.set_share(share_units, MIN_BUDGET_KILOBYTES);
     }
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -1,7 +1,7 @@
 //! Serves one client connection: runs HTTP/1.1 on its socket, and passes each request to the routes.
 //!
-//! The connection's task owns the socket and decides when to close it. If the connection migrates to another process, the
-//! task ends without closing the connection.
+//! The connection's task owns the socket and decides when to close it. If the connection migrates to another process,
+//! the task ends without closing the connection.
 
 use super::admission::ListenerState;
 use super::client_socket::{ClientSocket, READ_BUFFER_BYTES};
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -43,7 +43,7 @@
     String::from_utf8_lossy(&received).into_owned()
 }
 
-/// Reads the response to [`GET`].
+/// Reads the response to [`GET`], which must have status 200.
 async fn expect_ready(client: &mut TcpStream) {
     assert!(read_until(client, "ready.")
         .await
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -15,8 +15,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
+/// The head of a valid request, up to the header for its body. `NAME` stands for the client request id.
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: NAME\r\nX-Qos: return-request\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 2000\r\nX-Props: prefix=5c0f,prompt_len=500,prefix_len=200,max_out=100\r\n";
 
+/// Returns a valid request with this client request id.
 fn request(name: &str) -> String {
     format!(
         "{}Content-Length: 2\r\n\r\n{{}}",
