--- a/src/bin/quartzhall-simhost/error.rs
+++ b/src/bin/quartzhall-simhost/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the simulator's wire. Their texts are made here and printed by `main`.
+//! Errors in the simulator's protocol. `main` prints their texts.
 
 use thiserror::Error;
 
@@ -8,11 +8,11 @@
 pub(crate) struct LineError {
     /// The line's number, from 1.
     pub number: usize,
-    /// What was wrong.
+    /// The error.
     pub source: HostError,
 }
 
-/// What can be wrong with one line of input.
+/// An error in one line of input.
 #[derive(Debug, Error)]
 pub(crate) enum HostError {
     /// The line could not be read.
@@ -21,47 +21,47 @@
     /// The replies of a batch could not be written.
     #[error("cannot write the reply: {0}")]
     Write(#[source] std::io::Error),
-    /// The line is not JSON, or a field has the wrong type.
+    /// The line is not a JSON object, or a field has the wrong type.
     #[error("not a message of the wire")]
     Malformed,
-    /// A field is absent; by its name on the wire.
+    /// A required field is absent; holds its name on the wire.
     #[error("missing field `{0}`")]
     MissingField(&'static str),
     /// A key is not hexadecimal.
     #[error("{field} {text:?} is not a hexadecimal key")]
     InvalidKey {
-        /// Its field's name on the wire.
+        /// The field's name on the wire.
         field: &'static str,
-        /// Its text.
+        /// The invalid key.
         text: String,
-        /// Why it could not be parsed.
+        /// The parse error.
         source: std::num::ParseIntError,
     },
-    /// The settings of an instance, or a line of its list of endpoints, are invalid.
+    /// The settings of an instance, or an entry of its endpoint list, are invalid; holds the error's text.
     #[error("{0}")]
     Settings(String),
-    /// The message has a type that the wire does not have.
+    /// The message's type is unknown.
     #[error("unknown type {0:?}")]
     UnknownType(String),
-    /// No instance of this name was started.
+    /// No instance of this name is running.
     #[error("unknown instance {0:?}")]
     UnknownInstance(String),
-    /// The status of an attempt or of a probe is not known.
+    /// The status of an attempt or of a probe is unknown.
     #[error("unknown status {0:?}")]
     UnknownStatus(String),
-    /// The tenant is not in the settings.
+    /// The settings don't have this tenant.
     #[error("unknown user_group {0:?}")]
     UnknownTenant(String),
-    /// The request class is not in the settings.
+    /// The settings don't have this request class.
     #[error("unknown kind {0:?}")]
     UnknownClass(String),
-    /// The readiness of an endpoint is not known.
+    /// The readiness code of an endpoint is unknown.
     #[error("unknown readiness {0}")]
     UnknownReadiness(u32),
-    /// The form of an update of the list of endpoints is not known.
+    /// The form of an endpoint list update is unknown.
     #[error("unknown form {0} of a view")]
     UnknownForm(u32),
-    /// The list of endpoints was not sent before.
+    /// No endpoint list with this number was defined.
     #[error("unknown sheet {0}")]
-    UnknownSheet(u32),
+    UnknownEndpointList(u32),
 }
--- a/src/bin/quartzhall-simhost/host.rs
+++ b/src/bin/quartzhall-simhost/host.rs
@@ -1,9 +1,9 @@
-//! The instances of this process: each message becomes an event of one instance's router, and the actions
-//! that follow become replies. [`Host`] owns the instances, the lists of endpoints and the current batch.
+//! The router instances of this process. Each message becomes an event for one instance's router, and the router's actions
+//! become replies. [`Host`] owns the instances, the endpoint lists and the current batch of messages.
 
 use crate::error::HostError;
 use crate::messages::{
-    format_action, format_batch_end, parse_key, required, EndpointLine, Message, MessageKind,
+    format_action, format_batch_end, parse_key, required, EndpointEntry, Message, MessageType,
 };
 use miniserde::json;
 use quartzhall::config::{millis_to_micros, Deployment, NameTable, SettingsObject};
@@ -12,14 +12,14 @@
 use std::collections::HashMap;
 use std::io::Write;
 
-/// The wire's `form` of a list of endpoints: changes only.
-const FORM_CHANGES: u32 = 0;
-/// Both forms of a complete list.
+/// The `form` of an endpoint list update: the list has changes only.
+const FORM_INCREMENTAL: u32 = 0;
+/// The `form` of an update whose list is full; two codes mean this.
 const FORMS_FULL: std::ops::RangeInclusive<u32> = 1..=2;
-/// The list could not be had.
+/// The `form` of an update that reports a failed request for the list; it has no list.
 const FORM_FAILED: u32 = 3;
 
-/// One instance: its router and its names.
+/// One instance: its router, and the names and settings that belong to it.
 struct Instance {
     router: Router,
     endpoint_names: NameTable,
@@ -36,17 +36,17 @@
         })
     }
 
-    fn endpoint_record(&mut self, line: &EndpointLine) -> Result<EndpointRecord, HostError> {
-        let endpoint = self.endpoint_names.intern(&line.name);
+    fn endpoint_record(&mut self, entry: &EndpointEntry) -> Result<EndpointRecord, HostError> {
+        let endpoint = self.endpoint_names.intern(&entry.name);
         let record = self
             .deployment
-            .endpoint_record(endpoint, &line.name, line.machine_type.as_deref())
+            .endpoint_record(endpoint, &entry.name, entry.machine_type.as_deref())
             .map_err(settings_error)?;
         Ok(EndpointRecord {
-            zone: self.deployment.zone_id(line.zone.as_deref()),
-            cell: line.cell.unwrap_or(u32::MAX),
-            status: line.status()?,
-            started_at: line.started_at(),
+            zone: self.deployment.zone_id(entry.zone.as_deref()),
+            cell: entry.cell.unwrap_or(u32::MAX),
+            status: entry.status()?,
+            started_at: entry.started_at(),
             ..record
         })
     }
@@ -110,55 +110,59 @@
     HostError::Settings(error.to_string())
 }
 
-/// All instances of this process, and the batch that is being read.
+/// All instances of this process, and the current batch.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: HashMap<String, Instance>,
-    endpoint_sheets: HashMap<u32, Vec<EndpointLine>>,
+    /// Endpoint lists by the number that the protocol gives them; instances share them.
+    endpoint_lists: HashMap<u32, Vec<EndpointEntry>>,
+    /// The time of the current batch, in microseconds.
     now: Time,
+    /// The number of the current batch, which its last reply repeats.
     batch: u64,
+    /// The replies of the current batch, not yet written.
     replies: String,
 }
 
 impl Host {
-    /// Handles one line of input; the line that ends a batch writes its replies to `output`.
+    /// Handles one line of input. On the line that ends a batch, writes the batch's replies to `output`.
     pub(crate) fn handle_line(
         &mut self,
         text: &str,
         output: &mut impl Write,
     ) -> Result<(), HostError> {
         let message = Message::parse(text)?;
-        match message.kind()? {
-            MessageKind::BatchStart => self.start_batch(&message),
-            MessageKind::BatchEnd => self.end_batch(output),
-            MessageKind::EndpointSheet => self.store_sheet(message),
-            MessageKind::InstanceStart => self.start_instance(&message),
-            MessageKind::InstanceStop => {
+        match message.message_type()? {
+            MessageType::BatchStart => self.start_batch(&message),
+            MessageType::BatchEnd => self.end_batch(output),
+            MessageType::EndpointListDefinition => self.define_endpoint_list(message),
+            MessageType::InstanceStart => self.start_instance(&message),
+            MessageType::InstanceStop => {
                 self.instances.remove(message.instance()?);
                 Ok(())
             }
-            MessageKind::Ignored => {
+            MessageType::Ignored => {
                 self.instance(message.instance()?)?;
                 Ok(())
             }
-            MessageKind::EndpointList => self.on_endpoint_list(&message),
-            MessageKind::Request => {
+            MessageType::EndpointListUpdate => self.update_endpoint_list(&message),
+            MessageType::Request => {
                 self.handle_event(&message, |instance| instance.request_arrived(&message))
             }
-            MessageKind::FirstEvent => {
+            MessageType::FirstEvent => {
                 let id = message.request()?;
                 let attempt = message.attempt()?;
                 self.handle_event(&message, |_| Ok(Event::FirstEvent { id, attempt }))
             }
-            MessageKind::AttemptEnd => {
+            MessageType::AttemptEnd => {
                 self.handle_event(&message, |instance| instance.attempt_ended(&message))
             }
-            MessageKind::ClientDisconnect => {
+            MessageType::ClientDisconnect => {
                 let id = message.request()?;
                 self.handle_event(&message, |_| Ok(Event::ClientDisconnected { id }))
             }
-            MessageKind::Timer => self.handle_event(&message, |_| Ok(Event::TimerFired)),
-            MessageKind::ProbeEnd => {
+            MessageType::Timer => self.handle_event(&message, |_| Ok(Event::TimerFired)),
+            MessageType::ProbeEnd => {
                 self.handle_event(&message, |instance| instance.probe_completed(&message))
             }
         }
@@ -180,10 +184,10 @@
         written.map_err(HostError::Write)
     }
 
-    fn store_sheet(&mut self, message: Message) -> Result<(), HostError> {
-        let sheet = required(message.sheet, "sheet")?;
+    fn define_endpoint_list(&mut self, message: Message) -> Result<(), HostError> {
+        let list_number = required(message.list_number, "sheet")?;
         let endpoints = required(message.endpoints, "lines")?;
-        self.endpoint_sheets.insert(sheet, endpoints);
+        self.endpoint_lists.insert(list_number, endpoints);
         Ok(())
     }
 
@@ -196,25 +200,25 @@
         self.handle_event(message, |_| Ok(Event::TimerFired))
     }
 
-    fn on_endpoint_list(&mut self, message: &Message) -> Result<(), HostError> {
+    fn update_endpoint_list(&mut self, message: &Message) -> Result<(), HostError> {
         let is_full = match required(message.form, "form")? {
-            FORM_CHANGES => false,
+            FORM_INCREMENTAL => false,
             form if FORMS_FULL.contains(&form) => true,
             FORM_FAILED => {
                 return self.handle_event(message, |_| Ok(Event::EndpointListFailed));
             }
             other => return Err(HostError::UnknownForm(other)),
         };
-        let sheet = required(message.sheet, "sheet")?;
-        let lines = self
-            .endpoint_sheets
-            .get(&sheet)
-            .ok_or(HostError::UnknownSheet(sheet))?
+        let list_number = required(message.list_number, "sheet")?;
+        let entries = self
+            .endpoint_lists
+            .get(&list_number)
+            .ok_or(HostError::UnknownEndpointList(list_number))?
             .clone();
         self.handle_event(message, |instance| {
-            let mut endpoints = Vec::with_capacity(lines.len());
-            for line in &lines {
-                endpoints.push(instance.endpoint_record(line)?);
+            let mut endpoints = Vec::with_capacity(entries.len());
+            for entry in &entries {
+                endpoints.push(instance.endpoint_record(entry)?);
             }
             Ok(Event::EndpointsChanged { is_full, endpoints })
         })
@@ -226,7 +230,7 @@
             .ok_or_else(|| HostError::UnknownInstance(name.to_owned()))
     }
 
-    /// Hands an event to the message's instance and appends the replies that follow.
+    /// Passes an event to the router of the message's instance and appends replies for its actions.
     fn handle_event(
         &mut self,
         message: &Message,
--- a/src/bin/quartzhall-simhost/messages.rs
+++ b/src/bin/quartzhall-simhost/messages.rs
@@ -1,18 +1,19 @@
-//! The messages of the simulator's wire: its names beside the field's terms, parsing, and the text of
-//! replies.
+//! The messages of the simulator's protocol: parsing of messages, formatting of replies, and the mapping of the protocol's
+//! names to the terms of the router.
 
 use crate::error::HostError;
 use miniserde::{json, Deserialize};
 use quartzhall::config::{millis_to_micros, SettingsObject};
 use quartzhall::routing::api::*;
 
-/// One line of input, with the fields of all message types. [`Message::kind`] tells the type.
+/// One line of input, with the fields of all message types. [`Message::message_type`] gives its type.
 #[derive(Deserialize)]
 pub(crate) struct Message {
     #[serde(rename = "type")]
-    kind: String,
-    who: Option<String>,
-    /// Milliseconds.
+    message_type: String,
+    #[serde(rename = "who")]
+    instance: Option<String>,
+    /// The time of a batch, in milliseconds.
     #[serde(rename = "t")]
     pub time_ms: Option<f64>,
     #[serde(rename = "n")]
@@ -21,9 +22,12 @@
     pub seed: Option<u64>,
     #[serde(rename = "profile_data")]
     pub settings: Option<SettingsObject>,
-    pub sheet: Option<u32>,
+    /// The number of an endpoint list.
+    #[serde(rename = "sheet")]
+    pub list_number: Option<u32>,
     #[serde(rename = "lines")]
-    pub endpoints: Option<Vec<EndpointLine>>,
+    pub endpoints: Option<Vec<EndpointEntry>>,
+    /// The code of an endpoint list update's form: incremental, full or failed.
     pub form: Option<u32>,
     #[serde(rename = "rid")]
     request: Option<u64>,
@@ -51,16 +55,17 @@
     status: Option<String>,
     #[serde(rename = "final")]
     pub request_closed: Option<bool>,
-    /// With the end of an attempt: cached prompt tokens; over 0 with an overload, the KV cache was missing.
+    /// The cached prompt tokens of an ended attempt. A positive number with an overload status means that the KV cache was
+    /// missing.
     #[serde(rename = "remark")]
     pub cached_tokens: Option<f64>,
     metrics: Option<Metrics>,
 }
 
-/// One line of a list of endpoints.
+/// One entry of an endpoint list.
 #[derive(Clone, Deserialize)]
-pub(crate) struct EndpointLine {
-    /// Milliseconds; absent or 0: long ago.
+pub(crate) struct EndpointEntry {
+    /// The time of the last start, in milliseconds; absent or 0: long ago.
     #[serde(rename = "born")]
     started_at_ms: Option<f64>,
     pub zone: Option<String>,
@@ -88,15 +93,17 @@
 
 /// The type of a message.
 #[derive(Clone, Copy)]
-pub(crate) enum MessageKind {
+pub(crate) enum MessageType {
     BatchStart,
     BatchEnd,
-    EndpointSheet,
+    /// Defines an endpoint list, to which updates refer by its number.
+    EndpointListDefinition,
     InstanceStart,
     InstanceStop,
-    /// A message between instances, which share nothing here.
+    /// A message between instances, whose content the adapter ignores: its instances share no state.
     Ignored,
-    EndpointList,
+    /// Delivers an endpoint list to an instance.
+    EndpointListUpdate,
     Request,
     FirstEvent,
     AttemptEnd,
@@ -105,12 +112,12 @@
     ProbeEnd,
 }
 
-/// Takes a field that the message's type needs; `name` is its name on the wire.
+/// Returns the value of a field that the message's type requires. `name` is the field's name on the wire.
 pub(crate) fn required<T>(value: Option<T>, name: &'static str) -> Result<T, HostError> {
     value.ok_or(HostError::MissingField(name))
 }
 
-/// Parses a hexadecimal key, where there is one.
+/// Parses an optional hexadecimal key. `field` is its name on the wire.
 pub(crate) fn parse_key(text: Option<&str>, field: &'static str) -> Result<Option<u64>, HostError> {
     let Some(text) = text else {
         return Ok(None);
@@ -130,28 +137,28 @@
         json::from_str(text).map_err(|_| HostError::Malformed)
     }
 
-    pub(crate) fn kind(&self) -> Result<MessageKind, HostError> {
-        Ok(match self.kind.as_str() {
-            "frame" => MessageKind::BatchStart,
-            "commit" => MessageKind::BatchEnd,
-            "catalog" => MessageKind::EndpointSheet,
-            "born" => MessageKind::InstanceStart,
-            "power_off" => MessageKind::InstanceStop,
-            "from_peer" | "place_note" => MessageKind::Ignored,
-            "view" => MessageKind::EndpointList,
-            "request" => MessageKind::Request,
-            "ack_first" => MessageKind::FirstEvent,
-            "answer" => MessageKind::AttemptEnd,
-            "cancelled_by_client" => MessageKind::ClientDisconnect,
-            "tick_due" => MessageKind::Timer,
-            "probe_result" => MessageKind::ProbeEnd,
+    pub(crate) fn message_type(&self) -> Result<MessageType, HostError> {
+        Ok(match self.message_type.as_str() {
+            "frame" => MessageType::BatchStart,
+            "commit" => MessageType::BatchEnd,
+            "catalog" => MessageType::EndpointListDefinition,
+            "born" => MessageType::InstanceStart,
+            "power_off" => MessageType::InstanceStop,
+            "from_peer" | "place_note" => MessageType::Ignored,
+            "view" => MessageType::EndpointListUpdate,
+            "request" => MessageType::Request,
+            "ack_first" => MessageType::FirstEvent,
+            "answer" => MessageType::AttemptEnd,
+            "cancelled_by_client" => MessageType::ClientDisconnect,
+            "tick_due" => MessageType::Timer,
+            "probe_result" => MessageType::ProbeEnd,
             other => return Err(HostError::UnknownType(other.to_owned())),
         })
     }
 
-    /// The name of the instance that the message is for.
+    /// Returns the name of the instance to which the message belongs.
     pub(crate) fn instance(&self) -> Result<&str, HostError> {
-        required(self.who.as_deref(), "who")
+        required(self.instance.as_deref(), "who")
     }
 
     pub(crate) fn request(&self) -> Result<RequestId, HostError> {
@@ -162,14 +169,14 @@
         required(self.attempt, "trial")
     }
 
-    /// The name of the endpoint that the message is about.
+    /// Returns the name of the endpoint that the message concerns.
     pub(crate) fn endpoint(&self) -> Result<&str, HostError> {
         required(self.endpoint.as_deref(), "worker")
     }
 
-    /// How an attempt ended.
+    /// Returns the status of an ended attempt.
     pub(crate) fn attempt_status(&self) -> Result<AttemptStatus, HostError> {
-        let status = self.plain_status()?;
+        let status = self.parse_status()?;
         let is_kv_missing = self.cached_tokens.unwrap_or(0.0) > 0.0;
         if status == AttemptStatus::Overloaded && is_kv_missing {
             return Ok(AttemptStatus::KvStateMissing);
@@ -177,12 +184,12 @@
         Ok(status)
     }
 
-    /// Whether a probe was answered.
+    /// Returns whether a probe was successful.
     pub(crate) fn is_probe_healthy(&self) -> Result<bool, HostError> {
-        Ok(self.plain_status()? == AttemptStatus::Served)
+        Ok(self.parse_status()? == AttemptStatus::Served)
     }
 
-    fn plain_status(&self) -> Result<AttemptStatus, HostError> {
+    fn parse_status(&self) -> Result<AttemptStatus, HostError> {
         Ok(match required(self.status.as_deref(), "status")? {
             "OK" => AttemptStatus::Served,
             "handover" => AttemptStatus::PrefillDone,
@@ -207,7 +214,7 @@
     }
 }
 
-impl EndpointLine {
+impl EndpointEntry {
     pub(crate) fn status(&self) -> Result<EndpointStatus, HostError> {
         match self.readiness {
             0 => Ok(EndpointStatus::Ready),
@@ -228,19 +235,19 @@
     time as f64 / 1000.0
 }
 
-/// The reply that ends a batch.
+/// Formats the reply that ends a batch.
 pub(crate) fn format_batch_end(batch: u64) -> String {
     format!("{{\"type\":\"ok\",\"n\":{batch}}}\n")
 }
 
-/// The reply for an action of an instance. `endpoint_name` gives an endpoint's name on the wire.
+/// Formats the reply for an action of an instance. `endpoint_name` returns an endpoint's name on the wire.
 pub(crate) fn format_action<'a>(
     instance: &str,
     action: &Action,
     endpoint_name: impl Fn(EndpointId) -> &'a str,
 ) -> String {
     let who = json::to_string(instance);
-    let worker = |endpoint| json::to_string(endpoint_name(endpoint));
+    let quoted_name = |endpoint| json::to_string(endpoint_name(endpoint));
     let body = match *action {
         Action::StartAttempt {
             id,
@@ -248,7 +255,7 @@
             timeout,
         } => {
             let limit = to_millis(timeout);
-            let worker = worker(endpoint);
+            let worker = quoted_name(endpoint);
             format!(r#""relay","who":{who},"rid":{id},"limit":{limit:?},"worker":{worker}"#)
         }
         Action::CancelAttempt { id, attempt } => {
@@ -267,7 +274,7 @@
             format!(r#""wake_at","who":{who},"key_back":"wake","time":{time:?}"#)
         }
         Action::Probe { endpoint } => {
-            let worker = worker(endpoint);
+            let worker = quoted_name(endpoint);
             format!(r#""ask_load","who":{who},"worker":{worker}"#)
         }
         Action::WatchEndpoints => format!(r#""stream_changes","who":{who},"enable":true"#),
--- a/src/config/deployment.rs
+++ b/src/config/deployment.rs
@@ -1,7 +1,8 @@
-//! A deployment: the settings object resolved into the router's [`RoutingSettings`], limits, and ids for its names.
+//! A deployment: the settings object resolved into the router's [`RoutingSettings`], the dispatcher's limits, and ids for
+//! the names of classes, tenants, zones and machine types.
 //!
-//! The simulator's host and the dispatcher share all of it. An absent number is 0; an unknown word is an error, because
-//! a guess would silently decide how requests are routed.
+//! The dispatcher and the simulator's adapter both use it. An absent number is 0 unless a default is named here. An unknown
+//! keyword is an error, because a fallback would silently change how requests are routed.
 
 use super::raw_settings::{
     ClassSettings, FamilySettings, LimitSettings, RuleSettings, SettingsObject, TenantSettings,
@@ -12,23 +13,23 @@
     RoutingSettings, Tenant, Time,
 };
 
-/// Classes that may be known at once, those that were removed and still have requests open among them.
+/// The maximum number of class ids in use. Removed classes whose requests are still open count too.
 const MAX_CLASSES: usize = 256;
-/// Time to connect to an endpoint where the settings name none, in microseconds.
+/// The timeout for connecting to an endpoint if the settings have none, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Time = 250_000;
-/// Time after which endpoints close idle connections where the settings name none, in microseconds.
+/// The time after which endpoints close idle connections if the settings have none, in microseconds.
 const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Time = 30_000_000;
 
 /// Limits of connections and requests. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatcherLimits {
-    /// A connection that isn't established within this time has failed.
+    /// The timeout for connecting to an endpoint.
     pub connect_timeout: Time,
-    /// An endpoint closes connections that were idle for this long.
+    /// The time after which an endpoint closes an idle connection.
     pub endpoint_idle_timeout: Time,
-    /// Requests that may be open at once.
+    /// The maximum number of open requests.
     pub max_open_requests: usize,
-    /// The longest deadline of a request.
+    /// The longest deadline of any class, which bounds the drain at shutdown; `Time::MAX`: no class has one.
     pub max_deadline: Time,
 }
 
@@ -43,7 +44,7 @@
     pub classes: NameTable,
     /// Ids of the tenants.
     pub tenants: NameTable,
-    /// The cost of a full gossip message for each receiver and request; `None`: gossip is not allowed.
+    /// The cost of a full gossip message for each receiver, as a share of a request's value; `None`: gossip is not allowed.
     pub gossip_cost: Option<f64>,
     zones: NameTable,
     machine_types: NameTable,
@@ -58,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// A word is unknown: a class's `repeat` or `group`, `reporting.via`, or a role.
+    /// A keyword is unknown: a class's `repeat` or `group`, `reporting.via`, or a role.
     pub fn new(object: &SettingsObject) -> Result<Self, ConfigError> {
         let family = object.family_info.clone().unwrap_or_default();
         let limits = object.limits.clone().unwrap_or_default();
@@ -97,13 +98,13 @@
         })
     }
 
-    /// What applies when this deployment replaces the running one. A class whose settings are unchanged keeps its id; any
-    /// other one gets an id that no class and no open request uses. Zones, machine types, roles and KV capacities stay the
-    /// running ones until a restart.
+    /// Returns this deployment adapted to replace the running one. A class whose settings are unchanged keeps its id; any
+    /// other class gets an id that no class and no open request uses. Zones, machine types, roles and KV cache capacities
+    /// remain those of `running` until a restart.
     ///
     /// # Errors
     ///
-    /// No class id is free.
+    /// All class ids are in use.
     pub fn replacing(
         mut self,
         running: &Deployment,
@@ -152,8 +153,8 @@
         Ok(self)
     }
 
-    /// The record of an endpoint, by its id and the name of its machine type; without one it is of the first type. The
-    /// caller assigns endpoint numbers.
+    /// Returns the record of an endpoint with this id and machine type; without a name it has the first type. The caller
+    /// assigns the number `endpoint`, and sets zone, cell, status and start time.
     ///
     /// # Errors
     ///
@@ -189,7 +190,7 @@
         })
     }
 
-    /// The id of a zone; a new zone gets the next one, and no zone has `u32::MAX`.
+    /// Returns the id of a zone. A new name gets the next id; `None` gives `u32::MAX`.
     pub fn zone_id(&mut self, name: Option<&str>) -> u32 {
         match name {
             Some(name) => self.zones.intern(name),
@@ -198,12 +199,12 @@
     }
 }
 
-/// Microseconds of a time in milliseconds, rounded; a negative time is 0.
+/// Converts milliseconds to microseconds, rounded; a negative time becomes 0.
 pub fn millis_to_micros(milliseconds: f64) -> Time {
     (milliseconds * 1000.0).round().max(0.0) as Time
 }
 
-fn micros_or_zero(milliseconds: Option<f64>) -> Time {
+fn millis_to_micros_or_zero(milliseconds: Option<f64>) -> Time {
     millis_to_micros(milliseconds.unwrap_or(0.0))
 }
 
@@ -217,8 +218,8 @@
     }
 }
 
-/// The settings that are numbers or flags, which can't be wrong once the file is validated. What needs the names of the
-/// deployment is left at its default.
+/// Resolves the settings that are numbers or flags, which can't fail after validation. The fields that the caller must
+/// fill in are left empty: zone, classes, tenants, load reporting and the cross-zone cost.
 fn routing_settings(
     object: &SettingsObject,
     family: &FamilySettings,
@@ -226,7 +227,7 @@
     rules: &RuleSettings,
 ) -> RoutingSettings {
     let max_retry_after = if limits.retry_after == Some(true) {
-        micros_or_zero(limits.max_retry_after)
+        millis_to_micros_or_zero(limits.max_retry_after)
     } else {
         0
     };
@@ -243,14 +244,14 @@
         hedging_allowed: limits.second_copies.unwrap_or(false),
         max_retry_after,
         max_attempts: limits.most_tries.unwrap_or(0),
-        tick: micros_or_zero(object.tick),
-        response_slack: micros_or_zero(rules.answer_slack),
-        drain_grace: micros_or_zero(rules.drain_grace),
-        reservation_ttl: micros_or_zero(family.release_within),
+        tick: millis_to_micros_or_zero(object.tick),
+        response_slack: millis_to_micros_or_zero(rules.answer_slack),
+        drain_grace: millis_to_micros_or_zero(rules.drain_grace),
+        reservation_ttl: millis_to_micros_or_zero(family.release_within),
         slow_start_initial_share: rules.cold_from.unwrap_or(0.0),
-        slow_start_duration: micros_or_zero(rules.warm_within),
+        slow_start_duration: millis_to_micros_or_zero(rules.warm_within),
         overload_threshold: rules.tip_multiple.unwrap_or(0.0),
-        overload_window: micros_or_zero(rules.fall),
+        overload_window: millis_to_micros_or_zero(rules.fall),
         cross_zone_cost: 0.0,
         kv_transfer_cost: family.move_fee.unwrap_or(0.0),
     }
@@ -278,10 +279,10 @@
     for (index, class) in classes.iter().enumerate() {
         let objective_per_1000_tokens_us = value_at(&family.aim_us_per_1000_prompt_tokens, index);
         resolved.push(RequestClass {
-            ttft_objective: micros_or_zero(class.aim),
+            ttft_objective: millis_to_micros_or_zero(class.aim),
             ttft_objective_per_1000_tokens: objective_per_1000_tokens_us
                 .map_or(0, |us| us.max(0.0) as Time),
-            inter_token_objective: micros_or_zero(value_at(&family.token_aim, index)),
+            inter_token_objective: millis_to_micros_or_zero(value_at(&family.token_aim, index)),
             priority_weight: class.worth.unwrap_or(0.0),
             idempotency: idempotency(index, class)?,
             is_active: true,
@@ -296,11 +297,11 @@
         None | Some("single_shot") => Ok(Idempotency::NonIdempotent),
         Some("guarded") => Ok(Idempotency::IdempotencyKey {
             scope: deduplication_scope(index, class)?,
-            window: micros_or_zero(class.key_ttl),
+            window: millis_to_micros_or_zero(class.key_ttl),
         }),
-        Some(word) => Err(ConfigError::UnknownIdempotency {
+        Some(value) => Err(ConfigError::UnknownIdempotency {
             setting: format!("settings.classes[{index}].repeat"),
-            word: word.to_owned(),
+            value: value.to_owned(),
         }),
     }
 }
@@ -313,9 +314,9 @@
         Some("all") => Ok(DeduplicationScope::AllEndpoints),
         Some("zone") => Ok(DeduplicationScope::Zone),
         None | Some("cell") => Ok(DeduplicationScope::Cell),
-        Some(word) => Err(ConfigError::UnknownDeduplicationScope {
+        Some(value) => Err(ConfigError::UnknownDeduplicationScope {
             setting: format!("settings.classes[{index}].group"),
-            word: word.to_owned(),
+            value: value.to_owned(),
         }),
     }
 }
@@ -326,28 +327,28 @@
         Some("answers") => Ok(LoadReporting::WithResponses),
         Some("probe") => Ok(LoadReporting::WithProbes),
         None | Some("none") => Ok(LoadReporting::Never),
-        Some(word) => Err(ConfigError::UnknownLoadReporting {
-            word: word.to_owned(),
+        Some(value) => Err(ConfigError::UnknownLoadReporting {
+            value: value.to_owned(),
         }),
     }
 }
 
 fn roles(family: &FamilySettings) -> Result<Vec<Role>, ConfigError> {
-    let words = family.role_by_kind.iter().flatten();
-    words
+    let names = family.role_by_kind.iter().flatten();
+    names
         .enumerate()
-        .map(|(index, word)| role(index, word))
+        .map(|(index, name)| role(index, name))
         .collect()
 }
 
-fn role(machine_type: usize, word: &str) -> Result<Role, ConfigError> {
-    match word {
+fn role(machine_type: usize, name: &str) -> Result<Role, ConfigError> {
+    match name {
         "read" => Ok(Role::Prefill),
         "write" => Ok(Role::Decode),
         "both" => Ok(Role::Mixed),
         _ => Err(ConfigError::UnknownRole {
             setting: format!("settings.family_info.role_by_kind[{machine_type}]"),
-            word: word.to_owned(),
+            value: name.to_owned(),
         }),
     }
 }
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -1,14 +1,14 @@
-//! Endpoint lists as discovery writes them, and as the configuration repeats the last one.
+//! Endpoint lists in the JSON format of discovery, which the configuration's `known` has as well.
 
 use super::validation;
 use miniserde::json::Value;
 use miniserde::Deserialize;
 
-/// One line of an endpoint list. Each field is read by itself: one that can't be read is absent and doesn't invalidate
-/// the others.
+/// One entry of an endpoint list. An entry must be usable although one of its fields is invalid, so each field is read
+/// separately: an absent or invalid field is `None`.
 #[derive(Clone, Debug, Default)]
-pub struct EndpointLine {
-    /// The endpoint's id, the same at every dispatcher.
+pub struct EndpointEntry {
+    /// The endpoint's id, which is the same at all dispatchers.
     pub id: Option<String>,
     /// The address on which it listens.
     pub host_port: Option<String>,
@@ -16,28 +16,28 @@
     pub locality: Option<String>,
     /// The name of its machine type.
     pub flavor: Option<String>,
-    /// Its cell.
+    /// The id of its cell.
     pub cell: Option<u32>,
-    /// Its lifecycle phase: whether it accepts requests.
+    /// Its lifecycle phase: `Ready`, `Terminating` or `Gone`.
     pub phase: Option<String>,
-    /// Its last start, in Unix milliseconds; 0 means long ago.
+    /// The time of its last start, in Unix milliseconds; 0: unknown, long ago.
     pub up_since_ms: Option<f64>,
 }
 
-impl From<&Value> for EndpointLine {
-    fn from(line: &Value) -> Self {
-        let Value::Object(line) = line else {
-            return EndpointLine::default();
+impl From<&Value> for EndpointEntry {
+    fn from(entry: &Value) -> Self {
+        let Value::Object(entry) = entry else {
+            return EndpointEntry::default();
         };
-        let text = |field: &str| match line.get(field) {
+        let text = |field: &str| match entry.get(field) {
             Some(Value::String(text)) => Some(text.clone()),
             _ => None,
         };
-        let number = |field: &str| match line.get(field) {
+        let number = |field: &str| match entry.get(field) {
             Some(Value::Number(number)) => Some(validation::number_value(number)),
             _ => None,
         };
-        EndpointLine {
+        EndpointEntry {
             id: text("id"),
             host_port: text("host_port"),
             locality: text("locality"),
@@ -54,10 +54,10 @@
 /// An endpoint list, full or incremental.
 #[derive(Deserialize, Clone)]
 pub struct EndpointList {
-    /// The list's version.
+    /// The list's version number at this discovery service.
     pub revision: u64,
-    /// Whether the list is full, so that endpoints missing from it are removed.
+    /// Whether the list is full: endpoints that are missing from a full list are removed.
     pub complete: bool,
-    /// The list's lines, unread: see [`EndpointLine`].
+    /// The list's entries, unparsed: see [`EndpointEntry`].
     pub members: Vec<Value>,
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,10 +1,10 @@
-//! Why a configuration can't be used. The text of an error is one line, which operators' tools match.
+//! Why a configuration can't be used. Each error's text is one line, and operators' tools match it: don't reword it.
 
 use std::net::AddrParseError;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A configuration, a session file or an endpoint line that can't be used.
+/// A configuration, a session file or an endpoint entry is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A file can't be read.
@@ -12,7 +12,7 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The configuration file isn't JSON, or lacks a required field, or a field has another type.
@@ -27,51 +27,51 @@
     /// `settings.limits.most_tries` is absent.
     #[error("the settings lack limits.most_tries")]
     MissingMaxAttempts,
-    /// Two of `settings.classes` have one name.
+    /// Two of `settings.classes` have the same name.
     #[error("the settings name a class twice")]
     DuplicateClass,
     /// `discovery` isn't an IP address with a port.
     #[error("discovery is no address: {address:?}")]
     InvalidDiscoveryAddress {
-        /// What stands there.
+        /// The invalid value.
         address: String,
-        /// Why it isn't an address.
+        /// The parse error.
         source: AddrParseError,
     },
     /// A machine type's role is unknown.
-    #[error("unknown role {word:?}")]
+    #[error("unknown role {value:?}")]
     UnknownRole {
         /// The path of the setting.
         setting: String,
-        /// What stands there.
-        word: String,
+        /// The invalid value.
+        value: String,
     },
     /// A class's deduplication scope is unknown.
-    #[error("unknown group {word:?}")]
+    #[error("unknown group {value:?}")]
     UnknownDeduplicationScope {
         /// The path of the setting.
         setting: String,
-        /// What stands there.
-        word: String,
+        /// The invalid value.
+        value: String,
     },
     /// A class's idempotency is unknown.
-    #[error("unknown kind of repeat {word:?}")]
+    #[error("unknown kind of repeat {value:?}")]
     UnknownIdempotency {
         /// The path of the setting.
         setting: String,
-        /// What stands there.
-        word: String,
+        /// The invalid value.
+        value: String,
     },
     /// `settings.reporting.via` is unknown.
-    #[error("unknown way of reporting {word:?}")]
+    #[error("unknown way of reporting {value:?}")]
     UnknownLoadReporting {
-        /// What stands there.
-        word: String,
+        /// The invalid value.
+        value: String,
     },
     /// An endpoint's machine type isn't one of `settings.machine_types`.
     #[error("unknown kind {:?}", Some(machine_type))]
     UnknownMachineType {
-        /// What the endpoint's line says.
+        /// The machine type in the endpoint's entry.
         machine_type: String,
     },
     /// `settings.family_info.role_by_kind` has no role for an endpoint's machine type.
@@ -80,7 +80,7 @@
         /// The index of the machine type.
         machine_type: usize,
     },
-    /// Classes were replaced so often, while requests of the old ones are open, that no class id is free.
+    /// All class ids are in use: reloads replaced classes faster than the requests of the old classes ended.
     #[error("too many classes have come and gone while requests of theirs are open")]
     TooManyClasses,
     /// A number is negative or not finite.
@@ -95,7 +95,7 @@
         /// The path of the setting.
         path: String,
     },
-    /// A count has a fraction.
+    /// A count has a fractional part.
     #[error("{path} is no whole number")]
     NotWhole {
         /// The path of the setting.
@@ -112,7 +112,7 @@
     WrongType {
         /// The path of the setting.
         path: String,
-        /// The type in the running configuration, with its article.
+        /// The type in the running configuration, with an indefinite article.
         expected: &'static str,
     },
     /// The session file isn't JSON, or a field has another type.
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a dispatcher, and what the command line names beside it.
+//! The configuration file of a dispatcher, and the loading of all files that the command line names.
 
 use super::validation;
 use super::{ConfigError, Deployment, EndpointList, MachineLimits, SessionConfig, SettingsObject};
@@ -8,46 +8,46 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Where the paths in errors begin.
-const ROOT: &str = "the configuration";
+/// The prefix of setting paths in errors.
+const ROOT_PATH: &str = "the configuration";
 
 /// The configuration file; the field names are the setting names.
 #[derive(Deserialize, Clone)]
 pub struct Config {
     /// The dispatcher's name.
     pub name: String,
-    /// The address on which clients connect.
+    /// The address on which HTTP clients connect.
     pub listen: String,
     /// The address of the discovery agent.
     pub discovery: String,
-    /// The address on which operators call; absent: nowhere.
+    /// The address of the management interface for operators; `None`: off.
     pub management: Option<String>,
-    /// The seed of random numbers, in hexadecimal digits.
+    /// The seed of the random number generators, in hexadecimal digits.
     pub seed: String,
-    /// What the dispatcher may use.
+    /// The memory and file descriptors that the dispatcher may use.
     pub limits: MachineLimits,
-    /// The address on which gossip from other dispatchers arrives.
+    /// The address on which gossip from other dispatchers arrives; `None`: gossip is off.
     pub peer_listen: Option<String>,
-    /// The gossip addresses of all dispatchers, by their indexes.
+    /// The gossip addresses of all dispatchers, indexed like `settings.me`.
     pub peers: Option<Vec<String>>,
-    /// The address that reaches all dispatchers at once.
+    /// The broadcast address for gossip to all dispatchers.
     pub peers_all: Option<String>,
-    /// The last known endpoint list.
+    /// The last known endpoint list, with which the dispatcher starts before discovery answers.
     pub known: Option<EndpointList>,
-    /// The settings object.
+    /// The settings object, not yet resolved: see [`Deployment`].
     pub settings: SettingsObject,
 }
 
 impl Config {
-    /// Reads a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
     ///
-    /// The text isn't the expected JSON object, or a setting has an impossible value; the error names the first one.
+    /// The text isn't the expected JSON object, or a setting has an invalid value. The error names the first such setting.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let config: Config = json::from_str(text).map_err(|_| ConfigError::NotJsonObject)?;
         let value: Value = json::from_str(text).map_err(|_| ConfigError::NotJsonObject)?;
-        validation::check_values(ROOT, &value)?;
+        validation::check_values(ROOT_PATH, &value)?;
         config.check_settings()?;
         if let Err(source) = config.discovery.parse::<SocketAddr>() {
             return Err(ConfigError::InvalidDiscoveryAddress {
@@ -74,38 +74,39 @@
         Ok(())
     }
 
-    /// Reads a configuration that is to replace the running one, as a whole or not at all.
+    /// Parses a configuration that is to replace the running one, whose text is `running`.
     ///
     /// # Errors
     ///
-    /// Those of [`Config::parse`], and a setting that the running configuration has and the new one lacks.
+    /// Those of [`Config::parse`], and those of [`validation::check_complete`]: the new configuration lacks a setting of
+    /// the running one, or has a value of another type.
     pub fn parse_next(running: &str, text: &str) -> Result<Config, ConfigError> {
         let config = Config::parse(text)?;
         let running: Value = json::from_str(running).map_err(|_| ConfigError::NotJson)?;
         let new: Value = json::from_str(text).map_err(|_| ConfigError::NotJson)?;
-        validation::check_complete(ROOT, &running, &new)?;
+        validation::check_complete(ROOT_PATH, &running, &new)?;
         Ok(config)
     }
 }
 
-/// The files that the command line names, read and validated.
+/// The configuration file and the session file, parsed and validated.
 pub struct LoadedConfig {
-    /// The text of the configuration file.
+    /// The text of the configuration file, with which a reload compares its new text.
     pub text: String,
-    /// The configuration file.
+    /// The parsed configuration file.
     pub config: Config,
-    /// Its settings, resolved.
+    /// The settings of `config`, resolved.
     pub deployment: Deployment,
-    /// The session file; sessions are off without one.
+    /// The session file's settings, or their defaults without a session file: sessions are off.
     pub sessions: SessionConfig,
 }
 
 impl LoadedConfig {
-    /// Reads the configuration file and, where it is named, the session file.
+    /// Reads the configuration file and, if a path is given, the session file.
     ///
     /// # Errors
     ///
-    /// A file can't be read, or what it says is invalid.
+    /// A file can't be read, or its content is invalid.
     pub fn read(config: &Path, sessions: Option<&Path>) -> Result<LoadedConfig, ConfigError> {
         let text = read_file(config)?;
         let config = Config::parse(&text)?;
--- a/src/config/machine_limits.rs
+++ b/src/config/machine_limits.rs
@@ -2,25 +2,25 @@
 
 use miniserde::Deserialize;
 
-/// File descriptors that belong to neither clients nor endpoints: listeners, discovery, the log, the runtime's own.
+/// File descriptors reserved for listeners, discovery, the log and the runtime.
 const RESERVED_SOCKETS: u64 = 32;
-/// The fewest file descriptors that are divided, whatever the configuration says.
+/// The minimum number of file descriptors that are divided between clients and endpoints.
 const MIN_SOCKETS: u64 = 16;
-/// File descriptors where the configuration names no number.
+/// The number of file descriptors if the configuration has none.
 const DEFAULT_SOCKETS: u64 = 1024;
-/// Memory where the configuration names none, in MB.
+/// Memory if the configuration has no value, in MB.
 const DEFAULT_MEMORY_MB: u64 = 192;
 
-/// What the dispatcher may use.
+/// The memory and file descriptors that the dispatcher may use.
 #[derive(Deserialize, Clone)]
 pub struct MachineLimits {
-    /// Memory, in MB.
+    /// Memory, in MB; `None`: the default.
     pub memory_mb: Option<u64>,
-    /// File descriptors.
+    /// The number of file descriptors; `None`: the default.
     pub sockets: Option<u64>,
 }
 
-/// File descriptors by the side that uses them.
+/// How the file descriptors are divided between clients and endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketBudgets {
     /// For connections from clients.
@@ -30,8 +30,8 @@
 }
 
 impl MachineLimits {
-    /// Divides the file descriptors. Clients get five eighths: an open request needs one on either side, and some client
-    /// connections are idle or silent until they may be closed.
+    /// Divides the file descriptors. Clients get five eighths: an open request needs one on each side, and some client
+    /// connections stay idle until their timeout.
     pub fn socket_budgets(&self) -> SocketBudgets {
         let sockets = self
             .sockets
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Memory, in bytes.
+    /// Returns the memory limit in bytes.
     pub fn memory_bytes(&self) -> usize {
         (self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) as usize).saturating_mul(1 << 20)
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,6 +1,7 @@
-//! The configuration: its file, the settings in it, their validation, and the reload at SIGHUP.
+//! The configuration: its file, the settings in it, their validation, and the reload on SIGHUP.
 //!
-//! Everything here is plain data that the caller owns; only [`reload`] runs as a task.
+//! [`LoadedConfig`] holds the files named on the command line. [`Deployment`] is the settings object resolved for the
+//! router and the dispatcher. Everything here is plain data that the caller owns; only [`reload`] runs as a task.
 
 mod deployment;
 mod endpoint_list;
@@ -14,7 +15,7 @@
 pub mod validation;
 
 pub use deployment::{millis_to_micros, Deployment, DispatcherLimits};
-pub use endpoint_list::{EndpointLine, EndpointList};
+pub use endpoint_list::{EndpointEntry, EndpointList};
 pub use error::ConfigError;
 pub use file::{Config, LoadedConfig};
 pub use machine_limits::{MachineLimits, SocketBudgets};
--- a/src/config/name_table.rs
+++ b/src/config/name_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-/// Names of one kind and their ids, which count from 0 in the order in which the names were first seen.
+/// A bidirectional map of names and ids. [`NameTable::intern`] assigns ids from 0 in the order of first use.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     ids: HashMap<String, u32>,
@@ -10,7 +10,7 @@
 }
 
 impl NameTable {
-    /// A table of these names, with ids in their order.
+    /// Creates a table that assigns ids in the order of `names`.
     pub(super) fn from_names<'a>(names: impl Iterator<Item = &'a String>) -> Self {
         let mut table = NameTable::default();
         for name in names {
@@ -19,7 +19,7 @@
         table
     }
 
-    /// A table of names whose ids are given; ids between them stay without a name.
+    /// Creates a table of names with given ids. Ids that are not given have no name.
     pub(super) fn from_ids<'a>(names_and_ids: impl Iterator<Item = (&'a String, u32)>) -> Self {
         let mut table = NameTable::default();
         for (name, id) in names_and_ids {
@@ -32,7 +32,7 @@
         table
     }
 
-    /// The id of a name; a new name gets the next id.
+    /// Returns the id of a name; a new name gets the next id.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -43,30 +43,30 @@
         id
     }
 
-    /// The id of a name, if the table has it.
+    /// Returns the id of a name, or `None` if the table doesn't have it.
     pub fn lookup(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
 
-    /// All names with their ids, in the order of the ids.
+    /// Iterates over the names with their ids, in the order of the ids.
     pub fn iter(&self) -> impl Iterator<Item = (&String, u32)> {
         self.names
             .iter()
             .filter_map(|name| Some((name, self.lookup(name)?)))
     }
 
-    /// The names in the order of their ids, with an empty one for an id that has none.
+    /// Returns the names in the order of their ids; ids without a name have an empty string.
     pub(super) fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// The name with this id; empty if there is none.
+    /// Returns the name with this id, or an empty string.
     pub fn name(&self, id: u32) -> &str {
         self.names.get(id as usize).map_or("", String::as_str)
     }
 }
 
-/// The FNV-1a hash of a name: the same in every dispatcher and in every version.
+/// Returns the FNV-1a hash of a name. Dispatchers exchange these hashes, so the result must not change between versions.
 pub fn fnv1a_hash(name: &str) -> u64 {
     let add_byte = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     name.bytes().fold(0xcbf2_9ce4_8422_2325, add_byte)
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,8 +1,8 @@
-//! The reload task: reads the configuration file again at each SIGHUP while the dispatcher serves.
+//! The reload task: reads the configuration file again on each SIGHUP while the dispatcher serves.
 //!
-//! A file is applied as a whole or not at all: it must have all settings that the running one has. Its `settings` go to
-//! the core and a changed `discovery` is followed. Listeners, limits, the zone and the machine types stay as they are
-//! until a restart. The task owns the text of the running configuration.
+//! A file is applied as a whole or not at all: it must have all settings that the running configuration has. The core gets
+//! its `settings`, and the discovery task switches to a changed `discovery` address. Listeners, `limits`, the zone and the
+//! machine types don't change until a restart. The task owns the text of the running configuration.
 
 use super::{Config, ConfigError, Deployment};
 use crate::dispatcher::DispatcherHandle;
@@ -14,32 +14,32 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The delay before the first retry. A file that can't be used is retried because it may be half-written.
+/// The delay before the first retry. A rejected file is read again because it may be half-written.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The longest delay between retries: each is twice the one before.
+/// The longest delay between retries; the delay doubles with each retry.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often a file is read after one SIGHUP; then nothing happens until the next one.
+/// How often the file is read after one SIGHUP before the task gives up until the next one.
 const MAX_READS: usize = 10;
 
-/// Why a reload has changed nothing.
+/// Why a reload was not applied.
 #[derive(Debug, Error)]
 enum ReloadError {
     #[error(transparent)]
     ReadFile(std::io::Error),
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The core rejects the settings.
+    /// The core has rejected the settings.
     #[error("{0}")]
     Rejected(String),
     #[error("the dispatcher ends")]
     ShuttingDown,
 }
 
-/// Retries after one SIGHUP.
+/// The retry state after one SIGHUP.
 struct Retries {
     delay: Duration,
     reads_left: usize,
-    /// The last error that was logged: the same one is not logged again.
+    /// The text of the last logged error; a retry with the same error isn't logged.
     logged_error: String,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Reads the file and applies it; returns its text, which is the running configuration from then on.
+/// Reads the file and applies it. Returns its text, which is now the text of the running configuration.
 async fn apply_file(
     file: &Path,
     running: &str,
@@ -80,8 +80,10 @@
     Ok(text)
 }
 
-/// Reloads the file after each SIGHUP. A file that can't be used is logged in one line and changes nothing; it is read
-/// again with growing delays, and at once when the next SIGHUP arrives.
+/// Reloads the file after each SIGHUP, until the signal stream ends. An invalid file is logged in one line and changes
+/// nothing. It is read again with growing delays, or at once when the next SIGHUP arrives.
+///
+/// `running` is the text of the running configuration; a new discovery address is sent on `discovery`.
 pub async fn run(
     file: PathBuf,
     mut running: String,
--- a/src/config/session_file.rs
+++ b/src/config/session_file.rs
@@ -3,10 +3,10 @@
 use super::ConfigError;
 use miniserde::{json, Deserialize};
 
-/// The largest value of a count or size in the session file.
+/// The largest valid count or size in the session file.
 const MAX_BOUND: usize = 1 << 24;
 
-/// The session file as it stands: `deploy/websocket.json`.
+/// The session file as deserialized; `deploy/websocket.json` has all its settings with their defaults.
 #[derive(Deserialize)]
 struct SessionFile {
     listen: Option<String>,
@@ -32,37 +32,37 @@
     pub agent_check: Option<String>,
     /// Addresses of endpoints that speak WebSocket.
     pub websocket_endpoints: Vec<String>,
-    /// Sessions open at once.
+    /// The maximum number of open sessions.
     pub max_sessions: usize,
-    /// Requests of one session open at once.
+    /// The maximum number of open requests of one session.
     pub max_requests: usize,
-    /// Size of a message, in bytes.
+    /// The maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// Time between two pings.
+    /// The time between two pings.
     pub ping_interval_ms: u64,
     /// A session from which nothing arrives for this long is closed.
     pub session_timeout_ms: u64,
-    /// How long a request outlives its socket.
+    /// How long a request continues after its session's connection is lost, so that the client can reattach to it.
     pub reattach_window_ms: u64,
-    /// Completed requests whose responses are cached.
+    /// The maximum number of completed requests whose responses are cached.
     pub max_cached_responses: usize,
-    /// A longer response isn't cached, in bytes.
+    /// The maximum size of a cached response, in bytes; longer responses aren't cached.
     pub max_cached_response_bytes: usize,
-    /// Size of all cached responses, in bytes.
+    /// The maximum total size of cached responses, in bytes.
     pub max_cache_bytes: usize,
 }
 
-/// Session limits that fit the machine, and what is reserved beside them.
+/// Session limits that fit the machine, and the file descriptors reserved for handshakes.
 #[derive(Clone, Debug)]
 pub struct SessionBudget {
-    /// The configuration with its limits reduced where the machine has less.
+    /// The configuration, with limits reduced to what the machine allows.
     pub config: SessionConfig,
-    /// File descriptors for connections that are still in their handshake.
+    /// File descriptors for connections whose WebSocket handshake isn't complete.
     pub handshake_sockets: usize,
 }
 
 impl SessionConfig {
-    /// Reads the session file.
+    /// Parses and validates the session file.
     ///
     /// # Errors
     ///
@@ -105,8 +105,8 @@
         Ok(())
     }
 
-    /// Reduces the limits to what a machine has: three eighths of the clients' file descriptors, a quarter of the memory
-    /// for messages in transit, an eighth of it for cached responses.
+    /// Reduces the limits to the machine's resources. Sessions get up to three eighths of the clients' file descriptors and
+    /// a quarter of the memory for messages in transit; cached responses get up to an eighth of the memory.
     pub fn fit_to_machine(self, client_sockets: usize, memory_bytes: usize) -> SessionBudget {
         let max_sessions = self
             .max_sessions
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,15 +1,15 @@
-//! Validation of a new configuration as JSON: impossible numbers, and settings that the running one has and it lacks.
-//! Pure.
+//! Validation of a configuration as JSON. [`check_values`] finds numbers out of range; [`check_complete`] finds settings of
+//! the running configuration that a new one lacks. Pure.
 
 use super::ConfigError;
 use miniserde::json::{Number, Value};
 
-/// Keys that may be absent though the running configuration has them: the endpoint list only matters at the start, and
-/// not every class has to stretch its objective.
+/// Keys that a new configuration may lack although the running one has them. The endpoint list is only used at startup,
+/// and `aim_stretch` is optional in a class.
 const OPTIONAL_KEYS: [&str; 2] = ["known", "aim_stretch"];
-/// Numbers that must be positive wherever they stand: with 0 nothing could be served.
+/// Keys whose numbers must be positive in any object: with 0, no request could be served.
 const POSITIVE_KEYS: [&str; 4] = ["aim", "deadline", "most_tries", "tick"];
-/// Numbers that are counts.
+/// Keys whose numbers must be integers.
 const COUNT_KEYS: [&str; 2] = ["most_tries", "balancers"];
 
 fn type_name(value: &Value) -> &'static str {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The value of a JSON number.
+/// Converts a JSON number of any representation.
 pub fn number_value(number: &Number) -> f64 {
     match number {
         Number::U64(number) => *number as f64,
@@ -47,11 +47,11 @@
     Ok(())
 }
 
-/// Checks every number in a value that stands at this path.
+/// Checks every number in `value`. `path` is its path in the configuration, for errors.
 ///
 /// # Errors
 ///
-/// A number is impossible; the error names the first one.
+/// A number is out of range; the error names the first one.
 pub fn check_values(path: &str, value: &Value) -> Result<(), ConfigError> {
     match value {
         Value::Number(number) => check_number(path, number_value(number))?,
@@ -70,8 +70,8 @@
     Ok(())
 }
 
-/// Checks that the new value has all that the running one has, of the same types. Lists may have other lengths, but each
-/// element of the new one must have what all elements of the running one have.
+/// Checks that the new value has all settings of the running one, with the same types. Lists may differ in length, but
+/// each element of a new list must have the settings that all elements of the running list have in common.
 ///
 /// # Errors
 ///
@@ -92,7 +92,7 @@
             Ok(())
         }
         (Value::Array(running), Value::Array(new)) => {
-            let Some(common) = running.iter().cloned().reduce(intersection) else {
+            let Some(common) = running.iter().cloned().reduce(common_settings) else {
                 return Ok(());
             };
             for (index, new) in new.iter().enumerate() {
@@ -100,7 +100,7 @@
             }
             Ok(())
         }
-        // The running configuration has no value there, so any type may follow.
+        // The running value is null, so the new one may have any type.
         (Value::Null, _) => Ok(()),
         (running, new) if type_name(running) == type_name(new) => Ok(()),
         (running, _) => Err(ConfigError::WrongType {
@@ -110,13 +110,13 @@
     }
 }
 
-/// What two values have in common: the keys of both.
-fn intersection(first: Value, second: Value) -> Value {
+/// Returns the settings that two values have in common; null where their types differ.
+fn common_settings(first: Value, second: Value) -> Value {
     match (first, second) {
         (Value::Object(first), Value::Object(second)) => {
             let common = first.into_iter().filter_map(|(key, value)| {
                 let other = second.get(&key)?.clone();
-                Some((key, intersection(value, other)))
+                Some((key, common_settings(value, other)))
             });
             Value::Object(common.collect())
         }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,8 +1,8 @@
-//! The watch on discovery: requests over HTTP, and the lists they bring as events for the dispatcher.
+//! The discovery client: long-polls the endpoint list over HTTP and sends each list to the dispatcher as an event.
 //!
-//! Discovery may be silent, reject requests or send invalid lists. Each is logged and the request repeated; the list that
-//! the dispatcher has stays valid meanwhile. [`ListWatcher`] owns the deployment by which records are read and the
-//! backoff; a [`WatchState`] lives as long as the watch on one address.
+//! Discovery may not respond, reject requests or send invalid lists. Each failure is logged and the request is retried;
+//! the dispatcher keeps its current list meanwhile. [`ListWatcher`] owns the backoff and the deployment with which list
+//! entries are parsed. A [`WatchState`] exists for as long as one address is watched.
 
 use crate::config::{Deployment, EndpointList};
 use crate::discovery::backoff::Backoff;
@@ -21,10 +21,10 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The delay after a response without a newer revision that came sooner than this, so that a discovery which ignores the
-/// hold time is not polled in a busy loop.
+/// The delay after a response that has no new revision and arrived within this time. Without it, a discovery service that
+/// ignores the hold time would be polled in a busy loop.
 const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest list that is read.
+/// The maximum size of a response body.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -39,22 +39,22 @@
         .build(connector)
 }
 
-/// Why a request brought no list.
+/// Why a request for the list failed.
 #[derive(Debug, Error)]
 enum PollError {
-    /// Discovery answered with another status than 200.
+    /// The response's status is not 200.
     #[error("status {0}")]
     Rejected(StatusCode),
-    /// Discovery answered with an invalid list.
+    /// The response's body is not a valid list.
     #[error(transparent)]
     InvalidList(#[from] ListError),
-    /// The address makes no URI.
+    /// The address can't be used in a URI.
     #[error(transparent)]
     InvalidAddress(#[from] hyper::http::Error),
-    /// No connection, or none that brought a response.
+    /// The connection failed, or ended before the head of a response.
     #[error(transparent)]
     Unreachable(#[from] hyper_util::client::legacy::Error),
-    /// The body broke off, or is longer than [`MAX_LIST_BYTES`].
+    /// The body is truncated, or longer than [`MAX_LIST_BYTES`].
     #[error(transparent)]
     IncompleteBody(Box<dyn std::error::Error + Send + Sync>),
     /// The request has timed out.
@@ -63,7 +63,7 @@
 }
 
 impl PollError {
-    /// Whether discovery has answered, and so spent work on the request.
+    /// Returns whether discovery has responded, and so has spent work on the request.
     fn is_answered(&self) -> bool {
         matches!(self, PollError::Rejected(_) | PollError::InvalidList(_))
     }
@@ -88,8 +88,8 @@
     Ok(parse_list(&body)?)
 }
 
-/// Watches discovery for as long as the dispatcher runs, at the address that `address` holds at any time.
-/// `seed` is this dispatcher's own; `known_revision` is the revision of the list that the dispatcher has, if it has one.
+/// Watches the endpoint list at the current value of `address` for as long as the dispatcher runs. `seed` must differ
+/// between dispatchers. `known_revision` is the revision of the dispatcher's current list; `None`: it has none.
 pub async fn run(
     mut address: Receiver<String>,
     deployment: Deployment,
@@ -105,24 +105,24 @@
         dispatcher,
         log,
     };
-    // Polling costs discovery work, and dispatchers that were restarted together start together.
+    // Each poll costs a remote discovery service work, and the dispatchers of a fleet may be restarted together.
     if watcher.deployment.settings.must_poll_endpoints && known_revision.is_some() {
         sleep(watcher.backoff.initial_delay()).await;
     }
     loop {
         let current = address.borrow_and_update().clone();
         tokio::select! {
-            // Once the sender is dropped this branch is disabled: the address is the last one.
+            // Once the sender is dropped, this branch is disabled and the address no longer changes.
             Ok(()) = address.changed() => info!(watcher.log, "discovery address changed"),
             () = watcher.watch(&current, known_revision) => return,
         }
-        // Revisions of another discovery are not comparable.
+        // Revisions of different discovery services are not comparable.
         known_revision = None;
         watcher.backoff.reset();
     }
 }
 
-/// What stays the same, or goes on, when discovery's address changes.
+/// The state of the client that outlasts a change of discovery's address.
 struct ListWatcher {
     deployment: Deployment,
     backoff: Backoff,
@@ -131,7 +131,7 @@
 }
 
 impl ListWatcher {
-    /// Watches one address, from the known revision on or from a full list. Its connections close when this is dropped.
+    /// Watches one address, from `known_revision` or from a full list on. Dropping the future closes its connections.
     async fn watch(&mut self, address: &str, known_revision: Option<u64>) {
         let client = http_client();
         let is_pushed = !self.deployment.settings.must_poll_endpoints;
@@ -155,7 +155,7 @@
         let is_newer = state.on_response(list.revision);
         if is_newer || has_changes {
             let event = endpoints_changed_event(&mut self.deployment, list, &self.log);
-            // Ahead of waiting requests: none of them may be sent to an endpoint that drains.
+            // Ahead of queued requests, so that none of them is sent to an endpoint that is now draining.
             self.dispatcher.send_urgent(event).await;
         }
         if !is_newer && started.elapsed() < MIN_IDLE_POLL_INTERVAL {
@@ -164,7 +164,7 @@
     }
 
     async fn on_error(&mut self, state: &mut WatchState, error: &PollError, started: Instant) {
-        let was_synced = state.is_synced();
+        let was_responsive = state.is_responsive();
         let delay = if error.is_answered() {
             let max_delay = state.max_backoff(started.elapsed());
             self.backoff.next_delay_within(max_delay)
@@ -172,7 +172,7 @@
             state.on_timeout()
         };
         let retry_in_ms = delay.as_millis() as u64;
-        if was_synced {
+        if was_responsive {
             warn!(self.log, "endpoint list request failed"; "error" => %error, "retry_in_ms" => retry_in_ms);
         } else {
             debug!(self.log, "endpoint list request failed again"; "error" => %error, "retry_in_ms" => retry_in_ms);
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,8 +1,9 @@
-//! Discovery's list of endpoints, in the dispatcher's terms. Pure; the JSON's own names stand in [`crate::config`].
+//! Parsing of discovery's endpoint list into the dispatcher's types. Pure. [`EndpointList`] and [`EndpointEntry`] define
+//! the JSON format.
 //!
-//! Discovery may send invalid lists and records: an invalid list is an error as a whole, an invalid record is skipped.
+//! Discovery may send invalid data: an invalid list is rejected as a whole, an invalid entry is skipped.
 
-use crate::config::{Deployment, EndpointLine, EndpointList};
+use crate::config::{Deployment, EndpointEntry, EndpointList};
 use crate::dispatcher::{DiscoveredEndpoint, Event};
 use crate::routing::api::{EndpointRecord, EndpointStatus};
 use miniserde::json;
@@ -10,45 +11,45 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a list could not be read.
+/// Why a list is invalid.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// The body is not text.
+    /// The body is not UTF-8.
     #[error("not UTF-8")]
     Encoding(#[from] std::str::Utf8Error),
-    /// The text is no JSON, or of another shape.
+    /// The text is not JSON, or lacks a field of [`EndpointList`].
     #[error("not a list of members")]
     Format(#[from] miniserde::Error),
 }
 
-/// Why an endpoint's record could not be read.
+/// Why a list entry is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EndpointError {
-    /// The record has no identifier, or an empty one.
+    /// The id is absent or empty.
     #[error("no id")]
     MissingId,
-    /// The record's phase is absent or unknown.
+    /// The phase is absent or unknown.
     #[error("unknown phase {0:?}")]
     UnknownPhase(Option<String>),
-    /// The record's address is absent or no socket address.
+    /// The address is absent (then empty here) or isn't a socket address.
     #[error("no address: {0:?}")]
     InvalidAddress(String),
-    /// The deployment has no such kind of endpoint; the text names the kind.
+    /// The deployment doesn't have the machine type, or has no role for it; holds the configuration error's text.
     #[error("{0}")]
-    UnknownKind(String),
+    InvalidMachineType(String),
 }
 
-/// Reads a list as discovery writes it.
+/// Parses a response body of discovery.
 ///
 /// # Errors
 ///
-/// [`ListError`] where the text is no list. Invalid records in it are found by [`endpoints_changed_event`].
+/// The body is not a list. Invalid entries are not errors here; [`endpoints_changed_event`] skips them.
 pub fn parse_list(text: &[u8]) -> Result<EndpointList, ListError> {
     let text = std::str::from_utf8(text)?;
     Ok(json::from_str(text)?)
 }
 
-/// The event by which a list reaches the dispatcher. Invalid records are logged and skipped.
+/// Converts a list to the dispatcher's event. Invalid entries are logged and skipped.
 pub fn endpoints_changed_event(
     deployment: &mut Deployment,
     list: &EndpointList,
@@ -56,11 +57,11 @@
 ) -> Event {
     let mut endpoints = Vec::new();
     for value in &list.members {
-        let line = EndpointLine::from(value);
-        match parse_endpoint(deployment, &line) {
+        let entry = EndpointEntry::from(value);
+        match parse_endpoint(deployment, &entry) {
             Ok(endpoint) => endpoints.push(endpoint),
             Err(error) => {
-                warn!(log, "invalid endpoint skipped"; "endpoint" => line.id, "error" => %error);
+                warn!(log, "invalid endpoint skipped"; "endpoint" => entry.id, "error" => %error);
             }
         }
     }
@@ -70,29 +71,31 @@
     }
 }
 
-/// Reads an endpoint's record. One that is announced as draining or removed is always read: where the rest of its record
-/// is invalid, the result is partial, and what was known of the endpoint before stays valid.
+/// Parses a list entry. A draining or removed endpoint must never be skipped, as it would keep receiving requests. So if
+/// the address or the machine type of its entry is invalid, the result is marked as partial: only its id and status are
+/// valid, and the dispatcher keeps the endpoint's earlier record.
 ///
 /// # Errors
 ///
-/// [`EndpointError`] where the identifier or the phase, or anything else of an endpoint that is ready, is invalid.
+/// The id or the phase is invalid, or the address or the machine type of an endpoint that is ready.
 pub fn parse_endpoint(
     deployment: &mut Deployment,
-    line: &EndpointLine,
+    entry: &EndpointEntry,
 ) -> Result<DiscoveredEndpoint, EndpointError> {
-    let id = match line.id.as_deref() {
+    let id = match entry.id.as_deref() {
         None | Some("") => return Err(EndpointError::MissingId),
         Some(id) => id,
     };
-    let status = parse_phase(line.phase.as_deref())?;
-    let zone = deployment.zone_id(line.locality.as_deref());
-    let (address, record, is_partial) = match parse_address_and_kind(deployment, id, line) {
+    let status = parse_phase(entry.phase.as_deref())?;
+    let zone = deployment.zone_id(entry.locality.as_deref());
+    let (address, record, is_partial) = match parse_address_and_machine_type(deployment, id, entry)
+    {
         Ok((address, record)) => (address, record, false),
         Err(_) if status != EndpointStatus::Ready => ("", EndpointRecord::default(), true),
         Err(error) => return Err(error),
     };
-    // Zero stands for a start long ago.
-    let started_at = line
+    // Zero means that the endpoint started long ago.
+    let started_at = entry
         .up_since_ms
         .filter(|started_ms| *started_ms > 0.0)
         .map(|started_ms| (started_ms * 1000.0) as u64);
@@ -101,7 +104,7 @@
         address: address.into(),
         record: EndpointRecord {
             zone,
-            cell: line.cell.unwrap_or(u32::MAX),
+            cell: entry.cell.unwrap_or(u32::MAX),
             status,
             started_at,
             ..record
@@ -119,19 +122,19 @@
     }
 }
 
-fn parse_address_and_kind<'a>(
+fn parse_address_and_machine_type<'a>(
     deployment: &mut Deployment,
     id: &str,
-    line: &'a EndpointLine,
+    entry: &'a EndpointEntry,
 ) -> Result<(&'a str, EndpointRecord), EndpointError> {
-    let address = line.host_port.as_deref().unwrap_or_default();
+    let address = entry.host_port.as_deref().unwrap_or_default();
     if address.parse::<SocketAddr>().is_err() {
         return Err(EndpointError::InvalidAddress(address.to_owned()));
     }
-    // The dispatcher sets the endpoint's number.
+    // The dispatcher replaces the endpoint's number 0.
     let record = deployment
-        .endpoint_record(0, id, line.flavor.as_deref())
-        .map_err(|error| EndpointError::UnknownKind(error.to_string()))?;
+        .endpoint_record(0, id, entry.flavor.as_deref())
+        .map_err(|error| EndpointError::InvalidMachineType(error.to_string()))?;
     Ok((address, record))
 }
 
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery: the list of endpoints and the watch on it.
+//! Discovery: the client of the service that publishes the endpoint list.
 //!
-//! [`run`] owns the watch for as long as the process serves; [`parse_list`] and [`endpoints_changed_event`] are pure and also
-//! serve the list that a configuration brings along.
+//! [`run`] watches the list for as long as the process serves. [`parse_list`] and [`endpoints_changed_event`] are pure; the
+//! latter also converts the list that the configuration file contains.
 
 pub mod backoff;
 mod client;
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -1,46 +1,47 @@
-//! The requests with which the endpoint list is watched, their timeouts, and the delays between them. Pure: the client
-//! owns the [`WatchState`] and does the I/O.
+//! The long-poll requests that watch the endpoint list: their targets, timeouts and retry delays. Pure: the client owns
+//! the [`WatchState`] and does the I/O.
 //!
-//! A watch whose connection has broken silently looks like one that has nothing to report. A change that it misses
-//! counts as delivered to this dispatcher 6 s after the connection broke, which may be the moment after the request was
-//! sent, or 2 s after the end of the request's hold time where that is later. A change also counts as delivered 6 s
-//! after discovery had it, whatever failed meanwhile. So a request times out, and a failed one is repeated, early enough
-//! for the next one to be answered by then.
+//! A request whose connection was lost silently looks like one that waits for a change. The deployment treats a missed
+//! change as delivered to this dispatcher 6 s after the connection was lost, or 2 s after the end of the request's hold
+//! time if that is later. The connection may be lost right after the request was sent. A change also counts as delivered
+//! 6 s after discovery received it, whatever failed meanwhile. So timeouts and retry delays are short enough for the next
+//! request to be answered by then.
 //!
-//! Where lists are pushed, an agent on this machine serves them: it answers at once and at no cost, and is silent while
-//! discovery is down. What it has when that ends counts as delivered in that moment, so it is polled with short timeouts.
+//! With pushed lists, an agent on this machine serves them. It responds at once and at no cost, but not while discovery is
+//! down. When discovery recovers, the agent's list counts as delivered immediately, so the agent is polled with short
+//! timeouts.
 
 use std::time::Duration;
 
-/// How long a request waits at a polled discovery for a newer revision.
+/// The hold time of a request to a remote discovery service: how long it waits there for a newer revision.
 const POLLED_HOLD: Duration = Duration::from_millis(1800);
-/// How long a request waits at the agent on this machine for a newer revision.
+/// The hold time of a request to the agent on this machine.
 const PUSHED_HOLD: Duration = Duration::from_secs(1);
-/// The time past the hold after which a request has timed out. A busy discovery queues requests, and one that timed out
-/// has cost it as much as one that was answered.
+/// The part of a request's timeout beyond its hold time. A busy discovery service queues requests, and a request that times
+/// out costs it as much work as one that is answered.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
-/// The same for the agent on this machine.
+/// The part of a request's timeout beyond its hold time, for the agent on this machine.
 const PUSHED_RESPONSE_GRACE: Duration = Duration::from_millis(100);
-/// The delay between a request that timed out and the next one. Short, as the service did not spend work on an answer.
+/// The delay after a request without a response. Short, because the service has spent no work on a response.
 const TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The delay between a failed request to the agent on this machine and the next one.
+/// The delay after a failed request to the agent on this machine.
 const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The longest delay between a request that was rejected, or answered with an invalid list, and the next one: that one
-/// may be queued, and still has to be answered before a change counts as delivered.
+/// The longest delay after a rejected request or an invalid list. The next request may be queued, and must still be answered
+/// before a change counts as delivered.
 pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(3800);
-/// A request that was rejected only after this time had been queued: discovery is overloaded, and its callers have to
-/// leave it more time than [`MAX_RETRY_DELAY`].
+/// A rejection that took at least this long was queued before. Discovery is then overloaded, and the delay may exceed
+/// [`MAX_RETRY_DELAY`] to reduce its load.
 const QUEUEING_THRESHOLD: Duration = Duration::from_secs(1);
-/// The agent on this machine may be slow rather than silent: one in this many unanswered requests in a row is given
-/// [`RESPONSE_GRACE`].
-const REQUESTS_PER_PATIENT_REQUEST: u32 = 100;
+/// After a failure, one in this many requests to the agent on this machine gets [`RESPONSE_GRACE`], because the agent may be
+/// slow rather than down.
+const REQUESTS_PER_LONG_TIMEOUT: u32 = 100;
 
 /// A request for the endpoint list.
 #[derive(Debug)]
 pub struct PollRequest {
-    /// Path and query.
+    /// The request target: path and query.
     pub target: String,
-    /// The time after which the request has timed out.
+    /// The timeout, which includes the request's hold time.
     pub timeout: Duration,
 }
 
@@ -52,8 +53,8 @@
 }
 
 impl WatchState {
-    /// A watch that continues from `revision`, or starts with a full list. `is_pushed`: an agent on this machine serves
-    /// the lists.
+    /// Creates a watch that continues from `revision`, or starts with a full list if it is `None`. `is_pushed`: an agent on
+    /// this machine serves the lists.
     pub fn starting_at(revision: Option<u64>, is_pushed: bool) -> Self {
         WatchState {
             revision,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The next request.
+    /// Returns the next request.
     pub fn next_poll(&self) -> PollRequest {
         let grace = self.response_grace();
         let Some(revision) = self.revision else {
@@ -80,8 +81,8 @@
     }
 
     fn response_grace(&self) -> Duration {
-        let is_patient = !self.is_synced() && self.is_patient_turn();
-        if self.is_pushed && !is_patient {
+        let has_long_timeout = !self.is_responsive() && self.is_long_timeout_due();
+        if self.is_pushed && !has_long_timeout {
             PUSHED_RESPONSE_GRACE
         } else {
             RESPONSE_GRACE
@@ -91,42 +92,42 @@
     fn hold(&self) -> Duration {
         if !self.is_pushed {
             POLLED_HOLD
-        } else if self.is_synced() {
+        } else if self.is_responsive() {
             PUSHED_HOLD
         } else {
-            // An agent that was silent is asked for what it has: during a hold it could fall silent again unnoticed.
+            // After a failure, the agent must respond at once: during a hold time, another failure would go unnoticed.
             Duration::ZERO
         }
     }
 
-    fn is_patient_turn(&self) -> bool {
+    fn is_long_timeout_due(&self) -> bool {
         self.consecutive_timeouts
-            .is_multiple_of(REQUESTS_PER_PATIENT_REQUEST)
+            .is_multiple_of(REQUESTS_PER_LONG_TIMEOUT)
     }
 
-    /// Records a list of this revision; true where it differs from the last one.
+    /// Records a list with this revision. Returns whether the revision differs from the last one.
     pub fn on_response(&mut self, revision: u64) -> bool {
         self.consecutive_timeouts = 0;
         self.revision.replace(revision) != Some(revision)
     }
 
-    /// Whether the last request was answered.
-    pub fn is_synced(&self) -> bool {
+    /// Returns whether the last request was answered. True before the first one.
+    pub fn is_responsive(&self) -> bool {
         self.consecutive_timeouts == 0
     }
 
-    /// Records a request without an answer, and returns the delay before the next one.
+    /// Records a request without a response and returns the delay before the next one.
     pub fn on_timeout(&mut self) -> Duration {
         self.consecutive_timeouts = self.consecutive_timeouts.saturating_add(1);
-        if self.is_pushed && !self.is_patient_turn() {
+        if self.is_pushed && !self.is_long_timeout_due() {
             PUSHED_RETRY_DELAY
         } else {
             TIMEOUT_RETRY_DELAY
         }
     }
 
-    /// The longest delay before the next request where this one was answered, `elapsed` after it was sent, with anything
-    /// but a list.
+    /// Returns the longest delay before the next request if the last one was rejected, or answered with an invalid list,
+    /// `elapsed` after it was sent.
     pub fn max_backoff(&self, elapsed: Duration) -> Duration {
         if self.is_pushed {
             PUSHED_RETRY_DELAY
--- a/src/gossip/budget.rs
+++ b/src/gossip/budget.rs
@@ -1,31 +1,32 @@
-//! How many bytes of gossip this dispatcher may send. Pure: [`ByteBudget`] belongs to the gossip state.
+//! The budget of gossip bytes that this dispatcher may send. Pure: the gossip state owns the [`ByteBudget`].
 //!
-//! Each request of this dispatcher earns a share of its own value, in bytes at the price that the settings name. Unspent
-//! bytes are saved up to a bound, so that a quiet dispatcher sends no burst later.
+//! Each request that arrives adds a share of its value, converted to bytes at the configured price. Unspent bytes
+//! accumulate up to a limit, so that a dispatcher without traffic can't send a burst later.
 
 use super::message::{HEADER_BYTES, MAX_DATAGRAM_BYTES, RECORD_BYTES};
 
 /// The share of a request's value that may be spent on gossip.
 const REQUEST_VALUE_SHARE: f64 = 0.01;
-/// The share of the budget that may be spent on loads. Every dispatcher needs to know of a failure; a load changes soon,
-/// and whoever needs it gets it from the endpoint itself.
+/// The share of the budget that may be spent on loads. All dispatchers need to know of a failure, but a load soon changes
+/// and the endpoint reports it to the dispatchers that use it.
 const LOAD_SHARE: f64 = 0.2;
-/// The budget of this many requests is saved at most.
+/// The limit of the accumulated budget, in requests' worth of bytes.
 const MAX_SAVED_REQUESTS: f64 = 4.0;
-/// The price of a full message to one receiver, as a share of a request's value, where the settings name
-/// none.
+/// The minimum price of a full message to one receiver, as a share of a request's value. It bounds the budget when the
+/// settings have a price of 0.
 const MIN_PRICE: f64 = 1e-4;
 
-/// The bytes that may be sent.
+/// A byte budget with a separate limit for loads.
 pub(super) struct ByteBudget {
     earned_per_request: f64,
     available: f64,
-    /// The part of `available` that loads may use; it may exceed it.
+    /// The bytes that loads may use, within `available`. It may exceed `available` after failures were sent.
     available_for_loads: f64,
 }
 
 impl ByteBudget {
-    /// The budget of one request, where a full message costs `price` for each of the receivers.
+    /// Creates the budget that one request earns. `price` is the cost of a full message to one receiver, as a share of a
+    /// request's value.
     pub(super) fn new(receivers: f64, price: f64) -> Self {
         let earned_per_request =
             REQUEST_VALUE_SHARE / price.max(MIN_PRICE) * MAX_DATAGRAM_BYTES as f64 / receivers;
@@ -36,7 +37,7 @@
         }
     }
 
-    /// A request has arrived.
+    /// Adds the budget that one request earns.
     pub(super) fn on_request(&mut self) {
         self.available = earn(self.available, self.earned_per_request);
         self.available_for_loads = earn(
@@ -45,17 +46,17 @@
         );
     }
 
-    /// How many records a message may have.
+    /// Returns how many records the next message may have.
     pub(super) fn max_records(&self) -> usize {
         affordable_records(self.available)
     }
 
-    /// How many records of loads a message may have.
+    /// Returns how many load records the next message may have.
     pub(super) fn max_load_records(&self) -> usize {
         affordable_records(self.available_for_loads)
     }
 
-    /// A message has been sent, for which so many records of loads had been selected.
+    /// Subtracts a sent message of `message_bytes` with `load_records` load records.
     pub(super) fn spend(&mut self, message_bytes: usize, load_records: usize) {
         self.available -= message_bytes as f64;
         if load_records > 0 {
@@ -65,7 +66,7 @@
     }
 }
 
-/// At least the shortest message can be saved up.
+/// Adds `earned` to `available`, up to the limit. The limit always allows the shortest message.
 fn earn(available: f64, earned: f64) -> f64 {
     let shortest_message = (HEADER_BYTES + RECORD_BYTES) as f64;
     (available + earned).min((MAX_SAVED_REQUESTS * earned).max(shortest_message))
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,48 +1,49 @@
-//! The format of a gossip message. Pure: bytes in, observations out; owns no state.
+//! The format of a gossip message. Pure: converts between bytes and observations, without state.
 //!
-//! A message is a version byte, the time it was sent, and a record of five bytes for each endpoint: three bytes of the
-//! hash of its identifier, its requests in flight or the code of a failure, and its share of KV memory.
+//! A message has a version byte, the time of sending in two bytes, and records of five bytes. A record has three bytes of
+//! the hash of the endpoint's id, one byte for its requests in flight or the failure code, and one for its share of used
+//! KV memory.
 
 use crate::routing::api::{LoadReport, Time};
 
-/// The first byte of a message: the protocol and its version.
+/// The first byte of a message: identifies the protocol and its version.
 const FORMAT_VERSION: u8 = 0xA1;
-/// The version and the time of sending.
+/// The size of the version and the time of sending.
 pub(super) const HEADER_BYTES: usize = 3;
 pub(super) const RECORD_BYTES: usize = 5;
-/// The longest datagram that the protocol allows.
+/// The maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// How many records a message can have.
+/// The maximum number of records in a message.
 pub(super) const MAX_RECORDS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / RECORD_BYTES;
 /// The unit of a message's time, in microseconds.
 const TICK_MICROS: Time = 10_000;
-/// In place of the requests in flight: an attempt at the endpoint has failed.
+/// Replaces the requests in flight in the record of a failed attempt.
 const FAILURE_CODE: u8 = u8::MAX;
 const MAX_IN_FLIGHT: f64 = 254.0;
-/// The code of a KV memory share of 1.
+/// The encoded value of a KV memory share of 1.
 const MEMORY_SHARE_SCALE: f64 = 250.0;
 
-/// What one message reports of one endpoint.
+/// The content of one record: a load or a failure of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The lowest 24 bits of the hash of the endpoint's identifier, as [`gossip_key`] gives them.
+    /// The endpoint's key: see [`gossip_key`].
     pub key: u32,
-    /// The endpoint's load; `None`: an attempt there has failed.
+    /// The endpoint's load; `None`: an attempt at the endpoint has failed.
     pub load: Option<LoadReport>,
 }
 
 /// Why a message is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It has another format, or an unknown sender.
+    /// Its format is invalid, or its sender is unknown.
     Malformed,
-    /// It was sent too long ago, or in the future.
+    /// Its time of sending is too far in the past or in the future.
     Stale,
-    /// Its sender has sent this one, or a newer one, before.
+    /// A message of the same sender with this time or a later one was received before.
     Repeated,
 }
 
-/// The key under which an endpoint is reported: the lowest 24 bits of the hash of its identifier.
+/// Returns the key that identifies an endpoint in messages: the lowest 24 bits of the hash of its id.
 pub fn gossip_key(hash: u64) -> u32 {
     (hash & 0x00ff_ffff) as u32
 }
@@ -56,18 +57,18 @@
         MessageTime((time / TICK_MICROS) as u16)
     }
 
-    /// The ticks from `earlier` to this, correct for distances under 2^15 ticks.
+    /// Returns the ticks from `earlier` to this time. Correct for distances under 2^15 ticks (5.5 minutes).
     pub(super) fn ticks_since(self, earlier: MessageTime) -> i16 {
         self.0.wrapping_sub(earlier.0) as i16
     }
 }
 
-/// An observation as it stands in a message.
+/// An encoded observation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Record([u8; RECORD_BYTES]);
 
 impl Record {
-    /// The record of a load.
+    /// Encodes a load.
     pub(super) fn of_load(key: u32, in_flight: f64, kv_memory_share: f64) -> Self {
         let memory = kv_memory_share.clamp(0.0, 1.0) * MEMORY_SHARE_SCALE;
         Record::new(
@@ -77,7 +78,7 @@
         )
     }
 
-    /// The record of a failed attempt.
+    /// Encodes a failed attempt.
     pub(super) fn of_failure(key: u32) -> Self {
         Record::new(key, FAILURE_CODE, 0)
     }
@@ -88,7 +89,7 @@
     }
 }
 
-/// A message of these records.
+/// Encodes a message with these records.
 pub(super) fn encode(sent_at: MessageTime, records: &[Record]) -> Vec<u8> {
     let mut message = vec![FORMAT_VERSION];
     message.extend(sent_at.0.to_be_bytes());
@@ -98,14 +99,14 @@
     message
 }
 
-/// A message whose format is valid.
+/// A received message whose format is valid.
 pub(super) struct Message<'a> {
     pub(super) sent_at: MessageTime,
     records: &'a [u8],
 }
 
 impl Message<'_> {
-    /// Checks a message's format; `None` where it is invalid.
+    /// Parses a message; `None`: its format is invalid.
     pub(super) fn parse(bytes: &[u8]) -> Option<Message<'_>> {
         let (header, records) = bytes.split_at_checked(HEADER_BYTES)?;
         let is_valid = header[0] == FORMAT_VERSION
@@ -121,7 +122,7 @@
         })
     }
 
-    /// The observations, in the message's order.
+    /// Decodes the observations, in the message's order.
     pub(super) fn observations(&self) -> Vec<Observation> {
         self.records
             .chunks_exact(RECORD_BYTES)
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,7 +1,7 @@
-//! Gossip: what dispatchers report to each other about endpoints.
+//! Gossip: UDP messages in which dispatchers report the load and the failures of endpoints to each other.
 //!
-//! [`Gossip`] decides what to send and which received messages to accept, and is owned by the dispatcher's core;
-//! [`transport::GossipTransport`] owns the socket. The message format is in `message`, the byte budget in `budget`.
+//! [`Gossip`] decides what to send and which received messages to accept; the dispatcher's core owns it.
+//! [`transport::GossipTransport`] owns the socket. `message` defines the message format, `budget` limits the bytes sent.
 
 mod budget;
 mod message;
--- a/src/gossip/state.rs
+++ b/src/gossip/state.rs
@@ -1,10 +1,10 @@
-//! What this dispatcher reports to the others about endpoints, and what it accepts from them. Pure: the dispatcher's core
-//! owns the [`Gossip`], and [`crate::gossip::transport`] carries the bytes.
+//! The gossip state: which observations this dispatcher sends to the others, and which messages it accepts. Pure: the
+//! dispatcher's core owns the [`Gossip`], and [`crate::gossip::transport`] carries the bytes.
 //!
-//! One of a hundred dispatchers receives a report from an endpoint every half minute, and all together several each
-//! second. So each sends the others what they do not expect: a load far from the last one reported of that endpoint, and
-//! failures. A budget bounds what that costs. A message that is malformed, stale, or no newer than the last one of its
-//! sender changes nothing and is counted.
+//! In a fleet of a hundred dispatchers, each one gets a load report from a given endpoint about every half minute, while
+//! all of them together get several per second. So each dispatcher sends only what the others don't expect: failures, and
+//! loads far from the last one reported for the endpoint. A byte budget limits the cost. A message that is malformed,
+//! stale, or no newer than the last one of its sender is counted and dropped.
 
 use super::budget::ByteBudget;
 use super::message::{self, gossip_key, Message, MessageTime, Record, MAX_RECORDS};
@@ -12,56 +12,60 @@
 use crate::routing::api::{EndpointId, LoadReport, Time};
 use std::collections::BTreeMap;
 
-/// A message older than this is stale, in ticks of 10 ms.
+/// The maximum age of a message, in ticks of 10 ms; older ones are stale.
 const MAX_AGE_TICKS: i16 = 200;
-/// A message from further in the future than this is stale, in ticks of 10 ms.
+/// The maximum time of a message ahead of this clock, in ticks of 10 ms; messages from further ahead are stale.
 const MAX_CLOCK_SKEW_TICKS: i16 = 20;
-/// How long the last reported load of an endpoint is expected, in microseconds; then, the typical load is.
+/// How long dispatchers expect the last reported load of an endpoint, in microseconds. After that, they expect the average
+/// load.
 const EXPECTATION_LIFETIME: Time = 3_000_000;
-/// A load is reported where it differs from the expected one by more than this many requests, ...
+/// The difference from the expected load above which a load is sent, in requests. [`MIN_DEVIATION_SHARE`] must be exceeded
+/// too.
 const MIN_DEVIATION_REQUESTS: f64 = 2.0;
-/// ... and by more than this share of the expected one.
+/// The difference from the expected load above which a load is sent, as a share of the expected load.
 const MIN_DEVIATION_SHARE: f64 = 0.5;
 /// The weight of one report in the moving average of loads.
-const TYPICAL_LOAD_WEIGHT: f64 = 0.05;
+const AVERAGE_REPORT_WEIGHT: f64 = 0.05;
 
-/// The last load that was reported of an endpoint, by the endpoint or by another dispatcher.
+/// The last reported load of an endpoint, from the endpoint itself or from another dispatcher.
 struct ReportedLoad {
     in_flight: f64,
     reported_at: Time,
 }
 
-/// What a pending record reports. Ordered as records stand in the map.
+/// The kind of a pending record.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RecordKind {
     Load,
     Failure,
 }
 
-/// A pending record's place: at most one of each kind for an endpoint.
+/// The key of a pending record: the endpoint's gossip key and the kind. An endpoint has at most one record of each kind.
 type RecordKey = (u32, RecordKind);
 
-/// The gossip of one dispatcher: what the others expect of each endpoint, and what may still be sent to them.
+/// The gossip of one dispatcher: the loads that the other dispatchers expect, and the records to be sent.
 pub struct Gossip {
     budget: ByteBudget,
     reported: BTreeMap<EndpointId, ReportedLoad>,
-    /// A moving average over all endpoints, in requests in flight.
-    typical_in_flight: f64,
-    /// By sender.
+    /// The moving average of reported loads over all endpoints, in requests in flight.
+    average_in_flight: f64,
+    /// The time of the last accepted message, indexed by sender.
     last_received: Vec<Option<MessageTime>>,
+    /// The records for the next message.
     pending: BTreeMap<RecordKey, Record>,
+    /// The number of received messages that were dropped.
     dropped: u64,
 }
 
 impl Gossip {
-    /// The gossip in a fleet of so many dispatchers, where a full message costs `price`, as a share of a request's value, for
-    /// each receiver.
+    /// Creates the gossip state in a fleet of `dispatcher_count` dispatchers. `price` is the cost of a full message to one
+    /// receiver, as a share of a request's value.
     pub fn new(dispatcher_count: usize, price: f64) -> Self {
         let receivers = dispatcher_count.saturating_sub(1).max(1) as f64;
         Gossip {
             budget: ByteBudget::new(receivers, price),
             reported: BTreeMap::new(),
-            typical_in_flight: 0.0,
+            average_in_flight: 0.0,
             last_received: vec![None; dispatcher_count],
             pending: BTreeMap::new(),
             dropped: 0,
@@ -73,27 +77,28 @@
         self.budget.on_request();
     }
 
-    /// The number of received messages that were dropped.
+    /// Returns the number of received messages that were dropped.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Records a reported load, and returns the one that was expected.
+    /// Records a reported load and returns the load that was expected.
     fn update_expectation(&mut self, now: Time, endpoint: EndpointId, in_flight: f64) -> f64 {
         let report = ReportedLoad {
             in_flight,
             reported_at: now,
         };
         let previous = self.reported.insert(endpoint, report);
-        let typical = self.typical_in_flight;
-        self.typical_in_flight += TYPICAL_LOAD_WEIGHT * (in_flight - typical);
+        let average = self.average_in_flight;
+        self.average_in_flight += AVERAGE_REPORT_WEIGHT * (in_flight - average);
         match previous {
             Some(load) if load.reported_at + EXPECTATION_LIFETIME > now => load.in_flight,
-            _ => typical,
+            _ => average,
         }
     }
 
-    /// Records an endpoint's own report; it becomes pending where the other dispatchers do not expect it.
+    /// Records a load reported by an endpoint. It is sent if the other dispatchers don't expect it. `hash` is the hash of the
+    /// endpoint's id.
     pub fn record_load(&mut self, now: Time, endpoint: EndpointId, hash: u64, load: &LoadReport) {
         let Some(in_flight) = load.in_flight.filter(|count| *count >= 0.0) else {
             return;
@@ -107,13 +112,13 @@
         }
     }
 
-    /// Records an attempt that failed by its endpoint's fault.
+    /// Records an attempt that failed through its endpoint's fault. `hash` is the hash of the endpoint's id.
     pub fn record_failure(&mut self, hash: u64) {
         let key = gossip_key(hash);
         self.add_pending((key, RecordKind::Failure), Record::of_failure(key));
     }
 
-    /// Where the message is full, a failure replaces a load, and a load is dropped.
+    /// Adds a record to the next message. If the message is full, a failure replaces a load, and a load is discarded.
     fn add_pending(&mut self, key: RecordKey, record: Record) {
         if self.pending.len() >= MAX_RECORDS {
             if key.1 == RecordKind::Load {
@@ -132,9 +137,10 @@
         self.pending.insert(key, record);
     }
 
-    /// The message to send now, if there is one. What exceeds the budget is not sent later either: it would be stale.
+    /// Returns the message to send now, if there is one. Records beyond the budget are discarded, as they would be stale
+    /// later.
     pub fn next_message(&mut self, now: Time) -> Option<Vec<u8>> {
-        // Failures come first: they are rarer, and nobody else may have seen them.
+        // Failures come first: they are rarer, and the other dispatchers may not have noticed them.
         let mut records = Vec::new();
         let mut loads = Vec::new();
         for ((_, kind), record) in std::mem::take(&mut self.pending) {
@@ -155,11 +161,11 @@
         Some(message)
     }
 
-    /// Reads a message from another dispatcher.
+    /// Parses a message from another dispatcher. `sender` is the sender's index among the peers.
     ///
     /// # Errors
     ///
-    /// [`DropReason`] where the message is dropped, which is counted.
+    /// The message is dropped and counted.
     pub fn receive(
         &mut self,
         now: Time,
@@ -188,7 +194,7 @@
         if !(-MAX_CLOCK_SKEW_TICKS..=MAX_AGE_TICKS).contains(&age) {
             return Err(DropReason::Stale);
         }
-        // The time wraps after some minutes and an old one looks new again: only one shortly before is a repetition.
+        // Message times wrap around every 11 minutes, so only a time shortly before the last one is a repetition.
         if let Some(last) = *last_received {
             let advance = message.sent_at.ticks_since(last);
             if (-2 * MAX_AGE_TICKS..=0).contains(&advance) {
@@ -199,14 +205,14 @@
         Ok(message.observations())
     }
 
-    /// Records an observation that was accepted: the other dispatchers now expect this load of the endpoint.
+    /// Records a received observation, from which the other dispatchers now expect this load of the endpoint, too.
     pub fn accept(&mut self, now: Time, endpoint: EndpointId, observation: &Observation) {
         if let Some(in_flight) = observation.load.as_ref().and_then(|load| load.in_flight) {
             self.update_expectation(now, endpoint, in_flight);
         }
     }
 
-    /// Forgets the endpoints that are no longer listed.
+    /// Removes the endpoints that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         self.reported.retain(|endpoint, _| is_listed(*endpoint));
     }
--- a/src/gossip/transport.rs
+++ b/src/gossip/transport.rs
@@ -1,4 +1,4 @@
-//! The datagrams between dispatchers. [`GossipTransport`] owns the socket and carries messages; what they mean is up to
+//! The UDP transport of gossip. [`GossipTransport`] owns the socket and doesn't interpret messages; that is up to
 //! [`crate::gossip::Gossip`].
 
 use crate::config::Config;
@@ -13,24 +13,24 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How many messages may wait to be sent; more are dropped, as they would be stale.
+/// The capacity of the send queue; further messages are dropped, as they would be stale.
 const SEND_QUEUE_MESSAGES: usize = 16;
-/// The delay after an error while receiving, so that a lasting error causes no busy loop.
+/// The delay after a receive error; prevents a busy loop if the error persists.
 const RECEIVE_ERROR_DELAY: Duration = Duration::from_millis(100);
-/// The delay between attempts to bind an address that a predecessor process still has.
+/// The delay between attempts to bind an address that a predecessor process still uses.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The transport between this dispatcher and the others.
+/// The gossip transport of one dispatcher. It drops datagrams whose source address is not a peer's.
 pub struct GossipTransport {
     listen_address: String,
-    /// Reaches all dispatchers at once.
+    /// The address that reaches all dispatchers.
     broadcast_address: SocketAddr,
+    /// Peers' indexes in the configuration, by address; without this dispatcher's own.
     peer_indices: HashMap<SocketAddr, usize>,
 }
 
 impl GossipTransport {
-    /// The transport that the configuration describes; `None` where it describes none, or an invalid address for
-    /// messages to all.
+    /// Creates the configured transport. `None`: gossip is not configured, or the broadcast address is invalid.
     pub fn new(config: &Config) -> Option<GossipTransport> {
         let listen_address = config.peer_listen.clone()?;
         let broadcast_address = config.peers_all.as_ref()?.parse().ok()?;
@@ -50,18 +50,18 @@
         })
     }
 
-    /// The number of dispatchers beside this one.
+    /// Returns the number of other dispatchers.
     pub fn peer_count(&self) -> usize {
         self.peer_indices.len()
     }
 
-    /// The queue of messages to all other dispatchers.
+    /// Creates the queue of messages to all other dispatchers.
     pub fn queue() -> (mpsc::Sender<Bytes>, mpsc::Receiver<Bytes>) {
         mpsc::channel(SEND_QUEUE_MESSAGES)
     }
 
-    /// Sends the queue's messages to all other dispatchers, and theirs to the dispatcher's core, until the queue's sender
-    /// is dropped.
+    /// Sends queued messages to all other dispatchers and forwards received messages to the dispatcher's core, until the
+    /// queue's sender is dropped.
     pub async fn run(
         self,
         mut outgoing: mpsc::Receiver<Bytes>,
@@ -71,7 +71,7 @@
         let Some(socket) = self.bind(&mut outgoing, &log).await else {
             return;
         };
-        // With one byte more than allowed, a datagram that is too long shows as such.
+        // One byte longer than a valid datagram, so that one that is too long isn't truncated to a valid length.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             tokio::select! {
@@ -98,7 +98,7 @@
     }
 
     /// Binds the address as soon as it is free. Messages that are queued meanwhile are dropped, as they would be stale.
-    /// `None`: the queue's sender was dropped.
+    /// Returns `None` if the queue's sender was dropped.
     async fn bind(&self, outgoing: &mut mpsc::Receiver<Bytes>, log: &Logger) -> Option<UdpSocket> {
         let mut is_logged = false;
         loop {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! A dispatcher for fleets of language-model servers that work in two stages: prefill and decode.
+//! A dispatcher for fleets of language-model servers that process requests in two stages: prefill and decode.
 //!
-//! The [`dispatcher`] is a state machine that knows no wire; [`frontend`] connects it with clients, [`backend`] with
-//! endpoints, [`discovery`] with the endpoint list, [`gossip`] and [`upgrade`] with other dispatchers and processes.
-//! `docs/architecture.md` says who owns which state.
+//! The [`dispatcher`] is a state machine that does no network I/O. [`frontend`] connects it with clients, [`backend`] with
+//! endpoints, [`discovery`] with the service that lists the endpoints, [`gossip`] with other dispatchers, and [`upgrade`]
+//! with the process that replaces this one. `docs/architecture.md` describes which module owns which state.
 //!
-//! Decisions are made by [`routing::Router`], which is pure: its caller owns clock, network and threads, passes it
-//! events, and executes the actions that it returns.
+//! [`routing::Router`] makes the routing decisions. It is pure: its caller owns the clock, the network and the threads,
+//! passes it events, and executes the actions that it returns.
 //!
 //! ```
 //! use quartzhall::routing::api::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the dispatcher. An error is printed as one line on standard error.
+//! The command line of the dispatcher. Errors are printed as one line on standard error.
 
 use clap::{Parser, Subcommand};
 use quartzhall::config::LoadedConfig;
@@ -17,27 +17,27 @@
 
 #[derive(Subcommand)]
 enum Subcommands {
-    /// Run the dispatcher until SIGTERM. SIGHUP: read the configuration again and follow its `discovery`.
+    /// Run the dispatcher until SIGTERM. SIGHUP reloads the configuration.
     Serve {
-        /// The configuration, as JSON.
+        /// The configuration file, in JSON.
         #[arg(long, env = "GW_CONFIG")]
         config: PathBuf,
-        /// The session file: where WebSocket sessions are taken and opened. Without it they are off.
+        /// The session file, which configures WebSocket sessions. Without it, they are off.
         #[arg(long)]
         websocket: Option<PathBuf>,
-        /// Where operators call, in place of the configuration's `management`.
+        /// The address of the management interface, instead of the configuration's `management`.
         #[arg(long, env = "GW_MANAGEMENT")]
         management: Option<String>,
-        /// Record arrivals, attempts and answers to this new file, without texts or names of sessions.
+        /// Record arrivals, attempts and outcomes to this new file, without request texts or session names.
         #[arg(long)]
         record: Option<PathBuf>,
-        /// What is logged: error, warning, info or debug.
+        /// The log level: error, warning, info or debug.
         #[arg(long, env = "QUARTZHALL_LOG", default_value = "info", value_parser = parse_level)]
         log: Level,
     },
-    /// Read the configuration and the session file, say what they hold, and end.
+    /// Validate the configuration and the session file, print a summary, and exit.
     Check {
-        /// The configuration, as JSON.
+        /// The configuration file, in JSON.
         #[arg(long, env = "GW_CONFIG")]
         config: PathBuf,
         /// The session file.
@@ -49,7 +49,7 @@
 }
 
 fn parse_level(name: &str) -> Result<Level, String> {
-    name.parse().map_err(|()| "not a level of the log".into())
+    name.parse().map_err(|()| "not a log level".into())
 }
 
 fn check(config: &Path, websocket: Option<&Path>) -> Result<(), String> {
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -1,5 +1,5 @@
-//! The core's trace, in the terms of the recording. [`TraceRecorder`] owns the records that are not taken yet; it holds no
-//! file, so that the owner of the core takes them and writes them.
+//! Conversion of the core's events to records of a recording file. [`TraceRecorder`] collects records in memory and does no
+//! I/O: the task that owns the core takes the records and has them written.
 
 use crate::config::{Deployment, NameTable};
 use crate::routing::api::{
@@ -13,7 +13,7 @@
 pub struct TraceRecorder {
     key: Key,
     records: Vec<Record>,
-    /// Endpoints whose names are recorded.
+    /// The endpoints whose names were recorded already.
     named_endpoints: HashSet<EndpointId>,
 }
 
@@ -47,7 +47,8 @@
 }
 
 impl TraceRecorder {
-    /// A recorder for a dispatcher, from `now` on. `key` keeps sessions and prefixes secret.
+    /// Creates a recorder for a dispatcher, whose recording starts at `now`. Sessions and prefixes are recorded only as digests
+    /// with the secret `key`.
     pub fn new(key: Key, now: Time, dispatcher: &str, deployment: &Deployment) -> TraceRecorder {
         let start = Record::Start {
             at: now,
@@ -63,7 +64,7 @@
         recorder
     }
 
-    /// Records what the numbers of classes and tenants mean from now on.
+    /// Records the names of the class and tenant numbers in the records that follow.
     pub fn record_names(&mut self, deployment: &Deployment) {
         for (table, names) in [
             (Table::Class, &deployment.classes),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Records an endpoint's status, and its name when it is recorded for the first time.
+    /// Records an endpoint's status, and its name if it wasn't recorded before.
     pub fn record_endpoint(&mut self, now: Time, endpoint_id: &Arc<str>, record: &EndpointRecord) {
         let endpoint = record.endpoint;
         if self.named_endpoints.insert(endpoint) {
@@ -99,12 +100,12 @@
         });
     }
 
-    /// Forgets an endpoint that has been removed; its number is not used again.
+    /// Removes an endpoint that is no longer listed. Its number is not reused.
     pub fn forget_endpoint(&mut self, endpoint: EndpointId) {
         self.named_endpoints.remove(&endpoint);
     }
 
-    /// Records that a request has arrived.
+    /// Records the arrival of a request.
     pub fn record_arrival(&mut self, now: Time, metadata: &RequestMetadata) {
         let digest = |kind, hash: Option<u64>| {
             let hash = hash?;
@@ -124,7 +125,7 @@
         });
     }
 
-    /// Records that an attempt has started.
+    /// Records the start of an attempt.
     pub fn record_attempt(&mut self, now: Time, request: u64, attempt: u32, endpoint: EndpointId) {
         self.records.push(Record::Sent {
             at: now,
@@ -134,7 +135,7 @@
         });
     }
 
-    /// Records that an attempt's first event has been received.
+    /// Records the first event of an attempt.
     pub fn record_first_event(&mut self, now: Time, request: u64, attempt: u32) {
         self.records.push(Record::First {
             at: now,
@@ -143,7 +144,7 @@
         });
     }
 
-    /// Records that an attempt has ended.
+    /// Records the end of an attempt.
     pub fn record_attempt_end(
         &mut self,
         now: Time,
@@ -153,8 +154,7 @@
         cached_tokens: f64,
         completion_tokens: f64,
     ) {
-        // The file has no status of its own for a missing KV cache: it is the one for overload, with 1 in place of the cached
-        // tokens.
+        // The file format has no status for a missing KV cache. It is recorded as overloaded with 1 cached token.
         let cached_tokens = match status {
             AttemptStatus::KvStateMissing => 1,
             _ => token_count(cached_tokens),
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Takes the records that have been collected since the last call.
+    /// Returns the records that were collected since the last call.
     pub fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.records)
     }
--- a/src/variants.rs
+++ b/src/variants.rs
@@ -1,34 +1,35 @@
-//! Variants of the program that break one rule each, by which the soak shows that it finds what it is for.
+//! Fault injection: variants of the program that each violate one rule. The soak test runs them to show that it detects the
+//! violations.
 //!
-//! They exist only where the feature `variants` is built, which nothing that is deployed is; the environment's
-//! `QUARTZHALL_VARIANT` then names one.
+//! They exist only in builds with the feature `variants`, which are never deployed. The environment variable
+//! `QUARTZHALL_VARIANT` selects the variant by its name.
 
-/// A rule that a variant breaks.
+/// A variant, named for the rule that it violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// States are not released while an attempt is out.
+    /// Doesn't release a KV cache reservation that becomes unneeded while an attempt is in flight.
     HeldState,
-    /// Requests that are given up are not answered.
+    /// Sends no final response to requests that fail or are shed.
     FinalAnswer,
-    /// What may have run is refused as if nothing had.
+    /// Sheds failed requests, as if none of their attempts could have run.
     Duplicate,
-    /// Servers that drain are sent to.
+    /// Sends requests to draining endpoints.
     Drain,
-    /// Requests whose client has left go on.
+    /// Continues requests whose client has disconnected.
     ClientGone,
-    /// Servers are told a second more than is left.
+    /// Tells endpoints a remaining time that is one second too long.
     ToldTime,
-    /// Broken streams get a good end.
+    /// Ends interrupted streams like complete ones.
     StreamEnd,
-    /// Streams received from another process are forgotten at the exit.
+    /// Doesn't wait for streams received from another process at shutdown, nor pass them on.
     StreamCut,
-    /// Connections are closed at the shutdown although their requests have no answer.
+    /// Closes connections at shutdown before their requests are answered.
     Unanswered,
-    /// The process does not end as it should.
+    /// Exits with status 1 after a complete shutdown.
     Process,
 }
 
-/// Whether this program breaks that rule.
+/// Returns whether the environment selects this variant.
 #[cfg(feature = "variants")]
 pub fn is_enabled(variant: Variant) -> bool {
     static NAMED: std::sync::OnceLock<Option<String>> = std::sync::OnceLock::new();
@@ -36,7 +37,7 @@
     named.as_deref() == Some(format!("{variant:?}").as_str())
 }
 
-/// Whether this program breaks that rule: it breaks none.
+/// Returns false: this build has no variants.
 #[cfg(not(feature = "variants"))]
 pub const fn is_enabled(_: Variant) -> bool {
     false
--- a/tests/unit/discovery/backoff.rs
+++ b/tests/unit/discovery/backoff.rs
@@ -2,8 +2,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// A service that handles one call after another, 50 ms each, and rejects those that have waited for 2 s when their
-/// turn comes; the work on them was done for nothing. Returns how many of the callers were served by `end`.
+/// Simulates a service that handles one call at a time in 50 ms. Callers time out after 2 s, but the service handles their
+/// calls all the same. Returns how many callers were served by `end`.
 fn count_served(
     caller_count: u32,
     end: Duration,
@@ -51,7 +51,7 @@
             .next_delay()),
         300
     );
-    // The fault that this guards against: with short delays the queue stays as long as the callers' timeout.
+    // The fault that this guards against: with short delays, the wait in the queue stays at the callers' timeout.
     let served_with_short_delays = count_served(300, Duration::from_secs(40), |_, _| {
         Duration::from_millis(100)
     });
@@ -72,7 +72,7 @@
     assert!(backoff.next_delay() <= Duration::from_millis(300));
 }
 
-/// However many callers there are, and whatever failed before, a delay can be bounded; delays still differ then.
+/// Delays can be bounded for any number of callers and failures, and bounded delays still differ.
 #[test]
 fn bounded_delays_are_still_jittered() {
     let max_delay = Duration::from_millis(3800);
--- a/tests/unit/discovery/endpoint_list.rs
+++ b/tests/unit/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The texts of the log line for an invalid record, as operators search for them.
+/// Operators search the log for these texts.
 #[test]
 fn endpoint_errors_have_their_texts() {
     for (error, text) in [
@@ -15,7 +15,7 @@
             r#"no address: "nowhere""#,
         ),
         (
-            EndpointError::UnknownKind("a kind without a role".into()),
+            EndpointError::InvalidMachineType("a kind without a role".into()),
             "a kind without a role",
         ),
     ] {
--- a/tests/unit/discovery/watch_state.rs
+++ b/tests/unit/discovery/watch_state.rs
@@ -2,7 +2,8 @@
 
 const ROUND_TRIP: Duration = Duration::from_millis(30);
 
-/// When a missed change counts as delivered, for a request that was sent at 0 and whose connection broke at `broken_at`.
+/// Returns when a missed change counts as delivered, for a request that was sent at 0 and whose connection was lost at
+/// `broken_at`.
 fn delivery_deadline(broken_at: Duration, hold: Duration) -> Duration {
     (broken_at + Duration::from_secs(6)).max(hold + Duration::from_secs(2))
 }
@@ -15,8 +16,8 @@
     Duration::from_millis(hold_ms.parse().unwrap())
 }
 
-/// Guards against timeouts that outlast the deadline: with 6.5 s a watch whose connection broke as it was opened was
-/// half a second late, and requests went to draining endpoints.
+/// Guards against timeouts that outlast the delivery deadline. With a timeout of 6.5 s, a watch whose connection was lost
+/// right after opening learned of a change half a second late, and requests went to draining endpoints.
 #[test]
 fn broken_watch_is_reopened_before_missed_changes_count_as_delivered() {
     for (revision, is_pushed) in [
@@ -27,7 +28,7 @@
     ] {
         let mut watch = WatchState::starting_at(revision, is_pushed);
         let request = watch.next_poll();
-        // The new request may fail to connect once, and takes a round trip.
+        // The next request may fail to connect once; its response takes a round trip.
         let received_at = request.timeout + watch.on_timeout() * 2 + ROUND_TRIP;
         for broken_at in (0..3_000).step_by(50).map(Duration::from_millis) {
             assert!(
@@ -38,8 +39,8 @@
     }
 }
 
-/// How long after its recovery an agent's list arrives where the agent is silent from `down` to `up`, and answers no
-/// request that was sent before it has recovered.
+/// Returns how long after its recovery an agent's list arrives. The agent doesn't respond from `down` to `up`, nor to
+/// requests that were sent in that time.
 fn delay_after_recovery(is_pushed: bool, down: Duration, up: Duration) -> Duration {
     let mut watch = WatchState::starting_at(Some(41), is_pushed);
     let mut now = Duration::ZERO;
@@ -58,8 +59,8 @@
     }
 }
 
-/// What the agent has when discovery has recovered counts as delivered at once, and nothing may go to a draining endpoint
-/// 250 ms later. With the timeouts that a remote discovery needs, the list would be seconds late.
+/// The agent's list counts as delivered as soon as discovery recovers, and 250 ms later no request may go to a draining
+/// endpoint. With the timeouts that a remote discovery service needs, the list would be seconds late.
 #[test]
 fn recovered_agent_is_polled_at_once() {
     for step in 0..60 {
@@ -84,12 +85,12 @@
 #[test]
 fn slow_agent_gets_an_occasional_long_timeout() {
     let mut watch = WatchState::starting_at(Some(41), true);
-    let delays: Vec<_> = (0..REQUESTS_PER_PATIENT_REQUEST)
+    let delays: Vec<_> = (0..REQUESTS_PER_LONG_TIMEOUT)
         .map(|_| watch.on_timeout())
         .collect();
     assert!(
         delays[0] < TIMEOUT_RETRY_DELAY
-            && delays[REQUESTS_PER_PATIENT_REQUEST as usize - 1] == TIMEOUT_RETRY_DELAY
+            && delays[REQUESTS_PER_LONG_TIMEOUT as usize - 1] == TIMEOUT_RETRY_DELAY
     );
     assert!(watch.next_poll().timeout >= RESPONSE_GRACE);
     watch.on_response(42);
@@ -110,8 +111,8 @@
     }
 }
 
-/// A request to a remote discovery may be queued there for as long as its timeout allows: also the one that follows a
-/// watch whose connection broke.
+/// A remote discovery service may queue a request for almost its whole timeout. This includes the first request after a
+/// connection was lost.
 #[test]
 fn changes_missed_by_a_polled_watch_arrive_in_time_though_the_next_request_is_queued() {
     let mut watch = WatchState::starting_at(Some(41), false);
@@ -123,7 +124,7 @@
     );
 }
 
-/// After any response that is no list, the next request is sent, and has left the queue, before a change counts as
+/// After a rejection or an invalid list, the next request is sent and leaves discovery's queue before a change counts as
 /// delivered.
 #[test]
 fn rejected_request_is_repeated_in_time() {
@@ -138,7 +139,7 @@
             "{elapsed:?}"
         );
     }
-    // A request that was queued only to be rejected leaves the others room: discovery counts as unreachable then.
+    // A rejection after queueing shows overload: discovery then counts as unreachable, and the delay has no bound.
     assert_eq!(watch.max_backoff(QUEUEING_THRESHOLD), Duration::MAX);
     let pushed_watch = WatchState::starting_at(Some(41), true);
     for elapsed in [Duration::ZERO, QUEUEING_THRESHOLD] {
@@ -149,14 +150,14 @@
     }
 }
 
-/// The end of an outage of any length is noticed at once where lists are pushed: one request in a hundred has a long
-/// timeout.
+/// However long an outage lasts, its end must be noticed at once where lists are pushed. So only one request in a hundred
+/// has a long timeout.
 #[test]
 fn long_silent_agent_is_still_polled_with_short_timeouts() {
     let mut watch = WatchState::starting_at(Some(41), true);
-    let patient_requests = (0..10 * REQUESTS_PER_PATIENT_REQUEST).filter(|_| {
+    let long_timeouts = (0..10 * REQUESTS_PER_LONG_TIMEOUT).filter(|_| {
         watch.on_timeout();
         watch.next_poll().timeout >= RESPONSE_GRACE
     });
-    assert_eq!(patient_requests.count(), 10);
+    assert_eq!(long_timeouts.count(), 10);
 }
--- a/tests/unit/recording.rs
+++ b/tests/unit/recording.rs
@@ -9,7 +9,7 @@
     TraceRecorder::new(Key::from_secret(b"test"), 0, "n1", &deployment)
 }
 
-/// The file has no status of its own for this: it is the stored form that readers of recordings know.
+/// The file format has no status for a missing KV cache, and readers of recordings rely on this encoding.
 #[test]
 fn a_missing_kv_cache_is_recorded_as_overloaded_with_one_cached_token() {
     let mut recorder = recorder();
