--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Where deployments differ, only the settings decide: each test covers both sides of a difference.
-//! `docs/deployments.md` has the list.
+//! Differences between deployments depend on settings alone. Each test runs the same scenario with different values of a
+//! setting. `docs/deployments.md` lists the differences.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -17,21 +17,22 @@
         .chain((11..=14).map(|id| endpoint(id, Role::Decode)))
         .map(zone)
         .collect();
-    let own = |cross_zone_cost| {
-        let rules = RoutingSettings {
+    let count_in_own_zone = |cross_zone_cost| {
+        let routing_settings = RoutingSettings {
             cross_zone_cost,
             ..settings(vec![class(2.0, Idempotency::Idempotent)])
         };
-        let mut harness = RouterHarness::new(rules, fleet.clone());
-        // No session and no shared prefix: nothing but the endpoints themselves makes a difference.
-        let plain = |id| RequestMetadata {
+        let mut harness = RouterHarness::new(routing_settings, fleet.clone());
+        // Without session and shared prefix, so that no affinity influences the choice.
+        let request_without_affinity = |id| RequestMetadata {
             session: None,
             ..request(id, id)
         };
-        let prefills = (0..160).map(|id| harness.serve(plain(id), 40 * MS, 30 * MS, 50 * MS)[0]);
+        let prefills = (0..160)
+            .map(|id| harness.serve(request_without_affinity(id), 40 * MS, 30 * MS, 50 * MS)[0]);
         prefills.skip(60).filter(|prefill| prefill % 2 == 0).count()
     };
-    let (without_cost, with_cost) = (own(0.0), own(0.01));
+    let (without_cost, with_cost) = (count_in_own_zone(0.0), count_in_own_zone(0.01));
     assert!(
         (25..=75).contains(&without_cost),
         "{without_cost} of 100 stay where crossing is free"
@@ -50,12 +51,12 @@
         ..endpoint(id, Role::Decode)
     });
     let fleet: Vec<_> = prefill_endpoints.chain(decode_endpoints).collect();
-    let near = |transfer_cost| {
-        let rules = RoutingSettings {
+    let count_in_same_cell = |transfer_cost| {
+        let routing_settings = RoutingSettings {
             kv_transfer_cost: transfer_cost,
             ..settings(vec![class(2.0, Idempotency::Idempotent)])
         };
-        let mut harness = RouterHarness::new(rules, fleet.clone());
+        let mut harness = RouterHarness::new(routing_settings, fleet.clone());
         let mut decode_endpoints = Vec::new();
         for id in 0..160 {
             decode_endpoints.extend(
@@ -70,7 +71,11 @@
             .filter(|decode| **decode % 2 == 0)
             .count()
     };
-    let (without_cost, low, high) = (near(0.0), near(0.03), near(0.08));
+    let (without_cost, low, high) = (
+        count_in_same_cell(0.0),
+        count_in_same_cell(0.03),
+        count_in_same_cell(0.08),
+    );
     assert!(
         (25..=75).contains(&without_cost),
         "{without_cost} of 100 stay where leaving is free"
@@ -81,8 +86,8 @@
     );
 }
 
-/// As a queue grows, traffic over quota is shed first, as far as its weight is lower; what is hopeless is
-/// shed in any case.
+/// As a queue grows, requests over their tenant's quota are shed first if their weight is lower. Requests that can't meet
+/// their deadline are shed regardless of quota.
 #[test]
 fn traffic_over_quota_is_shed_by_its_weight() {
     let shed = |over_quota_weight| {
@@ -98,31 +103,31 @@
             class(3.0, Idempotency::Idempotent),
             class(2.0, Idempotency::Idempotent),
         ];
-        let rules = RoutingSettings {
+        let routing_settings = RoutingSettings {
             over_quota_weight,
             tenants,
             ..settings(classes)
         };
         let prefill_endpoints = (1..=4).map(|id| endpoint(id, Role::Prefill));
         let mut harness = RouterHarness::new(
-            rules,
+            routing_settings,
             prefill_endpoints
                 .chain((11..=13).map(|id| endpoint(id, Role::Decode)))
                 .collect(),
         );
-        let of = |id| RequestMetadata {
+        let tenant_request = |id| RequestMetadata {
             tenant: Some((id % 2) as usize),
             ..request(id, id)
         };
         for id in 0..80 {
-            harness.serve(of(id), 40 * MS, 30 * MS, 50 * MS);
+            harness.serve(tenant_request(id), 40 * MS, 30 * MS, 50 * MS);
         }
         harness.advance(2 * SECOND);
         let mut shed = [0; 2];
         for id in 1_000..1_160 {
             let actions = harness.submit(RequestMetadata {
                 prompt_tokens: 100.0,
-                ..of(id)
+                ..tenant_request(id)
             });
             shed[(id % 2) as usize] += count_final_responses(&actions, id);
             harness.advance(4 * MS);
@@ -130,29 +135,29 @@
         shed
     };
     for weight in [0.05, 0.2] {
-        let [over, within] = shed(weight);
+        let [over_quota, within_quota] = shed(weight);
         assert!(
-            over > within + 2,
-            "at a weight of {weight}: {over} over quota, {within} within"
+            over_quota > within_quota + 2,
+            "at a weight of {weight}: {over_quota} over quota, {within_quota} within"
         );
     }
-    let [over, within] = shed(1.0);
+    let [over_quota, within_quota] = shed(1.0);
     assert!(
-        over <= within + 1,
-        "at full weight: {over} over quota, {within} within"
+        over_quota <= within_quota + 1,
+        "at full weight: {over_quota} over quota, {within_quota} within"
     );
 }
 
 #[test]
 fn a_reservation_is_released_within_its_configured_ttl() {
     for (reservation_ttl, drain_grace) in [(1_000 * MS, 250 * MS), (500 * MS, 500 * MS)] {
-        let rules = RoutingSettings {
+        let routing_settings = RoutingSettings {
             reservation_ttl,
             drain_grace,
             ..settings(vec![class(2.0, Idempotency::Idempotent)])
         };
         let mut harness = RouterHarness::new(
-            rules,
+            routing_settings,
             vec![endpoint(1, Role::Prefill), endpoint(11, Role::Decode)],
         );
         harness.serve(request(0, 0), 40 * MS, 30 * MS, 50 * MS);
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden tests: what crosses a boundary of the program is compared, byte by byte, with files in `tests/golden`.
+//! Golden tests: the program's output at each of its interfaces is compared byte by byte with files in `tests/golden`.
 //!
-//! The files were made with the program as it was before its code was reworked for readers. A change of one of them is a change of
-//! a protocol or of a stored format. `UPDATE_GOLDEN=1` writes them anew.
+//! A difference means that a protocol or a stored format has changed. `UPDATE_GOLDEN=1` rewrites the files, which is only right
+//! for an intended change of a format.
 
 mod free_address;
 
@@ -14,9 +14,9 @@
 use std::process::{Command, Output, Stdio};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const PROFILE: &str = include_str!("golden/settings.json");
+const SETTINGS: &str = include_str!("golden/settings.json");
 
-/// Compares a text with a golden file.
+/// Compares a text with a golden file, or rewrites the file if `UPDATE_GOLDEN` is set.
 fn assert_golden(name: &str, actual: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -35,15 +35,15 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A folder that is removed with the test.
-struct Folder(PathBuf);
+/// A temporary directory that is removed when the test ends.
+struct TemporaryDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TemporaryDirectory {
+    fn new(name: &str) -> TemporaryDirectory {
         let path =
             std::env::temp_dir().join(format!("quartzhall-golden-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TemporaryDirectory(path)
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -61,11 +61,11 @@
 
 fn config(listen: &str, discovery: &str, known: &str) -> String {
     format!(
-        r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{PROFILE}}}"#
+        r#"{{"name":"n1","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"known":{known},"settings":{SETTINGS}}}"#
     )
 }
 
-/// A long exchange on the simulator's wire: each reply has to be the recorded one.
+/// Replays a recorded exchange in the simulator's protocol; each reply must equal the recorded one.
 #[test]
 fn simulator_exchange_is_unchanged() {
     use std::io::Write;
@@ -96,14 +96,14 @@
 }
 
 fn check(config: &str, sessions: Option<&str>) -> Output {
-    let folder = Folder::new(&format!("check-{:?}", std::thread::current().id()));
+    let directory = TemporaryDirectory::new(&format!("check-{:?}", std::thread::current().id()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_quartzhall"));
     command
-        .current_dir(&folder.0)
+        .current_dir(&directory.0)
         .args(["check", "--config", "config.json"]);
-    folder.file("config.json", config);
+    directory.file("config.json", config);
     if let Some(sessions) = sessions {
-        folder.file("websocket.json", sessions);
+        directory.file("websocket.json", sessions);
         command.args(["--websocket", "websocket.json"]);
     }
     command.output().unwrap()
@@ -344,30 +344,31 @@
     }
 }
 
-/// The frame with which a stream goes to a successor, as the successor's side reads it.
+/// The frame that migrates a stream to a successor process, in the current version.
 #[tokio::test]
 async fn moved_stream_frame_is_unchanged() {
-    let folder = Folder::new("moved");
-    let successor = FrameSuccessor::listen(&folder);
+    let directory = TemporaryDirectory::new("moved");
+    let successor = FrameSuccessor::listen(&directory);
     let migration = successor.migration();
-    let (has_migrated, newest) = tokio::join!(migrate_golden_stream(&migration), async {
+    let (is_migrated, frame) = tokio::join!(migrate_golden_stream(&migration), async {
         successor.accept_frame(GOLDEN_FRAME_BYTES).await
     });
-    assert!(has_migrated);
-    assert_golden("moved-stream-2.txt", &(hex(&newest) + "\n"));
+    assert!(is_migrated);
+    assert_golden("moved-stream-2.txt", &(hex(&frame) + "\n"));
 }
 
-/// A successor of the first version reads the head of a version that it does not know, and closes.
+/// A successor that only knows the first version reads the head of the current one and closes the connection. The sender then
+/// sends a frame of the first version.
 #[tokio::test]
 async fn moved_stream_frame_of_the_first_version_is_unchanged() {
-    let folder = Folder::new("moved-first");
-    let successor = FrameSuccessor::listen(&folder);
+    let directory = TemporaryDirectory::new("moved-first");
+    let successor = FrameSuccessor::listen(&directory);
     let migration = successor.migration();
-    let (has_migrated, frame) = tokio::join!(migrate_golden_stream(&migration), async {
+    let (is_migrated, frame) = tokio::join!(migrate_golden_stream(&migration), async {
         successor.reject_frame().await;
         successor.accept_frame(GOLDEN_FIRST_FRAME_BYTES).await
     });
-    assert!(has_migrated);
+    assert!(is_migrated);
     assert_golden("moved-stream.txt", &(hex(&frame) + "\n"));
 }
 
@@ -375,22 +376,22 @@
 const GOLDEN_FIRST_FRAME_BYTES: usize = FRAME_HEAD_BYTES + "data: half".len();
 const GOLDEN_FRAME_BYTES: usize = GOLDEN_FIRST_FRAME_BYTES + 17 + "9b1f03aa".len();
 
-/// A process that receives streams, as far as their frames.
+/// A stand-in for the successor process, which only receives frames.
 struct FrameSuccessor {
     socket_path: PathBuf,
     listener: tokio::net::UnixListener,
 }
 
 impl FrameSuccessor {
-    fn listen(folder: &Folder) -> FrameSuccessor {
-        let socket_path = folder.0.join("successor.sock");
+    fn listen(directory: &TemporaryDirectory) -> FrameSuccessor {
+        let socket_path = directory.0.join("successor.sock");
         FrameSuccessor {
             listener: tokio::net::UnixListener::bind(&socket_path).unwrap(),
             socket_path,
         }
     }
 
-    /// Where streams are sent that migrate to this process.
+    /// Returns a sender that migrates streams to this stand-in.
     fn migration(&self) -> MigrationSender {
         let (streams, queue) = tokio::sync::mpsc::channel(1);
         let process = ReceiverProcess {
@@ -414,7 +415,7 @@
 
     async fn accept_frame(&self, length: usize) -> Vec<u8> {
         let (mut stream, _) = self.listener.accept().await.unwrap();
-        // Descriptors end a read, whatever follows them: the head is read by itself.
+        // A read ends at passed file descriptors even if more bytes follow, so the head is read separately.
         let mut frame = vec![0; length];
         let (head, rest) = frame.split_at_mut(FRAME_HEAD_BYTES);
         stream.read_exact(head).await.unwrap();
@@ -424,7 +425,7 @@
     }
 }
 
-/// Offers a stream in the middle of a chunk and of an event, and returns whether it has migrated.
+/// Offers a stream that is in the middle of a chunk and of an event. Returns whether it was migrated.
 async fn migrate_golden_stream(migration: &MigrationSender) -> bool {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -454,10 +455,10 @@
 }
 
 mod exchange {
-    //! Raw bytes between clients, the program, replicas and discovery.
+    //! The bytes that the program exchanges with clients, replicas, discovery and operators.
 
     use super::free_address::free_address;
-    use super::{assert_golden, config, Folder};
+    use super::{assert_golden, config, TemporaryDirectory};
     use std::collections::BTreeSet;
     use std::process::{Child, Command, Stdio};
     use std::sync::{Arc, Mutex};
@@ -465,30 +466,33 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::{TcpListener, TcpStream};
 
-    struct Running(Child);
+    struct ProgramProcess(Child);
 
-    impl Drop for Running {
+    impl Drop for ProgramProcess {
         fn drop(&mut self) {
             let _ = self.0.kill();
             let _ = self.0.wait();
         }
     }
 
-    type Seen = Arc<Mutex<BTreeSet<String>>>;
+    type ReceivedRequests = Arc<Mutex<BTreeSet<String>>>;
 
-    /// Replaces what differs from run to run.
-    fn normalized(text: &str) -> String {
+    /// Masks the values of headers that differ from run to run.
+    fn mask_varying_headers(text: &str) -> String {
         let mut lines = Vec::new();
         for line in text.split("\r\n") {
             let lower = line.to_ascii_lowercase();
-            let varies = [
+            let varying_headers = [
                 "host: ",
                 "date: ",
                 "x-expires-in-ms: ",
                 "sec-websocket-key: ",
                 "sec-websocket-accept: ",
             ];
-            match varies.iter().find(|name| lower.starts_with(**name)) {
+            match varying_headers
+                .iter()
+                .find(|name| lower.starts_with(**name))
+            {
                 Some(name) => lines.push(format!("{}*", &line[..name.len()])),
                 None => lines.push(line.to_owned()),
             }
@@ -514,12 +518,12 @@
         }
     }
 
-    fn answer(is_prefill: bool, request: &str) -> &'static str {
-        const FULL: &str =
+    fn response_to(is_prefill: bool, request: &str) -> &'static str {
+        const OVERLOADED: &str =
             "HTTP/1.1 503 Service Unavailable\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n";
         const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n";
         const BAD: &str = "HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
-        const READ: &str =
+        const PREFILL_DONE: &str =
             "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":7}";
         const STREAM: &str =
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
@@ -534,35 +538,36 @@
                 .contains(&format!("x-trace-id: {name}"))
         };
         match is_prefill {
-            true if is_named("full") => FULL,
+            true if is_named("full") => OVERLOADED,
             true if is_named("bad") => BAD,
-            true => READ,
+            true => PREFILL_DONE,
             false if is_named("error") => ERROR,
             false => STREAM,
         }
     }
 
-    /// A replica that records the bytes that it gets.
-    async fn replica(name: &'static str, seen: Seen) -> String {
+    /// Starts a replica that records its requests. Returns its address.
+    async fn start_replica(name: &'static str, received: ReceivedRequests) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         tokio::spawn(async move {
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
-                let seen = seen.clone();
+                let received = received.clone();
                 tokio::spawn(async move {
                     while let Some(request) = read_request(&mut stream).await {
-                        let answer = answer(name == "prefill", &request);
-                        let _ = stream.write_all(answer.as_bytes()).await;
-                        // Any replica may be asked to release: which one depends on time.
+                        let response = response_to(name == "prefill", &request);
+                        let _ = stream.write_all(response.as_bytes()).await;
+                        // Which replica gets the request to release depends on timing.
                         let at = if request.starts_with("DELETE") {
                             "any"
                         } else {
                             name
                         };
-                        seen.lock()
+                        received
+                            .lock()
                             .unwrap()
-                            .insert(format!("=== {at}\n{}\n", normalized(&request)));
+                            .insert(format!("=== {at}\n{}\n", mask_varying_headers(&request)));
                     }
                 });
             }
@@ -570,20 +575,21 @@
         address
     }
 
-    /// An agent that records what it is asked and never answers.
-    async fn discovery(seen: Seen) -> String {
+    /// Starts a discovery agent that records its requests and never responds. Returns its address.
+    async fn start_discovery(received: ReceivedRequests) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         tokio::spawn(async move {
-            let mut open = Vec::new();
+            let mut open_streams = Vec::new();
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 if let Some(request) = read_request(&mut stream).await {
-                    seen.lock()
-                        .unwrap()
-                        .insert(format!("=== discovery\n{}\n", normalized(&request)));
+                    received.lock().unwrap().insert(format!(
+                        "=== discovery\n{}\n",
+                        mask_varying_headers(&request)
+                    ));
                 }
-                open.push(stream);
+                open_streams.push(stream);
             }
         });
         address
@@ -606,48 +612,49 @@
     async fn exchange(address: &str, request: &str) -> String {
         let mut stream = connect(address).await;
         stream.write_all(request.as_bytes()).await.unwrap();
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         let read =
-            tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut answer)).await;
+            tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut response)).await;
         let _ = read.expect("an end");
-        String::from_utf8_lossy(&answer).into_owned()
+        String::from_utf8_lossy(&response).into_owned()
     }
 
     struct Program {
-        _running: Running,
-        _folder: Folder,
+        _process: ProgramProcess,
+        _directory: TemporaryDirectory,
         address: String,
         sessions: String,
         management: String,
-        seen: Seen,
+        received: ReceivedRequests,
     }
 
     async fn start(name: &str) -> Program {
-        let seen = Seen::default();
+        let received = ReceivedRequests::default();
         let (prefill, decode) = (
-            replica("prefill", seen.clone()).await,
-            replica("decode", seen.clone()).await,
+            start_replica("prefill", received.clone()).await,
+            start_replica("decode", received.clone()).await,
         );
         let known = format!(
             r#"{{"revision":41,"complete":true,"members":[
                 {{"id":"p","host_port":"{prefill}","locality":"east","flavor":"prefill","cell":1,"phase":"Ready"}},
                 {{"id":"d","host_port":"{decode}","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}}]}}"#
         );
-        let discovery = discovery(seen.clone()).await;
+        let discovery = start_discovery(received.clone()).await;
         let (address, sessions, management) = (free_address(), free_address(), free_address());
-        let folder = Folder::new(name);
-        let file = folder.file("config.json", &config(&address, &discovery, &known));
-        let second = folder.file("websocket.json", &format!(r#"{{"listen":"{sessions}"}}"#));
+        let directory = TemporaryDirectory::new(name);
+        let file = directory.file("config.json", &config(&address, &discovery, &known));
+        let session_file =
+            directory.file("websocket.json", &format!(r#"{{"listen":"{sessions}"}}"#));
         let mut command = Command::new(env!("CARGO_BIN_EXE_quartzhall"));
         command
             .args(["serve", "--config"])
             .arg(file)
             .arg("--websocket")
-            .arg(second);
+            .arg(session_file);
         command
             .env("GW_MANAGEMENT", &management)
             .stderr(Stdio::null());
-        let running = Running(command.spawn().unwrap());
+        let process = ProgramProcess(command.spawn().unwrap());
         let ready = "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let becomes_ready =
             async { while !exchange(&address, ready).await.starts_with("HTTP/1.1 200") {} };
@@ -655,12 +662,12 @@
             .await
             .expect("ready");
         Program {
-            _running: running,
-            _folder: folder,
+            _process: process,
+            _directory: directory,
             address,
             sessions,
             management,
-            seen,
+            received,
         }
     }
 
@@ -737,18 +744,18 @@
         ];
         let mut text = String::new();
         for (name, request) in cases {
-            let answer = exchange(&program.address, &request).await;
-            text += &format!("=== {name}\n{}\n", normalized(&answer));
+            let response = exchange(&program.address, &request).await;
+            text += &format!("=== {name}\n{}\n", mask_varying_headers(&response));
         }
         assert_golden("http-answers.txt", &text);
-        // A read state is released after the failure: the last thing that the replicas see.
+        // The release of the KV cache after the failure is the last request to the replicas.
         let released = async {
             while !program
-                .seen
+                .received
                 .lock()
                 .unwrap()
                 .iter()
-                .any(|seen| seen.contains("DELETE /kv/leases/error"))
+                .any(|request| request.contains("DELETE /kv/leases/error"))
             {
                 tokio::task::yield_now().await;
             }
@@ -756,8 +763,8 @@
         tokio::time::timeout(Duration::from_secs(20), released)
             .await
             .expect("released");
-        let seen: String = program.seen.lock().unwrap().iter().cloned().collect();
-        assert_golden("upstream-requests.txt", &seen);
+        let requests: String = program.received.lock().unwrap().iter().cloned().collect();
+        assert_golden("upstream-requests.txt", &requests);
     }
 
     #[tokio::test]
@@ -798,20 +805,20 @@
         let url = format!("ws://{}/v1/sessions", program.sessions);
         let (mut session, response) = tokio_tungstenite::connect_async(url).await.unwrap();
         let mut text = format!("status {}\n", response.status());
-        let ask = |id: &str, class: &str| {
+        let request_message = |id: &str, class: &str| {
             format!(
                 r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":4000,"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
             )
         };
         let messages = [
-            ask("served", "status-query"),
-            ask("served", "status-query"),
-            ask("bad", "status-query"),
-            ask("full", "status-query"),
-            ask("error", "return-request"),
-            ask("error", "return-request"),
-            ask("a", "no-such-class"),
-            ask("a", "status-query").replace("prompt_len", "other"),
+            request_message("served", "status-query"),
+            request_message("served", "status-query"),
+            request_message("bad", "status-query"),
+            request_message("full", "status-query"),
+            request_message("error", "return-request"),
+            request_message("error", "return-request"),
+            request_message("a", "no-such-class"),
+            request_message("a", "status-query").replace("prompt_len", "other"),
             r#"{"type":"what"}"#.to_owned(),
             "no JSON".to_owned(),
         ];
@@ -821,9 +828,9 @@
             loop {
                 let next = tokio::time::timeout(Duration::from_secs(20), session.next()).await;
                 match next.expect("a message") {
-                    Some(Ok(Message::Text(said))) => {
-                        text += &format!("< {said}\n");
-                        if !said.contains(r#""type":"event""#) {
+                    Some(Ok(Message::Text(reply))) => {
+                        text += &format!("< {reply}\n");
+                        if !reply.contains(r#""type":"event""#) {
                             break;
                         }
                     }
@@ -839,8 +846,8 @@
         assert_golden("sessions.txt", &text);
     }
 
-    /// Digits of times and process ids vary.
-    fn without_numbers(text: &str) -> String {
+    /// Masks numbers of four digits and more: times and process ids, which differ from run to run.
+    fn mask_numbers(text: &str) -> String {
         let mut all = String::new();
         for word in text.split_inclusive(|character: char| !character.is_ascii_digit()) {
             let digits = word.chars().take_while(char::is_ascii_digit).count();
@@ -854,11 +861,11 @@
         all
     }
 
-    /// The files that two versions share: their names, and what they hold.
+    /// The names and contents of the files that processes of two versions share during an upgrade.
     #[tokio::test]
     #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
     async fn upgrade_files_are_unchanged() {
-        let folder = Folder::new("upgrade");
+        let directory = TemporaryDirectory::new("upgrade");
         let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let management = free_address();
         let known = r#"{"revision":41,"complete":true,"members":[
@@ -866,10 +873,10 @@
             {"id":"d","host_port":"127.0.0.1:2","locality":"east","flavor":"decode","cell":1,"phase":"Ready"},
             {"id":"d2","host_port":"127.0.0.1:3","locality":"east","flavor":"decode","cell":1,"phase":"Ready"}]}"#;
         let address = socket.local_addr().unwrap().to_string();
-        let file = folder.file("config.json", &config(&address, &free_address(), known));
-        let shared = folder.0.join("shared");
+        let file = directory.file("config.json", &config(&address, &free_address(), known));
+        let shared = directory.0.join("shared");
         std::fs::create_dir(&shared).unwrap();
-        // A version before this one has banned a replica.
+        // An earlier version has banned a replica.
         let bans = shared.join("quartzhall-08b37b07b558d4c0.bans");
         std::fs::write(
             &bans,
@@ -889,9 +896,9 @@
         command
             .stdin(Stdio::from(std::os::fd::OwnedFd::from(socket)))
             .stderr(Stdio::null());
-        let running = Running(command.spawn().unwrap());
-        // By its own number: those below a thousand have fewer digits than the times that are masked.
-        let process_id = format!("-{}.notice", running.0.id());
+        let process = ProgramProcess(command.spawn().unwrap());
+        // Replaced separately, because a process id below 1000 is too short to be masked as a number.
+        let process_id = format!("-{}.notice", process.0.id());
         assert_eq!(exchange(&management, "disable-server d\n").await, "ACK\n");
         assert!(
             exchange(&management, "ready\n").await.starts_with("NAK"),
@@ -903,11 +910,11 @@
                 let path = entry.unwrap().path();
                 let name = path.file_name().unwrap().to_str().unwrap();
                 let name = name.replace(&process_id, "-#.notice");
-                let holds = std::fs::read_to_string(&path).unwrap_or_else(|_| "a socket".into());
+                let content = std::fs::read_to_string(&path).unwrap_or_else(|_| "a socket".into());
                 all.push(format!(
                     "{}: {}\n",
-                    without_numbers(&name),
-                    without_numbers(holds.trim_end())
+                    mask_numbers(&name),
+                    mask_numbers(content.trim_end())
                 ));
             }
             all.sort();
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between dispatchers, over loopback sockets.
+//! The UDP transport of gossip, over loopback sockets.
 
 mod testbed;
 use quartzhall::config::{Config, Deployment};
@@ -10,11 +10,11 @@
 use tokio::net::UdpSocket;
 
 fn config(listen: &str, peers: &[&str], broadcast: &str) -> Config {
-    let profile = testbed::SETTINGS;
+    let settings = testbed::SETTINGS;
     let peers = peers.join("\",\"");
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{{}},
-            "peer_listen":"{listen}","peers":["{peers}"],"peers_all":"{broadcast}","settings":{profile}}}"#
+            "peer_listen":"{listen}","peers":["{peers}"],"peers_all":"{broadcast}","settings":{settings}}}"#
     );
     Config::parse(&text).unwrap()
 }
@@ -25,13 +25,13 @@
     (socket, address)
 }
 
-/// Messages go out to the address that reaches all dispatchers, and are taken from the addresses of dispatchers only; one
-/// that is longer than allowed shows as longer.
+/// Messages are sent to the broadcast address and accepted from peers' addresses only. A datagram that is too long is passed
+/// on with more than the maximum length, so that the dispatcher can reject it.
 #[tokio::test]
 async fn messages_are_carried_from_known_dispatchers_only() {
     let log = Logger::root(Discard, o!());
     let (peer, peer_address) = bind_socket().await;
-    let (stranger, _) = bind_socket().await;
+    let (unknown_sender, _) = bind_socket().await;
     let (broadcast, broadcast_address) = bind_socket().await;
     let (predecessor, listen_address) = bind_socket().await;
     let config = config(
@@ -45,7 +45,8 @@
     let (outgoing, outgoing_receiver) = GossipTransport::queue();
     let run = tokio::spawn(transport.run(outgoing_receiver, dispatcher, log));
 
-    // A predecessor still has the address; when it ends, this process binds it.
+    // The predecessor process still uses the address, so the queued message is dropped. Once the address is free, the
+    // transport binds it.
     outgoing.send("lost".into()).await.unwrap();
     while outgoing.capacity() < outgoing.max_capacity() {
         tokio::task::yield_now().await;
@@ -67,7 +68,7 @@
         (&b"to all"[..], listen_address.clone())
     );
 
-    stranger
+    unknown_sender
         .send_to(b"nonsense", &listen_address)
         .await
         .unwrap();
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, its start, its reload at SIGHUP and its shutdown at SIGTERM.
+//! The program `quartzhall`: command line, startup, reload on SIGHUP and shutdown on SIGTERM.
 
 mod free_address;
 mod testbed;
@@ -19,8 +19,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzhall");
 
-/// How long the program may take to answer or to end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The longest time that the program may take to respond or to exit.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 const PREFILL_ENDPOINT: &str =
     r#"{"id":"r","host_port":"127.0.0.1:1","locality":"east","flavor":"prefill","phase":"Ready"}"#;
@@ -63,7 +63,7 @@
         Dispatcher { child }
     }
 
-    /// Starts the dispatcher with its log to be read.
+    /// Starts the dispatcher and returns its log for reading.
     fn start_with_log(config: &TemporaryFile) -> (Dispatcher, LogLines) {
         let mut dispatcher = Dispatcher::start(config, None, Stdio::piped());
         let log = dispatcher.child.stderr.take().unwrap();
@@ -81,7 +81,7 @@
 
     async fn wait_for_exit(mut self) -> ExitStatus {
         let exit = tokio::task::spawn_blocking(move || self.child.wait().unwrap());
-        tokio::time::timeout(PATIENCE, exit)
+        tokio::time::timeout(TIMEOUT, exit)
             .await
             .expect("the dispatcher exits")
             .unwrap()
@@ -97,13 +97,13 @@
 
 type LogLines = Lines<BufReader<ChildStderr>>;
 
-/// Reads the log up to a line with this text: whether there is one, and the lines after it.
+/// Reads the log up to a line that contains `text`. Returns whether there is one, and the lines after it.
 async fn read_log_until(mut lines: LogLines, text: &'static str) -> (bool, LogLines) {
     let read = tokio::task::spawn_blocking(move || {
         let is_found = lines.any(|line| line.unwrap().contains(text));
         (is_found, lines)
     });
-    tokio::time::timeout(PATIENCE, read).await.unwrap().unwrap()
+    tokio::time::timeout(TIMEOUT, read).await.unwrap().unwrap()
 }
 
 fn config(listen: &str, discovery: &str, known: &str) -> String {
@@ -113,7 +113,7 @@
     )
 }
 
-/// The command that serves with a configuration and, where there is one, a session file.
+/// Returns the command that serves with a configuration and an optional session file.
 fn serve(config: &TemporaryFile, sessions: Option<&TemporaryFile>) -> Command {
     let mut command = Command::new(PROGRAM);
     command.args(["serve", "--config"]).arg(&config.path);
@@ -173,7 +173,7 @@
     assert!(String::from_utf8_lossy(&check.stdout).contains("2 classes, 1 tenants"));
 }
 
-/// The whole response to a `GET`, once the address answers at all.
+/// Retries a `GET` request until the address responds. Returns the whole response.
 async fn get_response(address: &str, path: &str) -> String {
     let requests = async {
         loop {
@@ -189,12 +189,12 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, requests)
+    tokio::time::timeout(TIMEOUT, requests)
         .await
         .expect("a response")
 }
 
-/// Waits until the readiness check answers with this status code.
+/// Waits until the readiness check responds with this status code.
 async fn wait_for_readiness(address: &str, code: &str) {
     while !get_response(address, "/ready")
         .await
@@ -202,7 +202,8 @@
     {}
 }
 
-/// Discovery first sends a cut response, then a fleet; the program is ready only then, and exits with 0.
+/// Discovery first sends a truncated response, then a full list. The program is ready only after the list, and exits with
+/// status 0 on SIGTERM.
 #[tokio::test]
 async fn becomes_ready_with_an_endpoint_list_and_drains_at_sigterm() {
     let calls = Arc::new(AtomicUsize::new(0));
@@ -234,7 +235,7 @@
     wait_for_readiness(&listen, "200").await;
     assert!(
         calls.load(Ordering::SeqCst) >= 2,
-        "discovery is called again after a cut response"
+        "discovery is called again after a truncated response"
     );
     assert!(get_response(&sessions, "/health")
         .await
@@ -251,10 +252,11 @@
     assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// The targets of the requests to a discovery server.
+/// The targets of the requests that a discovery server has received.
 type RequestTargets = Arc<Mutex<Vec<String>>>;
 
-/// A discovery server that sends one full list and then leaves watches open: its address, and the requests to it.
+/// Starts a discovery server that responds to requests for the full list and never to watches. Returns its address and the
+/// requests that it receives.
 async fn start_discovery(revision: u32, members: &'static str) -> (String, RequestTargets) {
     let requests = RequestTargets::default();
     let received = requests.clone();
@@ -274,8 +276,8 @@
     (address, requests)
 }
 
-/// At SIGHUP a half-written file changes nothing and is read again until it is complete; then the new discovery server
-/// is used from a full list on, though its revisions are lower. Further SIGHUPs, and SIGTERM after them, work.
+/// On SIGHUP, a half-written file changes nothing and is read again until it is complete. The new discovery server is then
+/// asked for a full list, although its revisions are lower. Further SIGHUPs and a final SIGTERM still work.
 #[tokio::test]
 async fn reload_retries_a_half_written_file_and_uses_the_new_discovery_address() {
     let (first, _) = start_discovery(900, PREFILL_ENDPOINT).await;
@@ -303,13 +305,13 @@
         .await
         .starts_with("HTTP/1.1 200"));
     dispatcher.signal("TERM");
-    // Nobody reads the rest of the log: the program must not block on that.
+    // The rest of the log is not read; the program must not block on it.
     drop(lines);
     assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// The configuration's endpoint list is watched from its revision on: a full list costs discovery work at each start, and
-/// a whole fleet starts at once.
+/// After startup with a configured endpoint list, discovery is watched from that list's revision on. Full lists would cost
+/// discovery too much work when a whole fleet starts at once.
 #[tokio::test]
 async fn watches_discovery_from_the_revision_of_the_configured_list() {
     let known = format!(r#"{{"revision":41,"complete":true,"members":[{BOTH_ENDPOINTS}]}}"#);
@@ -329,8 +331,8 @@
     assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// A restarted process is ready with the configured list though discovery is down, silent or rejects all requests, and
-/// though 300 dispatchers poll for lists in turn.
+/// A restarted process becomes ready with the configured list although discovery is down, doesn't respond or rejects all
+/// requests. This also holds in a fleet of 300 dispatchers, which spread out their first polls.
 #[tokio::test]
 async fn becomes_ready_with_the_configured_list_when_discovery_fails() {
     let known = r#"{"revision":41,"complete":true,"members":[
@@ -365,7 +367,7 @@
     }
 }
 
-/// A rejected file changes nothing: its discovery server gets no request, its classes stay unknown.
+/// A rejected file changes nothing: its discovery server gets no request, and the dispatcher stays ready.
 #[tokio::test]
 async fn reload_of_an_invalid_file_changes_nothing() {
     let (first, _) = start_discovery(1, BOTH_ENDPOINTS).await;
@@ -413,7 +415,7 @@
         requests.lock().unwrap().is_empty(),
         "nothing of an invalid file is applied"
     );
-    // The next valid one is applied at once, however many invalid ones came before.
+    // The next valid file is applied at once, however many invalid files came before it.
     file.write(&next);
     dispatcher.signal("HUP");
     let request_arrives = async {
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the wire, through the real adapter.
+//! Exchanges in the simulator's protocol with the adapter `quartzhall-simhost`.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -21,19 +21,19 @@
 "#;
 
 fn run(input: &str) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_quartzhall-simhost"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_quartzhall-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end at a bad line before it has read the rest: a broken pipe is no fault of the test.
-    let _ = host
+    // The adapter may exit at an invalid line before it has read the rest, so a broken pipe is no error.
+    let _ = adapter
         .stdin
         .take()
         .expect("its input")
         .write_all(input.as_bytes());
-    host.wait_with_output().expect("the adapter ends")
+    adapter.wait_with_output().expect("the adapter ends")
 }
 
 fn replies(input: &str) -> String {
@@ -74,21 +74,21 @@
 
 #[test]
 fn instances_share_nothing() {
-    let two = format!(
+    let two_instances = format!(
         "{INSTANCE_STARTED}{}",
         INSTANCE_STARTED
             .replace("router_0", "router_1")
             .replace("\"n\":1", "\"n\":9")
     );
     let alone = replies(&format!("{INSTANCE_STARTED}{REQUEST_ARRIVED}"));
-    let both = replies(&format!("{two}{REQUEST_ARRIVED}"));
-    let of = |text: &str| {
+    let both = replies(&format!("{two_instances}{REQUEST_ARRIVED}"));
+    let lines_for_router_0 = |text: &str| {
         text.lines()
             .filter(|line| line.contains("router_0"))
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    assert_eq!(of(&alone), of(&both));
+    assert_eq!(lines_for_router_0(&alone), lines_for_router_0(&both));
 }
 
 #[test]
@@ -125,9 +125,9 @@
         );
         assert!(!error.contains("panicked"), "{error}");
     }
-    let bad = REQUEST_ARRIVED.replace("\"kind\":\"chat\"", "\"kind\":\"other\"");
+    let invalid = REQUEST_ARRIVED.replace("\"kind\":\"chat\"", "\"kind\":\"other\"");
     let error =
-        String::from_utf8_lossy(&run(&format!("{INSTANCE_STARTED}{bad}")).stderr).into_owned();
+        String::from_utf8_lossy(&run(&format!("{INSTANCE_STARTED}{invalid}")).stderr).into_owned();
     assert!(
         error.contains("line 7") && error.contains("unknown kind"),
         "{error}"
