--- a/src/bin/quartzhall-simhost/host.rs
+++ b/src/bin/quartzhall-simhost/host.rs
@@ -1,5 +1,5 @@
-//! The router instances of this process. Each message becomes an event for one instance's router, and the router's actions
-//! become replies. [`Host`] owns the instances, the endpoint lists and the current batch of messages.
+//! The router instances of this process. Each message becomes an event for one instance's router, and the router's
+//! actions become replies. [`Host`] owns the instances, the endpoint lists and the current batch of messages.
 
 use crate::error::HostError;
 use crate::messages::{
--- a/src/bin/quartzhall-simhost/main.rs
+++ b/src/bin/quartzhall-simhost/main.rs
@@ -1,8 +1,8 @@
 //! An adapter between the simulator and the router: speaks the simulator's protocol of JSON lines on standard input and
 //! output, and hosts one [`Router`](quartzhall::routing::Router) for each simulated dispatcher.
 //!
-//! The adapter only translates; all decisions are the router's. Invalid input ends the process with one line on standard
-//! error. `messages` has the protocol's names; `host` owns the instances.
+//! The adapter only translates; all decisions are the router's. Invalid input ends the process with one line on
+//! standard error. `messages` has the protocol's names; `host` owns the instances.
 
 mod error;
 mod host;
--- a/src/bin/quartzhall-simhost/messages.rs
+++ b/src/bin/quartzhall-simhost/messages.rs
@@ -1,5 +1,5 @@
-//! The messages of the simulator's protocol: parsing of messages, formatting of replies, and the mapping of the protocol's
-//! names to the terms of the router.
+//! The messages of the simulator's protocol: parsing of messages, formatting of replies, and the mapping of the
+//! protocol's names to the terms of the router.
 
 use crate::error::HostError;
 use miniserde::{json, Deserialize};
@@ -27,7 +27,7 @@
     pub list_number: Option<u32>,
     #[serde(rename = "lines")]
     pub endpoints: Option<Vec<EndpointEntry>>,
-    /// The code of an endpoint list update's form: incremental, full or failed.
+    /// The form of an endpoint list update: `host` has the codes.
     pub form: Option<u32>,
     #[serde(rename = "rid")]
     request: Option<u64>,
@@ -53,10 +53,11 @@
     #[serde(rename = "worker")]
     endpoint: Option<String>,
     status: Option<String>,
+    /// Whether the client has its final response, from this attempt or an earlier one.
     #[serde(rename = "final")]
     pub request_closed: Option<bool>,
-    /// The cached prompt tokens of an ended attempt. A positive number with an overload status means that the KV cache was
-    /// missing.
+    /// The cached prompt tokens of an ended attempt. A positive number with an overload status means that the KV cache
+    /// was missing.
     #[serde(rename = "remark")]
     pub cached_tokens: Option<f64>,
     metrics: Option<Metrics>,
--- a/src/config/deployment.rs
+++ b/src/config/deployment.rs
@@ -1,8 +1,8 @@
-//! A deployment: the settings object resolved into the router's [`RoutingSettings`], the dispatcher's limits, and ids for
-//! the names of classes, tenants, zones and machine types.
+//! A deployment: the settings object resolved into the router's [`RoutingSettings`], the dispatcher's limits, and ids
+//! for the names of classes, tenants, zones and machine types.
 //!
-//! The dispatcher and the simulator's adapter both use it. An absent number is 0 unless a default is named here. An unknown
-//! keyword is an error, because a fallback would silently change how requests are routed.
+//! The dispatcher and the simulator's adapter both use it. An absent number is 0 unless a default is named here. An
+//! unknown keyword is an error, because a fallback would silently change how requests are routed.
 
 use super::raw_settings::{
     ClassSettings, FamilySettings, LimitSettings, RuleSettings, SettingsObject, TenantSettings,
@@ -44,7 +44,8 @@
     pub classes: NameTable,
     /// Ids of the tenants.
     pub tenants: NameTable,
-    /// The cost of a full gossip message for each receiver, as a share of a request's value; `None`: gossip is not allowed.
+    /// The cost of a full gossip message for each receiver, as a share of a request's value; `None`: gossip is not
+    /// allowed.
     pub gossip_cost: Option<f64>,
     zones: NameTable,
     machine_types: NameTable,
@@ -98,9 +99,9 @@
         })
     }
 
-    /// Returns this deployment adapted to replace the running one. A class whose settings are unchanged keeps its id; any
-    /// other class gets an id that no class and no open request uses. Zones, machine types, roles and KV cache capacities
-    /// remain those of `running` until a restart.
+    /// Returns this deployment adapted to replace the running one. A class whose settings are unchanged keeps its id;
+    /// any other class gets an id that no class and no open request uses. Zones, machine types, roles and KV cache
+    /// capacities remain those of `running` until a restart.
     ///
     /// # Errors
     ///
@@ -153,8 +154,8 @@
         Ok(self)
     }
 
-    /// Returns the record of an endpoint with this id and machine type; without a name it has the first type. The caller
-    /// assigns the number `endpoint`, and sets zone, cell, status and start time.
+    /// Returns the record of an endpoint with this id and machine type; without a name it has the first type. The
+    /// caller assigns the number `endpoint`, and sets zone, cell, status and start time.
     ///
     /// # Errors
     ///
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a dispatcher, and the loading of all files that the command line names.
+//! The configuration file of a dispatcher, and the loading of the files that the command line names.
 
 use super::validation;
 use super::{ConfigError, Deployment, EndpointList, MachineLimits, SessionConfig, SettingsObject};
@@ -18,7 +18,7 @@
     pub name: String,
     /// The address on which HTTP clients connect.
     pub listen: String,
-    /// The address of the discovery agent.
+    /// The IP address and port of the discovery service, or of its agent on this machine.
     pub discovery: String,
     /// The address of the management interface for operators; `None`: off.
     pub management: Option<String>,
@@ -43,7 +43,8 @@
     ///
     /// # Errors
     ///
-    /// The text isn't the expected JSON object, or a setting has an invalid value. The error names the first such setting.
+    /// The text isn't the expected JSON object, or a setting has an invalid value. The error names the first such
+    /// setting.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let config: Config = json::from_str(text).map_err(|_| ConfigError::NotJsonObject)?;
         let value: Value = json::from_str(text).map_err(|_| ConfigError::NotJsonObject)?;
@@ -78,8 +79,8 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Config::parse`], and those of [`validation::check_complete`]: the new configuration lacks a setting of
-    /// the running one, or has a value of another type.
+    /// Those of [`Config::parse`], and those of [`validation::check_complete`]: the new configuration lacks a setting
+    /// of the running one, or has a value of another type.
     pub fn parse_next(running: &str, text: &str) -> Result<Config, ConfigError> {
         let config = Config::parse(text)?;
         let running: Value = json::from_str(running).map_err(|_| ConfigError::NotJson)?;
--- a/src/config/name_table.rs
+++ b/src/config/name_table.rs
@@ -66,7 +66,8 @@
     }
 }
 
-/// Returns the FNV-1a hash of a name. Dispatchers exchange these hashes, so the result must not change between versions.
+/// Returns the FNV-1a hash of a name. Dispatchers exchange these hashes, so the result must not change between
+/// versions.
 pub fn fnv1a_hash(name: &str) -> u64 {
     let add_byte = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     name.bytes().fold(0xcbf2_9ce4_8422_2325, add_byte)
--- a/src/config/raw_settings.rs
+++ b/src/config/raw_settings.rs
@@ -1,5 +1,5 @@
-//! The JSON settings object, deserialized field for field. [`Deployment`](super::Deployment) resolves it into the terms of
-//! the code.
+//! The JSON settings object, deserialized field for field. [`Deployment`](super::Deployment) resolves it into the terms
+//! of the code.
 //!
 //! An absent field is `None`; `Deployment` chooses its default.
 
@@ -20,7 +20,8 @@
     pub(super) limits: Option<LimitSettings>,
     /// The names of the machine types, in the order of the lists indexed by machine type.
     pub(super) machine_types: Option<Vec<String>>,
-    /// `subscribe`: the endpoint list is polled from a remote discovery service. Any other value: a local agent serves it.
+    /// `subscribe`: the endpoint list is polled from a remote discovery service. Any other value: a local agent serves
+    /// it.
     pub(super) membership_mode: Option<String>,
     /// The factor on the priority weight of requests over their tenant's quota.
     pub(super) over_share_worth: Option<f64>,
@@ -114,7 +115,7 @@
 /// How endpoints report their load.
 #[derive(Deserialize, Clone, Default)]
 pub(super) struct ReportingSettings {
-    /// `answers` (with each response), `probe` or `none`.
+    /// `answers` (with each response), `probe` (only to probes) or `none`.
     pub(super) via: Option<String>,
 }
 
@@ -125,7 +126,7 @@
     pub(super) answer_slack: Option<f64>,
     /// The share of its full capacity with which an endpoint begins slow start, 0 to 1.
     pub(super) cold_from: Option<f64>,
-    /// The time after the start of a drain from which on nothing is sent to the endpoint.
+    /// How long after the start of an endpoint's drain requests may still be sent to it.
     pub(super) drain_grace: Option<f64>,
     /// How long a load of `tip_multiple` must last for the endpoint to fail.
     pub(super) fall: Option<f64>,
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,8 +1,8 @@
 //! The reload task: reads the configuration file again on each SIGHUP while the dispatcher serves.
 //!
-//! A file is applied as a whole or not at all: it must have all settings that the running configuration has. The core gets
-//! its `settings`, and the discovery task switches to a changed `discovery` address. Listeners, `limits`, the zone and the
-//! machine types don't change until a restart. The task owns the text of the running configuration.
+//! A file is applied as a whole or not at all: it must have all settings that the running configuration has. The core
+//! gets its `settings`, and the discovery task switches to a changed `discovery` address. Listeners, `limits`, the zone
+//! and the machine types don't change until a restart. The task owns the text of the running configuration.
 
 use super::{Config, ConfigError, Deployment};
 use crate::dispatcher::DispatcherHandle;
--- a/src/config/session_file.rs
+++ b/src/config/session_file.rs
@@ -105,8 +105,8 @@
         Ok(())
     }
 
-    /// Reduces the limits to the machine's resources. Sessions get up to three eighths of the clients' file descriptors and
-    /// a quarter of the memory for messages in transit; cached responses get up to an eighth of the memory.
+    /// Reduces the limits to the machine's resources. Sessions get up to three eighths of the clients' file descriptors
+    /// and a quarter of the memory for messages in transit; cached responses get up to an eighth of the memory.
     pub fn fit_to_machine(self, client_sockets: usize, memory_bytes: usize) -> SessionBudget {
         let max_sessions = self
             .max_sessions
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,5 +1,5 @@
-//! Validation of a configuration as JSON. [`check_values`] finds numbers out of range; [`check_complete`] finds settings of
-//! the running configuration that a new one lacks. Pure.
+//! Validation of a configuration as JSON. [`check_values`] finds numbers out of range; [`check_complete`] finds
+//! settings of the running configuration that a new one lacks. Pure.
 
 use super::ConfigError;
 use miniserde::json::{Number, Value};
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,8 +1,8 @@
 //! Exponential backoff with jitter for calls to a service that all dispatchers of a fleet call.
 //!
-//! A retry rate that is harmless for one dispatcher can keep a service down when the whole fleet retries at it. The wait
-//! in the service's queue then reaches the callers' timeout, so each call expires before it is handled and none is served.
-//! So the delays grow with the number of callers, too. Each caller owns its [`Backoff`].
+//! A retry rate that is harmless for one dispatcher can keep a service down when the whole fleet retries at it. The
+//! wait in the service's queue then reaches the callers' timeout, so each call expires before it is handled and none is
+//! served. So the delays grow with the number of callers, too. Each caller owns its [`Backoff`].
 
 use crate::discovery::watch_state::MAX_RETRY_DELAY;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,8 @@
 }
 
 impl Backoff {
-    /// Creates the backoff of one of `caller_count` callers. Each caller needs a different seed, or all call at the same time.
+    /// Creates the backoff of one of `caller_count` callers. Each caller needs a different seed, or all call at the
+    /// same time.
     pub fn new(caller_count: u32, seed: u64) -> Self {
         Backoff {
             caller_count,
@@ -72,7 +73,8 @@
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let mean = min_mean.saturating_mul(1 << doublings).min(max_mean);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        // Bounding the delay itself would give all callers the same delay; with a bounded mean, delays keep their jitter.
+        // Bounding the delay itself would give all callers the same delay; with a bounded mean, delays keep their
+        // jitter.
         let bounded_mean = mean.min(max_delay.div_f64(JITTER.end));
         bounded_mean.mul_f64(self.rng.gen_range(JITTER))
     }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -21,8 +21,8 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The delay after a response that has no new revision and arrived within this time. Without it, a discovery service that
-/// ignores the hold time would be polled in a busy loop.
+/// The delay after a response that has no new revision and arrived within this time. Without it, a discovery service
+/// that ignores the hold time would be polled in a busy loop.
 const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The maximum size of a response body.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
@@ -63,7 +63,7 @@
 }
 
 impl PollError {
-    /// Returns whether discovery has responded, and so has spent work on the request.
+    /// Returns whether discovery has sent a complete response, and so has spent work on the request.
     fn is_answered(&self) -> bool {
         matches!(self, PollError::Rejected(_) | PollError::InvalidList(_))
     }
@@ -134,8 +134,8 @@
     /// Watches one address, from `known_revision` or from a full list on. Dropping the future closes its connections.
     async fn watch(&mut self, address: &str, known_revision: Option<u64>) {
         let client = http_client();
-        let is_pushed = !self.deployment.settings.must_poll_endpoints;
-        let mut state = WatchState::starting_at(known_revision, is_pushed);
+        let has_local_agent = !self.deployment.settings.must_poll_endpoints;
+        let mut state = WatchState::starting_at(known_revision, has_local_agent);
         loop {
             let poll = state.next_poll();
             let started = Instant::now();
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Parsing of discovery's endpoint list into the dispatcher's types. Pure. [`EndpointList`] and [`EndpointEntry`] define
-//! the JSON format.
+//! Parsing of discovery's endpoint list into the dispatcher's types. Pure. [`EndpointList`] and [`EndpointEntry`]
+//! define the JSON format.
 //!
 //! Discovery may send invalid data: an invalid list is rejected as a whole, an invalid entry is skipped.
 
@@ -71,9 +71,9 @@
     }
 }
 
-/// Parses a list entry. A draining or removed endpoint must never be skipped, as it would keep receiving requests. So if
-/// the address or the machine type of its entry is invalid, the result is marked as partial: only its id and status are
-/// valid, and the dispatcher keeps the endpoint's earlier record.
+/// Parses a list entry. A draining or removed endpoint must never be skipped, as it would keep receiving requests. So
+/// if the address or the machine type of its entry is invalid, the result is marked as partial: only its id and status
+/// are valid, and the dispatcher keeps the endpoint's earlier record.
 ///
 /// # Errors
 ///
--- a/src/gossip/budget.rs
+++ b/src/gossip/budget.rs
@@ -7,8 +7,8 @@
 
 /// The share of a request's value that may be spent on gossip.
 const REQUEST_VALUE_SHARE: f64 = 0.01;
-/// The share of the budget that may be spent on loads. All dispatchers need to know of a failure, but a load soon changes
-/// and the endpoint reports it to the dispatchers that use it.
+/// The share of the budget that may be spent on loads. All dispatchers need to know of a failure, but a load soon
+/// changes and the endpoint reports it to the dispatchers that use it.
 const LOAD_SHARE: f64 = 0.2;
 /// The limit of the accumulated budget, in requests' worth of bytes.
 const MAX_SAVED_REQUESTS: f64 = 4.0;
@@ -25,8 +25,8 @@
 }
 
 impl ByteBudget {
-    /// Creates the budget that one request earns. `price` is the cost of a full message to one receiver, as a share of a
-    /// request's value.
+    /// Creates the budget that one request earns. `price` is the cost of a full message to one receiver, as a share of
+    /// a request's value.
     pub(super) fn new(receivers: f64, price: f64) -> Self {
         let earned_per_request =
             REQUEST_VALUE_SHARE / price.max(MIN_PRICE) * MAX_DATAGRAM_BYTES as f64 / receivers;
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,8 +1,8 @@
 //! The format of a gossip message. Pure: converts between bytes and observations, without state.
 //!
-//! A message has a version byte, the time of sending in two bytes, and records of five bytes. A record has three bytes of
-//! the hash of the endpoint's id, one byte for its requests in flight or the failure code, and one for its share of used
-//! KV memory.
+//! A message has a version byte, the time of sending in two bytes, and records of five bytes. A record has three bytes
+//! of the hash of the endpoint's id, one byte for its requests in flight or the failure code, and one for its share of
+//! used KV memory.
 
 use crate::routing::api::{LoadReport, Time};
 
--- a/src/gossip/state.rs
+++ b/src/gossip/state.rs
@@ -1,10 +1,10 @@
 //! The gossip state: which observations this dispatcher sends to the others, and which messages it accepts. Pure: the
 //! dispatcher's core owns the [`Gossip`], and [`crate::gossip::transport`] carries the bytes.
 //!
-//! In a fleet of a hundred dispatchers, each one gets a load report from a given endpoint about every half minute, while
-//! all of them together get several per second. So each dispatcher sends only what the others don't expect: failures, and
-//! loads far from the last one reported for the endpoint. A byte budget limits the cost. A message that is malformed,
-//! stale, or no newer than the last one of its sender is counted and dropped.
+//! In a fleet of a hundred dispatchers, each one gets a load report from a given endpoint about every half minute,
+//! while all of them together get several per second. So each dispatcher sends only what the others don't expect:
+//! failures, and loads far from the last one reported for the endpoint. A byte budget limits the cost. A message that
+//! is malformed, stale, or no newer than the last one of its sender is counted and dropped.
 
 use super::budget::ByteBudget;
 use super::message::{self, gossip_key, Message, MessageTime, Record, MAX_RECORDS};
@@ -16,11 +16,11 @@
 const MAX_AGE_TICKS: i16 = 200;
 /// The maximum time of a message ahead of this clock, in ticks of 10 ms; messages from further ahead are stale.
 const MAX_CLOCK_SKEW_TICKS: i16 = 20;
-/// How long dispatchers expect the last reported load of an endpoint, in microseconds. After that, they expect the average
-/// load.
+/// How long dispatchers expect the last reported load of an endpoint, in microseconds. After that, they expect the
+/// average load.
 const EXPECTATION_LIFETIME: Time = 3_000_000;
-/// The difference from the expected load above which a load is sent, in requests. [`MIN_DEVIATION_SHARE`] must be exceeded
-/// too.
+/// The difference from the expected load above which a load is sent, in requests. [`MIN_DEVIATION_SHARE`] must be
+/// exceeded too.
 const MIN_DEVIATION_REQUESTS: f64 = 2.0;
 /// The difference from the expected load above which a load is sent, as a share of the expected load.
 const MIN_DEVIATION_SHARE: f64 = 0.5;
@@ -40,7 +40,8 @@
     Failure,
 }
 
-/// The key of a pending record: the endpoint's gossip key and the kind. An endpoint has at most one record of each kind.
+/// The key of a pending record: the endpoint's gossip key and the kind. An endpoint has at most one record of each
+/// kind.
 type RecordKey = (u32, RecordKind);
 
 /// The gossip of one dispatcher: the loads that the other dispatchers expect, and the records to be sent.
@@ -58,8 +59,8 @@
 }
 
 impl Gossip {
-    /// Creates the gossip state in a fleet of `dispatcher_count` dispatchers. `price` is the cost of a full message to one
-    /// receiver, as a share of a request's value.
+    /// Creates the gossip state in a fleet of `dispatcher_count` dispatchers. `price` is the cost of a full message to
+    /// one receiver, as a share of a request's value.
     pub fn new(dispatcher_count: usize, price: f64) -> Self {
         let receivers = dispatcher_count.saturating_sub(1).max(1) as f64;
         Gossip {
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Records a load reported by an endpoint. It is sent if the other dispatchers don't expect it. `hash` is the hash of the
-    /// endpoint's id.
+    /// Records a load reported by an endpoint. It is sent if the other dispatchers don't expect it. `hash` is the hash
+    /// of the endpoint's id.
     pub fn record_load(&mut self, now: Time, endpoint: EndpointId, hash: u64, load: &LoadReport) {
         let Some(in_flight) = load.in_flight.filter(|count| *count >= 0.0) else {
             return;
@@ -137,8 +138,8 @@
         self.pending.insert(key, record);
     }
 
-    /// Returns the message to send now, if there is one. Records beyond the budget are discarded, as they would be stale
-    /// later.
+    /// Returns the message to send now, if there is one. Records beyond the budget are discarded, as they would be
+    /// stale later.
     pub fn next_message(&mut self, now: Time) -> Option<Vec<u8>> {
         // Failures come first: they are rarer, and the other dispatchers may not have noticed them.
         let mut records = Vec::new();
--- a/src/gossip/transport.rs
+++ b/src/gossip/transport.rs
@@ -60,8 +60,8 @@
         mpsc::channel(SEND_QUEUE_MESSAGES)
     }
 
-    /// Sends queued messages to all other dispatchers and forwards received messages to the dispatcher's core, until the
-    /// queue's sender is dropped.
+    /// Sends queued messages to all other dispatchers and forwards received messages to the dispatcher's core, until
+    /// the queue's sender is dropped.
     pub async fn run(
         self,
         mut outgoing: mpsc::Receiver<Bytes>,
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -1,5 +1,5 @@
-//! Conversion of the core's events to records of a recording file. [`TraceRecorder`] collects records in memory and does no
-//! I/O: the task that owns the core takes the records and has them written.
+//! Conversion of the core's events to records of a recording file. [`TraceRecorder`] collects records in memory and
+//! does no I/O: the task that owns the core takes the records and has them written.
 
 use crate::config::{Deployment, NameTable};
 use crate::routing::api::{
@@ -47,8 +47,8 @@
 }
 
 impl TraceRecorder {
-    /// Creates a recorder for a dispatcher, whose recording starts at `now`. Sessions and prefixes are recorded only as digests
-    /// with the secret `key`.
+    /// Creates a recorder for a dispatcher, whose recording starts at `now`. Sessions and prefixes are recorded only as
+    /// digests with the secret `key`.
     pub fn new(key: Key, now: Time, dispatcher: &str, deployment: &Deployment) -> TraceRecorder {
         let start = Record::Start {
             at: now,
--- a/src/variants.rs
+++ b/src/variants.rs
@@ -1,5 +1,5 @@
-//! Fault injection: variants of the program that each violate one rule. The soak test runs them to show that it detects the
-//! violations.
+//! Fault injection: variants of the program that each violate one rule. The soak test runs them to show that it detects
+//! the violations.
 //!
 //! They exist only in builds with the feature `variants`, which are never deployed. The environment variable
 //! `QUARTZHALL_VARIANT` selects the variant by its name.
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Differences between deployments depend on settings alone. Each test runs the same scenario with different values of a
-//! setting. `docs/deployments.md` lists the differences.
+//! Differences between deployments depend on settings alone. Each test runs the same scenario with different values of
+//! a setting. `docs/deployments.md` lists the differences.
 
 mod router_harness;
 use quartzhall::routing::api::*;
@@ -86,8 +86,8 @@
     );
 }
 
-/// As a queue grows, requests over their tenant's quota are shed first if their weight is lower. Requests that can't meet
-/// their deadline are shed regardless of quota.
+/// As a queue grows, requests over their tenant's quota are shed first if their weight is lower. Requests that can't
+/// meet their deadline are shed regardless of quota.
 #[test]
 fn traffic_over_quota_is_shed_by_its_weight() {
     let shed = |over_quota_weight| {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden tests: the program's output at each of its interfaces is compared byte by byte with files in `tests/golden`.
 //!
-//! A difference means that a protocol or a stored format has changed. `UPDATE_GOLDEN=1` rewrites the files, which is only right
-//! for an intended change of a format.
+//! A difference means that a protocol or a stored format has changed. `UPDATE_GOLDEN=1` rewrites the files, which is
+//! only right for an intended change of a format.
 
 mod free_address;
 
@@ -357,8 +357,8 @@
     assert_golden("moved-stream-2.txt", &(hex(&frame) + "\n"));
 }
 
-/// A successor that only knows the first version reads the head of the current one and closes the connection. The sender then
-/// sends a frame of the first version.
+/// A successor that only knows the first version reads the head of the current one and closes the connection. The
+/// sender then sends a frame of the first version.
 #[tokio::test]
 async fn moved_stream_frame_of_the_first_version_is_unchanged() {
     let directory = TemporaryDirectory::new("moved-first");
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -25,8 +25,8 @@
     (socket, address)
 }
 
-/// Messages are sent to the broadcast address and accepted from peers' addresses only. A datagram that is too long is passed
-/// on with more than the maximum length, so that the dispatcher can reject it.
+/// Messages are sent to the broadcast address and accepted from peers' addresses only. A datagram that is too long is
+/// passed on with more than the maximum length, so that the dispatcher can reject it.
 #[tokio::test]
 async fn messages_are_carried_from_known_dispatchers_only() {
     let log = Logger::root(Discard, o!());
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,5 +1,5 @@
-//! Feeds truncated messages and random bytes, from fixed seeds, to every parser. No parser may panic, and a truncated message
-//! must not be accepted.
+//! Feeds truncated messages and random bytes, from fixed seeds, to every parser. No parser may panic, and a truncated
+//! message must not be accepted.
 
 mod testbed;
 
@@ -157,8 +157,9 @@
     assert_eq!(members.len(), 1);
 }
 
-/// A draining or removed endpoint is recognized although other fields of its entry are invalid. Guards against skipping such
-/// an entry, or rejecting the whole list where a field has the wrong type: the endpoint would keep receiving requests.
+/// A draining or removed endpoint is recognized although other fields of its entry are invalid. Guards against skipping
+/// such an entry, or rejecting the whole list where a field has the wrong type: the endpoint would keep receiving
+/// requests.
 #[test]
 fn draining_and_removed_endpoints_are_recognized_in_partly_invalid_entries() {
     let invalid_fields = [
@@ -204,8 +205,8 @@
     }
 }
 
-/// However a stream is split into chunks, its bytes come out unchanged and in complete events. Bytes that are no event are
-/// an error, at the latest at the end of the malformed event.
+/// However a stream is split into chunks, its bytes come out unchanged and in complete events. Bytes that are no event
+/// are an error, at the latest at the end of the malformed event.
 #[test]
 fn event_streams_are_split_into_events() {
     let stream = format!(
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -202,8 +202,8 @@
     {}
 }
 
-/// Discovery first sends a truncated response, then a full list. The program is ready only after the list, and exits with
-/// status 0 on SIGTERM.
+/// Discovery first sends a truncated response, then a full list. The program is ready only after the list, and exits
+/// with status 0 on SIGTERM.
 #[tokio::test]
 async fn becomes_ready_with_an_endpoint_list_and_drains_at_sigterm() {
     let calls = Arc::new(AtomicUsize::new(0));
@@ -255,8 +255,8 @@
 /// The targets of the requests that a discovery server has received.
 type RequestTargets = Arc<Mutex<Vec<String>>>;
 
-/// Starts a discovery server that responds to requests for the full list and never to watches. Returns its address and the
-/// requests that it receives.
+/// Starts a discovery server that responds to requests for the full list and never to watches. Returns its address and
+/// the requests that it receives.
 async fn start_discovery(revision: u32, members: &'static str) -> (String, RequestTargets) {
     let requests = RequestTargets::default();
     let received = requests.clone();
@@ -276,8 +276,8 @@
     (address, requests)
 }
 
-/// On SIGHUP, a half-written file changes nothing and is read again until it is complete. The new discovery server is then
-/// asked for a full list, although its revisions are lower. Further SIGHUPs and a final SIGTERM still work.
+/// On SIGHUP, a half-written file changes nothing and is read again until it is complete. The new discovery server is
+/// then asked for a full list, although its revisions are lower. Further SIGHUPs and a final SIGTERM still work.
 #[tokio::test]
 async fn reload_retries_a_half_written_file_and_uses_the_new_discovery_address() {
     let (first, _) = start_discovery(900, PREFILL_ENDPOINT).await;
@@ -310,8 +310,8 @@
     assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// After startup with a configured endpoint list, discovery is watched from that list's revision on. Full lists would cost
-/// discovery too much work when a whole fleet starts at once.
+/// After startup with a configured endpoint list, discovery is watched from that list's revision on. Full lists would
+/// cost discovery too much work when a whole fleet starts at once.
 #[tokio::test]
 async fn watches_discovery_from_the_revision_of_the_configured_list() {
     let known = format!(r#"{{"revision":41,"complete":true,"members":[{BOTH_ENDPOINTS}]}}"#);
@@ -331,8 +331,8 @@
     assert_eq!(dispatcher.wait_for_exit().await.code(), Some(0));
 }
 
-/// A restarted process becomes ready with the configured list although discovery is down, doesn't respond or rejects all
-/// requests. This also holds in a fleet of 300 dispatchers, which spread out their first polls.
+/// A restarted process becomes ready with the configured list although discovery is down, doesn't respond or rejects
+/// all requests. This also holds in a fleet of 300 dispatchers, which spread out their first polls.
 #[tokio::test]
 async fn becomes_ready_with_the_configured_list_when_discovery_fails() {
     let known = r#"{"revision":41,"complete":true,"members":[
--- a/tests/unit/config/validation.rs
+++ b/tests/unit/config/validation.rs
@@ -8,7 +8,7 @@
 const RUNNING: &str = r#"{"name":"n","known":{"revision":1},"settings":{"limits":{"most_tries":5,"cancel":true},
     "classes":[{"name":"a","aim":1.5,"deadline":7,"aim_stretch":1},{"name":"b","aim":2,"deadline":9,"extra":1}]}}"#;
 
-/// Changes to the running configuration, each with what the error says about it.
+/// Invalid changes to the running configuration: the replaced text, its replacement, and a part of the expected error.
 const INVALID_CHANGES: [(&str, &str, &str); 13] = [
     (r#""name":"n","#, "", "name is missing"),
     (
@@ -69,7 +69,7 @@
     ),
 ];
 
-/// The text of the first error in a configuration that is to replace the running one.
+/// Checks a configuration that is to replace the running one. Returns the text of the first error.
 fn check(new: &Value) -> Result<(), String> {
     check_values("the configuration", new)
         .and_then(|()| check_complete("the configuration", &parse(RUNNING), new))
@@ -79,7 +79,7 @@
 #[test]
 fn accepts_a_configuration_with_all_running_settings() {
     assert_eq!(check(&parse(RUNNING)), Ok(()));
-    // Another number of classes, another count, one more setting, no endpoint list.
+    // A different number of classes, a different count, an additional setting and no endpoint list.
     let new = r#"{"name":"n","settings":{"limits":{"most_tries":1,"cancel":false,"more":[]},
         "classes":[{"name":"c","aim":1,"deadline":4}]}}"#;
     assert_eq!(check(&parse(new)), Ok(()));
--- a/tests/unit/discovery/backoff.rs
+++ b/tests/unit/discovery/backoff.rs
@@ -2,8 +2,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Simulates a service that handles one call at a time in 50 ms. Callers time out after 2 s, but the service handles their
-/// calls all the same. Returns how many callers were served by `end`.
+/// Simulates a service that handles one call at a time in 50 ms. Callers time out after 2 s, but the service handles
+/// their calls all the same. Returns how many callers were served by `end`.
 fn count_served(
     caller_count: u32,
     end: Duration,
--- a/tests/unit/discovery/watch_state.rs
+++ b/tests/unit/discovery/watch_state.rs
@@ -16,17 +16,17 @@
     Duration::from_millis(hold_ms.parse().unwrap())
 }
 
-/// Guards against timeouts that outlast the delivery deadline. With a timeout of 6.5 s, a watch whose connection was lost
-/// right after opening learned of a change half a second late, and requests went to draining endpoints.
+/// Guards against timeouts that outlast the delivery deadline. With a timeout of 6.5 s, a watch whose connection was
+/// lost right after opening learned of a change half a second late, and requests went to draining endpoints.
 #[test]
 fn broken_watch_is_reopened_before_missed_changes_count_as_delivered() {
-    for (revision, is_pushed) in [
+    for (revision, has_local_agent) in [
         (None, false),
         (Some(41), false),
         (None, true),
         (Some(41), true),
     ] {
-        let mut watch = WatchState::starting_at(revision, is_pushed);
+        let mut watch = WatchState::starting_at(revision, has_local_agent);
         let request = watch.next_poll();
         // The next request may fail to connect once; its response takes a round trip.
         let received_at = request.timeout + watch.on_timeout() * 2 + ROUND_TRIP;
@@ -41,8 +41,8 @@
 
 /// Returns how long after its recovery an agent's list arrives. The agent doesn't respond from `down` to `up`, nor to
 /// requests that were sent in that time.
-fn delay_after_recovery(is_pushed: bool, down: Duration, up: Duration) -> Duration {
-    let mut watch = WatchState::starting_at(Some(41), is_pushed);
+fn delay_after_recovery(has_local_agent: bool, down: Duration, up: Duration) -> Duration {
+    let mut watch = WatchState::starting_at(Some(41), has_local_agent);
     let mut now = Duration::ZERO;
     loop {
         let request = watch.next_poll();
@@ -94,16 +94,20 @@
     );
     assert!(watch.next_poll().timeout >= RESPONSE_GRACE);
     watch.on_response(42);
-    assert!(watch.next_poll().timeout < POLLED_HOLD + RESPONSE_GRACE);
+    assert!(watch.next_poll().timeout < REMOTE_HOLD + RESPONSE_GRACE);
 }
 
 #[test]
 fn watch_continues_from_the_last_revision() {
-    for is_pushed in [false, true] {
-        let mut watch = WatchState::starting_at(None, is_pushed);
+    for has_local_agent in [false, true] {
+        let mut watch = WatchState::starting_at(None, has_local_agent);
         assert_eq!(watch.next_poll().target, "/v1/endpoints");
         assert!(watch.on_response(7) && !watch.on_response(7) && watch.on_response(8));
-        let hold = if is_pushed { PUSHED_HOLD } else { POLLED_HOLD };
+        let hold = if has_local_agent {
+            AGENT_HOLD
+        } else {
+            REMOTE_HOLD
+        };
         assert_eq!(
             watch.next_poll().target,
             format!("/v1/endpoints?from=8&hold_ms={}", hold.as_millis())
@@ -124,8 +128,8 @@
     );
 }
 
-/// After a rejection or an invalid list, the next request is sent and leaves discovery's queue before a change counts as
-/// delivered.
+/// After a rejection or an invalid list, the next request is sent and leaves discovery's queue before a change counts
+/// as delivered.
 #[test]
 fn rejected_request_is_repeated_in_time() {
     let delivery_deadline = Duration::from_secs(6);
@@ -141,17 +145,17 @@
     }
     // A rejection after queueing shows overload: discovery then counts as unreachable, and the delay has no bound.
     assert_eq!(watch.max_backoff(QUEUEING_THRESHOLD), Duration::MAX);
-    let pushed_watch = WatchState::starting_at(Some(41), true);
+    let agent_watch = WatchState::starting_at(Some(41), true);
     for elapsed in [Duration::ZERO, QUEUEING_THRESHOLD] {
         assert!(
-            pushed_watch.max_backoff(elapsed) + PUSHED_RESPONSE_GRACE + ROUND_TRIP
+            agent_watch.max_backoff(elapsed) + AGENT_RESPONSE_GRACE + ROUND_TRIP
                 <= Duration::from_millis(250)
         );
     }
 }
 
-/// However long an outage lasts, its end must be noticed at once where lists are pushed. So only one request in a hundred
-/// has a long timeout.
+/// However long an outage lasts, its end must be noticed at once at a local agent. So only one request in a hundred has
+/// a long timeout.
 #[test]
 fn long_silent_agent_is_still_polled_with_short_timeouts() {
     let mut watch = WatchState::starting_at(Some(41), true);
--- a/tests/unit/gossip/state.rs
+++ b/tests/unit/gossip/state.rs
@@ -14,7 +14,7 @@
     Gossip::new(100, 0.0028)
 }
 
-/// The message that is sent after enough requests to afford it.
+/// Returns the next message after enough requests to fill the budget.
 fn next_message_with_full_budget(gossip: &mut Gossip, now: Time) -> Vec<u8> {
     for _ in 0..20 {
         gossip.on_request();
