--- a/src/gossip/budget.rs
+++ b/src/gossip/budget.rs
@@ -56,7 +56,7 @@
         affordable_records(self.available_for_loads)
     }
 
-    /// Subtracts a sent message of `message_bytes` with `load_records` load records.
+    /// Subtracts a sent message of `message_bytes`, for which `load_records` load records were selected.
     pub(super) fn spend(&mut self, message_bytes: usize, load_records: usize) {
         self.available -= message_bytes as f64;
         if load_records > 0 {
