--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -9,8 +9,8 @@
 use super::http::StreamResumer;
 use super::request_service::{serve_connection, ResumedConnection};
 use super::ShutdownPhase;
-use crate::net::connection_limit::{ConnectionLimit, ConnectionPermit};
-use crate::net::system_errors::AcceptPauses;
+use crate::net::adjustable_semaphore::{AdjustableSemaphore, Permit};
+use crate::net::system_errors::AcceptBackoff;
 use crate::upgrade::stream_migration::{MigrationSender, ReceivedStream};
 use crate::variants::{is_enabled, Variant};
 use axum::Router;
@@ -23,9 +23,9 @@
 use tokio::time::sleep;
 
 /// What a clients' listener has to do with other processes of its dispatcher.
-pub struct PeerStreams {
+pub struct MigrationChannels {
     /// Where streams are sent that migrate to another process.
-    pub migration: MigrationSender,
+    pub migration_sender: MigrationSender,
     /// The streams of other processes. Whoever has a place in this queue when it is closed may still use it.
     pub received: mpsc::Receiver<ReceivedStream>,
     /// Goes on with received streams; `None` where there are none.
@@ -34,11 +34,11 @@
     pub accepts: watch::Receiver<bool>,
 }
 
-impl PeerStreams {
+impl MigrationChannels {
     /// For a listener of a process that is alone.
-    fn none() -> PeerStreams {
-        PeerStreams {
-            migration: None,
+    fn none() -> MigrationChannels {
+        MigrationChannels {
+            migration_sender: None,
             received: mpsc::channel(1).1,
             resumer: None,
             accepts: watch::channel(true).1,
@@ -56,7 +56,7 @@
 
 impl ConnectionTasks {
     /// Serves a connection in a task of its own, which holds the permit.
-    fn spawn(&mut self, stream: TcpStream, permit: ConnectionPermit) {
+    fn spawn(&mut self, stream: TcpStream, permit: Permit) {
         let client = ClientConnection::new();
         let serving = serve_connection(
             stream,
@@ -147,7 +147,7 @@
 
 /// What a listener takes next.
 enum Incoming {
-    Accepted(Option<ConnectionPermit>, io::Result<TcpStream>),
+    Accepted(Option<Permit>, io::Result<TcpStream>),
     Received(ReceivedStream),
 }
 
@@ -156,30 +156,30 @@
 pub async fn serve(
     listener: TcpListener,
     routes: Router,
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     shutdown: watch::Receiver<ShutdownPhase>,
     log: Logger,
 ) {
-    let streams = PeerStreams::none();
-    serve_beside_peers(listener, routes, connection_limit, shutdown, streams, log).await;
+    let streams = MigrationChannels::none();
+    serve_with_migration(listener, routes, connection_limit, shutdown, streams, log).await;
 }
 
 /// The same, for a process that may have others beside it: streams come from there and go there.
-pub async fn serve_beside_peers(
+pub async fn serve_with_migration(
     listener: TcpListener,
     routes: Router,
-    connection_limit: ConnectionLimit,
+    connection_limit: AdjustableSemaphore,
     mut shutdown: watch::Receiver<ShutdownPhase>,
-    streams: PeerStreams,
+    streams: MigrationChannels,
     log: Logger,
 ) {
-    let PeerStreams {
-        migration,
+    let MigrationChannels {
+        migration_sender,
         mut received,
         resumer,
         mut accepts,
     } = streams;
-    let listener_state = ListenerState::new(connection_limit, shutdown.clone(), migration);
+    let listener_state = ListenerState::new(connection_limit, shutdown.clone(), migration_sender);
     let mut connections = ConnectionTasks {
         admission: Admission::new(listener_state),
         tasks: JoinSet::new(),
@@ -231,7 +231,7 @@
         connections: &mut ConnectionTasks,
         mut shutdown: watch::Receiver<ShutdownPhase>,
     ) {
-        let mut pauses = AcceptPauses::default();
+        let mut pauses = AcceptBackoff::default();
         loop {
             connections.remove_finished();
             let incoming = tokio::select! {
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -64,7 +64,7 @@
     if !request.headers().contains_key(header::TRANSFER_ENCODING) {
         return false;
     }
-    declared.is_none_or(|declared| !declared.chunked || declared.length.is_some())
+    declared.is_none_or(|declared| !declared.is_chunked || declared.length.is_some())
 }
 
 fn reject_ambiguous_body() -> Response {
@@ -186,7 +186,7 @@
     let mut socket = ClientSocket::new(stream, client.clone(), listener_state.clone());
     let mut resumed_response = None;
     if let Some(ResumedConnection { state, response }) = resumed {
-        if state.closes {
+        if state.closes_after_response {
             client.set_closes_after_response();
         }
         socket = socket.resume(&state);
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -15,11 +15,11 @@
 const MAGIC_BYTES: usize = 4;
 const LENGTH_BYTES: usize = size_of::<u32>();
 /// What both versions begin with: magic, position in the chunked body, length of the partial event.
-pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::BYTES + LENGTH_BYTES;
+pub(super) const HEADER_BYTES: usize = MAGIC_BYTES + ChunkedDecoder::ENCODED_BYTES + LENGTH_BYTES;
 /// What the second version adds to the header: flags, three lengths and the silence in milliseconds.
 pub(super) const EXTENSION_BYTES: usize = 1 + 4 * LENGTH_BYTES;
 
-/// No event that has not ended is longer, as in [`EventStream`](crate::backend::event_stream::EventStream).
+/// No event that has not ended is longer, as in [`EventSplitter`](crate::backend::event_stream::EventSplitter).
 const MAX_PARTIAL_EVENT_BYTES: u32 = 64 * 1024;
 /// More than a connection keeps back of either.
 const MAX_BUFFERED_BYTES: u32 = 4 << 20;
@@ -60,7 +60,7 @@
     /// The bytes received so far of the event that has not ended.
     pub partial_event: Bytes,
     /// How long ago the last whole event came.
-    pub silent_for: Duration,
+    pub idle_for: Duration,
 }
 
 /// The state of a stream's client side.
@@ -80,7 +80,7 @@
     /// Bytes that the client has sent behind its request, and that were read.
     pub pipelined: Bytes,
     /// The client was told, or may have been told, that the connection ends with this response.
-    pub closes: bool,
+    pub closes_after_response: bool,
 }
 
 impl ConnectionState {
@@ -127,11 +127,11 @@
     let ConnectionState {
         unsent,
         pipelined,
-        closes,
+        closes_after_response,
     } = &client.connection;
     let request_id = client.client_request_id.as_deref().unwrap_or("").as_bytes();
-    let silent_ms = u32::try_from(upstream.silent_for.as_millis()).unwrap_or(u32::MAX);
-    frame.push(u8::from(*closes) * CLOSES_CONNECTION);
+    let silent_ms = u32::try_from(upstream.idle_for.as_millis()).unwrap_or(u32::MAX);
+    frame.push(u8::from(*closes_after_response) * CLOSES_CONNECTION);
     frame.extend(length_bytes(unsent, MAX_BUFFERED_BYTES)?);
     frame.extend(length_bytes(pipelined, MAX_BUFFERED_BYTES)?);
     frame.extend(length_bytes(request_id, MAX_REQUEST_ID_BYTES)?);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -34,17 +34,17 @@
 /// Passes the bytes to every parser. Returns whether one of the parsers of JSON messages accepted them.
 fn feed_parsers(deployment: &Deployment, bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
-    backend_http::parse_tail(bytes);
-    load_report::parse_load(&text);
+    backend_http::parse_stream_tail(bytes);
+    load_report::parse_load_report(&text);
     let _ = http::parse_props(&text, &mut RequestMetadata::default());
-    identifiers::is_name(&text);
+    identifiers::is_valid_name(&text);
     identifiers::parse_key(&text);
     let mut partial = bytes.to_vec();
-    if let Some(complete) = websocket::take_text(&mut partial) {
+    if let Some(complete) = websocket::take_complete_utf8(&mut partial) {
         assert_eq!([complete.as_bytes(), &partial].concat(), bytes);
         assert!(partial.len() < 4);
     }
-    let is_endpoint_message = !matches!(backend_websocket::parse(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
+    let is_endpoint_message = !matches!(backend_websocket::parse_message(&text, "n"), backend_websocket::EndpointMessage::End(end) if end.reason.status() == quartzhall::routing::api::AttemptStatus::Error);
     let is_client_message = websocket::parse(&text, deployment).is_ok();
     is_endpoint_message
         || is_client_message
@@ -102,7 +102,7 @@
 
 #[test]
 fn valid_messages_are_parsed_correctly() {
-    let report = backend_http::parse_tail(STREAM_END.as_bytes());
+    let report = backend_http::parse_stream_tail(STREAM_END.as_bytes());
     let load = report.load.expect("a load report");
     assert_eq!(report.completion_tokens, 200.0);
     assert_eq!(
@@ -115,10 +115,10 @@
         (4096.0, Some(7.0), Some(0.5), None)
     );
     assert!(
-        load_report::parse_load("TEXT what=7").is_none()
-            && load_report::parse_load("JSON inflight=7").is_none()
+        load_report::parse_load_report("TEXT what=7").is_none()
+            && load_report::parse_load_report("JSON inflight=7").is_none()
     );
-    assert!(load_report::parse_load("TEXT inflight=inf").is_none());
+    assert!(load_report::parse_load_report("TEXT inflight=inf").is_none());
     let mut metadata = RequestMetadata::default();
     http::parse_props(
         "prefix=5c,prompt_len=5120,prefix_len=2048,max_out=800,new=1",
@@ -134,9 +134,9 @@
         (Some(0x5c), 5120.0, 800.0)
     );
     assert!(
-        identifiers::is_name("9b1f-03_a.5~")
-            && !identifiers::is_name("..")
-            && !identifiers::is_name("a b")
+        identifiers::is_valid_name("9b1f-03_a.5~")
+            && !identifiers::is_valid_name("..")
+            && !identifiers::is_valid_name("a b")
     );
 }
 
@@ -215,7 +215,7 @@
     let mut random = Gen::from_size_and_seed(40, 5);
     for _ in 0..500 {
         let (mut events, mut input, mut output) = (
-            event_stream::EventStream::default(),
+            event_stream::EventSplitter::default(),
             stream.as_bytes(),
             Vec::new(),
         );
@@ -239,11 +239,11 @@
 
         let mut garbage = Vec::<u8>::arbitrary(&mut random);
         garbage.insert(0, b'?');
-        let mut events = event_stream::EventStream::default();
+        let mut events = event_stream::EventSplitter::default();
         assert_eq!(events.push(b"data: 1\n\n").unwrap(), "data: 1\n\n");
         assert_eq!(events.push(&garbage), Err(event_stream::MalformedEvent));
     }
-    let mut events = event_stream::EventStream::default();
+    let mut events = event_stream::EventSplitter::default();
     let accepted = (0..70)
         .map(|_| events.push(&[b':'; 1024]))
         .take_while(Result::is_ok)
