--- a/src/config/session_file.rs
+++ b/src/config/session_file.rs
@@ -1,4 +1,4 @@
-//! The session file: where WebSocket sessions are accepted and opened, and their limits.
+//! The session file: settings of WebSocket sessions, from clients and to endpoints.
 
 use super::ConfigError;
 use miniserde::{json, Deserialize};
@@ -23,7 +23,7 @@
     record_bytes: Option<usize>,
 }
 
-/// Where WebSocket sessions are accepted and opened, and their limits.
+/// The addresses and limits of WebSocket sessions, from clients and to endpoints.
 #[derive(Clone, Debug)]
 pub struct SessionConfig {
     /// The address for clients' sessions and for the health checks of load balancers; `None`: off.
@@ -40,7 +40,7 @@
     pub max_message_bytes: usize,
     /// The time between two pings.
     pub ping_interval_ms: u64,
-    /// A session from which nothing arrives for this long is closed.
+    /// The time without any message after which a session is closed.
     pub session_timeout_ms: u64,
     /// How long a request continues after its session's connection is lost, so that the client can reattach to it.
     pub reattach_window_ms: u64,
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -374,6 +374,7 @@
 
 const FRAME_HEAD_BYTES: usize = 18;
 const GOLDEN_FIRST_FRAME_BYTES: usize = FRAME_HEAD_BYTES + "data: half".len();
+/// The current version's frame has 17 bytes of additional fields and the client request id.
 const GOLDEN_FRAME_BYTES: usize = GOLDEN_FIRST_FRAME_BYTES + 17 + "9b1f03aa".len();
 
 /// A stand-in for the successor process, which only receives frames.
