--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -1,17 +1,18 @@
-//! One run: simulated replicas, discovery agents and clients in this process, real dispatchers beside it, and the faults of
-//! the schedule.
+//! One run of the soak test.
 //!
-//! `SoakRun` owns all of them for the time of the run.
+//! Simulated replicas, discovery agents and clients run as tasks of this process, the dispatchers under test as child
+//! processes. `SoakRun` owns all of them until the end of the run. It generates load and injects the faults of the schedule
+//! at the same time, then waits for outstanding responses and releases and returns the violations.
 
 mod faults;
 mod process;
 mod upgrades;
 
-use crate::client::{self, ClientRequest, KeptConnection, Target};
+use crate::client::{self, ClientRequest, PersistentConnection, Target};
 use crate::error::SoakError;
 use crate::oracle::{Oracle, ResponseCounts, Violation};
-use crate::replica::{DrainNotifications, Replica};
-use crate::schedule::{self, SoakShape};
+use crate::replica::{Replica, TimeSinceDrainNotice};
+use crate::schedule::{self, RunSize};
 use crate::wire;
 use process::DispatcherProcess;
 use quartzhall::routing::api::{EndpointRecord, Role};
@@ -27,64 +28,70 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, sleep_until};
 
-/// What is run.
+/// The parameters of a run.
 pub struct RunPlan {
-    /// Draws the faults, the load and the replicas' work times.
+    /// Seed of the fault schedule, the load and the replicas' response delays.
     pub seed: u64,
-    /// The number of dispatchers and replicas, and the duration.
-    pub shape: SoakShape,
+    /// Numbers of dispatchers and replicas, duration, and the kinds of faults.
+    pub size: RunSize,
     /// Requests per second to each dispatcher.
     pub rate: f64,
-    /// The deadline in the settings; no client waits longer for its first event.
+    /// The deadline in the dispatchers' settings, which no client's deadline exceeds.
     pub max_deadline: Duration,
-    /// The dispatcher's program.
+    /// Path of the dispatcher's executable.
     pub program: PathBuf,
-    /// Where configurations and logs go.
+    /// Folder for the dispatchers' configuration and log files.
     pub folder: PathBuf,
 }
 
 /// The result of a run.
 pub struct RunResult {
-    /// Violated invariants.
+    /// All violations, in the order in which they were found.
     pub violations: Vec<Violation>,
-    /// Requests by the kind of their response.
+    /// Numbers of responses by status.
     pub counts: ResponseCounts,
-    /// Faults that were injected.
+    /// Number of scheduled faults, where a series of upgrades counts as one.
     pub faults: usize,
-    /// Upgrades among them.
+    /// Number of upgrades in all series.
     pub upgrades: u32,
-    /// The latest that an event was.
-    pub worst_event_delay: Duration,
+    /// The longest delay of an event, without the delays that a pause excuses.
+    pub max_event_delay: Duration,
 }
 
-/// Between two checks of the oracle's deadlines.
+/// Time between two checks for overdue responses and releases.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// After the last request, all responses have come and all reservations are released within this.
+/// Wait after the end of load and faults, in which all outstanding responses have to arrive and all KV caches to be
+/// released.
 const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
-/// Clients that keep their connection, for each process that is upgraded.
-const KEPT_CONNECTIONS: u64 = 2;
-/// Between two requests of such a client, in milliseconds.
-const MAX_KEPT_PAUSE_MS: u64 = 200;
-/// Requests of these clients have numbers from a multiple of two to this power on.
-const KEPT_NUMBER_BITS: u32 = 32;
-/// The fraction of requests to upgraded processes whose streams outlast upgrades.
+/// Clients with a persistent connection for each process that is upgraded.
+const PERSISTENT_CLIENTS_PER_PROCESS: u64 = 2;
+/// The longest pause between two requests on a persistent connection, in milliseconds.
+const MAX_PERSISTENT_CLIENT_PAUSE_MS: u64 = 200;
+/// Request numbers of persistent client `n` start at `(n + 1) << PERSISTENT_CLIENT_NUMBER_SHIFT`, so that they differ from
+/// those of other clients of the process.
+const PERSISTENT_CLIENT_NUMBER_SHIFT: u32 = 32;
+/// Fraction of requests to upgraded processes that ask for a long stream, which may still be open during an upgrade.
 const LONG_STREAM_FRACTION: f64 = 0.3;
 
-/// Ports on a process's own address: where it listens, its discovery agent, and the first replica.
+/// Port on which a dispatcher listens for clients. All ports are on a loopback address of the dispatcher's own.
 const LISTEN_PORT: u16 = 7_000;
-const AGENT_PORT: u16 = 7_001; // ports above it answer operators
-const REPLICA_PORT: u16 = 7_100;
-/// Ports of one run. The following runs use others, because connections of an earlier run may still be closing.
+/// Port of the dispatcher's discovery agent. The ports above it are management ports, one for each process of an upgraded
+/// dispatcher.
+const AGENT_PORT: u16 = 7_001;
+/// Port of replica 0. The other replicas have the ports above it.
+const FIRST_REPLICA_PORT: u16 = 7_100;
+/// Ports of one run. The next run uses others, because connections of an earlier run may still be closing.
 const PORTS_PER_RUN: u16 = 200;
-/// Runs after which ports are used again.
-const PORT_RANGES: u64 = 100;
-/// Cells over which replicas are spread.
-const CELLS: u32 = 3;
-/// Distance between the seeds of two runs' replicas.
+/// Number of successive seeds with ports of their own, after which the ports are reused.
+const PORT_RANGE_COUNT: u64 = 100;
+/// Number of cells over which the replicas are distributed.
+const CELL_COUNT: u32 = 3;
+/// Multiplier of the run's seed in the seeds of its replicas. Runs of successive seeds with up to 31 replicas start from
+/// different replica seeds.
 const REPLICA_SEED_FACTOR: u64 = 31;
 
-/// A run in progress.
+/// A run in progress. Replicas and dispatchers are indexed by their numbers.
 struct SoakRun {
     plan: RunPlan,
     oracle: Arc<Oracle>,
@@ -92,21 +99,22 @@
     processes: Vec<Arc<DispatcherProcess>>,
 }
 
-/// A loopback address that belongs to one process of this bench, so that no other program takes its ports meanwhile.
+/// Returns a loopback address for one dispatcher. The host part is derived from the id of this process, so that other
+/// programs do not take the ports while a dispatcher is down.
 fn process_address(seed: u64, process: usize, port: u16) -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let port = port + PORTS_PER_RUN * (seed % PORT_RANGES) as u16;
+    let port = port + PORTS_PER_RUN * (seed % PORT_RANGE_COUNT) as u16;
     SocketAddr::from(([127, 64 | (high & 63), low, process as u8 + 1], port))
 }
 
-/// Runs one seed to its end.
+/// Plays the run of one seed to its end.
 ///
 /// # Errors
 ///
-/// Fails if the bench cannot be set up, or a dispatcher does not start at the beginning.
+/// Fails if the test bench cannot be set up, or if a dispatcher does not become ready at the beginning.
 pub async fn run(plan: RunPlan) -> Result<RunResult, SoakError> {
     let mut rng = Pcg32::seed_from_u64(plan.seed);
-    let schedule = schedule::draw_schedule(&plan.shape, &mut rng);
+    let schedule = schedule::draw_schedule(&plan.size, &mut rng);
     let mut replica_tasks = JoinSet::new();
     let run = Arc::new(SoakRun::set_up(plan, &mut replica_tasks)?);
     for process in &run.processes {
@@ -118,13 +126,14 @@
     for process in &run.processes {
         let seed = rng.gen();
         work.spawn(run.clone().generate_load(process.clone(), seed));
-        if run.plan.shape.is_upgraded(process.number) {
-            for client in 0..KEPT_CONNECTIONS {
+        if run.plan.size.is_upgraded(process.number) {
+            for client in 0..PERSISTENT_CLIENTS_PER_PROCESS {
                 let seed = rng.gen();
-                work.spawn(
-                    run.clone()
-                        .use_kept_connection(process.clone(), client, seed),
-                );
+                work.spawn(run.clone().send_on_persistent_connection(
+                    process.clone(),
+                    client,
+                    seed,
+                ));
             }
         }
     }
@@ -143,24 +152,25 @@
         counts: run.oracle.counts(),
         faults,
         upgrades,
-        worst_event_delay: run.oracle.worst_event_delay(),
+        max_event_delay: run.oracle.max_event_delay(),
     };
     replica_tasks.abort_all();
     Ok(result)
 }
 
 impl SoakRun {
-    /// Creates the replicas and the discovery agents. The replicas are served by `replica_tasks`.
+    /// Creates the replicas and the dispatchers, and starts the discovery agents. The dispatchers are not started yet.
+    /// `replica_tasks` runs the servers of the replicas.
     fn set_up(plan: RunPlan, replica_tasks: &mut JoinSet<()>) -> Result<SoakRun, SoakError> {
         let oracle = Arc::new(Oracle::new());
         let delivery_logs: Vec<Arc<DeliveryLog>> =
-            (0..plan.shape.processes).map(|_| Arc::default()).collect();
+            (0..plan.size.processes).map(|_| Arc::default()).collect();
         let replicas = create_replicas(&plan, &oracle, &delivery_logs);
         let mut processes = Vec::new();
         for (number, delivery_log) in delivery_logs.into_iter().enumerate() {
             let endpoints = serve_replicas(&plan, &replicas, number, replica_tasks)?;
             let listen = process_address(plan.seed, number, LISTEN_PORT);
-            let platform_socket = if plan.shape.is_upgraded(number) {
+            let inherited_socket = if plan.size.is_upgraded(number) {
                 let socket = wire::listen(listen).and_then(TcpListener::into_std);
                 Some(socket.map_err(SoakError::Listen)?)
             } else {
@@ -172,7 +182,7 @@
                 process_address(plan.seed, number, AGENT_PORT),
                 endpoints,
                 delivery_log,
-                platform_socket,
+                inherited_socket,
             );
             processes.push(Arc::new(process));
         }
@@ -187,11 +197,12 @@
         })
     }
 
-    /// Sends requests at random times, each on a connection of its own.
+    /// Sends requests to a process with exponentially distributed intervals, each on a connection of its own. Returns when
+    /// all their clients have finished.
     async fn generate_load(self: Arc<Self>, process: Arc<DispatcherProcess>, seed: u64) {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let target = self.target(&process);
-        let end = Instant::now() + self.plan.shape.load_duration;
+        let target = self.client_target(&process);
+        let end = Instant::now() + self.plan.size.load_duration;
         let mut in_flight = JoinSet::new();
         for number in 0.. {
             let uniform: f64 = rng.gen_range(1e-6..1.0);
@@ -201,7 +212,7 @@
             }
             let mut request =
                 ClientRequest::draw(process.number, number, self.plan.max_deadline, &mut rng);
-            if self.plan.shape.is_upgraded(process.number) && rng.gen_bool(LONG_STREAM_FRACTION) {
+            if self.plan.size.is_upgraded(process.number) && rng.gen_bool(LONG_STREAM_FRACTION) {
                 request = request.with_long_stream(&mut rng);
             }
             if process.accepts_requests() {
@@ -212,26 +223,26 @@
         while in_flight.join_next().await.is_some() {}
     }
 
-    fn target(&self, process: &DispatcherProcess) -> Arc<Target> {
+    fn client_target(&self, process: &DispatcherProcess) -> Arc<Target> {
         Arc::new(Target {
             process: process.number,
             address: process.listen.clone(),
             oracle: self.oracle.clone(),
-            may_be_killed: !self.plan.shape.is_upgraded(process.number),
+            may_be_killed: !self.plan.size.is_upgraded(process.number),
         })
     }
 
-    /// Sends one request after the other, on one connection for as long as that stays open.
-    async fn use_kept_connection(
+    /// Sends one request after the other on a persistent connection.
+    async fn send_on_persistent_connection(
         self: Arc<Self>,
         process: Arc<DispatcherProcess>,
         client: u64,
         seed: u64,
     ) {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut connection = KeptConnection::new(self.target(&process));
-        let end = Instant::now() + self.plan.shape.load_duration;
-        let first_number = (client + 1) << KEPT_NUMBER_BITS;
+        let mut connection = PersistentConnection::new(self.client_target(&process));
+        let end = Instant::now() + self.plan.size.load_duration;
+        let first_number = (client + 1) << PERSISTENT_CLIENT_NUMBER_SHIFT;
         for number in first_number.. {
             if Instant::now() >= end {
                 break;
@@ -239,11 +250,14 @@
             let request =
                 ClientRequest::draw(process.number, number, self.plan.max_deadline, &mut rng);
             connection.send(request).await;
-            sleep(Duration::from_millis(rng.gen_range(0..MAX_KEPT_PAUSE_MS))).await;
+            sleep(Duration::from_millis(
+                rng.gen_range(0..MAX_PERSISTENT_CLIENT_PAUSE_MS),
+            ))
+            .await;
         }
     }
 
-    /// Checks deadlines until the task is aborted.
+    /// Has the oracle check for overdue responses and releases until the task is aborted.
     async fn check_deadlines(self: Arc<Self>) {
         let mut checks = interval(CHECK_INTERVAL);
         loop {
@@ -258,13 +272,15 @@
         }
     }
 
-    /// Reports the processes that do not run at the end of the run.
+    /// Reports dispatchers without a running process at the end of the run.
     fn check_processes(&self) {
         for process in &self.processes {
             let is_running = process.id().is_some_and(|id| sample(id).is_some());
             if !is_running {
-                self.oracle
-                    .on_process_failed(process.number, "not running at the end".into());
+                self.oracle.on_process_failed(
+                    process.number,
+                    "no process is running at the end of the run".into(),
+                );
             }
         }
     }
@@ -276,32 +292,32 @@
     delivery_logs: &[Arc<DeliveryLog>],
 ) -> Vec<Arc<Replica>> {
     let logs = delivery_logs.to_vec();
-    let drain_notifications: DrainNotifications = Arc::new(move |process: usize, replica| {
+    let time_since_drain_notice: TimeSinceDrainNotice = Arc::new(move |process: usize, replica| {
         Some(logs.get(process)?.drain_notified_at(replica)?.elapsed())
     });
     let create = |number: usize| {
         Replica::new(
             number,
-            role_of(&plan.shape, number),
+            role_of(&plan.size, number),
             plan.seed
                 .wrapping_mul(REPLICA_SEED_FACTOR)
                 .wrapping_add(number as u64),
             oracle.clone(),
-            drain_notifications.clone(),
+            time_since_drain_notice.clone(),
         )
     };
-    (0..plan.shape.replicas).map(create).collect()
+    (0..plan.size.replicas).map(create).collect()
 }
 
-fn role_of(shape: &SoakShape, replica: usize) -> Role {
-    if replica < shape.prefill_replicas {
+fn role_of(size: &RunSize, replica: usize) -> Role {
+    if replica < size.prefill_replicas {
         Role::Prefill
     } else {
         Role::Decode
     }
 }
 
-/// Serves all replicas at addresses for one process, and returns the endpoint list that it is given.
+/// Starts a server of every replica for one dispatcher, and returns the endpoint list for the dispatcher's discovery agent.
 fn serve_replicas(
     plan: &RunPlan,
     replicas: &[Arc<Replica>],
@@ -310,14 +326,14 @@
 ) -> Result<Vec<DiscoveredEndpoint>, SoakError> {
     let mut endpoints = Vec::new();
     for (number, replica) in replicas.iter().enumerate() {
-        let address = process_address(plan.seed, process, REPLICA_PORT + number as u16);
+        let address = process_address(plan.seed, process, FIRST_REPLICA_PORT + number as u16);
         let listener = wire::listen(address).map_err(SoakError::Listen)?;
         tasks.spawn(replica.clone().serve(process, address, listener));
         let record = EndpointRecord {
             endpoint: number as u32,
             key: number as u64,
-            role: role_of(&plan.shape, number),
-            cell: number as u32 % CELLS,
+            role: role_of(&plan.size, number),
+            cell: number as u32 % CELL_COUNT,
             ..EndpointRecord::default()
         };
         endpoints.push(DiscoveredEndpoint {
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -1,8 +1,8 @@
-//! The oracle by itself, and the repeatability of the fault schedule.
+//! Tests of the oracle's invariants without dispatchers, and of the fault schedule's repeatability.
 
 use quartzhall::routing::api::Role;
 use quartzhall_soak::oracle::{AttemptArrival, AttemptOutcome, Invariant, Oracle};
-use quartzhall_soak::schedule::{draw_schedule, SoakShape};
+use quartzhall_soak::schedule::{draw_schedule, RunSize};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -23,11 +23,12 @@
         role,
         is_delayed_by_bench: false,
         time_left_ms: None,
-        draining_for: None,
+        time_since_drain_notice: None,
     }
 }
 
-/// A non-idempotent request whose decode attempt has ended; `is_proven`: the replica reported that it never ran.
+/// Returns an oracle with a non-idempotent request whose decode attempt has ended. `is_proven` states that the replica
+/// rejected the attempt as never run.
 fn oracle_after_decode(is_proven: bool) -> Oracle {
     let oracle = Oracle::new();
     oracle.on_request_sent("a", 0, true, DEADLINE);
@@ -67,17 +68,17 @@
     oracle.on_request_sent("a", 0, false, DEADLINE);
     let within_slack = AttemptArrival {
         time_left_ms: Some(3_100),
-        draining_for: Some(Duration::from_millis(200)),
+        time_since_drain_notice: Some(Duration::from_millis(200)),
         ..arrival(1, Role::Prefill)
     };
     oracle.on_attempt_arrived("a", within_slack);
     assert_eq!(
         violated_invariants(&oracle),
         [],
-        "all of it within the slack"
+        "drain notice and announced time are within the slack"
     );
     let after_drain = AttemptArrival {
-        draining_for: Some(Duration::from_millis(900)),
+        time_since_drain_notice: Some(Duration::from_millis(900)),
         ..arrival(1, Role::Prefill)
     };
     oracle.on_attempt_arrived("a", after_drain);
@@ -97,13 +98,13 @@
         violated_invariants(&oracle).last(),
         Some(&Invariant::AbortedStreamIncomplete)
     );
-    // The dispatcher is not blamed for a delay of the bench.
+    // An attempt that the test bench has delayed violates no time limit.
     let oracle = Oracle::new();
     oracle.on_request_sent("a", 0, false, DEADLINE);
     let delayed = AttemptArrival {
         is_delayed_by_bench: true,
         time_left_ms: Some(9_000),
-        draining_for: Some(Duration::from_secs(9)),
+        time_since_drain_notice: Some(Duration::from_secs(9)),
         ..arrival(1, Role::Prefill)
     };
     oracle.on_attempt_arrived("a", delayed);
@@ -127,17 +128,17 @@
 
 #[test]
 fn seed_repeats_the_fault_schedule() {
-    let shape = SoakShape {
+    let size = RunSize {
         processes: 10,
         prefill_replicas: 5,
         replicas: 12,
         load_duration: Duration::from_secs(12),
-        has_crowds: true,
+        has_connection_floods: true,
     };
     let schedule = |seed| {
         format!(
             "{:?}",
-            draw_schedule(&shape, &mut Pcg32::seed_from_u64(seed))
+            draw_schedule(&size, &mut Pcg32::seed_from_u64(seed))
         )
     };
     assert_eq!(schedule(7), schedule(7));
