--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -152,7 +152,7 @@
 }
 
 /// A request's id, which names its dispatcher.
-pub fn request_id(dispatcher: usize, number: u64) -> String {
+pub fn client_request_id(dispatcher: usize, number: u64) -> String {
     format!("d{dispatcher}-{number:08x}")
 }
 
@@ -168,7 +168,7 @@
     load: &LoadConfig,
     rng: &mut Pcg32,
 ) -> ClientRequest {
-    let id = request_id(dispatcher, number);
+    let id = client_request_id(dispatcher, number);
     let (min_prompt, max_prompt) = load.prompt_tokens;
     let (min_output, max_output) = load.output_tokens;
     let prompt_tokens = rng.gen_range(min_prompt..=max_prompt);
--- a/crates/scale/src/memory.rs
+++ b/crates/scale/src/memory.rs
@@ -10,7 +10,8 @@
 const FIRST_REQUEST: u64 = 1_000_000;
 
 fn resident_bytes() -> f64 {
-    process::sample(std::process::id()).map_or(0.0, |sample| sample.resident_mb * 1024.0 * 1024.0)
+    process::sample_resources(std::process::id())
+        .map_or(0.0, |sample| sample.resident_mb * 1024.0 * 1024.0)
 }
 
 fn growth(kind: &str, count: u64, before: f64, after: f64) -> MemoryUse {
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -26,13 +26,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceSample {
     /// Processor time since the process started, in seconds.
-    pub core_s: f64,
+    pub cpu_s: f64,
     /// Resident memory, in MB.
     pub resident_mb: f64,
 }
 
 /// Reads the resource usage of a process from `/proc`; `None` if it does not exist.
-pub fn sample(process_id: u32) -> Option<ResourceSample> {
+pub fn sample_resources(process_id: u32) -> Option<ResourceSample> {
     let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = |index: usize| fields.get(index)?.parse::<f64>().ok();
@@ -43,7 +43,7 @@
     let resident_kb: f64 = resident.split_whitespace().next()?.parse().ok()?;
     // The 14th and 15th fields of the file are the times in user and kernel mode.
     Some(ResourceSample {
-        core_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND,
+        cpu_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND,
         resident_mb: resident_kb / 1024.0,
     })
 }
@@ -143,7 +143,7 @@
 }
 
 /// What a process of a dispatcher has in common with those beside it during an upgrade.
-pub struct Inheritance {
+pub struct LaunchEnvironment {
     /// A duplicate of the platform's listening socket.
     pub socket: OwnedFd,
     /// The folder through which the processes find each other.
@@ -182,7 +182,7 @@
         name: &str,
         address: String,
         config: &str,
-        inheritance: Option<Inheritance>,
+        environment: Option<LaunchEnvironment>,
     ) -> Result<Dispatcher, ProcessError> {
         let file_error = |source| ProcessError::File {
             name: name.to_owned(),
@@ -191,10 +191,10 @@
         let path = folder.join(format!("{name}.json"));
         std::fs::write(&path, config).map_err(file_error)?;
         let log = std::fs::File::create(folder.join(format!("{name}.log"))).map_err(file_error)?;
-        let management = inheritance
+        let management = environment
             .as_ref()
-            .map(|inheritance| inheritance.management.clone());
-        let child = command(program, inheritance)
+            .map(|environment| environment.management.clone());
+        let child = command(program, environment)
             .args(["serve", "--config"])
             .arg(&path)
             .stdout(Stdio::null())
@@ -300,24 +300,24 @@
 }
 
 /// The program, with what it inherits: a shell puts the socket where the platform does.
-fn command(program: &Path, inheritance: Option<Inheritance>) -> Command {
-    let Some(inheritance) = inheritance else {
+fn command(program: &Path, environment: Option<LaunchEnvironment>) -> Command {
+    let Some(environment) = environment else {
         let mut command = Command::new(program);
         command.stdin(Stdio::null());
         return command;
     };
     let script = format!(
         "ulimit -n {}; exec {INHERITED_DESCRIPTOR}<&0 0</dev/null; exec \"$0\" \"$@\"",
-        inheritance.max_descriptors
+        environment.max_descriptors
     );
     let mut command = Command::new("sh");
     command
         .args(["-c", &script])
         .arg(program)
         .env("GW_SOCKET_FD", INHERITED_DESCRIPTOR)
-        .env("GW_MANAGEMENT", inheritance.management)
-        .env("TMPDIR", inheritance.shared_folder)
-        .stdin(Stdio::from(inheritance.socket));
+        .env("GW_MANAGEMENT", environment.management)
+        .env("TMPDIR", environment.shared_folder)
+        .stdin(Stdio::from(environment.socket));
     command
 }
 
--- a/crates/scale/src/run/bench.rs
+++ b/crates/scale/src/run/bench.rs
@@ -5,7 +5,7 @@
 use crate::fleet;
 use crate::load;
 use crate::scenario::{EventKind, Scenario, ScenarioEvent};
-use crate::simulated::discovery::{DeliveryLog, DiscoveredEndpoint, Discovery};
+use crate::simulated::discovery::{DeliveryLog, Discovery, EndpointEntry};
 use crate::simulated::peers::{self, SimulatedPeers};
 use crate::simulated::replica::{DrainNotifications, Replica, ReplicaMetrics, SlowStartRule};
 use quartzhall::routing::api::{EndpointRecord, EndpointStatus};
@@ -92,7 +92,7 @@
             );
             tasks.spawn(replica.clone().serve(listener));
             replicas.push(replica);
-            endpoints.push(DiscoveredEndpoint {
+            endpoints.push(EndpointEntry {
                 record,
                 address,
                 up_since_ms: if is_warming_up { unix_ms() } else { 0 },
@@ -177,7 +177,7 @@
         }
     }
 
-    fn drain(&self, matches: impl Fn(&DiscoveredEndpoint) -> bool) {
+    fn drain(&self, matches: impl Fn(&EndpointEntry) -> bool) {
         let draining = self.discovery.find(matches);
         self.discovery.update(&draining, |endpoint| {
             endpoint.record.status = EndpointStatus::Draining;
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -7,7 +7,7 @@
 mod resources;
 
 use crate::load::{self, LoadResult};
-use crate::process::{sample, ResourceSample};
+use crate::process::{sample_resources, ResourceSample};
 use crate::results::{DispatcherUsage, DurationSummary, ScaleRunResult};
 use crate::scenario::{Scenario, ScenarioEvent};
 use crate::simulated::peers::SimulatedPeers;
@@ -95,7 +95,7 @@
 
 impl Measurement {
     fn take(bench: &Bench, peers: &SimulatedPeers, process_ids: &[u32]) -> Measurement {
-        let sample_or_zero = |process_id| sample(process_id).unwrap_or_default();
+        let sample_or_zero = |process_id| sample_resources(process_id).unwrap_or_default();
         Measurement {
             dispatchers: process_ids.iter().map(|id| sample_or_zero(*id)).collect(),
             bench: sample_or_zero(std::process::id()),
@@ -230,10 +230,10 @@
         let delivery_log = &bench.delivery_logs[number];
         let list_bytes = after.counters.list_bytes[number];
         usage.push(DispatcherUsage {
-            core_share: (sample.core_s - before.dispatchers[number].core_s) / seconds,
+            core_share: (sample.cpu_s - before.dispatchers[number].cpu_s) / seconds,
             resident_mb: sample.resident_mb,
             ready_s: readiness.after.as_secs_f64(),
-            ready_core_s: readiness.sample.core_s,
+            ready_core_s: readiness.sample.cpu_s,
             list_bytes_per_s: per_second(list_bytes, before.counters.list_bytes[number]),
             lists: count_of(&delivery_log.lists),
             full_lists: count_of(&delivery_log.full_lists),
@@ -276,7 +276,7 @@
         connections_per_request: connections as f64 / requests,
         probe_bytes_per_s: probe_bytes as f64 / seconds,
         send_delay,
-        bench_cores: (after.bench.core_s - before.bench.core_s) / seconds,
+        bench_cores: (after.bench.cpu_s - before.bench.cpu_s) / seconds,
         is_bench_limited: send_delay.p99_ms > MAX_SEND_DELAY.as_secs_f64() * 1000.0,
     }
 }
--- a/crates/scale/src/run/real.rs
+++ b/crates/scale/src/run/real.rs
@@ -3,7 +3,7 @@
 use super::bench::Bench;
 use super::{find_free_address, RunError, RunPlan};
 use crate::config::{self, Addresses};
-use crate::process::{sample, Dispatcher, ResourceSample};
+use crate::process::{sample_resources, Dispatcher, ResourceSample};
 use slog::{info, Logger};
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
                 None,
             )?;
             let after = process.wait_until_ready().await?;
-            let Some(sample) = sample(process.process_id) else {
+            let Some(sample) = sample_resources(process.process_id) else {
                 return Err(RunError::Exited { name });
             };
             info!(log, "dispatcher ready"; "dispatcher" => name, "seconds" => after.as_secs_f64(),
--- a/crates/scale/src/simulated/discovery.rs
+++ b/crates/scale/src/simulated/discovery.rs
@@ -23,7 +23,7 @@
 
 /// One replica, as discovery lists it.
 #[derive(Clone, Debug)]
-pub struct DiscoveredEndpoint {
+pub struct EndpointEntry {
     /// Its number, role, location and status.
     pub record: EndpointRecord,
     /// Where it listens.
@@ -32,7 +32,7 @@
     pub up_since_ms: u64,
 }
 
-impl DiscoveredEndpoint {
+impl EndpointEntry {
     fn to_json(&self) -> String {
         let record = &self.record;
         let flavor = if record.role == Role::Prefill {
@@ -67,7 +67,7 @@
 
 struct EndpointTable {
     revision: u64,
-    endpoints: Vec<DiscoveredEndpoint>,
+    endpoints: Vec<EndpointEntry>,
     serialized: HashMap<Option<u64>, Arc<SerializedList>>, // of this revision, by the revision that it starts from
     changes: Vec<Change>,
     oldest_diff_base: u64, // older revisions are sent the full list
@@ -168,7 +168,7 @@
 
 impl Discovery {
     /// Creates a discovery service with this list.
-    pub fn new(endpoints: Vec<DiscoveredEndpoint>) -> Discovery {
+    pub fn new(endpoints: Vec<EndpointEntry>) -> Discovery {
         let table = EndpointTable {
             revision: FIRST_REVISION,
             endpoints,
@@ -187,7 +187,7 @@
     }
 
     /// Changes the endpoints with these numbers, and notifies all watches.
-    pub fn update(&self, numbers: &[usize], change: impl Fn(&mut DiscoveredEndpoint)) {
+    pub fn update(&self, numbers: &[usize], change: impl Fn(&mut EndpointEntry)) {
         let mut table = self.table();
         table.serialized.clear();
         for number in numbers {
@@ -218,7 +218,7 @@
     }
 
     /// The numbers of the endpoints that match.
-    pub fn find(&self, matches: impl Fn(&DiscoveredEndpoint) -> bool) -> Vec<usize> {
+    pub fn find(&self, matches: impl Fn(&EndpointEntry) -> bool) -> Vec<usize> {
         let table = self.table();
         let endpoints = table.endpoints.iter().enumerate();
         endpoints
--- a/crates/scale/src/simulated/replica.rs
+++ b/crates/scale/src/simulated/replica.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// Tokens per second that a prefill replica processes.
-const PREFILL_RATE: f64 = 40_000.0;
+const PREFILL_TOKENS_PER_S: f64 = 40_000.0;
 /// Share of each prompt that is found in the prefix cache.
 const CACHED_SHARE: f64 = 0.5;
 /// From the start of a decode attempt to its first token.
@@ -235,7 +235,7 @@
     fn load_report(&self) -> String {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         let wait = lock(&self.busy_until).saturating_duration_since(Instant::now());
-        let queued_kilotokens = wait.as_secs_f64() * PREFILL_RATE / 1000.0;
+        let queued_kilotokens = wait.as_secs_f64() * PREFILL_TOKENS_PER_S / 1000.0;
         let memory_share = (in_flight as f64 / IN_FLIGHT_AT_FULL_MEMORY).min(1.0);
         format!("TEXT inflight={in_flight}, x0={memory_share:.3}, x1={queued_kilotokens:.2}")
     }
@@ -319,7 +319,8 @@
     ) -> Response<Body> {
         let tokens = body_bytes as f64 * TOKENS_PER_BYTE;
         let cached_tokens = (tokens * CACHED_SHARE) as u64;
-        let duration = Duration::from_secs_f64((tokens - cached_tokens as f64) / PREFILL_RATE);
+        let duration =
+            Duration::from_secs_f64((tokens - cached_tokens as f64) / PREFILL_TOKENS_PER_S);
         let end = {
             let mut busy_until = lock(&self.busy_until);
             *busy_until = (*busy_until).max(Instant::now()) + duration;
--- a/crates/scale/src/simulation/attempts.rs
+++ b/crates/scale/src/simulation/attempts.rs
@@ -129,7 +129,7 @@
         let timing = self.replicas[endpoint as usize].start_prefill(
             self.now,
             request,
-            self.options.prefill_rate,
+            self.options.prefill_tokens_per_s,
             capacity,
             background_wait,
         );
@@ -192,7 +192,7 @@
         request.has_first_token = true;
         if self.now <= request.first_token_due {
             self.served_weight += request.priority_weight;
-            self.result.in_time += 1;
+            self.result.served_in_time += 1;
         }
         let router = request.router;
         let output_tokens = request.metadata.max_output_tokens * OUTPUT_SHARE;
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 use traffic::Conversation;
 
-pub use replica::PREFILL_RATE;
+pub use replica::PREFILL_TOKENS_PER_S;
 pub use step::Step;
 
 const MS: Time = 1_000;
@@ -58,11 +58,11 @@
     /// Dispatchers of the fleet, as configured at each of them.
     pub dispatchers: u32,
     /// Requests per second of each router.
-    pub rate: f64,
+    pub rate_per_router: f64,
     /// Replicas also carry the load of dispatchers that are not simulated.
     pub has_background_load: bool,
     /// Tokens per second that a warm prefill replica processes.
-    pub prefill_rate: f64,
+    pub prefill_tokens_per_s: f64,
     /// Draws the fleet, the traffic and the routers' own draws.
     pub seed: u64,
     /// The simulation ends after this many arrivals, ...
@@ -78,7 +78,7 @@
     /// Requests that arrived.
     pub arrivals: usize,
     /// Requests whose first token came in time.
-    pub in_time: usize,
+    pub served_in_time: usize,
     /// Requests that were shed or failed.
     pub shed_or_failed: usize,
     /// Priority weight served in time, as a share of all that arrived.
@@ -139,7 +139,7 @@
 }
 
 /// The settings of a dispatcher in a fleet of this many, with the objectives of the target.
-pub fn settings(dispatchers: u32) -> RoutingSettings {
+pub fn routing_settings(dispatchers: u32) -> RoutingSettings {
     let class = |priority_weight, ttft_objective| RequestClass {
         ttft_objective,
         ttft_objective_per_1000_tokens: 20 * MS,
@@ -180,7 +180,7 @@
         let mut rng = Pcg32::seed_from_u64(options.seed);
         let now = START_TIME;
         let records = fleet::draw(&options.shape, now, &mut rng);
-        let settings = settings(options.dispatchers);
+        let settings = routing_settings(options.dispatchers);
         let create_router = |number: usize| {
             let own_settings = RoutingSettings {
                 zone: router_zone(&options, number),
@@ -211,7 +211,7 @@
             result: SimulationResult {
                 steps: BTreeMap::new(),
                 arrivals: 0,
-                in_time: 0,
+                served_in_time: 0,
                 shed_or_failed: 0,
                 served_weight_share: 0.0,
                 digest: 0,
@@ -376,7 +376,7 @@
             0.0
         };
         let replica = &self.replicas[endpoint as usize];
-        replica.load_report(self.now, self.options.prefill_rate, background)
+        replica.load_report(self.now, self.options.prefill_tokens_per_s, background)
     }
 }
 
--- a/crates/scale/src/simulation/replica.rs
+++ b/crates/scale/src/simulation/replica.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 /// Tokens per second that a warm prefill replica processes, if its load is not to matter.
-pub const PREFILL_RATE: f64 = 40_000.0;
+pub const PREFILL_TOKENS_PER_S: f64 = 40_000.0;
 /// Extra time of each prefill.
 const PREFILL_OVERHEAD: Time = MS;
 /// From the start of a decode attempt to its first token at an idle replica.
@@ -144,7 +144,12 @@
     }
 
     /// The load that it reports. `background` is the load of other dispatchers, 1 on average.
-    pub(super) fn load_report(&self, now: Time, prefill_rate: f64, background: f64) -> LoadReport {
+    pub(super) fn load_report(
+        &self,
+        now: Time,
+        prefill_tokens_per_s: f64,
+        background: f64,
+    ) -> LoadReport {
         let is_decode = self.record.role == Role::Decode;
         let background_in_flight = if is_decode {
             background * BACKGROUND_STREAMS
@@ -153,7 +158,7 @@
         };
         let in_flight = self.in_flight + background_in_flight;
         let wait_seconds = self.busy_until.saturating_sub(now) as f64 / SECOND as f64;
-        let queued_kilotokens = wait_seconds * prefill_rate / 1000.0;
+        let queued_kilotokens = wait_seconds * prefill_tokens_per_s / 1000.0;
         let kv_memory_share = if is_decode {
             in_flight * REPORTED_TOKENS_PER_STREAM / self.record.kv_capacity_tokens
         } else {
--- a/crates/scale/src/simulation/traffic.rs
+++ b/crates/scale/src/simulation/traffic.rs
@@ -30,7 +30,7 @@
     /// Draws the time to the next arrival at a router.
     pub(super) fn draw_arrival_gap(&mut self) -> Time {
         let uniform: f64 = self.rng.gen_range(1e-9..1.0);
-        (-uniform.ln() / self.options.rate * 1e6) as Time
+        (-uniform.ln() / self.options.rate_per_router * 1e6) as Time
     }
 
     /// Continues a conversation of this router, or begins a new one.
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::FleetShape;
 use crate::results::{StepCost, StepCosts};
-use crate::simulation::{Simulation, SimulationOptions, SimulationResult, PREFILL_RATE};
+use crate::simulation::{Simulation, SimulationOptions, SimulationResult, PREFILL_TOKENS_PER_S};
 use std::time::Duration;
 
 /// Requests per second that the target's peak gives one dispatcher: 31,000 over 530.
@@ -34,9 +34,9 @@
         },
         routers: 1,
         dispatchers: measurement.dispatchers,
-        rate: TARGET_RATE,
+        rate_per_router: TARGET_RATE,
         has_background_load: true,
-        prefill_rate: PREFILL_RATE,
+        prefill_tokens_per_s: PREFILL_TOKENS_PER_S,
         seed: measurement.seed,
         max_arrivals: measurement.max_arrivals,
         max_duration: measurement.max_duration,
--- a/crates/scale/tests/decisions.rs
+++ b/crates/scale/tests/decisions.rs
@@ -1,7 +1,9 @@
 //! The routing module's decisions in fleets of the size in service today.
 
 use quartzhall_scale::fleet::FleetShape;
-use quartzhall_scale::simulation::{Simulation, SimulationOptions, SimulationResult, PREFILL_RATE};
+use quartzhall_scale::simulation::{
+    Simulation, SimulationOptions, SimulationResult, PREFILL_TOKENS_PER_S,
+};
 use std::time::Duration;
 
 fn simulate(shape: FleetShape, seed: u64, max_arrivals: usize) -> SimulationResult {
@@ -9,9 +11,9 @@
         shape,
         routers: 2,
         dispatchers: 12,
-        rate: 60.0,
+        rate_per_router: 60.0,
         has_background_load: true,
-        prefill_rate: PREFILL_RATE,
+        prefill_tokens_per_s: PREFILL_TOKENS_PER_S,
         seed,
         max_arrivals,
         max_duration: Duration::from_secs(600),
--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -15,8 +15,8 @@
 use crate::wire;
 use process::DispatcherProcess;
 use quartzhall::routing::api::{EndpointRecord, Role};
-use quartzhall_scale::process::sample;
-use quartzhall_scale::simulated::discovery::{DeliveryLog, DiscoveredEndpoint};
+use quartzhall_scale::process::sample_resources;
+use quartzhall_scale::simulated::discovery::{DeliveryLog, EndpointEntry};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -261,7 +261,9 @@
     /// Reports the processes that do not run at the end of the run.
     fn check_processes(&self) {
         for process in &self.processes {
-            let is_running = process.id().is_some_and(|id| sample(id).is_some());
+            let is_running = process
+                .id()
+                .is_some_and(|id| sample_resources(id).is_some());
             if !is_running {
                 self.oracle
                     .on_process_failed(process.number, "not running at the end".into());
@@ -307,7 +309,7 @@
     replicas: &[Arc<Replica>],
     process: usize,
     tasks: &mut JoinSet<()>,
-) -> Result<Vec<DiscoveredEndpoint>, SoakError> {
+) -> Result<Vec<EndpointEntry>, SoakError> {
     let mut endpoints = Vec::new();
     for (number, replica) in replicas.iter().enumerate() {
         let address = process_address(plan.seed, process, REPLICA_PORT + number as u16);
@@ -320,7 +322,7 @@
             cell: number as u32 % CELLS,
             ..EndpointRecord::default()
         };
-        endpoints.push(DiscoveredEndpoint {
+        endpoints.push(EndpointEntry {
             record,
             address: address.to_string(),
             up_since_ms: 0,
--- a/crates/soak/src/run/process.rs
+++ b/crates/soak/src/run/process.rs
@@ -4,8 +4,8 @@
 use crate::config;
 use crate::error::SoakError;
 use crate::wire;
-use quartzhall_scale::process::{Dispatcher, Inheritance};
-use quartzhall_scale::simulated::discovery::{DeliveryLog, DiscoveredEndpoint, Discovery};
+use quartzhall_scale::process::{Dispatcher, LaunchEnvironment};
+use quartzhall_scale::simulated::discovery::{DeliveryLog, Discovery, EndpointEntry};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -47,7 +47,7 @@
         number: usize,
         listen: SocketAddr,
         agent_address: SocketAddr,
-        endpoints: Vec<DiscoveredEndpoint>,
+        endpoints: Vec<EndpointEntry>,
         delivery_log: Arc<DeliveryLog>,
         platform_socket: Option<TcpListener>,
     ) -> DispatcherProcess {
@@ -88,8 +88,8 @@
             plan.max_deadline,
         );
         let name = format!("p{}-{start}", self.number);
-        let inheritance = match &self.platform_socket {
-            Some(socket) => Some(self.inheritance(plan, socket, start)?),
+        let launch_environment = match &self.platform_socket {
+            Some(socket) => Some(self.launch_environment(plan, socket, start)?),
             None => None,
         };
         Ok(Dispatcher::start(
@@ -98,16 +98,16 @@
             &name,
             self.listen.clone(),
             &config,
-            inheritance,
+            launch_environment,
         )?)
     }
 
-    fn inheritance(
+    fn launch_environment(
         &self,
         plan: &RunPlan,
         socket: &TcpListener,
         start: u64,
-    ) -> Result<Inheritance, SoakError> {
+    ) -> Result<LaunchEnvironment, SoakError> {
         let shared_folder = std::env::temp_dir().join(format!(
             "qh-soak-{}-{}-{}",
             std::process::id(),
@@ -117,7 +117,7 @@
         std::fs::create_dir_all(&shared_folder).map_err(SoakError::CreateFolder)?;
         let mut management = self.agent_address;
         management.set_port(management.port() + 1 + start as u16);
-        Ok(Inheritance {
+        Ok(LaunchEnvironment {
             socket: socket.try_clone().map_err(SoakError::Listen)?.into(),
             shared_folder,
             management: management.to_string(),
