--- a/crates/scale/src/config.rs
+++ b/crates/scale/src/config.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 /// What a warm replica can serve, in requests per second.
-pub const REPLICA_CAPACITY: f64 = 20.0;
-/// The share of [`REPLICA_CAPACITY`] that a replica has at its start.
+pub const REPLICA_REQUESTS_PER_SECOND: f64 = 20.0;
+/// The share of [`REPLICA_REQUESTS_PER_SECOND`] that a replica has at its start.
 pub const SLOW_START_INITIAL_SHARE: f64 = 0.3;
 /// A replica in slow start is overloaded when it is sent this multiple of its capacity.
-pub const OVERLOAD_THRESHOLD: f64 = 2.5;
+pub const OVERLOAD_CAPACITY_MULTIPLE: f64 = 2.5;
 /// The time over which that is counted.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1_500);
 /// A replica is warm after this.
@@ -67,7 +67,7 @@
  "machine_types":["prefill","decode"],"membership_mode":"push","reporting":{{"via":"answers"}},
  "deductions":{{"cross_zone":0.01,"peer":{GOSSIP_COST}}},
  "rules":{{"fall":{overload_window_ms}.0,"answer_slack":16.0,"drain_grace":250.0,"cold_from":{SLOW_START_INITIAL_SHARE},
-  "tip_multiple":{OVERLOAD_THRESHOLD},"warm_within":{slow_start_ms}.0}},
+  "tip_multiple":{OVERLOAD_CAPACITY_MULTIPLE},"warm_within":{slow_start_ms}.0}},
  "tenants":[{{"name":"acme","quota_per_s":0.0}}]}}}}"#
     )
 }
--- a/crates/scale/src/run/bench.rs
+++ b/crates/scale/src/run/bench.rs
@@ -52,10 +52,10 @@
 fn slow_start_rule() -> SlowStartRule {
     SlowStartRule {
         window: config::OVERLOAD_WINDOW,
-        max_requests: config::REPLICA_CAPACITY
+        max_requests: config::REPLICA_REQUESTS_PER_SECOND
             * config::OVERLOAD_WINDOW.as_secs_f64()
             * config::SLOW_START_INITIAL_SHARE
-            * config::OVERLOAD_THRESHOLD,
+            * config::OVERLOAD_CAPACITY_MULTIPLE,
         duration: config::SLOW_START_DURATION,
     }
 }
