--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -1,7 +1,8 @@
 //! One attempt at an endpoint, over either wire protocol: its request, its result, and the forwarding of its stream.
 //!
 //! The [`StreamForwarder`] reports the first event to the dispatcher, which then decides whether this attempt serves
-//! the client. Only complete events are forwarded.
+//! the client. Until the stream ends, only complete events are forwarded. The bytes after the last event follow once
+//! the stream has ended without an error.
 
 use super::event_stream::{EventSplitter, MalformedEvent};
 use crate::dispatcher::{
@@ -177,8 +178,10 @@
         }
     }
 
-    /// Waits until the stream should migrate and has one of the permits that limit how many migrate at once. The future
-    /// does not borrow the forwarder, so that it keeps its place in the queue while events are forwarded.
+    /// Waits until streams should migrate, any delay by [`postpone_migration`](Self::postpone_migration) is over, and a
+    /// permit is free. The permits limit how many streams migrate at once; this one must be held until the try has
+    /// ended. The future does not borrow the forwarder, so that it keeps its place in the queue while events are
+    /// forwarded.
     pub fn migration_permit(&self) -> impl Future<Output = OwnedSemaphorePermit> + use<> {
         let signal = self.migration.clone();
         let next_migration_at = self.next_migration_at;
--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -73,7 +73,9 @@
         self.blocked().contains(address)
     }
 
-    /// Waits until the address is blocked while `is_waiting` returns true. Never completes otherwise.
+    /// Waits until the address is blocked while the caller's request still waits for a connection, as `is_waiting`
+    /// tells. Checks both at the call and whenever an address becomes blocked. Does not complete for a request that was
+    /// sent before its address was blocked.
     pub async fn wait_until_blocked(&self, address: &str, is_waiting: impl Fn() -> bool) {
         let mut changed = self.changed.subscribe();
         while !(self.is_blocked(address) && is_waiting()) {
--- a/src/backend/connector.rs
+++ b/src/backend/connector.rs
@@ -1,8 +1,8 @@
 //! Opens connections to endpoints, within the connect timeout and the connection limit.
 //!
 //! A request declares the time it has left, so it must not be sent on a connection that took long to establish. Such a
-//! late connection is retained briefly for the rebuilt request. The connector owns late connections; all
-//! others belong to their users.
+//! late connection is retained for the rebuilt request, which can use it within the connect timeout. The connector owns
+//! late connections; all others belong to their users.
 
 use super::blocked_endpoints::BlockedEndpoints;
 use super::transport::Transport;
@@ -18,7 +18,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// A connection that took longer to establish is late: the time left that its request declares is no longer true.
+/// A connection that took longer, including the wait for its permit, is late: the time left that its request declares
+/// is no longer true.
 const LATE_CONNECT_THRESHOLD: Duration = Duration::from_millis(50);
 /// The delay between two tries while this machine is short of a resource.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(10);
@@ -160,8 +161,8 @@
     }
 }
 
-/// Connects within `limit`. Tries again while this machine itself is short of a resource; if the shortage lasts, the
-/// error is [`ConnectError::NoPermit`].
+/// Connects within the time `limit`. Tries again while this machine itself is short of a resource; if the shortage
+/// lasts, the error is [`ConnectError::NoPermit`].
 async fn connect_within<T, C>(
     limit: Duration,
     mut connect: impl FnMut() -> C,
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -5,7 +5,8 @@
 /// The maximum length of an event, and of the bytes buffered while its end is missing.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// The stream contains bytes that can't be part of an event. The rest of the stream is unusable.
+/// The stream contains bytes that can't be part of an event: a line that has an unknown field or is not UTF-8, or more
+/// than 64 KiB without an event's end. The rest of the stream is unusable.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed event in a stream")]
 pub struct MalformedEvent;
@@ -21,7 +22,7 @@
 /// The field names of the event stream format.
 const FIELD_NAMES: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
 
-/// Whether a line is valid: a comment with any content, or a known field in UTF-8.
+/// Whether a line is valid: empty, a comment with any content, or a known field in UTF-8.
 fn is_valid_line(line: &[u8]) -> bool {
     let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
     name.is_empty() || FIELD_NAMES.contains(&name) && std::str::from_utf8(line).is_ok()
--- a/src/backend/http/connection_pool.rs
+++ b/src/backend/http/connection_pool.rs
@@ -17,7 +17,8 @@
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 /// The first pause of pooling after a request failed on a stale connection.
 const INITIAL_POOLING_PAUSE: Duration = Duration::from_secs(5);
-/// The maximum pause. A pause is twice as long as the last one if it begins within that one's length after its end.
+/// The maximum pause. If a request fails on a stale connection again after a pause, within the length of that pause,
+/// the next pause is twice as long.
 const MAX_POOLING_PAUSE: Duration = Duration::from_secs(60);
 
 /// hyper-util's client, which opens connections with the [`Connector`].
--- a/src/backend/http/exchange.rs
+++ b/src/backend/http/exchange.rs
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Closes the connection of an incomplete exchange when it is dropped. The HTTP client alone would close it only after
-/// some further task switches, but the attempt's end must not be reported before its connection is closed.
+/// Closes the connection of an incomplete exchange when it is dropped. The HTTP client alone would close the connection
+/// only after some further task switches. But an attempt's end must not be reported before its connection is closed.
 #[derive(Default)]
 pub(super) struct CloseGuard {
     capture: Option<CaptureConnection>,
@@ -173,6 +173,8 @@
     false
 }
 
+/// Whether an error means that the response is not valid HTTP. hyper reports an invalid head as a parse error, and
+/// invalid chunks as an I/O error of invalid data or input.
 fn is_unreadable_response(error: &(dyn Error + 'static)) -> bool {
     if let Some(error) = error.downcast_ref::<hyper::Error>() {
         return error.is_parse();
--- a/src/backend/http/mod.rs
+++ b/src/backend/http/mod.rs
@@ -1,7 +1,7 @@
 //! Calls endpoints over HTTP/1.1 with hyper-util's client: attempts, releases and probes.
 //!
-//! An attempt is reported as never run only if that is certain: the connection was never established, the endpoint said
-//! so, or the request's last byte was never written.
+//! An attempt is reported as never run only if that is certain. That is so if the connection was never established, the
+//! endpoint said so, or the request's last byte was never written.
 
 mod connection_pool;
 mod exchange;
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Sends a request without a body and returns its response; `None` if the exchange failed.
+    /// Sends a request without a body and returns its response; `None` if the exchange failed. Sets no time limit: the
+    /// caller does.
     async fn call(
         &self,
         method: Method,
@@ -214,7 +215,8 @@
         is_confirmed
     }
 
-    /// Requests an endpoint's load report. Returns `None` if no complete response arrived.
+    /// Requests an endpoint's load report. Returns `None` if no complete response arrived. Sets no time limit: the
+    /// caller does.
     pub async fn probe(&self, address: &str) -> Option<ProbeResult> {
         let response = self
             .call(
@@ -260,11 +262,13 @@
         ))
 }
 
+/// Reads a body. `None` if it is longer than [`MAX_SHORT_RESPONSE_BYTES`] or its connection broke.
 async fn read_short_body(response: Response<Incoming>) -> Option<Bytes> {
     let body = Limited::new(response.into_body(), MAX_SHORT_RESPONSE_BYTES).collect();
     Some(body.await.ok()?.to_bytes())
 }
 
+/// Reads a prefill response to its end, and disarms the guard if it was read completely.
 async fn read_prefill_response(
     response: Response<Incoming>,
     deadline: Instant,
--- a/src/backend/http/response_stream.rs
+++ b/src/backend/http/response_stream.rs
@@ -46,9 +46,11 @@
     Migrated,
 }
 
+/// A streamed response that is being forwarded.
 struct ResponseStream {
     source: StreamSource,
     forwarder: StreamForwarder,
+    /// The last bytes forwarded, at most [`TAIL_BYTES`].
     tail: Vec<u8>,
 }
 
@@ -105,6 +107,8 @@
         }
     }
 
+    /// Forwards the stream until it ends or migrates, and returns the attempt's result. `deadline` applies until the
+    /// first event. `header_load` is the load report of the response's head, used if the stream's last lines have none.
     async fn forward_to_end(
         mut self,
         deadline: Instant,
@@ -171,6 +175,8 @@
         }
     }
 
+    /// Forwards the next data of the source. Returns `Ended` at the end of the body. An error is the reason for which
+    /// the attempt ended: the source failed, the stream is malformed, or the client disconnected.
     async fn forward_data(&mut self, data: NextData) -> Result<StreamProgress, EndReason> {
         let Some(data) = data else {
             return Ok(StreamProgress::Ended);
--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Stops reading from the connection until [`StreamSource::resume`].
+    /// Stops reading from the connection until [`StreamSource::resume`]. A received stream needs no pause, as its
+    /// socket is read only by [`StreamSource::next_data`].
     pub(super) fn pause(&self) {
         if let StreamSource::HttpClient(source) = self {
             if let Some(connection) = &source.connection {
--- a/src/backend/http/usage.rs
+++ b/src/backend/http/usage.rs
@@ -6,7 +6,8 @@
 use hyper::HeaderMap;
 use miniserde::{json, Deserialize};
 
-/// The prompt tokens found in the prefix cache, as reported in prefill responses and in a stream's usage chunk.
+/// The prompt tokens found in the prefix cache, as reported at the top level of prefill responses and within the usage
+/// of a stream's last chunk.
 #[derive(Deserialize)]
 struct CachedTokens {
     cached_tokens: Option<f64>,
@@ -63,7 +64,8 @@
     }
 }
 
-/// Returns the number of cached prompt tokens that a prefill response reports; 0 if it reports none.
+/// Parses the body of a prefill response, a JSON object, and returns its `cached_tokens`: the prompt tokens found in
+/// the prefix cache. 0 if the body reports none or is not valid.
 pub(super) fn parse_cached_tokens(body: &[u8]) -> f64 {
     let Ok(text) = std::str::from_utf8(body) else {
         return 0.0;
@@ -72,7 +74,7 @@
     parsed.and_then(|body| body.cached_tokens).unwrap_or(0.0)
 }
 
-/// Returns the load report in a response's headers.
+/// Returns the load report in a response's headers; `None` if they have none that is valid.
 pub(super) fn load_from_headers(headers: &HeaderMap) -> Option<LoadReport> {
     parse_load_report(headers.get("endpoint-load-metrics")?.to_str().ok()?)
 }
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -91,17 +91,17 @@
     }
 }
 
-/// The backend's inputs for stream migration: when to hand streams to another process, and the streams received from
+/// The backend's inputs for stream migration: when to migrate streams to another process, and the streams received from
 /// one.
 pub struct StreamMigration {
     /// Tells when streams should migrate.
     pub signal: MigrationSignal,
-    /// The streams that another process started and handed to this one.
+    /// The streams that another process has migrated to this one.
     pub received_attempts: mpsc::Receiver<ReceivedAttempt>,
 }
 
 impl StreamMigration {
-    /// Creates a value for a process that neither hands over nor receives streams.
+    /// Creates a value for a process that neither migrates nor receives streams.
     pub fn disabled() -> StreamMigration {
         StreamMigration {
             signal: migration_signal().1,
@@ -264,7 +264,7 @@
 
 /// Executes the dispatcher's commands until their channel is closed. `connections` limits the connections to endpoints.
 /// `websocket_endpoints` are the addresses of the endpoints that use WebSocket sessions. `migration` controls the
-/// streams that are handed to another process or received from one.
+/// streams that migrate to another process or were received from one.
 pub async fn run(
     mut commands: mpsc::Receiver<Command>,
     dispatcher: DispatcherHandle,
--- a/src/backend/reservation_release.rs
+++ b/src/backend/reservation_release.rs
@@ -23,7 +23,8 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
 impl EndpointClient {
-    /// Asks the endpoints to release a request's reservation. Returns whether one of them confirmed it.
+    /// Asks the endpoints to release a request's reservation. Returns whether one of them confirmed the release. Starts
+    /// no round of calls after [`RELEASE_TIMEOUT`].
     pub(super) async fn release(&self, client_request_id: &str, addresses: &[Arc<str>]) -> bool {
         let deadline = Instant::now() + RELEASE_TIMEOUT;
         let mut calls = FuturesUnordered::new();
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -229,6 +229,7 @@
     }
 }
 
+/// Opens a session on a new connection to `address` (host and port). Sets no time limit: the caller does.
 async fn handshake(address: &str, transport: Transport) -> Result<Session, WebSocketError> {
     let config = WebSocketConfig::default()
         .max_message_size(Some(MAX_MESSAGE_BYTES))
@@ -240,6 +241,8 @@
     Ok(session)
 }
 
+/// Sends the attempt's request and frees its body. An error is the reason for which the attempt ended; `break_reason`
+/// tells whether the session is a reused one, which may have been closed.
 async fn send_request(
     session: &mut Session,
     request: &mut AttemptRequest,
--- a/src/net/message_framing/chunked.rs
+++ b/src/net/message_framing/chunked.rs
@@ -3,7 +3,8 @@
 
 use super::FramingError;
 
-/// The maximum number of hexadecimal digits in a chunk's size, which limits chunks to less than 2^60 bytes.
+/// The maximum number of hexadecimal digits in a chunk's size. It limits chunks to less than 2^60 bytes, more than any
+/// body has.
 const MAX_SIZE_DIGITS: u8 = 15;
 /// The length of the CRLF after a chunk's data.
 const LINE_END_BYTES: u8 = 2;
--- a/src/net/system_errors.rs
+++ b/src/net/system_errors.rs
@@ -27,8 +27,8 @@
     Errno::INTR,
 ];
 
-/// The errors of `accept` that concern a single connection. Linux also returns network errors of the new connection
-/// from `accept`.
+/// The errors of `accept` that concern a single connection, for example one that broke while it waited to be accepted.
+/// Linux also returns network errors of the new connection from `accept`.
 const CONNECTION_ERRORS: [Errno; 12] = [
     Errno::CONNABORTED,
     Errno::CONNRESET,
--- a/src/process/frontends.rs
+++ b/src/process/frontends.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// What the frontends need from the rest of the process.
+/// What the frontends need from the rest of the process, besides their listeners.
 pub(super) struct FrontendInputs {
     pub dispatcher: DispatcherHandle,
     pub limits: SharedLimits,
@@ -37,7 +37,7 @@
 
 impl StreamChannels {
     /// Converts the channels to what the HTTP listener uses; `accepts` tells it when to accept new connections.
-    fn into_peer_streams(
+    fn into_migration_channels(
         self,
         dispatcher: DispatcherHandle,
         accepts: watch::Receiver<bool>,
@@ -75,7 +75,7 @@
         let (accepts_clients, accepts) = watch::channel(false);
         let mut tasks = JoinSet::new();
         let routes = http::routes(dispatcher.clone(), limits.body_memory.clone(), log.clone());
-        let streams = streams.into_peer_streams(dispatcher.clone(), accepts);
+        let streams = streams.into_migration_channels(dispatcher.clone(), accepts);
         tasks.spawn(listener::serve_with_migration(
             client_listener,
             routes,
--- a/src/process/limits.rs
+++ b/src/process/limits.rs
@@ -10,7 +10,7 @@
 
 /// Minimum limit for connections to clients and for those to endpoints, however small the process's share is.
 const MIN_CONNECTIONS: usize = 4;
-/// The limit for all request bodies is the process's memory divided by this.
+/// The limit for all request bodies together is [`ResourceBudgets::memory_bytes`] divided by this.
 const BODY_MEMORY_DIVISOR: usize = 3;
 
 /// The machine's limits, divided among their uses within one process.
@@ -18,7 +18,7 @@
     pub sockets: SocketBudgets,
     /// The limits of WebSocket sessions, and the file descriptors for their handshakes.
     pub sessions: SessionBudget,
-    /// The memory that the configuration allows the dispatcher.
+    /// The memory that the configuration allows the dispatcher, in bytes.
     pub memory_bytes: usize,
 }
 
@@ -66,6 +66,7 @@
 impl ResourceLimits for SharedLimits {
     fn apply_share(&self, share: u32) -> u32 {
         self.body_memory.set_share(share);
+        // Only connections count as in use; memory for bodies does not.
         let used_units = [&self.clients, &self.endpoints].map(|connections| {
             connections.set_share(share, MIN_CONNECTIONS);
             let units = connections.in_use() * SHARE_UNITS as usize;
--- a/src/process/listeners.rs
+++ b/src/process/listeners.rs
@@ -55,7 +55,7 @@
     pub auxiliary: AuxiliaryListeners,
 }
 
-/// The listeners other than the one for HTTP clients; `None` if the configuration has no address for it.
+/// The listeners other than the one for HTTP clients; each is `None` if no address is configured for it.
 pub(super) struct AuxiliaryListeners {
     pub sessions: Option<DeferredListener>,
     pub agent_check: Option<DeferredListener>,
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -1,7 +1,7 @@
 //! Runs the process once its tasks have started: accepts clients until a termination signal, then drains.
 //!
-//! The drain is timed backwards from the earliest moment at which the process may be killed. Within it connections are
-//! closed, requests finish, and streams migrate to another process of the dispatcher if there is one.
+//! All times of the drain count backwards from the earliest moment at which the process may be killed. During the drain
+//! connections are closed, requests finish, and streams migrate to another process of the dispatcher if there is one.
 
 use super::frontends::Frontends;
 use super::signals::TerminationSignals;
@@ -60,7 +60,7 @@
         self.drain().await;
     }
 
-    /// Waits until this process can take over from its predecessor, if it has one, and tells the other processes and
+    /// Waits until this process can take over from its predecessor, if it has one. Then tells the other processes and
     /// the core that it accepts clients.
     async fn prepare_to_accept(&mut self) {
         let has_predecessor = self.upgrade.peers.borrow().predecessor;
--- a/src/process/takeover.rs
+++ b/src/process/takeover.rs
@@ -1,8 +1,8 @@
 //! Startup beside another process of the same dispatcher.
 //!
-//! Announces this process to the others, and lets a successor wait until it can take over from its predecessor. It
-//! waits a limited time for discovery's endpoint list and for a share of the limits, and then takes over with the
-//! configured list and the share that it has. Without any endpoint list it does not take over.
+//! Announces this process to the others, and lets a successor wait until it can take over from its predecessor. The
+//! successor waits a limited time for discovery's endpoint list and for a share of the limits. After that it takes over
+//! with the configured list and the share that it has. Without any endpoint list it does not take over.
 
 use crate::dispatcher::{Clock, DispatcherHandle, Event, Readiness};
 use crate::net::adjustable_semaphore::SHARE_UNITS;
--- a/src/process/tasks.rs
+++ b/src/process/tasks.rs
@@ -29,7 +29,7 @@
 /// Streams that can wait in each of the queues of their migration.
 const STREAM_QUEUE_LENGTH: usize = 64;
 
-/// What the tasks need besides the core.
+/// What the tasks need besides [`Startup`] and the core.
 pub(super) struct TaskInputs {
     /// SIGHUP, which reloads the configuration.
     pub hangup: Signal,
@@ -74,7 +74,9 @@
     log: Logger,
 }
 
-/// Starts all tasks. The backend and the core come first, as the other tasks send events to them.
+/// Creates the channels between the tasks and starts all of them. Takes the coordinator out of `startup`. Backend,
+/// gossip and core come first, as the further tasks send events to the core, and the core sends commands to the
+/// backend.
 pub(super) fn spawn(startup: &mut Startup, core: CoreStartup, inputs: TaskInputs) -> RunningTasks {
     let CoreStartup {
         mut core,
--- a/src/upgrade/announcements.rs
+++ b/src/upgrade/announcements.rs
@@ -1,8 +1,8 @@
 //! Publishes the announcement of this process and reads those of the dispatcher's other live processes.
 //!
 //! Each process has one announcement file and keeps it locked while it lives. The operating system releases the lock
-//! when the process exits for any reason. A file that is not locked therefore belongs to a dead process and is removed,
-//! so that the files of a killed process never prevent a start.
+//! when the process exits for any reason. A file that is not locked therefore belongs to a dead process and is removed.
+//! So the files of a killed process never prevent a start.
 
 use super::process_announcement::{ProcessAnnouncement, ProcessState};
 use super::resource_shares::{MAX_SHARE, STARTING_SHARE};
@@ -18,13 +18,14 @@
 /// within one tick of the file system's clock leave the same time.
 const MAX_SCAN_AGE: Duration = Duration::from_secs(1);
 
-/// What a process knows of the dispatcher's other processes.
+/// What a process knows of the dispatcher's other processes. The default value is that of a process that was not
+/// announced to others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerProcesses {
-    /// The share of the limits that this process announces, in units of
-    /// [`SHARE_UNITS`](crate::net::adjustable_semaphore::SHARE_UNITS).
+    /// The share of the limits that this process announces, in units of which
+    /// [`SHARE_UNITS`](crate::net::adjustable_semaphore::SHARE_UNITS) are the whole; 0 if it was not announced.
     pub share: u32,
-    /// The number of live processes of the dispatcher, including this one.
+    /// The number of live processes of the dispatcher, including this one; 0 if it was not announced.
     pub processes: u32,
     /// True if an older process than this one is alive.
     pub predecessor: bool,
@@ -35,11 +36,12 @@
 }
 
 impl PeerProcesses {
-    /// Returns when the process started, in Unix microseconds, to which this one's streams can migrate.
+    /// Returns the start time, in Unix microseconds, of the process to which this one's streams can migrate. `None` if
+    /// there is no such process.
     ///
-    /// A process that serves is preferred. A successor that does not serve is the fallback: if it is starting, it may
-    /// never serve, and if it is leaving, it has to migrate the streams again. Either is better than streams that are
-    /// cut when this process exits.
+    /// A process that serves is preferred. A successor that does not serve is the fallback: a starting one may never
+    /// serve, and a leaving one has to migrate the streams again. Either is better than streams that are cut when this
+    /// process exits.
     pub fn stream_receiver(&self) -> Option<u64> {
         self.serving.or(self.successor)
     }
@@ -51,14 +53,17 @@
     own_file: File,
     own_path: PathBuf,
     own: ProcessAnnouncement,
+    /// Whether the file holds `own`; false after a failed write.
     is_published: bool,
     others: Vec<ProcessAnnouncement>,
+    /// `None` before the first complete scan.
     last_scan: Option<FolderScan>,
 }
 
 /// A complete scan of the folder.
 #[derive(Clone, Copy)]
 struct FolderScan {
+    /// The folder's modification time before the scan.
     folder_modified: SystemTime,
     finished_at: Instant,
 }
@@ -73,7 +78,8 @@
     /// Publishes an announcement of this process and reads those of the others.
     ///
     /// `now`, in Unix microseconds, is announced as its start time, unless a live process has announced the same or a
-    /// later one, as happens after the wall clock was set back. Then the announced time is just after that one.
+    /// later time. That happens after the wall clock was set back. The announced time is then one microsecond after
+    /// that of the youngest process.
     pub(super) fn publish(folder: SharedFolder, now: u64) -> io::Result<ProcessAnnouncements> {
         let started_at = match youngest_live_process(&folder)? {
             Some(youngest) => now.max(youngest.saturating_add(1)),
@@ -85,7 +91,7 @@
             .write(true)
             .create_new(true)
             .open(&temporary_path)?;
-        // No other process removes an unfinished file.
+        // Other processes don't remove temporary announcements, so a failed one is removed here.
         let announced = ProcessAnnouncements::announce(folder, own_file, started_at);
         if announced.is_err() {
             let _ = fs::remove_file(&temporary_path);
@@ -165,6 +171,7 @@
     /// Reads the announcements of the others, and removes the files of dead processes. After an error the result of the
     /// previous scan is kept, as an incomplete scan could miss a live process.
     pub(super) fn scan(&mut self) -> io::Result<()> {
+        // Read before the listing, so that a change during the scan leads to another scan.
         let folder_modified = fs::metadata(self.folder.path())?.modified()?;
         let mut others = Vec::new();
         let mut live_process_ids = vec![std::process::id()];
@@ -203,8 +210,8 @@
         Ok(())
     }
 
-    /// Reads the announcement of a live process. Returns `None` if the process is dead, and removes its files then;
-    /// also if the file can't be opened.
+    /// Reads the announcement of a live process. If the process is dead, removes its files and returns `None`. Also
+    /// returns `None` if the file can't be opened.
     fn read_or_remove(
         &self,
         path: &Path,
--- a/src/upgrade/ban_file.rs
+++ b/src/upgrade/ban_file.rs
@@ -1,8 +1,8 @@
 //! Reads, merges and writes the ban file, in which all processes of a dispatcher share their ban records.
 //!
-//! Each write creates a new file and renames it into place, so that no process reads a partial one. There is no lock:
-//! if two processes write at the same time, the one whose records are lost sees that at its next read and writes them
-//! again.
+//! Each write creates a new file and renames it into place, so that no process reads a partial one. There is no lock.
+//! If two processes write at the same time, the records of one are lost; that process sees this at its next read and
+//! writes them again.
 
 use super::shared_folder::SharedFolder;
 use crate::dispatcher::bans::{BanRecord, BanRecords};
@@ -89,8 +89,8 @@
     Ok(records)
 }
 
-/// Merges the records of this process with those `published` in the file, by taking the newest of each id. `None` if
-/// the file needs no change.
+/// Merges the records of this process with those `published` in the file. The newest record of each endpoint id wins,
+/// and of two with the same time the ban. `None` if the file needs no change.
 pub(super) fn merge_records(own: &BanRecords, published: &BanRecords) -> Option<BanRecords> {
     let mut merged = published.clone();
     for (id, own_record) in own {
--- a/src/upgrade/coordinator.rs
+++ b/src/upgrade/coordinator.rs
@@ -1,5 +1,5 @@
-//! Coordinates this process with the others of its dispatcher: keeps its announcement and its share of the limits up to
-//! date, and exchanges bans through the shared file.
+//! Coordinates this process with the others of its dispatcher. Keeps its announcement and its share of the limits up to
+//! date, and exchanges bans through the ban file.
 //!
 //! The coordinator owns the announcement of this process and its access to the ban file. [`run`] owns the coordinator
 //! from the end of startup until the process exits.
@@ -29,13 +29,13 @@
 
 /// Limits on resources that the processes of a dispatcher share.
 pub trait ResourceLimits {
-    /// Sets the limits to this share, in units of [`crate::net::adjustable_semaphore::SHARE_UNITS`]. Returns the share
-    /// that is in use, rounded up. After the limits were lowered, it exceeds the new share until enough has been
-    /// released.
+    /// Sets the limits to this share, in units of which [`SHARE_UNITS`](crate::net::adjustable_semaphore::SHARE_UNITS)
+    /// are the whole. Returns the share that is in use, rounded up. After the limits were lowered, it exceeds the new
+    /// share until enough has been released.
     fn apply_share(&self, share: u32) -> u32;
 }
 
-/// The files of this process in the folder that it shares with the dispatcher's other processes.
+/// Coordinates this process with the dispatcher's other processes, through files in a folder that they share.
 pub struct UpgradeCoordinator {
     folder: SharedFolder,
     announcements: ProcessAnnouncements,
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Reads the ban file if it has changed since it was last read, else returns `None`. An invalid file counts as one
-    /// without records.
+    /// Reads the ban file if it has changed since it was last read. Returns `None` if the file is unchanged, does not
+    /// exist or could not be read. An invalid file counts as one without records.
     pub fn read_changed_bans(&mut self) -> Option<BanRecords> {
         match self.ban_file.read_if_changed() {
             Ok(records) => records,
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Logs a failed operation, no more often than [`WARNING_INTERVAL`], as it is retried at each poll.
+    /// Logs a failed file operation, but not the error that a file does not exist. Logs at most one line per
+    /// [`WARNING_INTERVAL`] for all operations together, as each is retried at every poll.
     fn warn_of_failure(&mut self, operation: &str, error: &io::Error) {
         // Another process may remove a file between its listing and its reading, which is no failure.
         if error.kind() == ErrorKind::NotFound {
--- a/src/upgrade/inherited_socket.rs
+++ b/src/upgrade/inherited_socket.rs
@@ -57,9 +57,9 @@
 #[allow(unsafe_code)]
 pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, InheritedSocketError> {
     let number = parse_descriptor(descriptor)?;
-    // SAFETY: the parent process left the descriptor open and named it in the environment, and no other code owns it,
-    // as this runs once and before anything else opens a descriptor. If the environment is wrong, the descriptor is not
-    // open or not a listening socket; ownership is then released below, so that the descriptor is not closed here.
+    // SAFETY: the parent process left the descriptor open and named it in the environment. No other code owns the
+    // descriptor, as this runs once and before anything else opens one. If the environment is wrong, the descriptor is
+    // not open or not a listening socket. Ownership is then released below, so that the descriptor is not closed here.
     let socket = unsafe { Socket::from_raw_fd(number) };
     let error = match prepare_listener(&socket) {
         Ok(true) => return Ok(socket.into()),
--- a/src/upgrade/resource_shares.rs
+++ b/src/upgrade/resource_shares.rs
@@ -25,7 +25,8 @@
 const LEAVING_PREDECESSOR_SHARE: u32 = 4;
 
 /// Returns the share to which a process should lower or raise its limits, in units of which [`SHARE_UNITS`] are the
-/// whole, given what it and the others have announced. The module's description states the invariant that this keeps.
+/// whole. `own` and `others` are the announcements of this process and of the other live ones. The module's description
+/// states the invariant that the result keeps.
 pub fn target_share(own: &ProcessAnnouncement, others: &[ProcessAnnouncement]) -> u32 {
     if others.is_empty() {
         return MAX_SHARE;
--- a/src/upgrade/shared_folder.rs
+++ b/src/upgrade/shared_folder.rs
@@ -69,7 +69,7 @@
         &self.path
     }
 
-    /// Returns the path of the announcement of this process.
+    /// Returns the path of the announcement of this process, whose start time is in Unix microseconds.
     pub(super) fn announcement(&self, started_at: u64) -> PathBuf {
         self.own_announcement(started_at, ANNOUNCEMENT_SUFFIX)
     }
@@ -84,13 +84,15 @@
         self.file(&format!("-{started_at:020}-{process_id}{suffix}"))
     }
 
-    /// Returns the path of the socket on which the process with this start time receives streams.
+    /// Returns the path of the socket on which the process with this start time (Unix microseconds) receives streams.
     pub(super) fn stream_socket(&self, started_at: u64) -> PathBuf {
         self.file(&format!("-{started_at:020}.sock"))
     }
 
-    /// Returns a path by which that socket can be bound and connected to. If its own path is too long for a socket,
-    /// this is one through the descriptor of the open folder, which is valid as long as `self` or a clone of it exists.
+    /// Returns the path by which to bind, or connect to, the socket on which the process with this start time (Unix
+    /// microseconds) receives streams. If [`stream_socket`](Self::stream_socket) is too long for a socket's path, the
+    /// returned path leads through the descriptor of the open folder. It is then valid only in this process, as long as
+    /// `self` or a clone of it exists.
     pub(super) fn stream_socket_address(&self, started_at: u64) -> PathBuf {
         let path = self.stream_socket(started_at);
         match (&self.handle, path.file_name()) {
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -104,14 +104,20 @@
 /// The part of the header that only the second version has.
 #[derive(Debug)]
 pub(super) struct FrameExtension {
+    /// Whether the client's connection is closed after the response.
     pub(super) closes_connection: bool,
+    /// Length of the part of the response that is not written to the client's socket yet.
     pub(super) unsent_bytes: u32,
+    /// Length of what was read from the client's socket after the request.
     pub(super) pipelined_bytes: u32,
+    /// Length of the client request id; 0 if it is unknown.
     pub(super) request_id_bytes: u32,
+    /// Time since the stream's last complete event, in milliseconds.
     pub(super) idle_ms: u32,
 }
 
-/// Formats a frame; `None` if a part exceeds its maximum length.
+/// Formats a frame. `None` if a part (partial event, unsent bytes, pipelined bytes, client request id) exceeds its
+/// maximum length; the stream then can't migrate.
 pub(super) fn format(
     version: FrameVersion,
     upstream: &UpstreamState,
@@ -176,7 +182,8 @@
 }
 
 impl FrameExtension {
-    /// Parses the extension of a header; `None` if it announces a part that exceeds its maximum length.
+    /// Parses the extension that follows the header in a frame of [`FrameVersion::WithConnection`]. `None` if it
+    /// announces a part that exceeds its maximum length.
     pub(super) fn parse(bytes: &[u8; EXTENSION_BYTES]) -> Option<FrameExtension> {
         let (flags, mut fields) = bytes.split_first()?;
         let extension = FrameExtension {
--- a/src/upgrade/stream_migration/mod.rs
+++ b/src/upgrade/stream_migration/mod.rs
@@ -1,11 +1,12 @@
 //! Migrates live streams, with their client and upstream sockets, to another process of the dispatcher.
 //!
 //! The backend offers the [`UpstreamHalf`] of a stream through the stream's own channel, after the last event that it
-//! has forwarded. The client's connection adds the [`ClientHalf`] in its [`MigrationSlot`], once everything before the
-//! offer is written to the socket or buffered as part of the connection's state. [`send_streams`] sends both halves to
-//! the receiving process in one frame, and reports to both sides whether that process has accepted the stream. If it
-//! has not, the stream continues here and tries again later. In the receiving process [`receive_streams`] queues each
-//! stream for the frontend and the backend. They continue it like one of their own, so it can migrate again.
+//! has forwarded. The client's connection adds the [`ClientHalf`] in its [`MigrationSlot`]. It does so once everything
+//! before the offer is written to the socket or buffered as part of the connection's state. [`send_streams`] sends both
+//! halves to the receiving process in one frame, and reports to both sides whether that process has accepted the
+//! stream. If it has not, the stream continues here and tries again later. In the receiving process [`receive_streams`]
+//! queues each stream for the frontend and the backend. They continue it like one of their own, so it can migrate
+//! again.
 //!
 //! Invariant: exactly one process owns a stream at any time, the sender until the acceptance and the receiver after it.
 
@@ -28,7 +29,7 @@
 /// Why a stream was not migrated.
 #[derive(Debug, Error)]
 enum MigrationError {
-    /// There is no process that could receive it.
+    /// There is no process that could receive the stream.
     #[error("no process receives streams")]
     NoReceiver,
     /// A part of the state, such as the partial event or the unsent bytes, exceeds the limits of a frame.
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -1,7 +1,7 @@
 //! Receives streams from other processes, and owns each until the frontend takes it from the queue.
 //!
-//! A stream is accepted only when it has a place in the frontend's queue, so that none is accepted and then lost while
-//! the process shuts down.
+//! A stream is accepted only when it has a place in the frontend's queue. So none is accepted and then lost while the
+//! process shuts down.
 
 use super::frame::{
     ClientState, ConnectionState, FrameExtension, FrameHeader, FrameVersion, UpstreamState,
@@ -92,8 +92,9 @@
     }
 }
 
-/// Accepts a stream and queues it. Reserves a place in the queue first: when the frontend closes the queue at shutdown,
-/// it still waits for reserved places, so that every accepted stream has an owner.
+/// Accepts a stream and queues it. Reserves a place in the queue first, so that every accepted stream has an owner:
+/// when the frontend closes the queue at shutdown, it still waits for reserved places. `sender_process` is the sender's
+/// process id for the log, `None` if the system does not tell it.
 async fn accept(
     connection: &UnixStream,
     stream: ReceivedStream,
--- a/src/upgrade/stream_migration/sender.rs
+++ b/src/upgrade/stream_migration/sender.rs
@@ -74,12 +74,14 @@
 enum Acceptance {
     /// The stream has migrated.
     Accepted,
-    /// The receiver has closed the connection before it read the whole frame, as it does not know the frame's version.
+    /// The receiver has closed the connection before it read the whole frame. Most likely it does not know the frame's
+    /// version.
     UnknownVersion,
 }
 
-/// Sends each of these streams to the process that `receiver` returns at that moment, if any, and reports to both sides
-/// of the stream whether it has migrated. Never returns, as the process exits if one of its tasks ends.
+/// Sends each of these streams to the process that `receiver` returns when the stream arrives. If it returns `None`,
+/// the stream does not migrate. Reports to both sides of each stream whether it has migrated. Never returns, as the
+/// process exits if one of its tasks ends.
 pub async fn send_streams(
     receiver: impl Fn() -> Option<ReceiverProcess>,
     mut streams: mpsc::Receiver<MigratingStream>,
@@ -234,8 +236,8 @@
 /// Withdraws a stream that the receiver has not accepted in time; returns the receiver's answer if it arrived before
 /// the withdrawal.
 ///
-/// The order of the two steps ensures that only one process owns the stream: after the shutdown the receiver can't
-/// write its acceptance any more and drops the stream, and an acceptance written before is read here.
+/// The order of the two steps ensures that only one process owns the stream. After the shutdown the receiver can't
+/// write its acceptance any more and drops the stream. An acceptance written before is read here.
 fn withdraw(connection: &UnixStream) -> io::Result<Option<u8>> {
     SockRef::from(connection).shutdown(Shutdown::Read)?;
     let mut answer = [0];
--- a/src/upgrade/stream_migration/slot.rs
+++ b/src/upgrade/stream_migration/slot.rs
@@ -1,5 +1,5 @@
-//! The sending process's side of a migration before the frame is sent: tells streams when to migrate, and brings the
-//! two halves of a stream together.
+//! The steps of a migration in the sending process before the frame is sent. Tells streams when to migrate, and brings
+//! the two halves of a stream together.
 //!
 //! Each client connection owns a [`MigrationSlot`]; the process has one [`MigrationSignal`].
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// The upstream side of a stream. The side that offers it must not read from its socket until it has withdrawn the
-/// offer or was told that the stream has not migrated.
+/// The upstream side of a stream. The backend offers it, and must not read from the upstream's socket during the offer.
+/// The offer ends when it is withdrawn, or when `migrated` reports that the stream has not migrated.
 #[derive(Debug)]
 pub struct UpstreamHalf {
     /// The upstream's socket.
