--- a/src/backend/attempt.rs
+++ b/src/backend/attempt.rs
@@ -104,6 +104,7 @@
 pub struct StreamForwarder {
     dispatcher: DispatcherHandle,
     key: AttemptKey,
+    /// The queue to the client's side; `None` before the first event.
     chunks: Option<mpsc::Sender<StreamChunk>>,
     is_committed: Arc<AtomicBool>,
     events: EventSplitter,
--- a/src/backend/blocked_endpoints.rs
+++ b/src/backend/blocked_endpoints.rs
@@ -14,6 +14,7 @@
 pub struct BlockedEndpoints {
     blocked: Arc<Mutex<HashSet<Arc<str>>>>,
     open_connections: Arc<Mutex<OpenConnections>>,
+    /// Notified whenever an address becomes blocked.
     changed: watch::Sender<()>,
 }
 
--- a/src/backend/event_stream.rs
+++ b/src/backend/event_stream.rs
@@ -16,7 +16,7 @@
 pub struct EventSplitter {
     buffer: BytesMut,     // the bytes since the last event's end
     checked_bytes: usize, // the length of the buffer's lines that were validated
-    has_started: bool,
+    has_started: bool,    // whether a line of the first event was read
 }
 
 /// The field names of the event stream format.
--- a/src/backend/http/connection_pool.rs
+++ b/src/backend/http/connection_pool.rs
@@ -27,6 +27,7 @@
 struct PooledClient {
     client: HttpClient,
     paused_until: Instant,
+    /// Zero if pooling was never paused.
     last_pause: Duration,
 }
 
--- a/src/backend/http/exchange.rs
+++ b/src/backend/http/exchange.rs
@@ -25,6 +25,7 @@
 }
 
 impl CloseGuard {
+    /// Returns the connection of the exchange. `None` if none is established yet, or if the guard is disarmed.
     fn connection(&self) -> Option<Arc<TrackedConnection>> {
         let mut extras = Extensions::new();
         self.capture
--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -92,6 +92,7 @@
 pub(super) struct HttpClientSource {
     body: Incoming,
     connection: Option<Arc<TrackedConnection>>,
+    /// The data bytes that `next_data` has returned so far.
     returned_bytes: u64,
     log: Logger,
 }
--- a/src/backend/tracked_connection.rs
+++ b/src/backend/tracked_connection.rs
@@ -25,12 +25,15 @@
 #[derive(Default)]
 pub struct TrackedConnection {
     request_count: AtomicU32,
+    /// The write of a request has begun, and no byte of its response was read yet.
     awaits_response: AtomicBool,
     has_unwritten_bytes: AtomicBool,
+    /// The framing of the current response, or of the last one while the connection is idle.
     response: Mutex<ResponseFraming>,
     stream: Weak<TcpStream>,
     read_state: Mutex<ReadState>,
     closes_when_idle: AtomicBool,
+    /// The descriptor was duplicated, so another process may share the socket.
     was_duplicated: AtomicBool,
 }
 
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -71,6 +71,7 @@
         self.idle().remove(address);
     }
 
+    /// Removes the newest usable session to this endpoint from the pool. Unusable ones that it finds first are closed.
     fn take_idle(&self, address: &str) -> Option<Session> {
         loop {
             let mut idle = self.idle().get_mut(address)?.pop()?;
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Pools a session whose request has ended. Closes it instead if the endpoint is blocked or its pool is full.
     fn return_idle(&self, address: &Arc<str>, session: Session) {
         if self.connector.blocked_endpoints().is_blocked(address) {
             return;
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -38,7 +38,7 @@
     /// The recording's file could not be created or written.
     #[error("the recording {}: {source}", path.display())]
     Recording {
-        /// The file.
+        /// The recording's file, as named on the command line.
         path: PathBuf,
         /// The system's error.
         source: io::Error,
@@ -46,7 +46,7 @@
     /// No key could be generated for the names in the recording.
     #[error("the recording {}: {error}", path.display())]
     RecordingKey {
-        /// The file.
+        /// The recording's file, as named on the command line.
         path: PathBuf,
         /// Why the system returned no random bytes.
         error: getrandom::Error,
--- a/src/upgrade/inherited_socket.rs
+++ b/src/upgrade/inherited_socket.rs
@@ -17,7 +17,7 @@
     /// The text is not an integer.
     #[error("the inherited socket {descriptor:?}: not the number of a descriptor")]
     NotANumber {
-        /// The text as it was given.
+        /// The text, as the environment gives it.
         descriptor: String,
         /// Why it could not be parsed.
         source: ParseIntError,
@@ -27,19 +27,19 @@
         "the inherited socket {descriptor:?}: not the number of a descriptor that is handed on"
     )]
     NotInheritable {
-        /// The text as it was given.
+        /// The text, as the environment gives it.
         descriptor: String,
     },
     /// The descriptor is a socket that does not listen.
     #[error("the inherited socket {descriptor:?}: it does not listen")]
     NotListening {
-        /// The text as it was given.
+        /// The text, as the environment gives it.
         descriptor: String,
     },
     /// A system call on the descriptor failed, for example because it is not open or not a socket.
     #[error("the inherited socket {descriptor:?}: {source}")]
     Unusable {
-        /// The text as it was given.
+        /// The text, as the environment gives it.
         descriptor: String,
         /// The system's error.
         source: io::Error,
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -28,7 +28,7 @@
 /// A stream that this process has accepted.
 #[derive(Debug)]
 pub struct ReceivedStream {
-    /// The client's socket.
+    /// The socket of the connection to the client.
     pub client: TcpStream,
     /// The state of the client's connection.
     pub client_state: ClientState,
@@ -36,12 +36,12 @@
     pub upstream: ReceivedUpstream,
 }
 
-/// The upstream side of a received stream.
+/// The upstream side of a received stream: the connection to the endpoint that produces it.
 #[derive(Debug)]
 pub struct ReceivedUpstream {
-    /// The upstream's socket.
+    /// The socket of the connection to the endpoint.
     pub socket: TcpStream,
-    /// The position in the stream.
+    /// The position up to which the sender has read the response, and the event that is incomplete there.
     pub state: UpstreamState,
 }
 
--- a/src/upgrade/stream_migration/slot.rs
+++ b/src/upgrade/stream_migration/slot.rs
@@ -42,9 +42,9 @@
 /// The offer ends when it is withdrawn, or when `migrated` reports that the stream has not migrated.
 #[derive(Debug)]
 pub struct UpstreamHalf {
-    /// The upstream's socket.
+    /// A duplicate of the upstream's socket; the backend keeps its own descriptor.
     pub upstream: OwnedFd,
-    /// The position in the stream.
+    /// The position up to which this process has read the response, and the event that is incomplete there.
     pub state: UpstreamState,
     /// Claimed by the side that takes or withdraws the offer.
     pub claim: OfferClaim,
@@ -63,7 +63,7 @@
 /// The client side of a stream.
 #[derive(Debug)]
 pub struct ClientHalf {
-    /// The client's socket.
+    /// A duplicate of the client's socket; the connection keeps its own descriptor.
     pub client: OwnedFd,
     /// The state of the client's connection.
     pub state: ClientState,
