--- a/src/backend/http/stream_source.rs
+++ b/src/backend/http/stream_source.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Stops reading from the connection until [`StreamSource::resume`].
+    /// Stops reading from the connection until [`StreamSource::resume`]. A received stream needs no pause, as its
+    /// socket is read only by [`StreamSource::next_data`].
     pub(super) fn pause(&self) {
         if let StreamSource::HttpClient(source) = self {
             if let Some(connection) = &source.connection {
@@ -91,6 +92,7 @@
 pub(super) struct HttpClientSource {
     body: Incoming,
     connection: Option<Arc<TrackedConnection>>,
+    /// The data bytes that `next_data` has returned so far.
     returned_bytes: u64,
     log: Logger,
 }
--- a/src/backend/websocket/mod.rs
+++ b/src/backend/websocket/mod.rs
@@ -71,6 +71,7 @@
         self.idle().remove(address);
     }
 
+    /// Removes the newest usable session to this endpoint from the pool. Unusable ones that it finds first are closed.
     fn take_idle(&self, address: &str) -> Option<Session> {
         loop {
             let mut idle = self.idle().get_mut(address)?.pop()?;
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Pools a session whose request has ended. Closes it instead if the endpoint is blocked or its pool is full.
     fn return_idle(&self, address: &Arc<str>, session: Session) {
         if self.connector.blocked_endpoints().is_blocked(address) {
             return;
@@ -229,6 +231,7 @@
     }
 }
 
+/// Opens a session on a new connection to `address` (host and port). Sets no time limit: the caller does.
 async fn handshake(address: &str, transport: Transport) -> Result<Session, WebSocketError> {
     let config = WebSocketConfig::default()
         .max_message_size(Some(MAX_MESSAGE_BYTES))
@@ -240,6 +243,8 @@
     Ok(session)
 }
 
+/// Sends the attempt's request and frees its body. An error is the reason for which the attempt ended; `break_reason`
+/// tells whether the session is a reused one, which may have been closed.
 async fn send_request(
     session: &mut Session,
     request: &mut AttemptRequest,
