--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -25,10 +25,11 @@
     pub attempts: usize,
     /// The share of these attempts that neither succeeded nor were cancelled, from 0 to 1.
     pub failed_share: f64,
-    /// For prefill, uncached prompt tokens per second; for decode, output tokens per second of one stream.
+    /// For prefill, uncached prompt tokens per second; for decode, output tokens per second of one stream. For mixed endpoints,
+    /// samples of both kinds are averaged.
     pub tokens_per_s: Estimate,
-    /// For prefill, the duration with no tokens to process; for decode, the time from sending to the first event under the
-    /// recorded load. In seconds.
+    /// For prefill, the seconds with no tokens to process; for decode, the seconds from sending to the first event under the
+    /// recorded load. For mixed endpoints, samples of both kinds are averaged.
     pub latency_s: Estimate,
 }
 
@@ -50,7 +51,9 @@
 struct RoleObservations {
     attempts: usize,
     failed: usize,
+    /// Durations of whole prefills, and times per output token.
     rate_samples: Vec<Sample>,
+    /// Durations of whole prefills, and times to the first event.
     latency_samples: Vec<Sample>,
 }
 
--- a/crates/calibration/tests/calibrate.rs
+++ b/crates/calibration/tests/calibrate.rs
@@ -154,6 +154,7 @@
             (400, 0, 0)
         );
     }
+    // 36 of 40 are expected of 90% intervals; the bound allows for random variation.
     assert!(
         covered.iter().all(|covered| (30..=40).contains(covered)),
         "{covered:?} of 40"
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a digest identifies. The discriminant is an input of the digest.
+/// What a digest identifies. The discriminant is an input of the digest, so it must not change.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
 pub enum DigestKind {
