--- a/crates/scale/benches/decision.rs
+++ b/crates/scale/benches/decision.rs
@@ -1,11 +1,11 @@
-//! The cost of simulations of the routing module by the size of the fleet: 50 requests with all steps that they lead to.
+//! Benchmark of the routing module by the size of the fleet: the simulation of 50 requests with all steps that they cause.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use quartzhall_scale::steps::{measure, StepMeasurement};
 use std::hint::black_box;
 use std::time::Duration;
 
-/// Requests of one simulation.
+/// Requests in one simulation.
 const MAX_ARRIVALS: usize = 50;
 
 fn measure_requests(criterion: &mut Criterion) {
--- a/crates/scale/src/cli.rs
+++ b/crates/scale/src/cli.rs
@@ -1,4 +1,4 @@
-//! Subcommands and flags.
+//! The command line: subcommands, their flags, and the defaults.
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
@@ -13,76 +13,76 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Task {
-    /// Measure what the module's steps cost against the size of the fleet.
+    /// Measure the cost of each step of the routing module by the size of the fleet.
     Steps(StepsOptions),
-    /// Measure what the core's steps cost against the size of the fleet.
+    /// Measure the cost of each step of the dispatcher's core by the size of the fleet.
     CoreSteps(CoreStepsOptions),
-    /// Measure the memory of what the core holds.
+    /// Measure the memory that the core takes for each replica and each open stream.
     Memory(MemoryOptions),
-    /// Compare the worth of a choice among candidates with that of a choice among all servers.
+    /// Compare selection among a sample of candidates with selection among all endpoints.
     Choice(ChoiceOptions),
-    /// Play a scenario; exit code 1 where something that must hold does not.
+    /// Run a scenario; exits with 1 if an expectation of the scenario does not hold.
     Run(RunOptions),
-    /// Play a scenario at several sizes of its fleet in turn.
+    /// Run a scenario once for each of several fleet sizes.
     Sweep(SweepOptions),
-    /// Write the tables of the page from the results.
+    /// Write the tables of the capacity page from the stored results.
     Table(TableOptions),
 }
 
 #[derive(Args)]
 pub(crate) struct CoreStepsOptions {
-    /// The file of results.
+    /// File that the results are written to.
     #[arg(long)]
     pub(crate) out: PathBuf,
-    /// Replicas of the fleets.
+    /// Fleet sizes, in replicas.
     #[arg(long, value_delimiter = ',', default_value = "100,300,1000,3000,11000")]
     pub(crate) sizes: Vec<usize>,
-    /// Dispatchers that the settings tell of.
+    /// Number of dispatchers in the fleet, as configured.
     #[arg(long, default_value_t = 530)]
     pub(crate) dispatchers: u32,
-    /// Each size is played once with each seed.
+    /// Seeds; each size is measured once with each of them.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     pub(crate) seeds: Vec<u64>,
 }
 
 #[derive(Args)]
 pub(crate) struct MemoryOptions {
-    /// The file of results.
+    /// File that the results are written to.
     #[arg(long)]
     pub(crate) out: PathBuf,
-    /// Replicas of the fleet.
+    /// Fleet size, in replicas.
     #[arg(long, default_value_t = 11000)]
     pub(crate) replicas: usize,
-    /// Dispatchers that the settings tell of.
+    /// Number of dispatchers in the fleet, as configured.
     #[arg(long, default_value_t = 530)]
     pub(crate) dispatchers: u32,
-    /// Draws the fleet.
+    /// Seed by which the fleet is drawn.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
 }
 
 #[derive(Args)]
 pub(crate) struct ChoiceOptions {
-    /// The file of results.
+    /// File that the results are written to.
     #[arg(long)]
     pub(crate) out: PathBuf,
-    /// Replicas of the fleets.
+    /// Fleet sizes, in replicas.
     #[arg(long, value_delimiter = ',', default_value = "100,300,1000")]
     pub(crate) sizes: Vec<usize>,
-    /// Part of the replicas that is cold.
+    /// Share of the replicas that is warming up at the start, from 0 to 1.
     #[arg(long = "cold", value_name = "COLD", default_value_t = 0.0)]
     pub(crate) warming_up_share: f64,
-    /// Each size is played once with each seed.
+    /// Seeds; each size is measured once with each of them.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     pub(crate) seeds: Vec<u64>,
-    /// Simulated seconds of each play.
+    /// Seconds of simulated time for each size and seed.
     #[arg(long, default_value_t = 8.0)]
     pub(crate) seconds: f64,
 }
 
 #[derive(Args)]
 pub(crate) struct RunOptions {
-    /// The scenario's file.
+    /// Scenario file.
     pub(crate) scenario: PathBuf,
     #[command(flatten)]
     pub(crate) common: CommonRunOptions,
@@ -90,9 +90,9 @@
 
 #[derive(Args)]
 pub(crate) struct SweepOptions {
-    /// The scenario's file.
+    /// Scenario file.
     pub(crate) scenario: PathBuf,
-    /// Replicas of the fleets.
+    /// Fleet sizes, in replicas.
     #[arg(long, value_delimiter = ',')]
     pub(crate) sizes: Vec<usize>,
     #[command(flatten)]
@@ -101,54 +101,54 @@
 
 #[derive(Args)]
 pub(crate) struct CommonRunOptions {
-    /// Each run is played once with each seed.
+    /// Seeds; the scenario is run once with each of them.
     #[arg(long = "seed", value_delimiter = ',', default_value = "1")]
     pub(crate) seeds: Vec<u64>,
-    /// The file of results; without it they are printed.
+    /// File that the results are written to; without it they are printed.
     #[arg(long)]
     pub(crate) out: Option<PathBuf>,
-    /// The folder of configurations and logs.
+    /// Folder for the dispatchers' configurations and logs; without it one in the temporary directory.
     #[arg(long)]
     pub(crate) folder: Option<PathBuf>,
-    /// The dispatcher's program; without it the one beside this program.
+    /// Path of the dispatcher's program; without it `quartzhall` in the folder of this program.
     #[arg(long)]
     pub(crate) program: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub(crate) struct StepsOptions {
-    /// The file of results.
+    /// File that the results are written to.
     #[arg(long)]
     pub(crate) out: PathBuf,
-    /// Replicas of the fleets.
+    /// Fleet sizes, in replicas.
     #[arg(long, value_delimiter = ',', default_value = "100,300,1000,3000,11000")]
     pub(crate) sizes: Vec<usize>,
-    /// Part of the replicas that is cold.
+    /// Share of the replicas that is warming up at the start, from 0 to 1.
     #[arg(long = "cold", value_name = "COLD", default_value_t = 0.0)]
     pub(crate) warming_up_share: f64,
-    /// Dispatchers that the settings tell of.
+    /// Number of dispatchers in the fleet, as configured.
     #[arg(long, default_value_t = 530)]
     pub(crate) dispatchers: u32,
-    /// Each size is played once with each seed.
+    /// Seeds; each size is measured once with each of them.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     pub(crate) seeds: Vec<u64>,
-    /// Requests of each play at most.
+    /// Maximum number of requests for each size and seed.
     #[arg(long, default_value_t = 3000)]
     pub(crate) arrivals: usize,
-    /// Real seconds of each play at most.
+    /// Maximum real time for each size and seed, in seconds.
     #[arg(long, default_value_t = 60)]
     pub(crate) seconds: u64,
 }
 
 #[derive(Args)]
 pub(crate) struct TableOptions {
-    /// The page.
+    /// Page that contains the tables.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     pub(crate) page: PathBuf,
-    /// The folder of results.
+    /// Folder of the stored results.
     #[arg(long, default_value = "crates/scale/results")]
     pub(crate) results: PathBuf,
-    /// Write nothing, and fail where page and results differ.
+    /// Write nothing; fail if the page differs from the results.
     #[arg(long)]
     pub(crate) check: bool,
 }
--- a/crates/scale/src/config.rs
+++ b/crates/scale/src/config.rs
@@ -1,39 +1,43 @@
-//! The configuration of a real dispatcher in a scale run: the project's own deployment, by the target's figures.
+//! The configuration file of a real dispatcher in a scale run, with the settings of the target deployment.
+//!
+//! The bench uses the same constants to check the slow start rule, and [`crate::core_steps`] uses the same configuration.
 
 use crate::scenario::Scenario;
 use std::time::Duration;
 
-/// What a warm replica can serve, in requests per second.
+/// The capacity of a warm replica, in requests per second.
 pub const REPLICA_REQUESTS_PER_SECOND: f64 = 20.0;
-/// The share of [`REPLICA_REQUESTS_PER_SECOND`] that a replica has at its start.
+/// The share of its warm capacity ([`REPLICA_REQUESTS_PER_SECOND`]) that a replica has right after its start.
 pub const SLOW_START_INITIAL_SHARE: f64 = 0.3;
-/// A replica in slow start is overloaded when it is sent this multiple of its capacity.
+/// A replica in slow start is overloaded if it is sent more than this multiple of its initial capacity within
+/// [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_CAPACITY_MULTIPLE: f64 = 2.5;
-/// The time over which that is counted.
+/// The window over which requests to a replica in slow start are counted.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1_500);
-/// A replica is warm after this.
+/// The time from the start of a replica until it is warm.
 pub const SLOW_START_DURATION: Duration = Duration::from_secs(20);
-/// The cost of a full gossip message for each receiver and request.
+/// The cost of a full gossip message for each receiver, as a share of the value of one request.
 pub const GOSSIP_COST: f64 = 0.0028;
 
-/// Addresses of one real dispatcher.
+/// The addresses that one real dispatcher listens on or sends to, each with its port.
 pub struct Addresses {
-    /// Where clients connect.
+    /// The listener for clients.
     pub listen: String,
-    /// Its discovery agent.
+    /// The discovery agent that the dispatcher polls.
     pub discovery: String,
-    /// Where it receives gossip.
+    /// The UDP socket that receives gossip.
     pub peer_listen: String,
-    /// Where it sends gossip for all others.
+    /// The destination of gossip to all other dispatchers.
     pub peers_all: String,
 }
 
-fn quote_all(values: impl Iterator<Item = String>) -> String {
-    let quoted: Vec<String> = values.map(|value| format!("\"{value}\"")).collect();
-    quoted.join(",")
+fn quoted_list(values: impl Iterator<Item = String>) -> String {
+    let items: Vec<String> = values.map(|value| format!("\"{value}\"")).collect();
+    items.join(",")
 }
 
-/// Writes the configuration file of the dispatcher with this number.
+/// Formats the configuration file of the real dispatcher with this number. `peers` are the gossip addresses of all
+/// dispatchers.
 pub fn config_text(
     scenario: &Scenario,
     number: usize,
@@ -51,9 +55,9 @@
     let sockets = scenario.dispatchers.max_sockets;
     let overload_window_ms = OVERLOAD_WINDOW.as_millis();
     let slow_start_ms = SLOW_START_DURATION.as_millis();
-    let zones = quote_all((0..scenario.fleet.zones).map(|zone| format!("zone-{zone}")));
+    let zones = quoted_list((0..scenario.fleet.zones).map(|zone| format!("zone-{zone}")));
     let zone = number as u32 % scenario.fleet.zones;
-    let peers = quote_all(peers.iter().cloned());
+    let peers = quoted_list(peers.iter().cloned());
     format!(
         r#"{{"name":"d{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
  "limits":{{"cores":1.0,"memory_mb":256,"sockets":{sockets}}},
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -1,4 +1,7 @@
-//! The cost of the core's steps against the size of the fleet: endpoint lists, gossip, reservations, deadline checks.
+//! The cost of the core's steps by the size of the fleet: endpoint lists, gossip, requests, releases, and the timer.
+//!
+//! [`CoreBench`] drives a [`Core`] with events on a simulated clock and times each call on the real one. The core runs
+//! without connections: the bench answers its probes and ends its attempts. [`crate::memory`] uses the same bench.
 
 use crate::config::{self, Addresses};
 use crate::fleet::{self, replica_id, replica_key, FleetShape};
@@ -26,28 +29,29 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
+/// One millisecond of the simulated clock.
 const MS: Time = 1_000;
-/// The simulated time at the start, in Unix microseconds.
+/// The start of the simulated clock, in Unix microseconds.
 const START_TIME: Time = 1_700_000_000_000_000;
-/// Each step is measured this many times.
+/// Number of times that a step is measured.
 const REPETITIONS: usize = 200;
-/// Full lists are measured this many times.
-const LIST_REPETITIONS: usize = REPETITIONS / 20;
-/// Streams that are open at one dispatcher at the target's peak: 58.5 requests per second of 10 s.
-const OPEN_STREAMS: u64 = 585;
-/// Requests by which a dispatcher earns the budget for each gossip message.
-const REQUESTS_PER_MESSAGE: usize = 50;
-/// The core's limit of requests.
-const MAX_REQUESTS: usize = 4_096;
+/// Number of times that an unchanged full list is measured; its cost grows with the fleet.
+const FULL_LIST_REPETITIONS: usize = REPETITIONS / 20;
+/// Streams that are open at one dispatcher at the target's peak: 58.5 requests per second, each open for 10 s.
+const PEAK_OPEN_STREAMS: u64 = 585;
+/// Requests that a sender counts before each gossip message: its budget for gossip grows with its requests.
+const REQUESTS_PER_GOSSIP_MESSAGE: usize = 50;
+/// The core's limit of connections to endpoints, which also limits its open requests.
+const MAX_CONNECTIONS: usize = 4_096;
 
 type StepHistograms = BTreeMap<String, Histogram<u64>>;
 
 /// Why the core could not be configured.
 #[derive(Debug)]
 pub enum MeasureError {
-    /// The scenario of the measurement is not valid.
+    /// The built-in scenario, from which the configuration is made, is not valid.
     Scenario(ScenarioError),
-    /// The program does not accept the configuration.
+    /// The dispatcher does not accept the configuration.
     Config(String),
 }
 
@@ -75,16 +79,16 @@
     }
 }
 
-/// A core in front of a fleet, and the cost of its steps.
+/// A core in front of a drawn fleet, with histograms of the cost of its steps.
 pub struct CoreBench {
     core: Core,
     now: Time,
     costs: StepHistograms,
     records: Vec<EndpointRecord>,
-    outcomes: Vec<oneshot::Receiver<Outcome>>, // open, as clients wait for them and receive streams
+    outcomes: Vec<oneshot::Receiver<Outcome>>, // kept: without a receiver the core would end the stream
 }
 
-/// The deployment of a dispatcher in a fleet with this many dispatchers.
+/// Builds the deployment of a dispatcher in a fleet with this many dispatchers. No address in it is used.
 fn deployment(dispatchers: u32) -> Result<Deployment, MeasureError> {
     let scenario = Scenario::parse(&format!(
         "name = \"steps\"\nseconds = 1\n[fleet]\nreplicas = 100\nzones = 15\nrack = [4, 8]\nreaders = 0.25\n[dispatchers]\nreal = 1\ntold = {dispatchers}\nsockets = 1024\n[load]\nper_dispatcher = 1.0\nprompt = [1, 2]\nanswer = [1, 2]\n"
@@ -101,7 +105,7 @@
     Deployment::new(&config.settings).map_err(|error| MeasureError::Config(error.to_string()))
 }
 
-fn discovered(record: &EndpointRecord) -> DiscoveredEndpoint {
+fn discovered_endpoint(record: &EndpointRecord) -> DiscoveredEndpoint {
     let [_, _, high, low] = (record.cell + 1).to_be_bytes();
     let address = format!("127.1.{high}.{low}:{}", 10_000 + record.endpoint);
     DiscoveredEndpoint {
@@ -113,7 +117,7 @@
 }
 
 impl CoreBench {
-    /// Creates a core that knows no replica yet.
+    /// Creates a core without endpoints, and draws the fleet for its first list.
     ///
     /// # Errors
     ///
@@ -124,7 +128,7 @@
         let records = fleet::draw(&shape, now, &mut Pcg32::seed_from_u64(seed));
         let deployment = Arc::new(deployment(dispatchers)?);
         let log = Logger::root(Discard, o!());
-        let core = Core::new(deployment, MAX_REQUESTS, seed, now, log);
+        let core = Core::new(deployment, MAX_CONNECTIONS, seed, now, log);
         Ok(CoreBench {
             core,
             now,
@@ -134,7 +138,7 @@
         })
     }
 
-    /// Measures an event, and returns the core's commands.
+    /// Times the handling of an event as one step, and returns the core's commands.
     fn measure_event(&mut self, step: &str, event: Event) -> Vec<Command> {
         let started = Instant::now();
         self.core.handle_event(self.now, event);
@@ -143,7 +147,7 @@
         commands
     }
 
-    /// Measures the core's timer, and returns its commands.
+    /// Times a run of the core's timer as one step, and returns the core's commands.
     fn measure_timer(&mut self, step: &str) -> Vec<Command> {
         let started = Instant::now();
         self.core.on_timer(self.now);
@@ -159,32 +163,32 @@
         let _ = histogram.record(duration as u64);
     }
 
-    fn full_list(&self) -> Event {
+    fn full_list_event(&self) -> Event {
         Event::EndpointsChanged {
             is_full: true,
-            endpoints: self.records.iter().map(discovered).collect(),
+            endpoints: self.records.iter().map(discovered_endpoint).collect(),
         }
     }
 
-    fn change_of(&self, number: usize) -> Event {
+    fn change_event(&self, number: usize) -> Event {
         Event::EndpointsChanged {
             is_full: false,
-            endpoints: vec![discovered(&self.records[number])],
+            endpoints: vec![discovered_endpoint(&self.records[number])],
         }
     }
 
-    /// Sends the first full list.
+    /// Sends the full list to a core without endpoints, which adds them all.
     pub fn send_first_list(&mut self) {
-        let first_list = self.full_list();
+        let first_list = self.full_list_event();
         self.measure_event("core: first list", first_list);
     }
 
-    /// Measures full lists, and changes of one replica.
+    /// Measures the first list, unchanged full lists, and lists with the changed status of one replica.
     fn measure_lists(&mut self, rng: &mut Pcg32) {
         self.send_first_list();
-        for _ in 0..LIST_REPETITIONS {
+        for _ in 0..FULL_LIST_REPETITIONS {
             self.now += 100 * MS;
-            let list = self.full_list();
+            let list = self.full_list_event();
             self.measure_event("core: whole list, unchanged", list);
         }
         for repetition in 0..REPETITIONS {
@@ -192,21 +196,21 @@
             let number = rng.gen_range(0..self.records.len());
             for status in [EndpointStatus::Draining, EndpointStatus::Ready] {
                 self.records[number].status = status;
-                let change = self.change_of(number);
+                let change = self.change_event(number);
                 self.measure_event("core: change of one replica", change);
             }
             self.now += repetition as Time;
         }
     }
 
-    /// Measures gossip messages, each with the load of one replica.
+    /// Measures received gossip messages, each with the load of one replica.
     fn measure_gossip(&mut self, dispatchers: u32, rng: &mut Pcg32) {
         let new_gossip = || Gossip::new(dispatchers as usize, config::GOSSIP_COST);
         self.core.set_gossip(new_gossip());
         let mut sender = new_gossip();
         for repetition in 0..REPETITIONS {
             self.now += 20 * MS;
-            for _ in 0..REQUESTS_PER_MESSAGE {
+            for _ in 0..REQUESTS_PER_GOSSIP_MESSAGE {
                 sender.on_request();
             }
             let number = rng.gen_range(0..self.records.len());
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Sends a request; returns whether its prefill attempt was started, if need be after probes.
+    /// Sends a request to the core and answers its probes. Returns whether the prefill attempt was started.
     fn start_request(&mut self, id: u64) -> bool {
         let metadata = RequestMetadata {
             id,
@@ -250,10 +254,11 @@
         };
         let commands = self.measure_event("core: request", arrived);
         let commands = self.answer_probes(commands);
-        has_started(&commands, id, 0)
+        starts_attempt(&commands, id, 0)
     }
 
-    /// Answers the probes among the commands, and fires the timer, by which a choice that waits for them is made.
+    /// Answers the probes among the commands, then fires the timer, so that a request that waits for probes is sent.
+    /// Returns the given commands and those that follow.
     fn answer_probes(&mut self, mut commands: Vec<Command>) -> Vec<Command> {
         let probed: Vec<EndpointId> = commands.iter().filter_map(probed_endpoint).collect();
         for endpoint in probed {
@@ -269,12 +274,12 @@
             };
             commands.extend(self.measure_event("core: probe's answer", completed));
         }
-        self.now += 10 * MS; // by then responses are due
+        self.now += 10 * MS; // past the deadline for responses to probes
         commands.extend(self.measure_timer("core: wake, a request is sent"));
         commands
     }
 
-    /// Measures requests whose client disconnects after prefill: the KV cache is released.
+    /// Measures requests whose client disconnects after prefill, so that the core releases the KV cache.
     fn measure_releases(&mut self, first: u64, count: u64) {
         for id in first..first + count {
             self.now += MS;
@@ -295,7 +300,7 @@
         }
     }
 
-    /// Measures the timer with the open streams.
+    /// Measures the timer while streams are open, when it checks their deadlines.
     fn measure_deadline_checks(&mut self) {
         for _ in 0..REPETITIONS {
             self.now += 20 * MS;
@@ -303,7 +308,7 @@
         }
     }
 
-    /// Sends requests up to their first event; their streams stay open.
+    /// Opens streams: sends requests, with ids from `first`, and brings each to the first event of its decode attempt.
     pub fn open_streams(&mut self, first: u64, count: u64) {
         for id in first..first + count {
             self.now += MS;
@@ -314,7 +319,7 @@
             self.core.handle_event(self.now, prefill_done(id, reason));
             let commands = self.core.take_commands();
             let commands = self.answer_probes(commands);
-            if !has_started(&commands, id, 1) {
+            if !starts_attempt(&commands, id, 1) {
                 continue;
             }
             let first_event = Event::FirstEvent {
@@ -328,7 +333,7 @@
     }
 }
 
-/// The end of a request's first attempt.
+/// Creates the event for the end of a request's first attempt, the prefill.
 fn prefill_done(id: RequestId, reason: EndReason) -> Event {
     Event::AttemptEnded {
         id,
@@ -340,7 +345,7 @@
     }
 }
 
-fn has_started(commands: &[Command], request: RequestId, number: u32) -> bool {
+fn starts_attempt(commands: &[Command], request: RequestId, number: u32) -> bool {
     commands.iter().any(|command| {
         matches!(command, Command::StartAttempt { id, attempt, .. } if *id == request && *attempt == number)
     })
@@ -353,7 +358,7 @@
     }
 }
 
-/// Measures the core's steps with this many replicas.
+/// Measures all steps of the core with this many replicas.
 ///
 /// # Errors
 ///
@@ -364,7 +369,7 @@
     bench.measure_lists(&mut rng);
     bench.measure_gossip(dispatchers, &mut rng);
     bench.measure_releases(1, REPETITIONS as u64);
-    bench.open_streams(10_000, OPEN_STREAMS);
+    bench.open_streams(10_000, PEAK_OPEN_STREAMS);
     bench.measure_deadline_checks();
     let steps = bench
         .costs
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Randomly drawn fleets of replicas: roles, zones and racks.
+//! Randomly drawn fleets of replicas: their roles, zones and racks. A rack is a cell of the routing module.
 
 use quartzhall::routing::api::{EndpointId, EndpointRecord, EndpointStatus, Role, Time};
 use rand::Rng;
@@ -9,23 +9,24 @@
 /// KV memory of a decode replica, in tokens.
 pub const DECODE_KV_TOKENS: f64 = 400_000.0;
 
-/// What a fleet is drawn by.
+/// The parameters that a fleet is drawn from.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
-    /// Replicas, prefill and decode together.
+    /// Number of replicas, prefill and decode together.
     pub replicas: usize,
-    /// Zones, numbered from 0, of about equal size.
+    /// Number of zones, numbered from 0. Racks are assigned to them in turn, so that they are of about equal size.
     pub zones: u32,
-    /// The smallest and the largest number of replicas in a rack. A rack is in one zone and has both roles where it can.
+    /// The smallest and the largest number of replicas in a rack; the last rack of a fleet may be smaller. A rack is in one
+    /// zone, and has replicas of both roles if its size allows it.
     pub rack_size: (usize, usize),
-    /// Share of the replicas that prefill.
+    /// Share of the replicas in each rack that prefill, from 0 to 1.
     pub prefill_share: f64,
-    /// Share of the replicas that are warming up at the start.
+    /// Share of the replicas that are warming up at the start, from 0 to 1.
     pub warming_up_share: f64,
 }
 
 impl FleetShape {
-    /// The shape of the target fleet at another number of replicas.
+    /// Returns the shape of the target fleet with this number of replicas, all of them warm.
     pub fn with_replicas(replicas: usize) -> FleetShape {
         FleetShape {
             replicas,
@@ -37,17 +38,18 @@
     }
 }
 
-/// The id of a replica, as discovery lists it.
+/// Returns the id of a replica in the lists of discovery.
 pub fn replica_id(number: usize) -> String {
     format!("replica-{number}")
 }
 
-/// The key by which dispatchers name a replica to each other.
+/// Returns the key that identifies a replica in gossip: the hash of its id, the same at every dispatcher.
 pub fn replica_key(number: usize) -> u64 {
     quartzhall::config::fnv1a_hash(&replica_id(number))
 }
 
-/// Draws the list of replicas. Each rack has its share of prefill replicas, one at least, so that KV caches can stay in it.
+/// Draws the list of replicas, by rack. Each rack has its share of prefill replicas and at least one, so that KV caches can
+/// stay within the rack. `now` becomes the start time of the replicas that are warming up.
 pub fn draw(shape: &FleetShape, now: Time, rng: &mut Pcg32) -> Vec<EndpointRecord> {
     let mut records = Vec::with_capacity(shape.replicas);
     let mut cell = 0;
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,12 +1,15 @@
-//! Scale tests of the dispatcher.
+//! Scale tests of the dispatcher: what it costs and how it behaves as the fleet grows.
 //!
-//! [`run`] plays a [`scenario`]: [`simulated`] replicas, discovery and dispatchers in one process, real dispatchers beside
-//! it ([`process`], configured by [`config`]), and an open-loop [`load`].
+//! The target is a deployment of 11,000 replicas and 530 dispatchers with a peak of 31,000 requests per second.
 //!
-//! [`simulation`] runs the routing module against modelled replicas on a simulated clock. [`steps`] measures what each of
-//! the module's steps costs against the size of the [`fleet`], [`core_steps`] those of the core, [`memory`] the memory they
-//! take, and [`selection`] compares selection among candidates with selection among all endpoints. [`results`] are stored as
-//! JSON, from which [`table`] writes the tables of `docs/CAPACITY.md`; [`power_law`] fits the growth of the costs.
+//! - [`run`] runs a [`scenario`]. This process, the bench, contains [`simulated`] replicas, discovery and dispatchers, and
+//!   generates an open-loop [`load`]. Real dispatchers run as child processes ([`process`]), configured by [`config`].
+//! - [`simulation`] runs the routing module against modelled replicas on a simulated clock. [`steps`] derives from it the
+//!   cost of each step of the module by the size of the [`fleet`]. [`selection`] compares selection among a sample of
+//!   candidates with selection among all endpoints.
+//! - [`core_steps`] measures the cost of each step of the dispatcher's core, and [`memory`] its memory.
+//! - [`results`] are stored as JSON files. [`table`] writes the tables of `docs/CAPACITY.md` from them, and [`power_law`]
+//!   fits how the costs grow with the fleet.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,6 @@
-//! The command line of the scale tests: dispatch of the subcommands, and their exit codes.
+//! The `quartzhall-scale` program: runs a subcommand and maps its errors to exit codes.
+//!
+//! Log lines go to standard error, so that `run` can print its results to standard output.
 
 mod cli;
 mod measure;
@@ -9,9 +11,9 @@
 use slog::{o, Drain, Logger};
 use std::process::ExitCode;
 
-/// The exit code for a bad input, or one that is not available on this machine.
+/// The exit code if the command cannot start: invalid input, a missing program, or an error of the system.
 const EXIT_BAD_INPUT: u8 = 2;
-/// The exit code for a run that failed, or whose expectations do not hold.
+/// The exit code if a run fails or misses its expectations, or if the page cannot be read, written or differs.
 const EXIT_RUN_FAILED: u8 = 1;
 
 fn create_logger() -> (Logger, slog_async::AsyncGuard) {
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,4 +1,4 @@
-//! The subcommands: measure, run scenarios, store results, and write tables.
+//! The subcommands: each measures, runs scenarios or writes tables, and stores or prints its results.
 
 use crate::cli::{
     ChoiceOptions, CommonRunOptions, CoreStepsOptions, MemoryOptions, RunOptions, StepsOptions,
@@ -24,53 +24,53 @@
 /// Why a subcommand failed.
 #[derive(Debug)]
 pub(crate) enum CommandError {
-    /// `--cold` is not a share.
+    /// The value of `--cold` is not a share from 0 to 1.
     WarmingUpShare(f64),
     /// The scenario is not valid.
     Scenario(ScenarioError),
-    /// The core could not be configured.
+    /// The core under measurement could not be configured.
     Measure(MeasureError),
     /// The results could not be stored.
     Results(ResultsError),
     /// The dispatcher's program does not exist.
     NoProgram(PathBuf),
-    /// This program's own path is not known, or the runtime could not be started.
+    /// The path of this program could not be read, or the runtime could not be created.
     System(std::io::Error),
-    /// The folder of configurations and logs could not be created.
+    /// The folder for configurations and logs could not be created.
     CreateFolder {
         /// The folder.
         folder: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
-    /// The run failed.
+    /// A run could not be started or completed.
     Run(RunError),
-    /// Expectations of a scenario do not hold.
+    /// Runs ended, but not all expectations of their scenarios hold.
     UnmetExpectations(Vec<String>),
-    /// The page of the tables could not be read.
+    /// The page with the tables could not be read.
     ReadPage {
         /// The page.
         page: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
-    /// The page of the tables could not be written.
+    /// The page with the tables could not be written.
     WritePage(std::io::Error),
-    /// The tables could not be written.
+    /// The tables could not be rendered from the results.
     Table(TableError),
-    /// A line of the page differs from the results.
+    /// The page differs from the results in this line.
     LineDiffers {
         /// The page.
         page: PathBuf,
         /// The line, counted from 1.
         line: usize,
     },
-    /// A table has more or fewer lines than the results give.
+    /// The page has more or fewer lines than the results give, with no other difference.
     LengthDiffers(PathBuf),
 }
 
 impl CommandError {
-    /// Whether the input is at fault, rather than what was run.
+    /// Whether the cause is the input or the machine, rather than a run or the page.
     pub(crate) fn is_input_error(&self) -> bool {
         match self {
             CommandError::WarmingUpShare(_)
@@ -95,14 +95,14 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CommandError::WarmingUpShare(share) => {
-                write!(formatter, "--cold is a part from 0 to 1, not {share}")
+                write!(formatter, "--cold must be a share from 0 to 1, not {share}")
             }
             CommandError::Scenario(error) => error.fmt(formatter),
             CommandError::Measure(error) => error.fmt(formatter),
             CommandError::Results(error) => error.fmt(formatter),
             CommandError::NoProgram(program) => write!(
                 formatter,
-                "{}: there is no such program; build it first",
+                "{}: dispatcher program not found; build it first",
                 program.display()
             ),
             CommandError::System(error) | CommandError::WritePage(error) => error.fmt(formatter),
@@ -117,12 +117,12 @@
             CommandError::Table(error) => error.fmt(formatter),
             CommandError::LineDiffers { page, line } => write!(
                 formatter,
-                "{}:{line}: not what the results say",
+                "{}:{line}: differs from the results",
                 page.display()
             ),
             CommandError::LengthDiffers(page) => write!(
                 formatter,
-                "{}: a table is longer or shorter than the results",
+                "{}: a table has more or fewer lines than the results give",
                 page.display()
             ),
         }
@@ -150,29 +150,30 @@
     }
 }
 
-/// The output of a command, on one line; empty if it cannot be run.
-fn output_of(command: &str, arguments: &[&str]) -> String {
+/// Runs a command and returns its trimmed output; empty if the command cannot be run.
+fn command_output(command: &str, arguments: &[&str]) -> String {
     match Command::new(command).args(arguments).output() {
         Ok(output) => String::from_utf8_lossy(&output.stdout).trim().to_owned(),
         Err(_) => String::new(),
     }
 }
 
-/// The commit of the tree that this is run in, and whether the measured sources differ from it.
+/// Returns the commit of the current work tree, and whether the measured sources differ from it.
 fn describe_commit() -> String {
-    let commit = output_of("git", &["rev-parse", "--short", "HEAD"]);
+    let commit = command_output("git", &["rev-parse", "--short", "HEAD"]);
     let measured = ["src", "crates/scale/src", "Cargo.lock"];
     let mut arguments = vec!["status", "--porcelain", "--"];
     arguments.extend(measured);
-    if output_of("git", &arguments).is_empty() {
+    if command_output("git", &arguments).is_empty() {
         commit
     } else {
         format!("{commit} with changes")
     }
 }
 
-/// An argument as it is stored: of an absolute path only the last component, because the rest is specific to this machine.
-fn without_folder(argument: String) -> String {
+/// Shortens an absolute path to its last component, because the rest is specific to this machine. Returns any other argument
+/// unchanged.
+fn shorten_path(argument: String) -> String {
     let path = Path::new(&argument);
     match path.file_name().filter(|_| path.is_absolute()) {
         Some(name) => name.to_string_lossy().into_owned(),
@@ -180,8 +181,8 @@
     }
 }
 
-fn store<T: Serialize>(path: &Path, results: T) -> Result<(), CommandError> {
-    let arguments: Vec<String> = std::env::args().skip(1).map(without_folder).collect();
+fn store_results<T: Serialize>(path: &Path, results: T) -> Result<(), CommandError> {
+    let arguments: Vec<String> = std::env::args().skip(1).map(shorten_path).collect();
     let ended_at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_secs());
@@ -219,7 +220,7 @@
             all_costs.push(costs);
         }
     }
-    store(&options.out, all_costs)
+    store_results(&options.out, all_costs)
 }
 
 pub(crate) fn measure_core_steps(
@@ -235,13 +236,13 @@
             all_costs.push(costs);
         }
     }
-    store(&options.out, all_costs)
+    store_results(&options.out, all_costs)
 }
 
 pub(crate) fn measure_memory(options: &MemoryOptions) -> Result<(), CommandError> {
     let results = memory::measure(options.replicas, options.dispatchers, options.seed)
         .map_err(CommandError::Measure)?;
-    store(&options.out, results)
+    store_results(&options.out, results)
 }
 
 pub(crate) fn compare_selections(
@@ -262,7 +263,7 @@
             comparisons.push(comparison);
         }
     }
-    store(&options.out, comparisons)
+    store_results(&options.out, comparisons)
 }
 
 pub(crate) fn run_scenario(options: &RunOptions, log: &Logger) -> Result<(), CommandError> {
@@ -274,18 +275,18 @@
     let scenario = Scenario::read(&options.scenario).map_err(CommandError::Scenario)?;
     let mut scenarios = Vec::new();
     for replicas in &options.sizes {
-        let mut sized = scenario.clone();
-        sized.fleet.replicas = *replicas;
-        scenarios.push(sized);
+        let mut resized = scenario.clone();
+        resized.fleet.replicas = *replicas;
+        scenarios.push(resized);
     }
     run_all(&scenarios, &options.common, log)
 }
 
-/// The dispatcher's program: the one that is named, or the one beside this one.
-fn find_program(named: Option<&PathBuf>) -> Result<PathBuf, CommandError> {
+/// Returns the path of the dispatcher's program: the given one, or `quartzhall` in the folder of this program.
+fn find_program(given: Option<&PathBuf>) -> Result<PathBuf, CommandError> {
     let own_path = std::env::current_exe().map_err(CommandError::System)?;
-    let program = match named {
-        Some(named) => named.clone(),
+    let program = match given {
+        Some(given) => given.clone(),
         None => own_path.with_file_name("quartzhall"),
     };
     if program.is_file() {
@@ -295,9 +296,9 @@
     }
 }
 
-fn create_folder(named: Option<&PathBuf>) -> Result<PathBuf, CommandError> {
-    let folder = match named {
-        Some(named) => named.clone(),
+fn create_folder(given: Option<&PathBuf>) -> Result<PathBuf, CommandError> {
+    let folder = match given {
+        Some(given) => given.clone(),
         None => std::env::temp_dir().join(format!("quartzhall-scale-{}", std::process::id())),
     };
     match std::fs::create_dir_all(&folder) {
@@ -306,7 +307,7 @@
     }
 }
 
-/// Runs scenarios with each seed, stores or prints the results, and checks the expectations.
+/// Runs each scenario with each seed, and stores or prints the results. Fails at the end if expectations do not hold.
 fn run_all(
     scenarios: &[Scenario],
     options: &CommonRunOptions,
@@ -337,7 +338,7 @@
         }
     }
     match &options.out {
-        Some(path) => store(path, results)?,
+        Some(path) => store_results(path, results)?,
         None => println!(
             "{}",
             serde_json::to_string_pretty(&results).unwrap_or_default()
--- a/crates/scale/src/memory.rs
+++ b/crates/scale/src/memory.rs
@@ -1,19 +1,21 @@
-//! Resident memory of the core and the routing module against the number of replicas and streams.
+//! The resident memory that the core and the routing module take for each replica and for each open stream.
+//!
+//! Resident memory of the whole process is read before and after a number of items is added to a core.
 
 use crate::core_steps::{CoreBench, MeasureError};
 use crate::process;
 use crate::results::MemoryUse;
 
-/// Enough streams for their memory to be distinct from the allocator's own steps.
-const STREAMS: u64 = 3_000;
-/// The id of the first stream's request.
-const FIRST_REQUEST: u64 = 1_000_000;
+/// Number of streams that are opened: enough for their memory to exceed the steps in which the allocator grows.
+const OPEN_STREAMS: u64 = 3_000;
+/// Request id of the first stream; the following streams have the following ids.
+const FIRST_REQUEST_ID: u64 = 1_000_000;
 
 fn resident_bytes() -> f64 {
     process::sample(std::process::id()).map_or(0.0, |sample| sample.resident_mb * 1024.0 * 1024.0)
 }
 
-fn growth(kind: &str, count: u64, before: f64, after: f64) -> MemoryUse {
+fn memory_per_item(kind: &str, count: u64, before: f64, after: f64) -> MemoryUse {
     MemoryUse {
         kind: kind.into(),
         count,
@@ -21,7 +23,7 @@
     }
 }
 
-/// Measures the memory of replicas and of open streams, one after the other in one core.
+/// Measures the memory of replicas and of open streams, one after the other in one core. `seed` draws the fleet.
 ///
 /// # Errors
 ///
@@ -32,21 +34,21 @@
     seed: u64,
 ) -> Result<Vec<MemoryUse>, MeasureError> {
     let mut bench = CoreBench::new(replicas, dispatchers, seed)?;
-    let empty = resident_bytes();
+    let without_replicas = resident_bytes();
     bench.send_first_list();
     let with_replicas = resident_bytes();
-    bench.open_streams(FIRST_REQUEST, STREAMS);
+    bench.open_streams(FIRST_REQUEST_ID, OPEN_STREAMS);
     let with_streams = resident_bytes();
     Ok(vec![
-        growth(
+        memory_per_item(
             "replica, in the core's table, the module and its index",
             replicas as u64,
-            empty,
+            without_replicas,
             with_replicas,
         ),
-        growth(
+        memory_per_item(
             "open stream, in the core's table and the module",
-            STREAMS,
+            OPEN_STREAMS,
             with_replicas,
             with_streams,
         ),
--- a/crates/scale/src/power_law.rs
+++ b/crates/scale/src/power_law.rs
@@ -1,6 +1,6 @@
-//! The growth of a cost with a size: a power law, fitted by least squares on logarithms.
+//! The growth of a cost with the size of the fleet: a power law, fitted by least squares on logarithms.
 
-/// A fitted power law: cost is `scale` times the size to the power of `exponent`.
+/// A fitted power law: the cost is `scale` times the size to the power of `exponent`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PowerLaw {
     /// 0 if the cost does not depend on the size, 1 if it is proportional to it.
@@ -12,7 +12,7 @@
 }
 
 impl PowerLaw {
-    /// Fits points of size and cost, ignoring those that are not positive. `None` with fewer than two sizes.
+    /// Fits points of size and cost; points that are not positive are ignored. Returns `None` for fewer than two sizes.
     pub fn fit(points: &[(f64, f64)]) -> Option<PowerLaw> {
         let mut logs = Vec::with_capacity(points.len());
         for (size, cost) in points {
@@ -49,7 +49,7 @@
         })
     }
 
-    /// The cost at this size.
+    /// Returns the fitted cost at this size.
     pub fn cost_at(&self, size: f64) -> f64 {
         self.scale * size.powf(self.exponent)
     }
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,7 +1,7 @@
-//! Measured results and their form as JSON files below `crates/scale/results`.
+//! The results of measurements, and the JSON files that store them.
 //!
-//! The files keep the names that fields had when the committed results were written; where the code's name differs, a
-//! `serde` rename stands beside it.
+//! Committed results are in `crates/scale/results`, and [`crate::table`] reads them. The field names in the files must not
+//! change; a field whose name in the code differs has a `serde` rename.
 
 use crate::simulation::UNITS_PER_MICROSECOND;
 use hdrhistogram::Histogram;
@@ -14,7 +14,7 @@
 /// The cost of one kind of step.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct StepCost {
-    /// Steps that were measured.
+    /// Number of measured steps.
     pub count: u64,
     /// The median, in microseconds.
     pub median_us: f64,
@@ -25,7 +25,7 @@
 }
 
 impl StepCost {
-    /// Summarizes a histogram in the unit of [`UNITS_PER_MICROSECOND`].
+    /// Summarizes a histogram whose unit is given by [`UNITS_PER_MICROSECOND`].
     pub fn from_histogram(histogram: &Histogram<u64>) -> StepCost {
         let to_us = |value: f64| value / UNITS_PER_MICROSECOND;
         StepCost {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The cost of the routing module's steps at one size, in one simulation.
+/// The cost of the steps of the routing module or of the core, at one fleet size with one seed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StepCosts {
     /// Replicas of the fleet.
@@ -47,30 +47,30 @@
     /// Share of the replicas that was warming up.
     #[serde(rename = "cold")]
     pub warming_up_share: f64,
-    /// The simulation's seed.
+    /// The seed of the measurement.
     pub seed: u64,
-    /// Requests that were simulated.
+    /// Requests that arrived.
     pub arrivals: usize,
-    /// All requested arrivals were simulated; otherwise the time limit came before.
+    /// Whether all requested arrivals were simulated; false if the time limit was reached first.
     #[serde(rename = "finished")]
     pub is_finished: bool,
-    /// By the step's name.
+    /// Costs by the name of the step.
     pub steps: BTreeMap<String, StepCost>,
 }
 
-/// A run of a measuring command, with all that is needed to repeat it.
+/// The results of a measuring command, with what is needed to repeat it. Each file of results contains one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MeasurementRun<T> {
     /// The command line, without the program's path.
     pub command: String,
-    /// The commit that was measured, and whether the tree differed from it.
+    /// The measured commit; followed by "with changes" if the measured sources differed from it.
     pub commit: String,
-    /// When it ended, in Unix seconds.
+    /// When the command ended, in Unix seconds.
     #[serde(rename = "at")]
     pub ended_at: u64,
-    /// Cores of the machine.
+    /// Number of cores available to the command.
     pub cores: usize,
-    /// What was measured.
+    /// The measured values.
     pub results: T,
 }
 
@@ -84,14 +84,14 @@
         /// The system's error.
         source: std::io::Error,
     },
-    /// The file's JSON is not of the expected kind.
+    /// The content of the file is not JSON of the expected type.
     Parse {
         /// The file.
         path: PathBuf,
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// The results have no form in JSON.
+    /// The results cannot be written as JSON.
     Serialize(serde_json::Error),
 }
 
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read or is of another kind; the error is one line.
+/// Fails if the file cannot be read or its content is of another type; the error is one line.
 pub fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, ResultsError> {
     let text = std::fs::read_to_string(path).map_err(|source| ResultsError::File {
         path: path.to_owned(),
@@ -147,33 +147,33 @@
     })
 }
 
-/// Selection among candidates, compared with selection among all endpoints.
+/// Selection among a sample of candidates, compared with selection among all endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SelectionComparison {
     /// Replicas of the fleet.
     pub replicas: usize,
-    /// Routers that were simulated, which is all of them.
+    /// Routers of the fleet, all of which were simulated.
     pub routers: usize,
     /// Share of the replicas that was warming up.
     #[serde(rename = "cold")]
     pub warming_up_share: f64,
     /// The seed of both simulations.
     pub seed: u64,
-    /// Requests of each simulation.
+    /// Requests that arrived in each simulation.
     pub arrivals: usize,
-    /// Priority weight served in time with candidates, as a share of all that arrived.
+    /// With candidates: priority weight of the requests that were served in time, as a share of all that arrived.
     #[serde(rename = "worth_candidates")]
     pub served_weight_share: f64,
-    /// The same with all endpoints scored.
+    /// With all endpoints: priority weight of the requests that were served in time, as a share of all that arrived.
     #[serde(rename = "worth_full")]
     pub served_weight_share_full: f64,
-    /// Requests that were shed or failed with candidates.
+    /// With candidates: requests that were shed or failed.
     #[serde(rename = "given_up_candidates")]
     pub shed_or_failed: usize,
-    /// The same with all endpoints scored.
+    /// With all endpoints: requests that were shed or failed.
     #[serde(rename = "given_up_full")]
     pub shed_or_failed_full: usize,
-    /// Both made the same decisions, draw for draw.
+    /// Whether both simulations made the same decisions in the same order.
     #[serde(rename = "same")]
     pub is_identical: bool,
 }
@@ -181,47 +181,47 @@
 /// Resident memory of items of one kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemoryUse {
-    /// What they are.
+    /// What the items are, as the table prints it.
     pub kind: String,
-    /// How many there were.
+    /// Number of items.
     pub count: u64,
-    /// Bytes for each.
+    /// Resident memory per item, in bytes.
     pub bytes_each: f64,
 }
 
-/// Violations of the protocol's rules that the replicas counted.
+/// Violations of protocol rules, as the simulated replicas count them.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct RuleViolations {
-    /// Requests that reached a replica over 0.3 s after their dispatcher was notified that it is draining.
+    /// Requests that reached a draining replica more than 0.3 s after their dispatcher was notified of the drain.
     pub sends_after_drain: u64,
-    /// Replicas in slow start that were sent more than the rule allows, by all dispatchers together.
+    /// Replicas in slow start that received more requests, from all dispatchers together, than the slow start rule allows.
     #[serde(rename = "cold_falls")]
     pub slow_start_overloads: u64,
-    /// KV caches that were reserved for longer than the settings allow.
+    /// KV caches whose reservation was released later than the settings allow.
     #[serde(rename = "states_held_too_long")]
     pub late_kv_releases: u64,
 }
 
 impl RuleViolations {
-    /// All violations.
+    /// Returns the number of all violations.
     pub fn total(&self) -> u64 {
         self.sends_after_drain + self.slow_start_overloads + self.late_kv_releases
     }
 }
 
-/// Requests by the kind of their response.
+/// Clients' requests by the kind of their response.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct ResponseCounts {
     /// Requests that were sent.
     pub sent: u64,
-    /// Served to the end of the stream.
+    /// Requests whose stream was received to its end.
     pub served: u64,
-    /// Shed, with status 429 or 503.
+    /// Requests that were shed, with status 429 or 503.
     #[serde(rename = "refused")]
     pub shed: u64,
-    /// Answered with another status.
+    /// Requests with another error status.
     pub failed: u64,
-    /// Not answered, or not to the end.
+    /// Requests without a response, or without the end of their stream.
     pub lost: u64,
 }
 
@@ -239,7 +239,7 @@
 /// Quantiles of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct DurationSummary {
-    /// How many there were.
+    /// Number of durations.
     pub count: u64,
     /// The median.
     pub median_ms: f64,
@@ -251,7 +251,7 @@
 }
 
 impl DurationSummary {
-    /// Summarizes a histogram in microseconds.
+    /// Summarizes a histogram whose unit is microseconds.
     pub fn from_histogram(histogram: &Histogram<u64>) -> DurationSummary {
         let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         DurationSummary {
@@ -263,76 +263,76 @@
     }
 }
 
-/// What one real dispatcher used while it was under load.
+/// The resources that one real dispatcher used.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct DispatcherUsage {
-    /// Processor time, as a share of one core.
+    /// Processor time under load, as a share of one core.
     #[serde(rename = "core")]
     pub core_share: f64,
-    /// Resident memory at the end, in MB.
+    /// Resident memory at the end of the load, in MB.
     pub resident_mb: f64,
-    /// Seconds from its start until it was ready.
+    /// Time from the start of the process until it was ready, in seconds.
     pub ready_s: f64,
-    /// Processor time until then, in seconds.
+    /// Processor time from the start of the process until it was ready, in seconds.
     pub ready_core_s: f64,
-    /// Endpoint lists that it was sent, in bytes per second.
+    /// Endpoint lists sent to the dispatcher, in bytes per second.
     pub list_bytes_per_s: f64,
-    /// Endpoint lists that it was sent, full ones included.
+    /// Number of endpoint lists sent to the dispatcher, including full ones.
     pub lists: u64,
-    /// Full lists that it was sent.
+    /// Number of full endpoint lists sent to the dispatcher.
     #[serde(rename = "whole_lists")]
     pub full_lists: u64,
-    /// Gossip from other dispatchers, in bytes per second.
+    /// Gossip sent to the dispatcher by simulated ones, in bytes per second.
     #[serde(rename = "heard_bytes_per_s")]
     pub gossip_bytes_per_s: f64,
 }
 
-/// The result of one scale run.
+/// The result of one run of a scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScaleRunResult {
     /// The scenario's name.
     pub scenario: String,
     /// The seed of the load.
     pub seed: u64,
-    /// Replicas.
+    /// Number of simulated replicas.
     pub replicas: usize,
-    /// Real dispatchers.
+    /// Number of real dispatchers.
     #[serde(rename = "real")]
     pub real_dispatchers: usize,
-    /// Simulated dispatchers.
+    /// Number of simulated dispatchers.
     #[serde(rename = "hollow")]
     pub simulated_dispatchers: usize,
-    /// Requests per second of each real dispatcher.
+    /// Requests per second sent to each real dispatcher.
     pub rate: f64,
-    /// The clients' responses, of all real dispatchers.
+    /// Requests to all real dispatchers, by the kind of their response.
     #[serde(rename = "answers")]
     pub responses: ResponseCounts,
-    /// Violations that the replicas counted.
+    /// Violations of protocol rules by all dispatchers.
     pub rules: RuleViolations,
-    /// By real dispatcher.
+    /// Resources used by each real dispatcher.
     pub usage: Vec<DispatcherUsage>,
-    /// From when a request was due to its first token.
+    /// From the time that a request was due to be sent until its first token.
     #[serde(rename = "first_token")]
     pub time_to_first_token: DurationSummary,
-    /// From when a request was due to its arrival at the first replica.
+    /// From the time that a request was due to be sent until it reached the first replica.
     #[serde(rename = "to_replica")]
     pub time_to_replica: DurationSummary,
-    /// From the notification of a drain to a request that was sent against it.
+    /// From the notification of a drain to requests that reached the draining replica after it.
     #[serde(rename = "after_drain")]
     pub time_after_drain: DurationSummary,
-    /// Probes for each request.
+    /// Probes of all real dispatchers, per request.
     pub probes_per_request: f64,
-    /// Connections to replicas for each request.
+    /// Connections to replicas, per request.
     pub connections_per_request: f64,
     /// Probes of all real dispatchers, in bytes per second.
     pub probe_bytes_per_s: f64,
-    /// How late the bench sent requests.
+    /// From the time that a request was due until the bench sent it.
     #[serde(rename = "sent_late")]
     pub send_delay: DurationSummary,
-    /// Cores that the bench used on average.
+    /// Average number of cores that the bench used during the load.
     #[serde(rename = "rig_cores")]
     pub bench_cores: f64,
-    /// The bench was the bottleneck: the times are not those of the dispatcher.
+    /// Whether the bench was the bottleneck, so that the measured times are not those of the dispatcher.
     #[serde(rename = "rig_limited")]
     pub is_bench_limited: bool,
 }
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -1,4 +1,7 @@
-//! Scenario files: the fleet, the load, scheduled events, and what must hold at the end.
+//! Scenario files in TOML: the fleet, the load, scheduled events, and the expectations at the end.
+//!
+//! A scenario is checked when it is parsed, so every [`Scenario`] from a file is valid. The keys of the files must not
+//! change; a field whose name in the code differs has a `serde` rename.
 
 use crate::fleet::FleetShape;
 use serde::Deserialize;
@@ -10,45 +13,45 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name in results.
+    /// The name of the scenario in log lines and results.
     pub name: String,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// The replicas.
+    /// The simulated replicas.
     pub fleet: FleetConfig,
-    /// The dispatchers.
+    /// The real and the simulated dispatchers.
     pub dispatchers: DispatcherConfig,
-    /// The load.
+    /// The load on the real dispatchers.
     pub load: LoadConfig,
-    /// What happens during the load.
+    /// Events during the load.
     #[serde(default, rename = "event")]
     pub events: Vec<ScenarioEvent>,
-    /// What must hold at the end.
+    /// Conditions that must hold at the end.
     #[serde(default, rename = "must")]
     pub expectations: Expectations,
 }
 
-/// The replicas.
+/// The `[fleet]` section: the simulated replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Replicas, prefill and decode together.
+    /// Number of replicas, prefill and decode together.
     pub replicas: usize,
-    /// Zones.
+    /// Number of zones, numbered from 0.
     pub zones: u32,
     /// The smallest and the largest number of replicas in a rack.
     #[serde(rename = "rack")]
     pub rack_size: (usize, usize),
-    /// Share of the replicas that prefill.
+    /// Share of the replicas that prefill, from 0 to 1.
     #[serde(rename = "readers")]
     pub prefill_share: f64,
-    /// Share of the replicas that are warming up at the start of the run.
+    /// Share of the replicas that are warming up at the start of the run, from 0 to 1.
     #[serde(default, rename = "cold")]
     pub warming_up_share: f64,
 }
 
 impl FleetConfig {
-    /// The shape that the fleet is drawn by.
+    /// Returns the parameters that the fleet is drawn from.
     pub fn shape(&self) -> FleetShape {
         FleetShape {
             replicas: self.replicas,
@@ -60,52 +63,52 @@
     }
 }
 
-/// The dispatchers.
+/// The `[dispatchers]` section.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DispatcherConfig {
-    /// Processes of the program, each with its share of the load.
+    /// Number of real dispatchers: processes of the program, each under load.
     pub real: usize,
-    /// Dispatchers without a process, which poll discovery and send gossip to the real ones.
+    /// Number of simulated dispatchers: tasks of the bench that poll discovery and send gossip to the real dispatchers.
     #[serde(default, rename = "hollow")]
     pub simulated: usize,
-    /// Dispatchers of the fleet, as configured at each of them.
+    /// Number of dispatchers in the fleet, as configured at each of them.
     #[serde(rename = "told")]
     pub configured: u32,
-    /// Sockets that a real dispatcher may use.
+    /// Maximum number of sockets of a real dispatcher.
     #[serde(rename = "sockets")]
     pub max_sockets: u64,
 }
 
-/// The load.
+/// The `[load]` section.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadConfig {
-    /// Requests per second for each real dispatcher.
+    /// Requests per second sent to each real dispatcher.
     #[serde(rename = "per_dispatcher")]
     pub rate_per_dispatcher: f64,
-    /// The smallest and the largest number of tokens of a prompt.
+    /// The smallest and the largest number of tokens in a prompt.
     #[serde(rename = "prompt")]
     pub prompt_tokens: (u32, u32),
-    /// The smallest and the largest number of tokens of an output.
+    /// The smallest and the largest number of tokens in an output.
     #[serde(rename = "answer")]
     pub output_tokens: (u32, u32),
 }
 
-/// Something that happens once.
+/// An `[[event]]` section: a change of the fleet at a time during the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioEvent {
-    /// Seconds from the start of the load.
+    /// Time from the start of the load, in seconds.
     #[serde(rename = "at")]
     pub at_seconds: f64,
-    /// What happens.
+    /// The kind of change.
     pub kind: EventKind,
-    /// The number of a rack or a zone, or the replicas per second of a rolling restart.
+    /// The number of a rack or zone, or the replicas per second of a rolling restart; unused by a full list.
     pub number: u32,
 }
 
-/// What may happen.
+/// The changes of the fleet that a scenario can schedule.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
@@ -113,22 +116,23 @@
     DrainRack,
     /// All replicas of a zone start draining.
     DrainZone,
-    /// All replicas of a zone are back, warming up.
+    /// All replicas of a zone restart: they are ready and warming up.
     #[serde(rename = "return_zone")]
     RestartZone,
-    /// From now on, so many replicas per second drain for a second and come back warming up.
+    /// From this time on, a number of replicas per second drain for a second, then restart and warm up.
     #[serde(rename = "roll")]
     RollingRestart,
-    /// Discovery sends the full list.
+    /// Discovery sends the full endpoint list to the real dispatchers.
     #[serde(rename = "whole_list")]
     FullList,
 }
 
-/// What must hold at the end; counts and rules only, never times.
+/// The `[must]` section: conditions at the end of the run. These are counts and rules, never times, because times depend on
+/// the machine.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectations {
-    /// At least this share of all requests is served to its end.
+    /// Minimum share of the sent requests whose stream is received to its end, from 0 to 1.
     #[serde(default, rename = "served")]
     pub min_served_share: f64,
 }
@@ -150,7 +154,7 @@
         /// What is wrong in it.
         source: Box<ScenarioError>,
     },
-    /// The text is not TOML, or has other fields than a scenario.
+    /// The text is not TOML, or a key or value is not one of a scenario.
     Syntax {
         /// The line, counted from 1.
         line: usize,
@@ -166,7 +170,7 @@
         /// Its value.
         value: f64,
     },
-    /// Another value is out of its range.
+    /// Another setting is out of its range; the text names the setting and its range.
     Range(&'static str),
 }
 
@@ -189,7 +193,10 @@
                 source.message().replace('\n', " ")
             ),
             ScenarioError::Share { name, value } => {
-                write!(formatter, "1:1: {name} is a part from 0 to 1, not {value}")
+                write!(
+                    formatter,
+                    "1:1: {name} must be a share from 0 to 1, not {value}"
+                )
             }
             ScenarioError::Range(reason) => write!(formatter, "1:1: {reason}"),
         }
@@ -208,11 +215,11 @@
 }
 
 impl Scenario {
-    /// Reads a file.
+    /// Reads and checks a scenario file.
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be read or is not valid; the error is one line with the file, the place and the reason.
+    /// Fails if the file cannot be read or is not valid; the error is one line with the path, the position and the reason.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Read {
             path: path.to_owned(),
@@ -224,11 +231,12 @@
         })
     }
 
-    /// Parses a scenario.
+    /// Parses and checks a scenario.
     ///
     /// # Errors
     ///
-    /// Fails if it is not valid; the error is one line with the place and the reason.
+    /// Fails if the scenario is not valid; the error is one line with the position and the reason. The position of a value
+    /// out of its range is always 1:1.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| syntax_error(text, error))?;
         scenario.check()?;
@@ -255,7 +263,7 @@
             (self.fleet.zones == 0, "fleet.zones must be over 0"),
             (
                 min_rack == 0 || min_rack > max_rack,
-                "fleet.rack is the fewest and the most",
+                "fleet.rack must be [minimum, maximum] with 0 < minimum <= maximum",
             ),
             (
                 self.dispatchers.real == 0,
@@ -267,11 +275,11 @@
             ),
             (
                 min_prompt == 0 || min_prompt > max_prompt,
-                "load.prompt is the fewest and the most",
+                "load.prompt must be [minimum, maximum] with 0 < minimum <= maximum",
             ),
             (
                 min_output == 0 || min_output > max_output,
-                "load.answer is the fewest and the most",
+                "load.answer must be [minimum, maximum] with 0 < minimum <= maximum",
             ),
         ];
         for (is_invalid, reason) in invalid_ranges {
--- a/crates/scale/src/selection.rs
+++ b/crates/scale/src/selection.rs
@@ -1,27 +1,32 @@
-//! Selection among candidates compared with selection among all endpoints: the same traffic, fleet and seeds.
+//! Compares selection among a sample of candidates with selection among all endpoints.
+//!
+//! Both simulations have the same fleet, traffic and seed, so a difference in their results comes from the selection.
 
 use crate::fleet::FleetShape;
 use crate::results::SelectionComparison;
 use crate::simulation::{Simulation, SimulationOptions};
-use crate::steps::TARGET_RATE;
+use crate::steps::PEAK_RATE_PER_DISPATCHER;
 use std::time::Duration;
 
-/// Tokens per second of a prefill replica: slow enough for these replicas to be busy at the target's rate.
-const BUSY_PREFILL_RATE: f64 = 20_000.0;
-/// Requests per second for each replica at the target: 31,000 over 11,000.
-const RATE_PER_REPLICA: f64 = 31_000.0 / 11_000.0;
-/// Real time that a simulation may take.
-const MAX_DURATION: Duration = Duration::from_secs(3600);
+/// Tokens per second of a prefill replica: slow enough to keep prefill replicas busy at the target's peak, so that the
+/// selection matters.
+const BUSY_PREFILL_TOKENS_PER_SECOND: f64 = 20_000.0;
+/// Requests per second per replica at the target's peak: 31,000 over 11,000 replicas.
+const PEAK_RATE_PER_REPLICA: f64 = 31_000.0 / 11_000.0;
+/// The maximum real time of one simulation.
+const MAX_SIMULATION_TIME: Duration = Duration::from_secs(3600);
 
-/// Simulates a fleet with as many routers as its share of the target's peak needs, twice: with candidates, and with all
-/// endpoints scored.
+/// Simulates a fleet twice: with candidates, and with all endpoints scored. The number of routers is proportional to the
+/// fleet, so that each has the target's peak rate. `seconds` is the simulated time, on average.
 pub fn compare(
     replicas: usize,
     warming_up_share: f64,
     seed: u64,
     seconds: f64,
 ) -> SelectionComparison {
-    let routers = ((replicas as f64 * RATE_PER_REPLICA / TARGET_RATE).round() as usize).max(1);
+    let routers = ((replicas as f64 * PEAK_RATE_PER_REPLICA / PEAK_RATE_PER_DISPATCHER).round()
+        as usize)
+        .max(1);
     let options = SimulationOptions {
         shape: FleetShape {
             warming_up_share,
@@ -29,12 +34,12 @@
         },
         routers,
         dispatchers: routers as u32,
-        rate: TARGET_RATE,
+        rate: PEAK_RATE_PER_DISPATCHER,
         has_background_load: false,
-        prefill_rate: BUSY_PREFILL_RATE,
+        prefill_rate: BUSY_PREFILL_TOKENS_PER_SECOND,
         seed,
-        max_arrivals: (routers as f64 * TARGET_RATE * seconds) as usize,
-        max_duration: MAX_DURATION,
+        max_arrivals: (routers as f64 * PEAK_RATE_PER_DISPATCHER * seconds) as usize,
+        max_duration: MAX_SIMULATION_TIME,
     };
     let candidates = Simulation::new(options.clone(), |_| {}).run();
     let full = Simulation::new(options, |router| router.set_full_scan_limit(usize::MAX)).run();
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -1,31 +1,31 @@
-//! The cost of the routing module's steps against the size of the fleet.
+//! The cost of the routing module's steps by the size of the fleet, from a simulation of one router.
 
 use crate::fleet::FleetShape;
 use crate::results::{StepCost, StepCosts};
 use crate::simulation::{Simulation, SimulationOptions, SimulationResult, PREFILL_RATE};
 use std::time::Duration;
 
-/// Requests per second that the target's peak gives one dispatcher: 31,000 over 530.
-pub const TARGET_RATE: f64 = 31_000.0 / 530.0;
+/// Requests per second of one dispatcher at the target's peak: 31,000 over 530 dispatchers.
+pub const PEAK_RATE_PER_DISPATCHER: f64 = 31_000.0 / 530.0;
 
-/// What is measured.
+/// The fleet, the traffic and the limits of one measurement.
 #[derive(Clone, Debug)]
 pub struct StepMeasurement {
-    /// Replicas of the fleet.
+    /// Number of replicas in the fleet.
     pub replicas: usize,
-    /// Share of them that is warming up.
+    /// Share of the replicas that is warming up at the start, from 0 to 1.
     pub warming_up_share: f64,
-    /// Dispatchers of the fleet, as configured.
+    /// Number of dispatchers in the fleet, as configured; one of them is simulated.
     pub dispatchers: u32,
-    /// Draws fleet and traffic.
+    /// Seed by which the fleet and the traffic are drawn.
     pub seed: u64,
-    /// Requests that are simulated at most, ...
+    /// Maximum number of simulated requests.
     pub max_arrivals: usize,
-    /// ... and real time that is spent at most.
+    /// Maximum real time of the simulation.
     pub max_duration: Duration,
 }
 
-/// Simulates one router at the target's rate, and returns the cost of its steps.
+/// Simulates one router at the target's peak rate, and returns the cost of its steps.
 pub fn measure(measurement: &StepMeasurement) -> StepCosts {
     let options = SimulationOptions {
         shape: FleetShape {
@@ -34,7 +34,7 @@
         },
         routers: 1,
         dispatchers: measurement.dispatchers,
-        rate: TARGET_RATE,
+        rate: PEAK_RATE_PER_DISPATCHER,
         has_background_load: true,
         prefill_rate: PREFILL_RATE,
         seed: measurement.seed,
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -1,7 +1,8 @@
 //! The tables of `docs/CAPACITY.md`, written from the committed results.
 //!
-//! The page marks the place of each table with `<!-- table: KIND FILE -->` and `<!-- end -->` on lines of their own; what
-//! stands between is replaced.
+//! The page marks each table by a line `<!-- table: KIND FILE -->` before it and a line `<!-- end -->` after it. [`fill`]
+//! replaces the lines between them. KIND selects one of the functions below, and FILE names a file of results without its
+//! extension. The texts of the tables are fixed: `table --check` compares them with the committed page.
 
 use crate::power_law::PowerLaw;
 use crate::results::{
@@ -20,20 +21,20 @@
 /// Why the tables could not be written.
 #[derive(Debug)]
 pub enum TableError {
-    /// A marker names no file of results.
+    /// A marker has no name of a results file.
     NoFile(String),
     /// A marker names a kind of table that does not exist.
     UnknownKind(String),
     /// A file of results cannot be read.
     Results(ResultsError),
-    /// A table on a line of the page (counted from 1) could not be written.
+    /// A table of the page could not be written.
     Line {
-        /// The line of its marker.
+        /// The line of the marker, counted from 1.
         number: usize,
-        /// What was wrong.
+        /// Why the table could not be written.
         source: Box<TableError>,
     },
-    /// The page's last table is not closed.
+    /// The last table of the page has no end marker.
     NotClosed,
 }
 
@@ -41,12 +42,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TableError::NoFile(marker) => {
-                write!(formatter, "no file of results is named: {marker:?}")
+                write!(formatter, "marker names no results file: {marker:?}")
             }
-            TableError::UnknownKind(kind) => write!(formatter, "no such table: {kind:?}"),
+            TableError::UnknownKind(kind) => write!(formatter, "unknown kind of table: {kind:?}"),
             TableError::Results(error) => error.fmt(formatter),
             TableError::Line { number, source } => write!(formatter, "line {number}: {source}"),
-            TableError::NotClosed => formatter.write_str("the last table has no end"),
+            TableError::NotClosed => formatter.write_str("the last table has no end marker"),
         }
     }
 }
@@ -67,11 +68,11 @@
     }
 }
 
-/// The page with each table as the results in this folder give it.
+/// Returns the page with each table rewritten from the results in this folder.
 ///
 /// # Errors
 ///
-/// Fails if a table has no end, or its results cannot be read; the error is one line.
+/// Fails if the last table has no end marker, a marker is not valid, or results cannot be read; the error is one line.
 pub fn fill(page: &str, results: &Path) -> Result<String, TableError> {
     let mut filled = String::new();
     let mut is_in_table = false;
@@ -83,7 +84,7 @@
             filled.push_str(line);
             filled.push('\n');
         }
-        if let Some(marker) = marker_of(line) {
+        if let Some(marker) = parse_marker(line) {
             let table = render_table(marker, results).map_err(|error| TableError::Line {
                 number: index + 1,
                 source: Box::new(error),
@@ -98,7 +99,7 @@
     Ok(filled)
 }
 
-fn marker_of(line: &str) -> Option<&str> {
+fn parse_marker(line: &str) -> Option<&str> {
     line.strip_prefix(MARKER_START)?.strip_suffix(MARKER_END)
 }
 
@@ -119,8 +120,8 @@
     Ok(table)
 }
 
-/// Where the figures come from, below each table.
-fn source_line<T>(run: &MeasurementRun<T>) -> String {
+/// Formats the line below each table that tells how its values were measured.
+fn provenance_line<T>(run: &MeasurementRun<T>) -> String {
     format!(
         "\nMeasured by `quartzhall-scale {}` on commit {}, {} cores.\n",
         run.command, run.commit, run.cores
@@ -131,7 +132,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// The median of several values, with the smallest and the largest if there are several.
+/// Formats the median of values, with the smallest and the largest if there are several.
 fn median_and_range(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let text = |value: f64| {
@@ -151,7 +152,7 @@
     format!("{median} ({} to {})", text(*min), text(*max))
 }
 
-/// The mean of several values, with its standard error if there are several.
+/// Formats the mean of values, with its standard error if there are several.
 fn mean_and_error(values: &[f64], digits: usize) -> String {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -166,7 +167,7 @@
     format!("{mean:.digits$} ± {error:.digits$}")
 }
 
-/// Medians and 99th percentiles of each step by the fleet's size, with the exponent of the medians.
+/// Renders the median and 99th percentile of each step by fleet size, with the exponent of a power law through the medians.
 fn render_steps(run: &MeasurementRun<Vec<StepCosts>>) -> String {
     let sizes: BTreeSet<usize> = run.results.iter().map(|costs| costs.replicas).collect();
     let names: BTreeSet<&String> = run
@@ -195,7 +196,7 @@
             "\nAt {size} replicas the time was up after {arrivals} requests.\n"
         ));
     }
-    text + &source_line(run)
+    text + &provenance_line(run)
 }
 
 fn render_step(
@@ -232,23 +233,23 @@
     text
 }
 
-/// Served weight of both kinds of selection by size, and how often both decided the same.
+/// Renders the served weight of both kinds of selection by fleet size, and in how many runs both made the same decisions.
 fn render_selection(run: &MeasurementRun<Vec<SelectionComparison>>) -> String {
     let mut text = String::from(
         "| replicas | cold | plays | worth with candidates | with all looked at | given up | with all looked at | the same draw for draw |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    let kind_of = |comparison: &SelectionComparison| {
+    let group_of = |comparison: &SelectionComparison| {
         (
             comparison.replicas,
             (comparison.warming_up_share * 100.0) as u64,
         )
     };
-    let kinds: BTreeSet<(usize, u64)> = run.results.iter().map(kind_of).collect();
-    for kind in kinds {
+    let groups: BTreeSet<(usize, u64)> = run.results.iter().map(group_of).collect();
+    for group in groups {
         let comparisons: Vec<&SelectionComparison> = run
             .results
             .iter()
-            .filter(|comparison| kind_of(comparison) == kind)
+            .filter(|comparison| group_of(comparison) == group)
             .collect();
         let column = |value: fn(&SelectionComparison) -> f64| {
             let values: Vec<f64> = comparisons.iter().copied().map(value).collect();
@@ -258,7 +259,7 @@
             .iter()
             .filter(|comparison| comparison.is_identical)
             .count();
-        let (replicas, warming_up_percent) = kind;
+        let (replicas, warming_up_percent) = group;
         text.push_str(&format!(
             "| {replicas} | {warming_up_percent}% | {} | {} | {} | {} | {} | {identical} |\n",
             comparisons.len(),
@@ -268,20 +269,20 @@
             column(|row| row.shed_or_failed_full as f64 / row.arrivals as f64),
         ));
     }
-    text + &source_line(run)
+    text + &provenance_line(run)
 }
 
-/// One figure of a dispatcher's usage.
-type UsageFigure = fn(&DispatcherUsage) -> f64;
+/// Selects one value of a dispatcher's usage.
+type UsageMetric = fn(&DispatcherUsage) -> f64;
 
-/// What real dispatchers used, and what their clients got, by size.
+/// Renders each run: the responses of the clients, and the resources and times of the real dispatchers.
 fn render_runs(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
     let mut text = String::from(
         "| replicas | seed | served | refused | lost | broken rules | core | MB | ready, s | to first token, ms: median | p99 | to a replica, ms: median | p99 | rig |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for result in &run.results {
-        let usage_mean = |figure: UsageFigure| {
-            let values: Vec<f64> = result.usage.iter().map(figure).collect();
+        let usage_mean = |metric: UsageMetric| {
+            let values: Vec<f64> = result.usage.iter().map(metric).collect();
             mean(&values)
         };
         let bottleneck = if result.is_bench_limited {
@@ -307,10 +308,10 @@
             result.time_to_replica.p99_ms,
         ));
     }
-    text + &source_line(run)
+    text + &provenance_line(run)
 }
 
-fn largest_fleet(run: &MeasurementRun<Vec<ScaleRunResult>>) -> usize {
+fn max_replicas(run: &MeasurementRun<Vec<ScaleRunResult>>) -> usize {
     run.results
         .iter()
         .map(|result| result.replicas)
@@ -318,16 +319,16 @@
         .unwrap_or(0)
 }
 
-/// One figure of all dispatchers in the runs whose number of replicas matches, with that number.
+/// Returns one value of each dispatcher in the runs whose number of replicas matches, as points of replicas and value.
 fn usage_points(
     run: &MeasurementRun<Vec<ScaleRunResult>>,
-    figure: UsageFigure,
+    metric: UsageMetric,
     matches: impl Fn(usize) -> bool,
 ) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     for result in &run.results {
         if matches(result.replicas) {
-            let values = result.usage.iter().map(figure);
+            let values = result.usage.iter().map(metric);
             points.extend(values.map(|value| (result.replicas as f64, value)));
         }
     }
@@ -339,10 +340,11 @@
     mean(&values)
 }
 
-/// The target's budget for control traffic, and what a dispatcher used at the largest size that was run.
+/// Renders a dispatcher's mean usage at the largest fleet that was run, beside the target's budget for it.
 fn render_budget(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
-    let largest = largest_fleet(run);
-    let used = |figure: UsageFigure| mean_value(&usage_points(run, figure, |size| size == largest));
+    let max_size = max_replicas(run);
+    let used =
+        |metric: UsageMetric| mean_value(&usage_points(run, metric, |size| size == max_size));
     let rows = [
         (
             "resident memory, all of it, MB",
@@ -371,15 +373,15 @@
         ),
     ];
     let mut text =
-        format!("| at {largest} replicas | used | budget | |\n| --- | --- | --- | --- |\n");
+        format!("| at {max_size} replicas | used | budget | |\n| --- | --- | --- | --- |\n");
     for (name, used, budget) in rows {
         let verdict = if used <= budget { "within" } else { "over" };
         text.push_str(&format!("| {name} | {used:.3} | {budget} | {verdict} |\n"));
     }
-    text + &source_line(run)
+    text + &provenance_line(run)
 }
 
-/// Bytes that one more of each kind takes.
+/// Renders the memory per item of each kind.
 fn render_memory(run: &MeasurementRun<Vec<MemoryUse>>) -> String {
     let mut text =
         String::from("| kind | count | bytes of resident memory for each |\n| --- | --- | --- |\n");
@@ -389,22 +391,22 @@
             memory.kind, memory.count, memory.bytes_each
         ));
     }
-    text + &source_line(run)
+    text + &provenance_line(run)
 }
 
-/// What the smaller sizes predict for the largest one, and what was measured there.
+/// Renders the usage that a power law through the smaller fleets predicts for the largest one, beside the measured usage.
 fn render_extrapolation(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
-    let largest = largest_fleet(run);
-    let rows: [(&str, UsageFigure); 2] = [
+    let max_size = max_replicas(run);
+    let rows: [(&str, UsageMetric); 2] = [
         ("processor, parts of a core", |usage| usage.core_share),
         ("resident memory, MB", |usage| usage.resident_mb),
     ];
     let mut text = format!(
-        "| | exponent over smaller sizes | predicted at {largest} replicas | measured |\n| --- | --- | --- | --- |\n"
+        "| | exponent over smaller sizes | predicted at {max_size} replicas | measured |\n| --- | --- | --- | --- |\n"
     );
-    for (name, figure) in rows {
-        let measured = mean_value(&usage_points(run, figure, |size| size == largest));
-        let smaller = usage_points(run, figure, |size| size < largest);
+    for (name, metric) in rows {
+        let measured = mean_value(&usage_points(run, metric, |size| size == max_size));
+        let smaller = usage_points(run, metric, |size| size < max_size);
         let Some(law) = PowerLaw::fit(&smaller) else {
             continue;
         };
@@ -412,8 +414,8 @@
             "| {name} | {:.2} ± {:.2} | {:.3} | {measured:.3} |\n",
             law.exponent,
             law.exponent_error,
-            law.cost_at(largest as f64)
+            law.cost_at(max_size as f64)
         ));
     }
-    text + &source_line(run)
+    text + &provenance_line(run)
 }
--- a/crates/scale/tests/inputs.rs
+++ b/crates/scale/tests/inputs.rs
@@ -1,4 +1,4 @@
-//! Scenario files, power laws and tables: what is accepted, and the errors for what is not.
+//! Parsing of scenario files, fits of power laws, and the tables of a page: valid inputs, and errors for invalid ones.
 
 use quartzhall_scale::power_law::PowerLaw;
 use quartzhall_scale::results::{self, MeasurementRun, StepCost, StepCosts};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-const VALID: &str = r#"name = "good"
+const VALID_SCENARIO: &str = r#"name = "good"
 seconds = 5
 [fleet]
 replicas = 40
@@ -30,7 +30,7 @@
 
 #[test]
 fn valid_scenario_is_parsed() {
-    let scenario = Scenario::parse(VALID).unwrap();
+    let scenario = Scenario::parse(VALID_SCENARIO).unwrap();
     assert_eq!(scenario.fleet.replicas, 40);
     assert_eq!(scenario.dispatchers.simulated, 0);
     assert_eq!(scenario.events[0].kind, EventKind::DrainZone);
@@ -39,25 +39,28 @@
 #[test]
 fn invalid_scenario_gives_one_line_with_place_and_reason() {
     let cases = [
-        (VALID.replace("seconds = 5", "seconds = \"5\""), "2:11: "),
         (
-            VALID.replace("zones = 2", "zonen = 2"),
+            VALID_SCENARIO.replace("seconds = 5", "seconds = \"5\""),
+            "2:11: ",
+        ),
+        (
+            VALID_SCENARIO.replace("zones = 2", "zonen = 2"),
             "5:1: unknown field `zonen`",
         ),
         (
-            VALID.replace("drain_zone", "flood"),
+            VALID_SCENARIO.replace("drain_zone", "flood"),
             "18:8: unknown variant `flood`",
         ),
         (
-            VALID.replace("readers = 0.25", "readers = 25.0"),
-            "1:1: fleet.readers is a part from 0 to 1, not 25",
+            VALID_SCENARIO.replace("readers = 0.25", "readers = 25.0"),
+            "1:1: fleet.readers must be a share from 0 to 1, not 25",
         ),
         (
-            VALID.replace("prompt = [100, 200]", "prompt = [300, 200]"),
+            VALID_SCENARIO.replace("prompt = [100, 200]", "prompt = [300, 200]"),
             "1:1: load.prompt",
         ),
         (
-            VALID.replace("real = 1", "real = 0"),
+            VALID_SCENARIO.replace("real = 1", "real = 0"),
             "1:1: dispatchers.real must be over 0",
         ),
     ];
