--- a/crates/scale/src/cli.rs
+++ b/crates/scale/src/cli.rs
@@ -37,7 +37,7 @@
     /// Fleet sizes, in replicas.
     #[arg(long, value_delimiter = ',', default_value = "100,300,1000,3000,11000")]
     pub(crate) sizes: Vec<usize>,
-    /// Number of dispatchers in the fleet, as configured.
+    /// Number of dispatchers in the fleet, as given in the settings.
     #[arg(long, default_value_t = 530)]
     pub(crate) dispatchers: u32,
     /// Seeds; each size is measured once with each of them.
@@ -53,7 +53,7 @@
     /// Fleet size, in replicas.
     #[arg(long, default_value_t = 11000)]
     pub(crate) replicas: usize,
-    /// Number of dispatchers in the fleet, as configured.
+    /// Number of dispatchers in the fleet, as given in the settings.
     #[arg(long, default_value_t = 530)]
     pub(crate) dispatchers: u32,
     /// Seed by which the fleet is drawn.
@@ -126,7 +126,7 @@
     /// Share of the replicas that is warming up at the start, from 0 to 1.
     #[arg(long = "cold", value_name = "COLD", default_value_t = 0.0)]
     pub(crate) warming_up_share: f64,
-    /// Number of dispatchers in the fleet, as configured.
+    /// Number of dispatchers in the fleet, as given in the settings.
     #[arg(long, default_value_t = 530)]
     pub(crate) dispatchers: u32,
     /// Seeds; each size is measured once with each of them.
--- a/crates/scale/src/config.rs
+++ b/crates/scale/src/config.rs
@@ -37,7 +37,7 @@
 }
 
 /// Formats the configuration file of the real dispatcher with this number. `peers` are the gossip addresses of all
-/// dispatchers.
+/// dispatchers, by number. Keys and values are those of the dispatcher's configuration.
 pub fn config_text(
     scenario: &Scenario,
     number: usize,
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -1,7 +1,9 @@
 //! The cost of the core's steps by the size of the fleet: endpoint lists, gossip, requests, releases, and the timer.
 //!
 //! [`CoreBench`] drives a [`Core`] with events on a simulated clock and times each call on the real one. The core runs
-//! without connections: the bench answers its probes and ends its attempts. [`crate::memory`] uses the same bench.
+//! without connections: [`CoreBench`] answers its probes and ends its attempts. [`crate::memory`] uses it, too.
+//!
+//! The names of the steps are keys in the committed results, and must not change.
 
 use crate::config::{self, Addresses};
 use crate::fleet::{self, replica_id, replica_key, FleetShape};
@@ -33,13 +35,13 @@
 const MS: Time = 1_000;
 /// The start of the simulated clock, in Unix microseconds.
 const START_TIME: Time = 1_700_000_000_000_000;
-/// Number of times that a step is measured.
+/// Repetitions of each step, unless another number is given for it.
 const REPETITIONS: usize = 200;
-/// Number of times that an unchanged full list is measured; its cost grows with the fleet.
+/// Repetitions of the unchanged full list: fewer, because each goes through the whole fleet.
 const FULL_LIST_REPETITIONS: usize = REPETITIONS / 20;
 /// Streams that are open at one dispatcher at the target's peak: 58.5 requests per second, each open for 10 s.
 const PEAK_OPEN_STREAMS: u64 = 585;
-/// Requests that a sender counts before each gossip message: its budget for gossip grows with its requests.
+/// Requests that the sender counts before each gossip message, because they earn its gossip budget.
 const REQUESTS_PER_GOSSIP_MESSAGE: usize = 50;
 /// The core's limit of connections to endpoints, which also limits its open requests.
 const MAX_CONNECTIONS: usize = 4_096;
@@ -88,8 +90,9 @@
     outcomes: Vec<oneshot::Receiver<Outcome>>, // kept: without a receiver the core would end the stream
 }
 
-/// Builds the deployment of a dispatcher in a fleet with this many dispatchers. No address in it is used.
-fn deployment(dispatchers: u32) -> Result<Deployment, MeasureError> {
+/// Builds the deployment of a dispatcher in a fleet with this many dispatchers. The addresses are placeholders, because the
+/// core opens no connections.
+fn build_deployment(dispatchers: u32) -> Result<Deployment, MeasureError> {
     let scenario = Scenario::parse(&format!(
         "name = \"steps\"\nseconds = 1\n[fleet]\nreplicas = 100\nzones = 15\nrack = [4, 8]\nreaders = 0.25\n[dispatchers]\nreal = 1\ntold = {dispatchers}\nsockets = 1024\n[load]\nper_dispatcher = 1.0\nprompt = [1, 2]\nanswer = [1, 2]\n"
     ))?;
@@ -126,7 +129,7 @@
         let now = START_TIME;
         let shape = FleetShape::with_replicas(replicas);
         let records = fleet::draw(&shape, now, &mut Pcg32::seed_from_u64(seed));
-        let deployment = Arc::new(deployment(dispatchers)?);
+        let deployment = Arc::new(build_deployment(dispatchers)?);
         let log = Logger::root(Discard, o!());
         let core = Core::new(deployment, MAX_CONNECTIONS, seed, now, log);
         Ok(CoreBench {
@@ -143,7 +146,7 @@
         let started = Instant::now();
         self.core.handle_event(self.now, event);
         let commands = self.core.take_commands();
-        self.record(step, started);
+        self.record_duration(step, started);
         commands
     }
 
@@ -152,15 +155,15 @@
         let started = Instant::now();
         self.core.on_timer(self.now);
         let commands = self.core.take_commands();
-        self.record(step, started);
+        self.record_duration(step, started);
         commands
     }
 
-    fn record(&mut self, step: &str, started: Instant) {
-        let duration = started.elapsed().as_nanos() as f64 / 1e3 * UNITS_PER_MICROSECOND;
+    fn record_duration(&mut self, step: &str, started: Instant) {
+        let duration_units = started.elapsed().as_nanos() as f64 / 1e3 * UNITS_PER_MICROSECOND;
         let Ok(empty) = Histogram::new(3) else { return };
         let histogram = self.costs.entry(step.to_owned()).or_insert(empty);
-        let _ = histogram.record(duration as u64);
+        let _ = histogram.record(duration_units as u64);
     }
 
     fn full_list_event(&self) -> Event {
@@ -280,8 +283,8 @@
     }
 
     /// Measures requests whose client disconnects after prefill, so that the core releases the KV cache.
-    fn measure_releases(&mut self, first: u64, count: u64) {
-        for id in first..first + count {
+    fn measure_releases(&mut self, first_id: u64, count: u64) {
+        for id in first_id..first_id + count {
             self.now += MS;
             if !self.start_request(id) {
                 continue;
@@ -300,7 +303,7 @@
         }
     }
 
-    /// Measures the timer while streams are open, when it checks their deadlines.
+    /// Measures the timer, which checks deadlines, while the streams are open.
     fn measure_deadline_checks(&mut self) {
         for _ in 0..REPETITIONS {
             self.now += 20 * MS;
@@ -308,9 +311,9 @@
         }
     }
 
-    /// Opens streams: sends requests, with ids from `first`, and brings each to the first event of its decode attempt.
-    pub fn open_streams(&mut self, first: u64, count: u64) {
-        for id in first..first + count {
+    /// Opens streams: sends requests with ids from `first_id`, and brings each to the first event of its decode attempt.
+    pub fn open_streams(&mut self, first_id: u64, count: u64) {
+        for id in first_id..first_id + count {
             self.now += MS;
             if !self.start_request(id) {
                 continue;
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -4,9 +4,9 @@
 use rand::Rng;
 use rand_pcg::Pcg32;
 
-/// KV memory of a prefill replica, in tokens.
+/// KV memory of a prefill replica, in tokens; the same as in the configuration of the dispatchers.
 pub const PREFILL_KV_TOKENS: f64 = 600_000.0;
-/// KV memory of a decode replica, in tokens.
+/// KV memory of a decode replica, in tokens; the same as in the configuration of the dispatchers.
 pub const DECODE_KV_TOKENS: f64 = 400_000.0;
 
 /// The parameters that a fleet is drawn from.
@@ -48,8 +48,8 @@
     quartzhall::config::fnv1a_hash(&replica_id(number))
 }
 
-/// Draws the list of replicas, by rack. Each rack has its share of prefill replicas and at least one, so that KV caches can
-/// stay within the rack. `now` becomes the start time of the replicas that are warming up.
+/// Draws the list of replicas, rack by rack. Each rack has its share of prefill replicas and at least one, so that KV
+/// caches can stay within the rack. `now` becomes the start time of the replicas that are warming up.
 pub fn draw(shape: &FleetShape, now: Time, rng: &mut Pcg32) -> Vec<EndpointRecord> {
     let mut records = Vec::with_capacity(shape.replicas);
     let mut cell = 0;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -11,9 +11,9 @@
 use slog::{o, Drain, Logger};
 use std::process::ExitCode;
 
-/// The exit code if the command cannot start: invalid input, a missing program, or an error of the system.
+/// The exit code for invalid input, a missing program, results that cannot be stored, or an error of the system.
 const EXIT_BAD_INPUT: u8 = 2;
-/// The exit code if a run fails or misses its expectations, or if the page cannot be read, written or differs.
+/// The exit code if a run fails or misses its expectations, or if the page cannot be filled or differs from the results.
 const EXIT_RUN_FAILED: u8 = 1;
 
 fn create_logger() -> (Logger, slog_async::AsyncGuard) {
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,4 +1,6 @@
-//! The subcommands: each measures, runs scenarios or writes tables, and stores or prints its results.
+//! The subcommands: each takes its options, measures, runs scenarios or writes tables, and stores or prints the results.
+//!
+//! Results are stored together with the command line, the commit and the machine's cores, so that they can be repeated.
 
 use crate::cli::{
     ChoiceOptions, CommonRunOptions, CoreStepsOptions, MemoryOptions, RunOptions, StepsOptions,
@@ -70,7 +72,7 @@
 }
 
 impl CommandError {
-    /// Whether the cause is the input or the machine, rather than a run or the page.
+    /// Returns whether the cause is the input of the command or the system, rather than a run or the page.
     pub(crate) fn is_input_error(&self) -> bool {
         match self {
             CommandError::WarmingUpShare(_)
@@ -161,9 +163,9 @@
 /// Returns the commit of the current work tree, and whether the measured sources differ from it.
 fn describe_commit() -> String {
     let commit = command_output("git", &["rev-parse", "--short", "HEAD"]);
-    let measured = ["src", "crates/scale/src", "Cargo.lock"];
+    let measured_paths = ["src", "crates/scale/src", "Cargo.lock"];
     let mut arguments = vec!["status", "--porcelain", "--"];
-    arguments.extend(measured);
+    arguments.extend(measured_paths);
     if command_output("git", &arguments).is_empty() {
         commit
     } else {
@@ -296,6 +298,7 @@
     }
 }
 
+/// Creates the folder for configurations and logs: the given one, or one in the temporary directory.
 fn create_folder(given: Option<&PathBuf>) -> Result<PathBuf, CommandError> {
     let folder = match given {
         Some(given) => given.clone(),
--- a/crates/scale/src/memory.rs
+++ b/crates/scale/src/memory.rs
@@ -1,6 +1,6 @@
 //! The resident memory that the core and the routing module take for each replica and for each open stream.
 //!
-//! Resident memory of the whole process is read before and after a number of items is added to a core.
+//! The resident memory of this process is read before and after many items of one kind are added to a core.
 
 use crate::core_steps::{CoreBench, MeasureError};
 use crate::process;
@@ -8,7 +8,7 @@
 
 /// Number of streams that are opened: enough for their memory to exceed the steps in which the allocator grows.
 const OPEN_STREAMS: u64 = 3_000;
-/// Request id of the first stream; the following streams have the following ids.
+/// Request id of the first stream; the ids of the others count up from it.
 const FIRST_REQUEST_ID: u64 = 1_000_000;
 
 fn resident_bytes() -> f64 {
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -42,9 +42,9 @@
 pub struct StepCosts {
     /// Replicas of the fleet.
     pub replicas: usize,
-    /// Dispatchers of the fleet, as configured.
+    /// Dispatchers of the fleet, as given in the settings.
     pub dispatchers: u32,
-    /// Share of the replicas that was warming up.
+    /// Share of the replicas that was warming up at the start.
     #[serde(rename = "cold")]
     pub warming_up_share: f64,
     /// The seed of the measurement.
@@ -154,17 +154,17 @@
     pub replicas: usize,
     /// Routers of the fleet, all of which were simulated.
     pub routers: usize,
-    /// Share of the replicas that was warming up.
+    /// Share of the replicas that was warming up at the start.
     #[serde(rename = "cold")]
     pub warming_up_share: f64,
     /// The seed of both simulations.
     pub seed: u64,
     /// Requests that arrived in each simulation.
     pub arrivals: usize,
-    /// With candidates: priority weight of the requests that were served in time, as a share of all that arrived.
+    /// With candidates: priority weight of the requests served in time, as a share of that of all arrivals.
     #[serde(rename = "worth_candidates")]
     pub served_weight_share: f64,
-    /// With all endpoints: priority weight of the requests that were served in time, as a share of all that arrived.
+    /// With all endpoints: priority weight of the requests served in time, as a share of that of all arrivals.
     #[serde(rename = "worth_full")]
     pub served_weight_share_full: f64,
     /// With candidates: requests that were shed or failed.
@@ -292,7 +292,7 @@
 pub struct ScaleRunResult {
     /// The scenario's name.
     pub scenario: String,
-    /// The seed of the load.
+    /// The seed that the fleet, the load and the events were drawn from.
     pub seed: u64,
     /// Number of simulated replicas.
     pub replicas: usize,
@@ -329,7 +329,7 @@
     /// From the time that a request was due until the bench sent it.
     #[serde(rename = "sent_late")]
     pub send_delay: DurationSummary,
-    /// Average number of cores that the bench used during the load.
+    /// Average number of cores that the bench, the process of the scale tests, used during the load.
     #[serde(rename = "rig_cores")]
     pub bench_cores: f64,
     /// Whether the bench was the bottleneck, so that the measured times are not those of the dispatcher.
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -67,12 +67,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DispatcherConfig {
-    /// Number of real dispatchers: processes of the program, each under load.
+    /// Number of real dispatchers: processes of the dispatcher program, each under load.
     pub real: usize,
     /// Number of simulated dispatchers: tasks of the bench that poll discovery and send gossip to the real dispatchers.
     #[serde(default, rename = "hollow")]
     pub simulated: usize,
-    /// Number of dispatchers in the fleet, as configured at each of them.
+    /// Number of dispatchers in the fleet, as given in the settings of each of them.
     #[serde(rename = "told")]
     pub configured: u32,
     /// Maximum number of sockets of a real dispatcher.
@@ -95,20 +95,20 @@
     pub output_tokens: (u32, u32),
 }
 
-/// An `[[event]]` section: a change of the fleet at a time during the load.
+/// An `[[event]]` section: something that happens to the fleet or to discovery, once, during the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioEvent {
     /// Time from the start of the load, in seconds.
     #[serde(rename = "at")]
     pub at_seconds: f64,
-    /// The kind of change.
+    /// What happens.
     pub kind: EventKind,
     /// The number of a rack or zone, or the replicas per second of a rolling restart; unused by a full list.
     pub number: u32,
 }
 
-/// The changes of the fleet that a scenario can schedule.
+/// The kinds of events that a scenario can schedule.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
@@ -122,7 +122,7 @@
     /// From this time on, a number of replicas per second drain for a second, then restart and warm up.
     #[serde(rename = "roll")]
     RollingRestart,
-    /// Discovery sends the full endpoint list to the real dispatchers.
+    /// Discovery sends the full endpoint list.
     #[serde(rename = "whole_list")]
     FullList,
 }
@@ -151,7 +151,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// Why the content of the file is not valid.
         source: Box<ScenarioError>,
     },
     /// The text is not TOML, or a key or value is not one of a scenario.
--- a/crates/scale/src/selection.rs
+++ b/crates/scale/src/selection.rs
@@ -17,7 +17,8 @@
 const MAX_SIMULATION_TIME: Duration = Duration::from_secs(3600);
 
 /// Simulates a fleet twice: with candidates, and with all endpoints scored. The number of routers is proportional to the
-/// fleet, so that each has the target's peak rate. `seconds` is the simulated time, on average.
+/// fleet, so that each has the target's peak rate. The simulations end after the requests that arrive in
+/// `seconds` on average.
 pub fn compare(
     replicas: usize,
     warming_up_share: f64,
@@ -41,18 +42,18 @@
         max_arrivals: (routers as f64 * PEAK_RATE_PER_DISPATCHER * seconds) as usize,
         max_duration: MAX_SIMULATION_TIME,
     };
-    let candidates = Simulation::new(options.clone(), |_| {}).run();
-    let full = Simulation::new(options, |router| router.set_full_scan_limit(usize::MAX)).run();
+    let with_candidates = Simulation::new(options.clone(), |_| {}).run();
+    let full_scan = Simulation::new(options, |router| router.set_full_scan_limit(usize::MAX)).run();
     SelectionComparison {
         replicas,
         routers,
         warming_up_share,
         seed,
-        arrivals: full.arrivals,
-        served_weight_share: candidates.served_weight_share,
-        served_weight_share_full: full.served_weight_share,
-        shed_or_failed: candidates.shed_or_failed,
-        shed_or_failed_full: full.shed_or_failed,
-        is_identical: candidates.digest == full.digest,
+        arrivals: full_scan.arrivals,
+        served_weight_share: with_candidates.served_weight_share,
+        served_weight_share_full: full_scan.served_weight_share,
+        shed_or_failed: with_candidates.shed_or_failed,
+        shed_or_failed_full: full_scan.shed_or_failed,
+        is_identical: with_candidates.digest == full_scan.digest,
     }
 }
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -15,7 +15,7 @@
     pub replicas: usize,
     /// Share of the replicas that is warming up at the start, from 0 to 1.
     pub warming_up_share: f64,
-    /// Number of dispatchers in the fleet, as configured; one of them is simulated.
+    /// Number of dispatchers in the fleet, as given in the settings. The router of one of them is simulated.
     pub dispatchers: u32,
     /// Seed by which the fleet and the traffic are drawn.
     pub seed: u64,
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -135,7 +135,7 @@
 /// Formats the median of values, with the smallest and the largest if there are several.
 fn median_and_range(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
-    let text = |value: f64| {
+    let format_value = |value: f64| {
         if value < 100.0 {
             format!("{value:.1}")
         } else {
@@ -145,11 +145,15 @@
     let (Some(min), Some(max)) = (values.first(), values.last()) else {
         return "not run".into();
     };
-    let median = text(values[values.len() / 2]);
+    let median = format_value(values[values.len() / 2]);
     if values.len() == 1 {
         return median;
     }
-    format!("{median} ({} to {})", text(*min), text(*max))
+    format!(
+        "{median} ({} to {})",
+        format_value(*min),
+        format_value(*max)
+    )
 }
 
 /// Formats the mean of values, with its standard error if there are several.
@@ -159,11 +163,11 @@
     if values.len() < 2 {
         return format!("{mean:.digits$}");
     }
-    let squares = values
+    let squared_deviations = values
         .iter()
         .map(|value| (value - mean).powi(2))
         .sum::<f64>();
-    let error = (squares / (count - 1.0) / count).sqrt();
+    let error = (squared_deviations / (count - 1.0) / count).sqrt();
     format!("{mean:.digits$} ± {error:.digits$}")
 }
 
@@ -335,7 +339,7 @@
     points
 }
 
-fn mean_value(points: &[(f64, f64)]) -> f64 {
+fn mean_of_points(points: &[(f64, f64)]) -> f64 {
     let values: Vec<f64> = points.iter().map(|(_, value)| *value).collect();
     mean(&values)
 }
@@ -343,32 +347,32 @@
 /// Renders a dispatcher's mean usage at the largest fleet that was run, beside the target's budget for it.
 fn render_budget(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
     let max_size = max_replicas(run);
-    let used =
-        |metric: UsageMetric| mean_value(&usage_points(run, metric, |size| size == max_size));
+    let mean_usage =
+        |metric: UsageMetric| mean_of_points(&usage_points(run, metric, |size| size == max_size));
     let rows = [
         (
             "resident memory, all of it, MB",
-            used(|usage| usage.resident_mb),
+            mean_usage(|usage| usage.resident_mb),
             256.0,
         ),
         (
             "lists, KB a second",
-            used(|usage| usage.list_bytes_per_s) / 1000.0,
+            mean_usage(|usage| usage.list_bytes_per_s) / 1000.0,
             26.0,
         ),
         (
             "heard from other dispatchers, KB a second",
-            used(|usage| usage.gossip_bytes_per_s) / 1000.0,
+            mean_usage(|usage| usage.gossip_bytes_per_s) / 1000.0,
             26.0,
         ),
         (
             "lists and talk heard together, KB a second",
-            used(|usage| usage.list_bytes_per_s + usage.gossip_bytes_per_s) / 1000.0,
+            mean_usage(|usage| usage.list_bytes_per_s + usage.gossip_bytes_per_s) / 1000.0,
             26.0,
         ),
         (
             "processor, requests and streams included, parts of a core",
-            used(|usage| usage.core_share),
+            mean_usage(|usage| usage.core_share),
             0.013,
         ),
     ];
@@ -405,7 +409,7 @@
         "| | exponent over smaller sizes | predicted at {max_size} replicas | measured |\n| --- | --- | --- | --- |\n"
     );
     for (name, metric) in rows {
-        let measured = mean_value(&usage_points(run, metric, |size| size == max_size));
+        let measured = mean_of_points(&usage_points(run, metric, |size| size == max_size));
         let smaller = usage_points(run, metric, |size| size < max_size);
         let Some(law) = PowerLaw::fit(&smaller) else {
             continue;
