--- a/crates/scale/src/selection.rs
+++ b/crates/scale/src/selection.rs
@@ -10,7 +10,7 @@
 
 /// Tokens per second of a prefill replica: slow enough to keep prefill replicas busy at the target's peak, so that the
 /// selection matters.
-const BUSY_PREFILL_TOKENS_PER_SECOND: f64 = 20_000.0;
+const BUSY_PREFILL_TOKENS_PER_S: f64 = 20_000.0;
 /// Requests per second per replica at the target's peak: 31,000 over 11,000 replicas.
 const PEAK_RATE_PER_REPLICA: f64 = 31_000.0 / 11_000.0;
 /// The maximum real time of one simulation.
@@ -35,9 +35,9 @@
         },
         routers,
         dispatchers: routers as u32,
-        rate: PEAK_RATE_PER_DISPATCHER,
+        rate_per_router: PEAK_RATE_PER_DISPATCHER,
         has_background_load: false,
-        prefill_rate: BUSY_PREFILL_TOKENS_PER_SECOND,
+        prefill_tokens_per_s: BUSY_PREFILL_TOKENS_PER_S,
         seed,
         max_arrivals: (routers as f64 * PEAK_RATE_PER_DISPATCHER * seconds) as usize,
         max_duration: MAX_SIMULATION_TIME,
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -21,7 +21,7 @@
 /// Why the tables could not be written.
 #[derive(Debug)]
 pub enum TableError {
-    /// A marker has no name of a results file.
+    /// A marker does not name a results file.
     NoFile(String),
     /// A marker names a kind of table that does not exist.
     UnknownKind(String),
