--- a/crates/scale/benches/decision.rs
+++ b/crates/scale/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Benchmark of the routing module by the size of the fleet: the simulation of 50 requests with all steps that they cause.
+//! Benchmark of the routing module by the size of the fleet: it simulates 50 requests with all steps that they cause.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use quartzhall_scale::steps::{measure, StepMeasurement};
--- a/crates/scale/src/config.rs
+++ b/crates/scale/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration file of a real dispatcher in a scale run, with the settings of the target deployment.
 //!
-//! The bench uses the same constants to check the slow start rule, and [`crate::core_steps`] uses the same configuration.
+//! The bench checks the slow start rule by the same constants. [`crate::core_steps`] uses the same configuration.
 
 use crate::scenario::Scenario;
 use std::time::Duration;
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -90,8 +90,8 @@
     outcomes: Vec<oneshot::Receiver<Outcome>>, // kept: without a receiver the core would end the stream
 }
 
-/// Builds the deployment of a dispatcher in a fleet with this many dispatchers. The addresses are placeholders, because the
-/// core opens no connections.
+/// Builds the deployment of a dispatcher in a fleet with this many dispatchers. The addresses are placeholders,
+/// because the core opens no connections.
 fn build_deployment(dispatchers: u32) -> Result<Deployment, MeasureError> {
     let scenario = Scenario::parse(&format!(
         "name = \"steps\"\nseconds = 1\n[fleet]\nreplicas = 100\nzones = 15\nrack = [4, 8]\nreaders = 0.25\n[dispatchers]\nreal = 1\ntold = {dispatchers}\nsockets = 1024\n[load]\nper_dispatcher = 1.0\nprompt = [1, 2]\nanswer = [1, 2]\n"
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Opens streams: sends requests with ids from `first_id`, and brings each to the first event of its decode attempt.
+    /// Opens streams: sends requests with ids from `first_id`, and takes each to the first event of its decode.
     pub fn open_streams(&mut self, first_id: u64, count: u64) {
         for id in first_id..first_id + count {
             self.now += MS;
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -16,8 +16,8 @@
     pub replicas: usize,
     /// Number of zones, numbered from 0. Racks are assigned to them in turn, so that they are of about equal size.
     pub zones: u32,
-    /// The smallest and the largest number of replicas in a rack; the last rack of a fleet may be smaller. A rack is in one
-    /// zone, and has replicas of both roles if its size allows it.
+    /// The smallest and the largest number of replicas in a rack; the last rack of a fleet may be smaller. A rack is
+    /// in one zone, and has replicas of both roles if its size allows it.
     pub rack_size: (usize, usize),
     /// Share of the replicas in each rack that prefill, from 0 to 1.
     pub prefill_share: f64,
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -13,7 +13,8 @@
 
 /// The exit code for invalid input, a missing program, results that cannot be stored, or an error of the system.
 const EXIT_BAD_INPUT: u8 = 2;
-/// The exit code if a run fails or misses its expectations, or if the page cannot be filled or differs from the results.
+/// The exit code if a run fails or misses its expectations, or if the page cannot be filled or differs from
+/// the results.
 const EXIT_RUN_FAILED: u8 = 1;
 
 fn create_logger() -> (Logger, slog_async::AsyncGuard) {
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,4 +1,4 @@
-//! The subcommands: each takes its options, measures, runs scenarios or writes tables, and stores or prints the results.
+//! The subcommands: measurements, runs of scenarios, and the tables of the page.
 //!
 //! Results are stored together with the command line, the commit and the machine's cores, so that they can be repeated.
 
@@ -173,8 +173,8 @@
     }
 }
 
-/// Shortens an absolute path to its last component, because the rest is specific to this machine. Returns any other argument
-/// unchanged.
+/// Shortens an absolute path to its last component, because the rest is specific to this machine. Returns any other
+/// argument unchanged.
 fn shorten_path(argument: String) -> String {
     let path = Path::new(&argument);
     match path.file_name().filter(|_| path.is_absolute()) {
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,7 +1,7 @@
 //! The results of measurements, and the JSON files that store them.
 //!
-//! Committed results are in `crates/scale/results`, and [`crate::table`] reads them. The field names in the files must not
-//! change; a field whose name in the code differs has a `serde` rename.
+//! Committed results are in `crates/scale/results`, and [`crate::table`] reads them. The field names in the files
+//! must not change; a field whose name in the code differs has a `serde` rename.
 
 use crate::simulation::UNITS_PER_MICROSECOND;
 use hdrhistogram::Histogram;
@@ -194,7 +194,7 @@
 pub struct RuleViolations {
     /// Requests that reached a draining replica more than 0.3 s after their dispatcher was notified of the drain.
     pub sends_after_drain: u64,
-    /// Replicas in slow start that received more requests, from all dispatchers together, than the slow start rule allows.
+    /// Replicas in slow start that received more requests from all dispatchers together than the rule allows.
     #[serde(rename = "cold_falls")]
     pub slow_start_overloads: u64,
     /// KV caches whose reservation was released later than the settings allow.
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -127,8 +127,8 @@
     FullList,
 }
 
-/// The `[must]` section: conditions at the end of the run. These are counts and rules, never times, because times depend on
-/// the machine.
+/// The `[must]` section: conditions at the end of the run. These are counts and rules, never times, because times
+/// depend on the machine.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectations {
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or is not valid; the error is one line with the path, the position and the reason.
+    /// Fails if the file cannot be read or is not valid; the error is one line with path, position and reason.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Read {
             path: path.to_owned(),
@@ -235,8 +235,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the scenario is not valid; the error is one line with the position and the reason. The position of a value
-    /// out of its range is always 1:1.
+    /// Fails if the scenario is not valid; the error is one line with the position and the reason. The position of a
+    /// value out of its range is always 1:1.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| syntax_error(text, error))?;
         scenario.check()?;
--- a/crates/scale/src/selection.rs
+++ b/crates/scale/src/selection.rs
@@ -16,8 +16,8 @@
 /// The maximum real time of one simulation.
 const MAX_SIMULATION_TIME: Duration = Duration::from_secs(3600);
 
-/// Simulates a fleet twice: with candidates, and with all endpoints scored. The number of routers is proportional to the
-/// fleet, so that each has the target's peak rate. The simulations end after the requests that arrive in
+/// Simulates a fleet twice: with candidates, and with all endpoints scored. The number of routers is proportional to
+/// the fleet, so that each has the target's peak rate. The simulations end after as many requests as arrive in
 /// `seconds` on average.
 pub fn compare(
     replicas: usize,
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -1,8 +1,9 @@
 //! The tables of `docs/CAPACITY.md`, written from the committed results.
 //!
-//! The page marks each table by a line `<!-- table: KIND FILE -->` before it and a line `<!-- end -->` after it. [`fill`]
-//! replaces the lines between them. KIND selects one of the functions below, and FILE names a file of results without its
-//! extension. The texts of the tables are fixed: `table --check` compares them with the committed page.
+//! The page marks each table by a line `<!-- table: KIND FILE -->` before it and a line `<!-- end -->` after it.
+//! [`fill`] replaces the lines between them. KIND selects the table (see `render_table`), and FILE names a file of
+//! results without its extension. The texts of the tables must not change: `table --check` compares them with the
+//! committed page.
 
 use crate::power_law::PowerLaw;
 use crate::results::{
@@ -171,7 +172,7 @@
     format!("{mean:.digits$} ± {error:.digits$}")
 }
 
-/// Renders the median and 99th percentile of each step by fleet size, with the exponent of a power law through the medians.
+/// Renders the median and 99th percentile of each step by fleet size, and the exponent of the growth of the median.
 fn render_steps(run: &MeasurementRun<Vec<StepCosts>>) -> String {
     let sizes: BTreeSet<usize> = run.results.iter().map(|costs| costs.replicas).collect();
     let names: BTreeSet<&String> = run
@@ -237,7 +238,7 @@
     text
 }
 
-/// Renders the served weight of both kinds of selection by fleet size, and in how many runs both made the same decisions.
+/// Renders the served weight of both kinds of selection by fleet size, and how often both made the same decisions.
 fn render_selection(run: &MeasurementRun<Vec<SelectionComparison>>) -> String {
     let mut text = String::from(
         "| replicas | cold | plays | worth with candidates | with all looked at | given up | with all looked at | the same draw for draw |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
@@ -398,7 +399,7 @@
     text + &provenance_line(run)
 }
 
-/// Renders the usage that a power law through the smaller fleets predicts for the largest one, beside the measured usage.
+/// Renders the usage at the largest fleet that a power law through smaller fleets predicts, and the measured usage.
 fn render_extrapolation(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
     let max_size = max_replicas(run);
     let rows: [(&str, UsageMetric); 2] = [
