--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -1,7 +1,7 @@
 //! Receives streams from other processes, and owns each until the frontend takes it from the queue.
 //!
-//! A stream is accepted only when it has a place in the frontend's queue, so that none is accepted and then lost while
-//! the process shuts down.
+//! A stream is accepted only when it has a place in the frontend's queue. So none is accepted and then lost while the
+//! process shuts down.
 
 use super::frame::{
     ClientState, ConnectionState, FrameExtension, FrameHeader, FrameVersion, UpstreamState,
@@ -28,7 +28,7 @@
 /// A stream that this process has accepted.
 #[derive(Debug)]
 pub struct ReceivedStream {
-    /// The client's socket.
+    /// The socket of the connection to the client.
     pub client: TcpStream,
     /// The state of the client's connection.
     pub client_state: ClientState,
@@ -36,12 +36,12 @@
     pub upstream: ReceivedUpstream,
 }
 
-/// The upstream side of a received stream.
+/// The upstream side of a received stream: the connection to the endpoint that produces it.
 #[derive(Debug)]
 pub struct ReceivedUpstream {
-    /// The upstream's socket.
+    /// The socket of the connection to the endpoint.
     pub socket: TcpStream,
-    /// The position in the stream.
+    /// The position up to which the sender has read the response, and the event that is incomplete there.
     pub state: UpstreamState,
 }
 
@@ -92,8 +92,9 @@
     }
 }
 
-/// Accepts a stream and queues it. Reserves a place in the queue first: when the frontend closes the queue at shutdown,
-/// it still waits for reserved places, so that every accepted stream has an owner.
+/// Accepts a stream and queues it. Reserves a place in the queue first, so that every accepted stream has an owner:
+/// when the frontend closes the queue at shutdown, it still waits for reserved places. `sender_process` is the sender's
+/// process id for the log, `None` if the system does not tell it.
 async fn accept(
     connection: &UnixStream,
     stream: ReceivedStream,
