--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -12,7 +12,7 @@
 /// The caller's number for an endpoint.
 pub type EndpointId = u32;
 
-/// The work that an endpoint does.
+/// The part of a request's work that an endpoint does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Prefills prompts, and reserves each KV cache until a decode endpoint takes it over.
@@ -62,7 +62,7 @@
     pub inter_token_objective: Time,
     /// Weight of a request that meets its objective, relative to other classes.
     pub priority_weight: f64,
-    /// Whether its requests may run more than once.
+    /// Whether requests of this class may run more than once.
     pub idempotency: Idempotency,
     /// Whether new requests may have this class. Requests that are already open keep an inactive class.
     pub is_active: bool,
@@ -99,7 +99,8 @@
     pub tenants: Vec<Tenant>,
     /// Factor applied to the priority weight of a request that exceeds its tenant's quota.
     pub over_quota_weight: f64,
-    /// How endpoints report their load.
+    /// How endpoints report their load. With [`LoadReporting::Never`], the router sends no probes before a
+    /// placement.
     pub load_reporting: LoadReporting,
     /// Whether the router must subscribe to the endpoint list with [`Action::WatchEndpoints`]; if false, the
     /// list is pushed without a subscription.
@@ -151,21 +152,22 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRecord {
-    /// The endpoint's id.
+    /// The endpoint's id, assigned by the caller.
     pub endpoint: EndpointId,
     /// Unique number of the endpoint, the same at every dispatcher: prefix affinity is hashed from it.
     pub key: u64,
-    /// The work that it does.
+    /// The work that the endpoint does.
     pub role: Role,
     /// Capacity of its KV cache memory, in tokens; 0: unknown.
     pub kv_capacity_tokens: f64,
-    /// Its zone.
+    /// Zone number, in the numbering of [`RoutingSettings::zone`].
     pub zone: u32,
-    /// Its cell. Moving a KV cache within a cell costs nothing.
+    /// Cell number. Moving a KV cache within a cell costs nothing.
     pub cell: u32,
     /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// When it last started; `None`: long enough ago that slow start is over.
+    /// Instant of the endpoint's last start. The router treats a change of this value as a restart. `None`:
+    /// the start was long enough ago that slow start is over.
     pub started_at: Option<Time>,
 }
 
@@ -186,22 +188,22 @@
 /// A request on its arrival.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
-    /// Its id.
+    /// The caller's id of the request. Every event and action names the request by it.
     pub id: RequestId,
     /// Index into [`RoutingSettings::classes`]. A request with any other index fails with
     /// [`FailureReason::UnknownClass`].
     pub class: usize,
     /// Index into [`RoutingSettings::tenants`]; `None`: no quota applies.
     pub tenant: Option<usize>,
-    /// Key of its session; `None`: it belongs to no session.
+    /// Key of the request's session; `None`: it belongs to no session.
     pub session: Option<u64>,
-    /// Key of the shared prefix that its prompt begins with; `None`: it has none.
+    /// Key of the shared prefix with which the prompt begins; `None`: the prompt has no shared prefix.
     pub prefix: Option<u64>,
     /// Time left until the client's deadline, in microseconds.
     pub time_left: Time,
-    /// Tokens in its prompt.
+    /// Tokens in the whole prompt, including the shared prefix.
     pub prompt_tokens: f64,
-    /// Tokens in the shared prefix.
+    /// Tokens in the shared prefix; 0 without one.
     pub prefix_tokens: f64,
     /// Maximum tokens in the response.
     pub max_output_tokens: f64,
--- a/src/routing/candidate_index.rs
+++ b/src/routing/candidate_index.rs
@@ -2,8 +2,8 @@
 //!
 //! Scoring every endpoint costs time proportional to the fleet's size. In fleets of up to
 //! [`MAX_FULLY_SCORED_ENDPOINTS`], all endpoints are candidates. In larger ones a query returns a bounded
-//! number: endpoints that are likely best by cached prefix or by location, and a random sample for load
-//! balancing. If none of them fits, the caller widens the query, up to all endpoints.
+//! number. It contains endpoints that are likely best by cached prefix or by location, and a random sample
+//! for load balancing. If none of them fits, the caller widens the query, up to all endpoints.
 //!
 //! The router owns the index and passes it each change of the endpoint list. The index does no I/O, reads no
 //! clock, and derives all randomness by hashing the caller's seeds. Reasons and measurements are in
@@ -32,7 +32,8 @@
 const DECODE_CANDIDATES_IN_ZONE: usize = 8;
 /// Decode endpoints sampled from all zones.
 const DECODE_CANDIDATES_ANYWHERE: usize = 4;
-/// Endpoints in slow start that are candidates for one request.
+/// Endpoints in slow start that are candidates for one request in a large fleet. The request makes its
+/// slow-start draws only there.
 const SLOW_START_CANDIDATES: usize = 8;
 
 /// The pool that an attempt's candidates come from. Endpoints of mixed role are in both.
@@ -47,15 +48,15 @@
 /// The index's record of a ready endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct IndexedEndpoint {
-    /// The work that it does.
+    /// The work that the endpoint does. It determines the endpoint's pools.
     pub role: Role,
-    /// Its zone.
+    /// Zone number, in the numbering of [`CandidateQuery::zone`].
     pub zone: u32,
-    /// Its cell.
+    /// Cell number. A KV cache moves within a cell at no cost.
     pub cell: u32,
     /// Unique number of the endpoint, the same at every dispatcher.
     pub key: u64,
-    /// The end of its slow start, in microseconds; 0: it isn't in slow start.
+    /// The end of the endpoint's slow start, in microseconds; 0: its start is long ago.
     pub warm_at: Time,
 }
 
@@ -119,6 +120,7 @@
 }
 
 impl CandidateQuery {
+    /// Multiplies a sample size by [`WIDENING_FACTOR`] for each widening.
     fn widen(&self, count: usize) -> usize {
         count.saturating_mul(WIDENING_FACTOR.saturating_pow(self.widenings))
     }
@@ -218,6 +220,7 @@
         self.endpoints.insert(id, endpoint);
     }
 
+    /// Returns the role pools that contain an endpoint: both for one of mixed role, otherwise one.
     fn pools_of<'a>(
         &'a mut self,
         endpoint: &'a IndexedEndpoint,
@@ -362,7 +365,7 @@
         sampled
     }
 
-    /// Returns all endpoints of a pool that match, sorted by id.
+    /// Returns the ids of all endpoints of a pool for which `matches` holds, sorted.
     fn all_endpoints(
         &self,
         kind: PoolKind,
--- a/src/routing/candidate_index/hash_ring.rs
+++ b/src/routing/candidate_index/hash_ring.rs
@@ -1,15 +1,18 @@
-//! A hash ring of endpoints. Keys are the same at every dispatcher, and so is the order of endpoints on the
-//! ring.
+//! A hash ring of endpoints. Each endpoint has one slot, at the hash of its key. Keys are the same at every
+//! dispatcher, and so is the order of endpoints on the ring.
 
 use crate::routing::api::EndpointId;
 
 /// Endpoints sorted by the hash of their keys. A [`RolePool`](super::RolePool) owns it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct HashRing {
+    /// Ring position and id of each endpoint, sorted.
     slots: Vec<(u64, EndpointId)>,
 }
 
 impl HashRing {
+    /// Adds an endpoint at the ring position of `key`, its unique number. Has no effect if it is on the
+    /// ring.
     pub(super) fn insert(&mut self, key: u64, endpoint: EndpointId) {
         let slot = (ring_position(key), endpoint);
         if let Err(index) = self.slots.binary_search(&slot) {
@@ -17,12 +20,14 @@
         }
     }
 
+    /// Removes an endpoint with this key. Has no effect if it is not on the ring.
     pub(super) fn remove(&mut self, key: u64, endpoint: EndpointId) {
         if let Some(index) = self.index_of(key, endpoint) {
             self.slots.remove(index);
         }
     }
 
+    /// Returns the endpoint's index in the order of the ring; `None` if it is not on the ring.
     pub(super) fn index_of(&self, key: u64, endpoint: EndpointId) -> Option<usize> {
         self.slots
             .binary_search(&(ring_position(key), endpoint))
--- a/src/routing/prefix_cache_index.rs
+++ b/src/routing/prefix_cache_index.rs
@@ -1,4 +1,4 @@
-//! The prefix cache index estimates which prefixes each endpoint has cached, from what was prefilled there.
+//! The prefix cache index estimates the prefixes that each endpoint has cached, from the prefills there.
 //!
 //! The key of an entry is that of a shared prefix or of a session. Entries expire, and the tokens recorded for
 //! each endpoint are bounded. The index maps both endpoints to keys and keys to endpoints, so the holders of a
@@ -12,11 +12,12 @@
 /// Number of recent requests over which a prefix's share of the traffic is measured.
 const TRAFFIC_SAMPLE_REQUESTS: usize = 30;
 
-/// What an endpoint is presumed to have cached for a key.
+/// The presumed cache content of one endpoint for one key.
 struct CachedPrefix {
+    /// Tokens from the beginning of the prompt.
     tokens: f64,
-    /// The part of `tokens` that counts towards the endpoint's limit. A session's entry excludes the shared
-    /// prefix, which has an entry of its own.
+    /// The part of `tokens` that counts towards the limit of the endpoint's recorded tokens. A session's
+    /// entry excludes the shared prefix, which has an entry of its own.
     charged_tokens: f64,
     recorded_at: Time,
 }
@@ -53,6 +54,8 @@
         count as f64 / TRAFFIC_SAMPLE_REQUESTS as f64
     }
 
+    /// Returns the tokens that an endpoint is presumed to have cached for a key; 0 without a key or a
+    /// record.
     fn tokens_for_key(&self, key: Option<u64>, endpoint: EndpointId) -> f64 {
         let entries = self.by_endpoint.get(&endpoint);
         match (key, entries) {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -33,8 +33,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracked_endpoint::{LoadVector, TrackedEndpoint, REQUESTS};
 
-/// Interval, in microseconds, at which failure rates and throughput counters decay. Endpoint subscriptions
-/// are renewed at the same interval.
+/// Interval, in microseconds, at which failure rates and throughput counters decay. A failed subscription to
+/// the endpoint list is renewed at the same interval.
 const DECAY_INTERVAL: Time = 1_000_000;
 /// Minimum success probability, 0 to 1, of an endpoint that is feasible for a request.
 const MIN_SUCCESS_PROBABILITY: f64 = 0.6;
@@ -42,7 +42,7 @@
 /// prompt cached. The cost of a decode attempt doesn't fall further above it.
 const HIGH_SUCCESS_PROBABILITY: f64 = 0.9;
 /// Weight of the newest sample, 0 to 1, in exponentially weighted moving averages. Failure rates and
-/// throughput counters decay by the same share.
+/// throughput counters decay by the same share every [`DECAY_INTERVAL`].
 const SMOOTHING_FACTOR: f64 = 0.11;
 /// Time to live of a prefix cache record, in multiples of the shortest TTFT objective.
 const PREFIX_TTL_IN_OBJECTIVES: Time = 60;
@@ -74,7 +74,8 @@
 struct ThroughputCounters {
     /// Completed prefills and received first tokens.
     finished: f64,
-    /// Mean of `finished` over the warm endpoints, or over all endpoints while none is warm.
+    /// Prefills and first tokens at warm endpoints, per warm endpoint. While no endpoint is warm, all
+    /// endpoints count.
     finished_per_warm_endpoint: f64,
     /// Started attempts.
     started: f64,
@@ -101,20 +102,24 @@
     candidates: CandidateIndex,
     prefixes: PrefixCacheIndex,
     requests: BTreeMap<RequestId, Request>,
+    /// The requests by the instant of their next check.
     due_requests: BTreeSet<(Time, RequestId)>,
     models: LatencyModels,
-    /// Duration of a first ejection, in microseconds: the shortest TTFT objective.
+    /// Duration of a first ejection, in microseconds: the shortest TTFT objective. The advice on retries,
+    /// the prefix TTL and the recheck of overdue attempts derive from it too.
     base_ejection_time: Time,
     next_decay_at: Time,
+    /// The instant of the last [`Action::SetTimer`]; `None` once the timer has fired.
     timer_at: Option<Time>,
-    /// Latest instant for every request's final response, because this router ends then; [`Time::MAX`]
-    /// until it is set.
+    /// Instant at which this router ends, and the latest one for every final response; [`Time::MAX`] until
+    /// it is set.
     shutdown_deadline: Time,
     is_watching_endpoints: bool,
     /// Baseline wait of load shedding, in seconds. It is the moving average, while feasible endpoints
     /// exist, of the shortest predicted prefill time without the part for the prompt itself.
     baseline_wait: f64,
-    /// Number of hedges and cancellations of overdue attempts that may still be made.
+    /// Number of hedges and cancellations of overdue attempts that are still allowed, including a fraction
+    /// of the next one.
     hedge_budget: f64,
     /// By class: mean share of a prompt that a session's affinity endpoint had cached, 0 to 1.
     session_match_ratio: Vec<f64>,
@@ -123,14 +128,16 @@
     mean_load: [LoadVector; 2],
     /// By tenant: token bucket with this router's share of the tenant's quota.
     tenant_buckets: Vec<TokenBucket>,
-    /// By `PoolKind`.
+    /// Attempts of this router, by `PoolKind`.
     throughput: [ThroughputCounters; 2],
+    /// Derived from the seed. Routers with different seeds sample different endpoints for the same request
+    /// id.
     hash_salt: u64,
 }
 
 impl Router {
-    /// Creates a router that knows only its settings. `seed` determines all of its random draws; `now` is
-    /// in microseconds.
+    /// Creates a router that knows only its settings. `seed` determines all random draws of the router;
+    /// `now` is in microseconds.
     pub fn new(settings: RoutingSettings, seed: u64, now: Time) -> Self {
         let dispatcher_count = f64::from(settings.dispatchers.max(1));
         let tenant_buckets = settings
@@ -166,7 +173,7 @@
     }
 
     /// Makes all endpoints candidates in fleets of up to `endpoints`, instead of a sample. Used to compare
-    /// the two.
+    /// full scans with sampling.
     pub fn set_full_scan_limit(&mut self, endpoints: usize) {
         self.candidates.set_full_scan_limit(endpoints);
     }
@@ -368,8 +375,8 @@
         }
     }
 
-    /// Decays failure rates and throughput counters, and renews the subscription to the endpoint list.
-    /// Expires prefix cache records, and drops removed endpoints without requests in flight.
+    /// Decays failure rates and throughput counters, and subscribes to the endpoint list if no subscription
+    /// is active. Expires prefix cache records, and drops removed endpoints without requests in flight.
     fn decay_statistics(&mut self) {
         self.next_decay_at = self.now + DECAY_INTERVAL;
         for counters in &mut self.throughput {
--- a/src/routing/router/decode.rs
+++ b/src/routing/router/decode.rs
@@ -1,5 +1,4 @@
-//! Scoring of decode endpoints: which of them can take over a KV cache, and when the first token is
-//! expected.
+//! Scoring of decode endpoints for a KV cache: their availability and the predicted time to the first token.
 //!
 //! `selection` provides the scoring that all stages share. This module adds the wait for KV memory, the
 //! cost of a transfer between cells and the inter-token objective. Scoring doesn't change the router's
@@ -47,6 +46,8 @@
         candidates
     }
 
+    /// Returns the decode endpoints that may be sent the request now. `cells` are those that hold the KV
+    /// cache or may hold it.
     pub(super) fn available_decode_endpoints(
         &self,
         request: &Request,
--- a/src/routing/router/hedging.rs
+++ b/src/routing/router/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: when an attempt is overdue, and what is done about it.
+//! Hedging: the detection of overdue attempts, and their replacement.
 //!
 //! An overdue prefill is hedged at another endpoint. An overdue decode attempt is cancelled, so that its KV
 //! cache goes to another endpoint. Where hedging is not allowed, only attempts whose response is presumed
@@ -8,7 +8,7 @@
 use super::{Attempt, Request, Router, Stage};
 use crate::routing::api::*;
 
-/// Hedges and cancellations of overdue attempts that each arriving request adds to the budget.
+/// Number of hedges and cancellations of overdue attempts that each arriving request adds to the budget.
 pub(super) const HEDGE_BUDGET_PER_REQUEST: f64 = 0.10;
 /// Maximum of the hedge budget.
 pub(super) const MAX_HEDGE_BUDGET: f64 = 5.0;
@@ -16,8 +16,8 @@
 const OVERDUE_SPREADS: f64 = 3.0;
 /// Minimum multiple of the predicted time after which an attempt is overdue.
 const OVERDUE_FACTOR: f64 = 1.5;
-/// An overdue attempt that can't be acted on yet is checked again after the base ejection time divided by
-/// this.
+/// Divisor of the base ejection time that gives the delay until the next check of an overdue attempt. It
+/// applies while hedging is not allowed and the response is not presumed lost.
 const RECHECK_DIVISOR: Time = 5;
 
 impl Router {
@@ -36,7 +36,8 @@
 
     /// Acts on an overdue attempt if another endpoint is feasible and the hedge budget allows it. A prefill
     /// is hedged, and a decode attempt is cancelled. Where hedging is not allowed, either is cancelled, but
-    /// only if its response is presumed lost.
+    /// only if its response is presumed lost. An attempt for which action was permitted is not considered
+    /// again, even if none was taken.
     pub(super) fn hedge_overdue_attempt(&mut self, request: &mut Request, index: usize) {
         let attempt_count = request.attempts.len() as u32;
         let hedging_allowed = self.settings.hedging_allowed;
@@ -53,6 +54,7 @@
         } else {
             self.now + self.base_ejection_time / RECHECK_DIVISOR
         };
+        // One more attempt must be allowed after the replacement.
         let has_attempts_left = attempt_count + 2 <= self.settings.max_attempts;
         if !can_act || self.hedge_budget < 1.0 || !has_attempts_left {
             return;
--- a/src/routing/router/latency_model.rs
+++ b/src/routing/router/latency_model.rs
@@ -12,7 +12,8 @@
 
 /// Number of inputs of a model, including the constant.
 pub(super) const INPUT_COUNT: usize = 5;
-/// Factor on the weight of earlier samples with each new one.
+/// Factor on the weight of earlier samples with each new one. The baseline wait of load shedding is smoothed
+/// by the same factor.
 pub(super) const FORGETTING_FACTOR: f64 = 0.997;
 /// Initial variance of each weight. Forgetting inflates the covariance only while the largest variance is
 /// below this.
@@ -27,15 +28,19 @@
 /// A linear model of a time in seconds, fitted by recursive least squares with forgetting. Negative slopes
 /// count as 0, because more load never shortens a time.
 pub(super) struct Model {
+    /// Seconds per unit of each input; index 0 is the constant.
     pub(super) weights: Inputs,
     covariance: SMatrix<f64, INPUT_COUNT, INPUT_COUNT>,
     pub(super) samples: u32,
+    /// Mean of the observed times, in seconds. Predictions are limited to 0.1 to 20 times this value.
     mean: f64,
     /// Mean absolute prediction error, in seconds.
     pub(super) spread: f64,
 }
 
 impl Model {
+    /// Creates a model without samples. `mean` is the expected mean of the modelled time, in seconds. The
+    /// prediction error is initially presumed to be as large.
     fn with_prior(weights: Inputs, mean: f64) -> Model {
         Model {
             weights,
@@ -83,8 +88,8 @@
 }
 
 impl LatencyModels {
-    /// Creates the models with priors from the shortest objectives. The prior time for a prompt follows
-    /// from the objective's allowance for it, and the prior queueing time is a small share of the TTFT
+    /// Creates the models with priors from the shortest objectives. The prior time for a prompt follows from
+    /// the objective's addition for the prompt. The prior queueing time is a small share of the TTFT
     /// objective.
     pub(super) fn from_objectives(settings: &RoutingSettings) -> LatencyModels {
         let ttft = seconds(shortest_objective(settings, |class| class.ttft_objective));
--- a/src/routing/router/load_shedding.rs
+++ b/src/routing/router/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding and idempotency: which requests are shed before their prefill under overload, and which
-//! may be shed or repeated after an attempt.
+//! Load shedding and idempotency: the decision to shed a request before its prefill under overload, and the
+//! rules for a repeat or for shedding after an attempt.
 //!
 //! Shedding tells the client that a retry is safe. A request is therefore shed only if none of its attempts
 //! rules out a repeat; otherwise it fails.
@@ -18,8 +18,10 @@
 
 impl Router {
     /// Returns whether to shed a request before its prefill: no endpoint is feasible, and the shortest wait
-    /// exceeds its baseline. Requests of the lowest priority weight are shed, and any that are unlikely to
-    /// meet their objective. While an endpoint is feasible, updates the baseline instead.
+    /// exceeds its baseline. Only requests of the lowest priority weight and those that are unlikely to meet
+    /// their objective are shed. While an endpoint is feasible, updates the router's baseline instead.
+    /// `candidates` are the scored prefill endpoints. Never sheds a request that has had an attempt or has
+    /// no candidates, nor any before the decode model has enough samples.
     pub(super) fn should_shed(&mut self, request: &Request, candidates: &[ScoredEndpoint]) -> bool {
         let has_decode_model = self.models.decode.samples >= MIN_SAMPLES;
         if !has_decode_model || !request.attempts.is_empty() || candidates.is_empty() {
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Cancels the attempts of a request, then sheds it if a retry is safe, or else fails it. Emits no
-    /// final response if the request has had one or has its first token.
+    /// Cancels the attempts of a request, then sheds it if a retry is safe, or else fails it. Emits no final
+    /// response if the request already has one or has its first token.
     pub(super) fn shed_or_fail(&mut self, request: &mut Request, reason: FailureReason) {
         self.cancel_attempts(request, |_| true);
         let id = request.metadata.id;
@@ -92,8 +94,8 @@
         is_safe || self.may_repeat(request, Some(&endpoint.record))
     }
 
-    /// Returns whether the request may run again at `target`, or at any endpoint if `target` is `None`,
-    /// whatever its attempts have done so far.
+    /// Returns whether the request may run again at `target` without harm, given all its attempts so far.
+    /// `None`: at any endpoint, as when the client retries.
     pub(super) fn may_repeat(&self, request: &Request, target: Option<&EndpointRecord>) -> bool {
         let idempotency = self.settings.classes[request.metadata.class].idempotency;
         request.attempts.iter().all(|attempt| {
@@ -101,6 +103,7 @@
         })
     }
 
+    /// Returns whether a repeat at `target` is harmless although `attempt` may have run or may still run.
     fn is_repeat_safe(
         &self,
         idempotency: Idempotency,
--- a/src/routing/router/outcomes.rs
+++ b/src/routing/router/outcomes.rs
@@ -1,8 +1,8 @@
-//! Outcomes of attempts: what is learned from a first token and from the end of an attempt, and what
-//! happens next to the request.
+//! Outcomes of attempts: learning from a first token or from the end of an attempt, and the next step of the
+//! request.
 //!
-//! Updates the latency models, the health and slowdown of endpoints, and the prefix cache index. The
-//! outcome of an attempt that has already ended is ignored.
+//! The module updates the latency models, the health and slowdown of endpoints, and the prefix cache index.
+//! The outcome of an attempt that has already ended is ignored.
 
 use super::latency_model::{Inputs, PENDING_PROMPT};
 use super::tracked_endpoint::subtract_load;
@@ -20,13 +20,14 @@
     /// Index among the request's attempts, from 0.
     pub(super) index: usize,
     pub(super) status: AttemptStatus,
+    /// Whether the client has its final response, from this attempt or an earlier one.
     pub(super) request_closed: bool,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens found in the prefix cache; 0: none or not reported.
     pub(super) cached_tokens: f64,
 }
 
-/// Returns whether the endpoint was not reached, or refused the request as invalid: nothing ran, and the
-/// attempt took no time there.
+/// Returns whether the endpoint was not reached, or refused the request as invalid. Nothing ran then, and
+/// the attempt took no time there.
 fn never_ran(status: AttemptStatus) -> bool {
     matches!(
         status,
@@ -34,6 +35,7 @@
     )
 }
 
+/// Returns whether the status proves that the attempt had no effect, even if it reached an endpoint.
 fn proves_no_effect(status: AttemptStatus) -> bool {
     never_ran(status)
         || matches!(
@@ -58,8 +60,10 @@
         self.cancel_attempts(request, |attempt| attempt.first_token_at.is_none());
     }
 
-    /// Records a completed prefill or a first token. Updates the endpoint's slowdown, and also the shared
-    /// model unless the endpoint is warming up.
+    /// Learns from an attempt that has just completed its prefill or received its first token. Updates the
+    /// health and slowdown of its endpoint, and also the shared model unless the endpoint is warming up.
+    /// `index` is that of the attempt in its request. `inputs` are the model inputs for the work that was
+    /// actually done.
     fn learn_latency(
         &mut self,
         metadata: &RequestMetadata,
@@ -191,6 +195,8 @@
         }
     }
 
+    /// Returns whether a non-idempotent request without a first token has an ended attempt that may have
+    /// run.
     fn has_unrepeatable_attempt(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.metadata.class];
         class.idempotency == Idempotency::NonIdempotent
--- a/src/routing/router/placement.rs
+++ b/src/routing/router/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: whether a request is sent now, waits for probes, is shed or waits for a retry, and to which
-//! endpoint it goes.
+//! Placement: the decision to send a request now, to shed it, or to wait for probes or a retry, and the
+//! choice of its endpoint.
 //!
 //! `prefill` and `decode` score the endpoints, and `selection` selects one of them. Every attempt starts in
 //! `Router::start_attempt`, which checks the rules.
@@ -21,7 +21,7 @@
 const PROBE_WAIT_SHARE: f64 = 0.01;
 /// Share of the reservation's time to live within which the KV cache must be placed at a decode endpoint.
 const PLACEMENT_SHARE_OF_RESERVATION: f64 = 0.8;
-/// A query of all endpoints that found none is repeated after the overload window divided by this.
+/// Divisor of the overload window that gives the delay after a query of all endpoints that found none.
 const EMPTY_QUERY_RETRY_DIVISOR: Time = 8;
 
 impl Router {
@@ -53,6 +53,7 @@
         self.start_attempt(request, stage, target);
     }
 
+    /// Returns why the request can't be attempted any more; `None` if it can.
     fn placement_failure(&self, request: &Request) -> Option<FailureReason> {
         let ttl = self.settings.reservation_ttl as f64 * PLACEMENT_SHARE_OF_RESERVATION;
         let placement_deadline = request.kv_idle_since + ttl as Time;
@@ -80,8 +81,9 @@
         request.retry_at = self.now + self.probe_wait(request);
         let is_exhausted = candidates.is_empty() && request.widenings > 0;
         if is_exhausted && self.covers_all_endpoints(request) {
-            // A query of all endpoints is expensive, so it is not repeated at every check. Slow-start draws
-            // are repeated soon.
+            // A query of all endpoints is expensive, so it is not repeated at every check. The next query is
+            // narrow again. The delay is short against the overload window, after which slow-start draws
+            // change.
             request.retry_at = self.now + self.settings.overload_window / EMPTY_QUERY_RETRY_DIVISOR;
             request.widenings = 0;
         }
@@ -168,6 +170,7 @@
         }
     }
 
+    /// Returns the stage that the request's next attempt has at an endpoint.
     fn stage_at(&self, request: &Request, id: EndpointId) -> Stage {
         let is_prefill_endpoint = self
             .endpoints
--- a/src/routing/router/prefill.rs
+++ b/src/routing/router/prefill.rs
@@ -1,5 +1,5 @@
-//! Scoring of prefill endpoints: which of them can take a prompt, how much of it they are presumed to have
-//! cached, and what is forecast for the decode attempt.
+//! Scoring of prefill endpoints: their availability, the share of the prompt that is presumed to be cached
+//! there, and the forecast of the decode attempt.
 //!
 //! The prefix-cache filter keeps requests at endpoints that have their prompt cached. It draws one random
 //! number for each call, whatever it decides.
@@ -17,8 +17,8 @@
 
 /// Prefix match ratio above which an endpoint counts as having the prompt cached.
 const CACHED_PROMPT_MATCH_RATIO: f64 = 0.80;
-/// Where no endpoint has the prompt cached, the threshold is relative to the best ratio if that is at least
-/// this.
+/// Minimum best ratio of the candidates for a relative threshold. If the best ratio is between this and
+/// [`CACHED_PROMPT_MATCH_RATIO`], that threshold is multiplied by the best ratio.
 const MIN_PREFIX_MATCH_RATIO: f64 = 0.1;
 /// Maximum additional predicted time at the fastest endpoint that the prefix-cache filter keeps, as a share
 /// of the TTFT objective. Above it the filter may be skipped.
@@ -186,7 +186,7 @@
     }
 
     /// Returns the affinity endpoints of the request's prefix and session, with the prompt tokens that each
-    /// is presumed to have cached even if the prefix cache index has no record of them.
+    /// is presumed to have cached. The tokens are presumed even without a record in the prefix cache index.
     pub(super) fn affinity_endpoints(&self, request: &Request) -> BTreeMap<EndpointId, f64> {
         let metadata = &request.metadata;
         let traffic_share = self.prefixes.traffic_share(metadata);
--- a/src/routing/router/request.rs
+++ b/src/routing/router/request.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a request: its arrival, its attempts and its next check.
+//! The lifecycle of a request: the arrival, the attempts and the next check.
 //!
 //! `Router::requests` owns each [`Request`]. `Router::may_send` has the rules on starting an attempt, and
 //! `Router::emit` the rules on all other actions of an accepted request.
@@ -24,6 +24,8 @@
 }
 
 impl Stage {
+    /// Returns the pool from which the stage's endpoint is selected. A combined attempt starts with a
+    /// prefill, so it uses the prefill pool, its latency model and its counters.
     pub(super) fn pool(self) -> PoolKind {
         match self {
             Stage::Prefill | Stage::Combined => PoolKind::Prefill,
@@ -44,7 +46,8 @@
     /// proves that the attempt never ran.
     pub(super) had_no_effect: bool,
     pub(super) first_token_at: Option<Time>,
-    /// Earliest instant of the next check after the attempt was found overdue; 0 until then.
+    /// Earliest instant of the next check after the attempt was found overdue; 0 until then. [`Time::MAX`]:
+    /// the attempt is not checked again.
     pub(super) next_overdue_check_at: Time,
 }
 
@@ -55,15 +58,18 @@
     pub(super) response_deadline: Time,
     /// TTFT objective of the class without its addition for the prompt, in seconds.
     pub(super) ttft_objective: f64,
+    /// End of the TTFT objective, including its addition for the prompt; not after the `response_deadline`
+    /// that was set on arrival.
     pub(super) first_token_deadline: Time,
+    /// Priority weight of the class, reduced if the tenant's quota is exceeded.
     pub(super) priority_weight: f64,
     /// Affinity endpoints, with the prompt tokens that each is presumed to have cached.
     pub(super) affinity: BTreeMap<EndpointId, f64>,
     pub(super) attempts: Vec<Attempt>,
     /// Prefill endpoint that holds the request's KV cache.
     pub(super) kv_endpoint: Option<EndpointId>,
-    /// When the last attempt that reached an endpoint ended. The placement of a KV cache is limited from
-    /// here.
+    /// End of the last attempt that reached an endpoint, 0 before. The time limit for the placement of a KV
+    /// cache counts from here.
     pub(super) kv_idle_since: Time,
     /// Whether the client has its final response or has disconnected. Independent of `has_first_token`: a
     /// client can disconnect before or after the first token, and a late prefill is released differently in
@@ -76,6 +82,7 @@
     pub(super) probe_deadline: Option<Time>,
     /// Instant of the request's entry in `Router::due_requests`.
     pub(super) due_at: Time,
+    /// Earliest instant of the next placement without an attempt in flight.
     pub(super) retry_at: Time,
     /// How often the candidate query was widened; `u32::MAX` covers all endpoints.
     pub(super) widenings: u32,
@@ -164,7 +171,9 @@
         }
     }
 
-    /// Returns whether the rules allow an attempt of this request at an endpoint now.
+    /// Returns whether the rules allow this router to start an attempt of this request at an endpoint now.
+    /// `stage` is the stage of the new attempt. The rules cover deadlines, the attempt limit, hedging,
+    /// draining, idempotency and slow start.
     pub(super) fn may_send(
         &self,
         request: &Request,
--- a/src/routing/router/selection.rs
+++ b/src/routing/router/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of an endpoint: which endpoints are available for a request, how each is scored, and the
-//! weighted random selection.
+//! Selection of an endpoint: the available endpoints of a request, their scores and the weighted random
+//! selection.
 //!
 //! `prefill` and `decode` extend the scoring that is shared here. An infeasible endpoint is selected only
 //! for exploration or if no candidate is feasible.
@@ -69,8 +69,8 @@
             .covers_all(request.next_pool(), &self.candidate_query(request))
     }
 
-    /// Scores an endpoint by the shared model, its slowdown and its overdue attempts. `downstream_seconds`
-    /// is the further time expected before the first token.
+    /// Scores an endpoint by the shared model of `pool`, the endpoint's slowdown and its overdue attempts.
+    /// `downstream_seconds` is the further time expected before the first token.
     pub(super) fn score_endpoint(
         &self,
         request: &Request,
@@ -114,9 +114,10 @@
         }
     }
 
-    /// Estimates one dimension of an endpoint's load from its last report and own counts. As the report
-    /// ages, an estimate from the fleet's mean and own counts replaces it. Own counts weigh as much as the
-    /// traffic that they cover: little for one dispatcher among hundreds.
+    /// Estimates one dimension of an endpoint's load from its last report and own counts. `dimension` is an
+    /// index of a `LoadVector` and gives the unit of the result. As the report ages, an estimate from the
+    /// fleet's mean and own counts replaces it. Own counts weigh as much as the traffic that they cover:
+    /// little for one dispatcher among hundreds. The estimate is never below this router's own load.
     pub(super) fn estimate_load(&self, endpoint: &TrackedEndpoint, dimension: usize) -> f64 {
         let own = endpoint.own_load[dimension];
         let is_prefill = endpoint.record.role == Role::Prefill;
@@ -182,8 +183,9 @@
         self.now < health.ejected_until || has_trial_in_flight || has_overdue_probe
     }
 
-    /// Selects a feasible endpoint at random, weighted by headroom and cost. Endpoints with more headroom
-    /// are preferred: preferring less headroom concentrates work on the endpoint nearest to its limit until
+    /// Selects a feasible endpoint at random, weighted by headroom and cost, or an infeasible one as the
+    /// module's head says. Returns `None` if there are no candidates. Endpoints with more headroom are
+    /// preferred: preferring less headroom concentrates work on the endpoint nearest to its limit until
     /// prefills queue.
     pub(super) fn select_weighted(
         &mut self,
--- a/src/routing/router/slow_start.rs
+++ b/src/routing/router/slow_start.rs
@@ -14,8 +14,8 @@
 
 impl Router {
     /// Returns whether slow start allows an attempt. In any overload window, an endpoint that warms up gets
-    /// this router's share of its capacity, estimated from what warm endpoints serve for this router. A
-    /// fraction of one send is drawn at random (docs/candidates.md).
+    /// this router's share of its capacity. The share is estimated from the throughput of warm endpoints for
+    /// this router. A fraction of one send is drawn at random (docs/candidates.md).
     pub(super) fn slow_start_allows(
         &self,
         request: &Request,
@@ -56,9 +56,9 @@
         sent + 1.0 <= capacity * counters.finished / serving_endpoints || draw < budget - sent
     }
 
-    /// Returns a request's draw at an endpoint, uniform over `u64`. A waiting request draws again after
-    /// each overload window. A prefill with affinity endpoints takes the lowest draw there and the highest
-    /// elsewhere: an endpoint that warms up has affinity for as many prefixes as it can take.
+    /// Returns a request's draw at an endpoint, uniform over `u64`. A waiting request draws again after each
+    /// overload window. A prefill with affinity endpoints takes the lowest draw there and the highest
+    /// elsewhere. An endpoint that warms up has affinity only for as many prefixes as it can take.
     fn slow_start_draw(&self, request: &Request, endpoint: EndpointId, stage: Stage) -> u64 {
         if stage != Stage::Decode && !request.affinity.is_empty() {
             let has_affinity = request.affinity.contains_key(&endpoint);
--- a/src/routing/router/tracked_endpoint.rs
+++ b/src/routing/router/tracked_endpoint.rs
@@ -1,5 +1,4 @@
-//! The state that a router keeps for one endpoint: its load, its pending attempts, its outlier detection
-//! and its warm-up.
+//! The state that a router keeps for one endpoint: load, pending attempts, outlier detection and warm-up.
 //!
 //! `Router::endpoints` owns each [`TrackedEndpoint`]. Health is kept per class, because an endpoint may
 //! refuse one class and serve the others.
@@ -39,6 +38,7 @@
 pub(super) struct EndpointHealth {
     /// Share of recent attempts that failed, 0 to 1.
     pub(super) failure_rate: f64,
+    /// End of the last ejection; 0 if there was none.
     pub(super) ejected_until: Time,
     /// Ejections since the last success.
     pub(super) consecutive_ejections: u32,
@@ -64,17 +64,19 @@
     pub(super) record: EndpointRecord,
     /// Values of the last load report, indexed like a [`LoadVector`]; `None` if missing or invalid.
     pub(super) reported: [Option<f64>; 3],
+    /// When the last load report arrived; `None` before the first.
     pub(super) reported_at: Option<Time>,
     /// Load of this router's own attempts in flight.
     pub(super) own_load: LoadVector,
+    /// `own_load` when the last load report arrived.
     pub(super) own_load_at_report: LoadVector,
     /// Pending attempts, by request id and attempt index.
     pub(super) pending: BTreeMap<(RequestId, usize), PendingAttempt>,
-    /// Latest send time among the attempts that completed their prefill or received a first token.
+    /// Latest send time among the attempts that completed their prefill or received a first token; 0: none.
     pub(super) last_answered_send: Time,
     /// Mean relative excess of observed times over the shared model's predictions; 0 if they agree.
     pub(super) slowdown: f64,
-    /// By class.
+    /// Outlier detection state, by class.
     pub(super) health: BTreeMap<usize, EndpointHealth>,
     /// When the probe without a response so far was sent, if there is one.
     pub(super) probe_sent_at: Option<Time>,
@@ -83,8 +85,8 @@
 }
 
 impl TrackedEndpoint {
-    /// Returns the health for a class. An endpoint may refuse one class and serve the others; a class that
-    /// was not tried there is presumed to have the lowest failure rate of those that were.
+    /// Returns the health for a class. An endpoint may refuse one class and serve the others. A class that
+    /// was not tried there is therefore presumed to have the lowest failure rate of those that were.
     pub(super) fn health(&self, class: usize) -> EndpointHealth {
         if let Some(health) = self.health.get(&class) {
             return *health;
--- a/src/routing/token_bucket.rs
+++ b/src/routing/token_bucket.rs
@@ -3,7 +3,7 @@
 
 use crate::routing::api::Time;
 
-/// Size of a full bucket, in seconds of its rate. The bucket holds one more token beside that.
+/// Size of a full bucket, in seconds of its rate. A full bucket holds one additional token.
 const BURST_SECONDS: f64 = 5.0;
 
 /// One tenant's token bucket at one dispatcher. Each request takes one token.
@@ -16,7 +16,8 @@
 }
 
 impl TokenBucket {
-    /// Creates a bucket with a rate in requests per second; 0: no limit. `now` is in microseconds.
+    /// Creates a bucket with a rate in requests per second; 0: no limit. It starts with [`BURST_SECONDS`]
+    /// tokens, whatever its rate. `now` is in microseconds.
     pub(super) fn new(rate: f64, now: Time) -> TokenBucket {
         TokenBucket {
             rate,
