--- a/src/dispatcher/bans.rs
+++ b/src/dispatcher/bans.rs
@@ -45,7 +45,7 @@
     records: BanRecords,
     /// When this process learned of the end of each remembered ban, by its own clock.
     ban_end_times: BTreeMap<Arc<str>, Time>,
-    /// Ids that have left the endpoint list.
+    /// Ids that have left the endpoint list, even if they were listed again since.
     removed_ids: HashSet<Arc<str>>,
     /// The same ids, oldest first.
     removed_ids_by_age: VecDeque<Arc<str>>,
--- a/src/dispatcher/clock.rs
+++ b/src/dispatcher/clock.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A monotonic clock of Unix time in microseconds. Reads the system clock once, at its start, and then adds the monotonic
-/// time that has elapsed since, so that adjustments of the system clock cause no jump.
+/// A monotonic clock of Unix time in microseconds. The clock reads the system time once, at its start, and then adds the
+/// elapsed monotonic time. Adjustments of the system clock therefore cause no jump.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start_unix_time: Time,
--- a/src/dispatcher/core.rs
+++ b/src/dispatcher/core.rs
@@ -1,8 +1,8 @@
 //! The dispatcher's state machine, which turns events into commands.
 //!
 //! [`Core`] owns the router, the request table, the endpoint table, the settings in force, the timers and the report. It
-//! performs no I/O and reads no clock. This file defines the state, the timers and the dispatch of events; the handlers
-//! are in one module per concern: [`requests`], [`attempts`], [`received_streams`], [`router_actions`], [`endpoints`],
+//! performs no I/O and reads no clock. This file defines the state, the timers and the dispatch of events. The handlers are
+//! in one module per concern: [`requests`], [`attempts`], [`received_streams`], [`router_actions`], [`endpoints`],
 //! [`gossip`], [`settings`] and [`lifecycle`].
 
 mod attempts;
@@ -34,7 +34,7 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// The interval at which the deadlines of open requests are checked, in microseconds.
+/// The interval at which the deadlines and reservations of requests are checked, in microseconds.
 const DEADLINE_CHECK_INTERVAL: Time = 20_000;
 
 /// The dispatcher's state machine. The caller passes the time with each event and executes the resulting commands.
@@ -44,8 +44,10 @@
     lifecycle: Lifecycle,
     endpoints: EndpointTable,
     requests: RequestTable,
+    /// Instants of the router's timers, the earliest first.
     timers: BinaryHeap<Reverse<Time>>,
     next_deadline_check: Time,
+    /// Commands since the last call of [`Core::take_commands`].
     commands: Vec<Command>,
     recorder: Option<TraceRecorder>,
     gossip: Option<Gossip>,
@@ -53,9 +55,9 @@
 }
 
 impl Core {
-    /// Creates a core that accepts clients at once. `now`, like every time passed to the core, is Unix time in
-    /// microseconds. `max_connections`, the limit of connections to endpoints, also limits the number of open requests.
-    /// `seed` initializes the router's random choices.
+    /// Creates a core that accepts clients at once. `now`, like every time passed to the core, is Unix time in microseconds.
+    /// `max_connections`, the limit of connections to endpoints, also limits the number of requests in the table. `seed`
+    /// initializes the router's random choices.
     pub fn new(
         deployment: Arc<Deployment>,
         max_connections: usize,
@@ -165,7 +167,9 @@
         }
     }
 
-    /// Returns when [`Core::on_timer`] must be called next; `None` while nothing is scheduled.
+    /// Returns when [`Core::on_timer`] must be called next, in Unix microseconds. That is the earliest router timer or,
+    /// while the request table isn't empty, the next check of deadlines if that is earlier. `None` while nothing is
+    /// scheduled.
     pub fn next_wakeup(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse(due)| *due);
         if self.requests.len() == 0 {
--- a/src/dispatcher/core/attempts.rs
+++ b/src/dispatcher/core/attempts.rs
@@ -13,12 +13,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How an attempt ended, and what its endpoint reported.
+/// The end of an attempt, with the values that its endpoint reported.
 pub(super) struct AttemptEnd {
     pub id: RequestId,
     pub attempt: u32,
     pub reason: EndReason,
+    /// Prompt tokens that the endpoint found in its prefix cache; 0 if not reported.
     pub cached_tokens: f64,
+    /// The endpoint's load; `None` if not reported.
     pub load: Option<LoadReport>,
 }
 
@@ -79,6 +81,8 @@
         });
     }
 
+    /// Handles the first event of an attempt's stream: the stream becomes the client's outcome, unless the request has one
+    /// or the attempt has ended.
     pub(super) fn on_first_event(
         &mut self,
         now: Time,
@@ -112,6 +116,8 @@
         self.drive_router(now, api::Event::FirstEvent { id, attempt });
     }
 
+    /// Handles the end of an attempt that the backend has executed. Records it in the trace, unless another process started
+    /// the attempt. `completion_tokens` goes to the trace only; 0 if not reported.
     pub(super) fn on_attempt_ended(&mut self, now: Time, end: AttemptEnd, completion_tokens: f64) {
         let request = self.requests.get(end.id);
         let is_received = request.is_some_and(|request| request.is_received);
@@ -128,6 +134,8 @@
         self.end_attempt(now, end);
     }
 
+    /// Ends an attempt in the request table, then in the log, in gossip and in the router. Closes an invalid request. Has no
+    /// effect if the attempt has ended already.
     fn end_attempt(&mut self, now: Time, end: AttemptEnd) {
         let AttemptEnd {
             id,
--- a/src/dispatcher/core/endpoints.rs
+++ b/src/dispatcher/core/endpoints.rs
@@ -1,7 +1,7 @@
 //! The handlers for the endpoint list, bans and probes.
 //!
-//! Each change of the list or of the bans is recorded, its address blocks are commanded to the backend, and the router
-//! receives the changed endpoint records.
+//! Changes of the list or of the bans go to the trace recording, to the backend (as address blocks) and to the router (as
+//! endpoint records).
 
 use super::Core;
 use crate::dispatcher::bans::{BanError, BanRecords};
@@ -12,7 +12,8 @@
 use tokio::sync::oneshot;
 
 impl Core {
-    /// Applies a complete endpoint list (`is_full`), or only the endpoints that have changed.
+    /// Applies a complete endpoint list (`is_full`), or only the endpoints that have changed. Then forgets removed endpoints
+    /// without attempts in flight, and passes the changes on.
     pub(super) fn update_endpoints(
         &mut self,
         now: Time,
@@ -69,7 +70,7 @@
         self.apply_bans(now, changes);
     }
 
-    /// Records changed bans and passes them to the backend and the router.
+    /// Passes changed bans to the trace recording, to the backend as address blocks, and to the router.
     fn apply_bans(&mut self, now: Time, changes: EndpointChanges) {
         self.record_endpoints(now, &changes.trace_records);
         self.commands.extend(self.endpoints.take_block_commands());
--- a/src/dispatcher/core/lifecycle.rs
+++ b/src/dispatcher/core/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The core's lifecycle, and the readiness that load balancers see.
 //!
-//! The readiness combines the lifecycle state with the state of the endpoints: the core is ready only while one endpoint
-//! at least is ready for prefill and one for decode.
+//! The readiness combines the lifecycle state with the state of the endpoints. The core is ready only while at least one
+//! endpoint is ready for prefill and one for decode.
 
 use super::Core;
 use crate::dispatcher::messages::Readiness;
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Starts the drain. Every request without a stream gets its final outcome within `grace`.
     pub(super) fn on_drain(&mut self, now: Time, grace: Duration) {
         self.lifecycle = Lifecycle::Draining;
         let deadline = now.saturating_add(grace.as_micros() as Time);
--- a/src/dispatcher/core/requests.rs
+++ b/src/dispatcher/core/requests.rs
@@ -141,7 +141,8 @@
         self.release_or_remove(now, id);
     }
 
-    /// Closes a waiting request and sends its final outcome. Every outcome other than a stream is sent here.
+    /// Closes a waiting request and sends its final outcome. Has no effect on a request that has an outcome. Every outcome
+    /// other than a stream is sent here.
     pub(super) fn close_request(
         &mut self,
         now: Time,
@@ -191,6 +192,7 @@
         }
     }
 
+    /// Closes a request whose deadline has passed, and starts the release of its reservation if one is due.
     fn check_deadline(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -207,6 +209,8 @@
         self.release_or_remove(now, id);
     }
 
+    /// Handles the end of a release. A release that no endpoint confirmed in time counts as a violation of
+    /// [`Rule::HeldState`], but is not repeated for that.
     pub(super) fn on_release_completed(&mut self, now: Time, id: RequestId, is_confirmed: bool) {
         if !is_confirmed {
             self.report.count_release_failure(now);
--- a/src/dispatcher/core/settings.rs
+++ b/src/dispatcher/core/settings.rs
@@ -22,14 +22,19 @@
 /// The settings in force and the values derived from them.
 pub(super) struct SettingsState {
     deployment: Arc<Deployment>,
+    /// Whether the deployment was published to its watchers since it changed.
     is_published: bool,
     /// The settings as passed to the router.
     routing: RoutingSettings,
     /// When each class was last in the settings, by class number.
     class_last_active: Vec<Time>,
+    /// Limit of connections to endpoints, which also limits the requests in the table.
     max_connections: usize,
+    /// This process's share of the limits, in [`SHARE_UNITS`].
     resource_share: u32,
+    /// Number of processes of this dispatcher that share the limits.
     processes: u32,
+    /// Limit of requests in the table: this process's share of the smaller of `max_open_requests` and `max_connections`.
     max_requests: usize,
 }
 
@@ -57,6 +62,7 @@
         self.max_requests
     }
 
+    /// Returns the longest retry advice that clients follow.
     pub(super) fn max_retry_after(&self) -> Duration {
         Duration::from_micros(self.deployment.settings.max_retry_after)
     }
@@ -110,8 +116,8 @@
     /// Recomputes the limit of open requests and the router's settings. Each process of this dispatcher counts as one
     /// dispatcher, because endpoints receive requests from each of them.
     fn update_derived(&mut self) {
-        let bounds = &self.deployment.limits;
-        let max_requests = bounds.max_open_requests.min(self.max_connections) as u128;
+        let limits = &self.deployment.limits;
+        let max_requests = limits.max_open_requests.min(self.max_connections) as u128;
         let share = max_requests * u128::from(self.resource_share) / u128::from(SHARE_UNITS);
         self.max_requests = (share as usize).max(1);
         self.routing = routing_settings(&self.deployment);
@@ -124,7 +130,8 @@
 
 /// Returns the deployment's settings for the router, with shorter idempotency windows. An endpoint drops a repeat only if
 /// its last byte arrives within the window. The router's window is therefore shorter by the longest time that an attempt
-/// takes to arrive: the waits for a permit and for a connection, and the transmission.
+/// takes to arrive. That time has three parts: the waits for a permit and for a connection, each at most the connect
+/// timeout, and the transmission.
 fn routing_settings(deployment: &Deployment) -> RoutingSettings {
     let mut settings = deployment.settings.clone();
     let connect_timeout = deployment.limits.connect_timeout;
--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -1,6 +1,6 @@
-//! The endpoint table: what discovery lists for each endpoint, which endpoints are banned, and the resulting status.
+//! The endpoint table: the listed properties of each endpoint, its ban and its resulting status.
 //!
-//! The table does no I/O: it returns what must change for connections as commands. The core owns the table, and the table
+//! The table does no I/O: it returns the addresses to block or unblock as commands. The core owns the table, and the table
 //! owns the bans. The number by which the router knows an endpoint is never used for another one.
 
 mod contacts;
@@ -30,7 +30,7 @@
     pub role: Role,
     /// The status in force: a ban overrides the listed status.
     pub status: EndpointStatus,
-    /// What discovery lists, with `started_at` corrected to this process's clock.
+    /// The properties that discovery lists, with `started_at` corrected to this process's clock.
     pub listed: EndpointRecord,
     /// When it started, as discovery lists it: not corrected to this process's clock.
     reported_start: Option<Time>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// What the core must pass on after a change of the table.
+/// The records that the core must pass on after a change of the table.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
     /// Records for the router.
@@ -130,7 +130,8 @@
         })
     }
 
-    /// Records that an endpoint has responded, which shows that it is running.
+    /// Records that an endpoint has responded, which shows that it is running. Releases are sent first to the endpoints with
+    /// the latest contact. Has no effect for an endpoint that is not in the table.
     pub(super) fn record_contact(&mut self, now: Time, endpoint: EndpointId) {
         if self.endpoints.contains_key(&endpoint) {
             self.contacts.record(now, endpoint);
--- a/src/dispatcher/endpoint_table/update.rs
+++ b/src/dispatcher/endpoint_table/update.rs
@@ -33,7 +33,8 @@
         changes
     }
 
-    /// Applies a list of changed endpoints: all others stay as they are.
+    /// Applies a list of changed endpoints; all others stay as they are. Removed ones are listed with the status
+    /// [`EndpointStatus::Removed`].
     pub(crate) fn update_list(
         &mut self,
         now: Time,
--- a/src/dispatcher/guard.rs
+++ b/src/dispatcher/guard.rs
@@ -12,10 +12,12 @@
     DeduplicationScope, EndpointId, EndpointStatus, Idempotency, Role, RoutingSettings, Time,
 };
 
-/// What a step is checked against: the settings in force, the endpoints, and the time.
+/// The state that a step is checked against: the settings in force, the endpoints, and the time.
 pub(super) struct Guard<'a, F: Fn(EndpointId) -> Option<EndpointTarget>> {
     pub settings: &'a RoutingSettings,
+    /// Returns the current properties of an endpoint; `None` if it is not in the endpoint table.
     pub target_of: F,
+    /// Unix time in microseconds.
     pub now: Time,
 }
 
@@ -91,6 +93,7 @@
         }
     }
 
+    /// Returns whether another run is harmless after this attempt.
     fn may_repeat_after(
         &self,
         request: &Request,
@@ -117,8 +120,8 @@
     }
 }
 
-/// Returns whether the endpoints of an earlier attempt and of the next one drop each other's duplicates. `None` stands for an
-/// endpoint that is not known.
+/// Returns whether the endpoints of an earlier attempt and of the next one drop each other's duplicates. `None` stands for
+/// an endpoint that is not known; only a scope of all endpoints includes it.
 fn is_in_scope(
     scope: DeduplicationScope,
     previous: Option<EndpointTarget>,
--- a/src/dispatcher/handle.rs
+++ b/src/dispatcher/handle.rs
@@ -1,8 +1,8 @@
 //! The bounded event queue in front of the core: [`DispatcherHandle`] sends events, [`EventReceiver`] receives them.
 //!
-//! Urgent events have a queue of their own, which the core empties first. In the other direction the receiver owns the
-//! watch channels on which the core publishes its state: the deployment in force, the ban records, the readiness and the
-//! number of open requests.
+//! Urgent events have a queue of their own, which the core empties first. In the other direction the core publishes its
+//! state on watch channels, which the receiver owns. They hold the deployment in force, the ban records, the readiness and
+//! the number of open requests.
 
 use super::messages::{Event, Outcome, Readiness, ReceivedRequest, UpstreamRequest};
 use super::settings_error::SettingsError;
@@ -34,6 +34,7 @@
 pub struct PendingRequest {
     id: RequestId,
     handle: DispatcherHandle,
+    /// Receives whether the request may have run; set by [`DispatcherHandle::disconnect`] only.
     may_have_run: Option<oneshot::Sender<bool>>,
 }
 
@@ -217,6 +218,7 @@
         }
     }
 
+    /// Returns the next queued event, urgent ones first; `None` if none is queued.
     pub(super) fn try_recv(&mut self) -> Option<Event> {
         self.urgent_events
             .try_recv()
--- a/src/dispatcher/report.rs
+++ b/src/dispatcher/report.rs
@@ -67,7 +67,9 @@
     log: Logger,
     counts: BTreeMap<Counter, u64>,
     budgets: BTreeMap<Counter, LogLineBudget>,
+    /// Counts without a line left in the budget, also of events that are never logged.
     suppressed_lines: u64,
+    /// Whether a counter has changed since the last summary.
     has_changed: bool,
     next_summary: Time,
 }
--- a/src/dispatcher/request.rs
+++ b/src/dispatcher/request.rs
@@ -1,4 +1,4 @@
-//! The state of one open request: its phase, its attempts, and what endpoints may have reserved for it.
+//! The state of one open request: its phase, its attempts and its reservation at endpoints.
 //!
 //! The request table owns each [`Request`], and the core's event handlers update it. The phase only moves forward, and each
 //! attempt ends once.
@@ -83,7 +83,7 @@
     phase: Phase,
 }
 
-/// What [`Request::end_attempt`] reports of the attempt.
+/// The result of [`Request::end_attempt`].
 pub(super) struct EndedAttempt {
     pub endpoint: EndpointId,
     /// The attempt was the client's stream, and the request was not closed before it ended.
--- a/src/dispatcher/request_table.rs
+++ b/src/dispatcher/request_table.rs
@@ -1,4 +1,4 @@
-//! The request table: all open requests, by request id and by client request id.
+//! The request table: all open requests, by request id, and their client request ids.
 //!
 //! It also remembers, within limits of time and number, the client request ids of finished requests that may have run. The
 //! core uses them to reject a request that is submitted again. The core owns the table; a request stays in it until nothing
@@ -9,7 +9,8 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// How long the client request id of a finished request that may have run is remembered (microseconds).
+/// How long the client request id of a finished request that may have run is remembered (microseconds), within the limit of
+/// [`MAX_RECENT_IDS`]. Expired ids are dropped when the next such request finishes.
 const RECENT_ID_RETENTION: Time = 30_000_000;
 /// Maximum number of client request ids of finished requests that are remembered; the oldest are dropped first.
 const MAX_RECENT_IDS: usize = 8_192;
@@ -46,6 +47,7 @@
         self.recent_ids.contains(client_request_id)
     }
 
+    /// Remembers a client request id, and drops expired ones. An id that is remembered already keeps its earlier time.
     fn remember_id(&mut self, now: Time, client_request_id: Arc<str>) {
         if self.recent_ids.insert(client_request_id.clone()) {
             self.recent_ids_by_age.push_back(RecentId {
--- a/src/dispatcher/reservation.rs
+++ b/src/dispatcher/reservation.rs
@@ -1,6 +1,6 @@
 //! Tracks the KV cache that endpoints may have reserved for one request, and decides when it must be released.
 //!
-//! The dispatcher can't tell whether an attempt in flight has reached its endpoint: a connection may accept bytes for a
+//! The dispatcher can't tell whether an attempt in flight has reached its endpoint. A connection may accept bytes for a
 //! machine on which nothing runs any more. An attempt in flight therefore doesn't extend the time to a release, which counts
 //! from the last response of an endpoint. When the time has passed, endpoints are told to release, whatever is in flight. A
 //! running endpoint keeps the KV cache that an attempt waits for there. An endpoint that receives the attempt later finds no
@@ -11,15 +11,15 @@
 
 /// Tenths of the reservation TTL after which a KV cache is released that may exist and that no attempt needs.
 const UNCLAIMED_TTL_TENTHS: Time = 4;
-/// Tenths of the reservation TTL after which a KV cache is released that waits for a decode endpoint, or that an attempt in
-/// flight may need.
+/// Tenths of the reservation TTL after which a KV cache is released that is still in demand. It waits for a decode endpoint,
+/// or an attempt in flight may need it.
 const CLAIMED_TTL_TENTHS: Time = 9;
 
 /// Maximum time until an endpoint sees that the connection of an abandoned attempt was closed (microseconds). A release that
 /// another endpoint processes before that has no effect, because the attempt still waits for the KV cache.
 pub(super) const MAX_CLOSE_DELAY: Time = 100_000;
 
-/// What may still need a request's KV cache.
+/// The remaining need for a request's KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReservationDemand {
     /// The stream has begun, or the request is closed and no attempt is in flight.
@@ -54,8 +54,8 @@
 pub(super) struct Reservation {
     /// Set while the KV cache of a successful prefill is reserved: the time of the last response of an endpoint.
     confirmed_since: Option<Time>,
-    /// Set while a KV cache may be reserved that no response has confirmed: when this was first suspected, or the last
-    /// response of an endpoint since then.
+    /// Set while a KV cache may be reserved that no response has confirmed. The time is that of the first suspicion, or of
+    /// the last response of an endpoint since then.
     suspected_since: Option<Time>,
     /// The last release was sent while an attempt was in flight. An endpoint that had received the attempt has kept the KV
     /// cache.
@@ -119,7 +119,8 @@
         matches!(self.release, ReleaseState::InProgress { .. })
     }
 
-    /// Returns when endpoints must be told to release; `None` if nothing may be reserved.
+    /// Returns when endpoints must be told to release; `None` if nothing may be reserved. `ttl` is how long endpoints may
+    /// hold a reservation (microseconds).
     fn release_due_at(&self, ttl: Time, demand: ReservationDemand) -> Option<Time> {
         let delay = |tenths: Time| ttl * tenths / 10;
         let is_claimed =
@@ -171,7 +172,9 @@
         })
     }
 
-    /// Ends the release in progress. If it may have been processed too early, it is repeated after [`MAX_CLOSE_DELAY`].
+    /// Ends the release in progress, whether it was confirmed or not. The release is repeated after [`MAX_CLOSE_DELAY`] if
+    /// an attempt had been abandoned shortly before it. The endpoint of that attempt may not have seen the close, and may
+    /// have kept the KV cache.
     pub(super) fn on_release_completed(&mut self, now: Time) {
         let ReleaseState::InProgress { must_repeat } = self.release else {
             return;
--- a/src/routing/candidate_index/prefix_affinity.rs
+++ b/src/routing/candidate_index/prefix_affinity.rs
@@ -12,8 +12,8 @@
 
 /// Minimum number of affinity endpoints of a shared prefix in each zone.
 pub(super) const MIN_AFFINITY_ENDPOINTS: f64 = 2.0;
-/// Additional affinity endpoints of a shared prefix, as a multiple of its share of the traffic. The product
-/// is a share of the zone's prefill endpoints.
+/// Factor from a shared prefix's share of the traffic to the share of a zone's prefill endpoints that get
+/// additional affinity for it.
 const AFFINITY_SPREAD_FACTOR: f64 = 2.0;
 /// Exponent of an endpoint's warm share in its rank.
 const WARM_SHARE_EXPONENT: f64 = 1.5;
--- a/src/routing/router/load_shedding.rs
+++ b/src/routing/router/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding and idempotency: the decision to shed a request before its prefill under overload, and the
-//! rules for a repeat or for shedding after an attempt.
+//! Load shedding and idempotency: the decision to shed a request before its prefill, and the rules for a
+//! repeat or for shedding after an attempt.
 //!
 //! Shedding tells the client that a retry is safe. A request is therefore shed only if none of its attempts
 //! rules out a repeat; otherwise it fails.
@@ -18,10 +18,10 @@
 
 impl Router {
     /// Returns whether to shed a request before its prefill: no endpoint is feasible, and the shortest wait
-    /// exceeds its baseline. Only requests of the lowest priority weight and those that are unlikely to meet
-    /// their objective are shed. While an endpoint is feasible, updates the router's baseline instead.
-    /// `candidates` are the scored prefill endpoints. Never sheds a request that has had an attempt or has
-    /// no candidates, nor any before the decode model has enough samples.
+    /// exceeds its baseline. Sheds only requests whose priority weight is at most that of the lowest class,
+    /// and those that are unlikely to meet their objective. While an endpoint is feasible, updates the
+    /// router's baseline instead. `candidates` are the scored prefill endpoints. Never sheds a request that
+    /// has had an attempt or has no candidates, nor any before the decode model has enough samples.
     pub(super) fn should_shed(&mut self, request: &Request, candidates: &[ScoredEndpoint]) -> bool {
         let has_decode_model = self.models.decode.samples >= MIN_SAMPLES;
         if !has_decode_model || !request.attempts.is_empty() || candidates.is_empty() {
--- a/src/routing/token_bucket.rs
+++ b/src/routing/token_bucket.rs
@@ -3,7 +3,7 @@
 
 use crate::routing::api::Time;
 
-/// Size of a full bucket, in seconds of its rate. A full bucket holds one additional token.
+/// Size of a full bucket, in seconds of its rate, beside one additional token.
 const BURST_SECONDS: f64 = 5.0;
 
 /// One tenant's token bucket at one dispatcher. Each request takes one token.
