--- a/src/dispatcher/endpoint_table.rs
+++ b/src/dispatcher/endpoint_table.rs
@@ -55,9 +55,10 @@
 /// The records that the core must pass on after a change of the table.
 #[derive(Default)]
 pub(super) struct EndpointChanges {
-    /// Records for the router.
+    /// Records for the router, of all endpoints in the list or of those whose ban has changed.
     pub router_records: Vec<EndpointRecord>,
-    /// Endpoint ids and records for the trace recording: endpoints whose status or address has changed.
+    /// Endpoint ids and records for the trace recording: the endpoints of the list whose status or address has changed, and
+    /// those whose ban has changed. Endpoints that a complete list lacks are not among them.
     pub trace_records: Vec<(Arc<str>, EndpointRecord)>,
 }
 
