--- a/crates/soak/src/run/process.rs
+++ b/crates/soak/src/run/process.rs
@@ -5,8 +5,8 @@
 use crate::config;
 use crate::error::SoakError;
 use crate::wire;
-use quartzhall_scale::process::{Dispatcher, Inheritance};
-use quartzhall_scale::simulated::discovery::{DeliveryLog, DiscoveredEndpoint, Discovery};
+use quartzhall_scale::process::{Dispatcher, LaunchEnvironment};
+use quartzhall_scale::simulated::discovery::{DeliveryLog, Discovery, EndpointEntry};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -48,7 +48,7 @@
         number: usize,
         listen: SocketAddr,
         agent_address: SocketAddr,
-        endpoints: Vec<DiscoveredEndpoint>,
+        endpoints: Vec<EndpointEntry>,
         delivery_log: Arc<DeliveryLog>,
         inherited_socket: Option<TcpListener>,
     ) -> DispatcherProcess {
@@ -90,8 +90,8 @@
             plan.max_deadline,
         );
         let name = format!("p{}-{start}", self.number);
-        let inheritance = match &self.inherited_socket {
-            Some(socket) => Some(self.create_inheritance(plan, socket, start)?),
+        let launch_environment = match &self.inherited_socket {
+            Some(socket) => Some(self.launch_environment(plan, socket, start)?),
             None => None,
         };
         Ok(Dispatcher::start(
@@ -100,18 +100,18 @@
             &name,
             self.listen.clone(),
             &config,
-            inheritance,
+            launch_environment,
         )?)
     }
 
     /// Prepares what a process inherits: the listening socket, a folder shared with the dispatcher's other processes, and a
     /// management address of its own. `start` counts the dispatcher's processes.
-    fn create_inheritance(
+    fn launch_environment(
         &self,
         plan: &RunPlan,
         socket: &TcpListener,
         start: u64,
-    ) -> Result<Inheritance, SoakError> {
+    ) -> Result<LaunchEnvironment, SoakError> {
         let shared_folder = std::env::temp_dir().join(format!(
             "qh-soak-{}-{}-{}",
             std::process::id(),
@@ -121,7 +121,7 @@
         std::fs::create_dir_all(&shared_folder).map_err(SoakError::CreateFolder)?;
         let mut management = self.agent_address;
         management.set_port(management.port() + 1 + start as u16);
-        Ok(Inheritance {
+        Ok(LaunchEnvironment {
             socket: socket.try_clone().map_err(SoakError::Listen)?.into(),
             shared_folder,
             management: management.to_string(),
