--- a/crates/calibration/src/calibrate.rs
+++ b/crates/calibration/src/calibrate.rs
@@ -17,7 +17,7 @@
 /// Estimates for the endpoints of one role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleCalibration {
-    /// The role.
+    /// The role of the endpoints that the estimates are for.
     pub role: RecordedRole,
     /// The number of recorded endpoints with this role.
     pub endpoints: usize,
@@ -33,7 +33,7 @@
     pub latency_s: Estimate,
 }
 
-/// What a recording tells about the fleet.
+/// The estimates and counts from one recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Calibration {
     /// The estimates for each role that has recorded endpoints.
@@ -92,10 +92,13 @@
     unended: usize,
 }
 
+/// Returns the seconds between two recorded times; 0 if `to_us` is before `from_us`.
 fn seconds_between(from_us: u64, to_us: u64) -> f64 {
     to_us.saturating_sub(from_us) as f64 / 1e6
 }
 
+/// Returns whether an attempt counts in the failed share: it neither succeeded nor was cancelled. An attempt that was never
+/// sent counts as failed.
 fn is_failure(status: RecordedStatus) -> bool {
     !matches!(
         status,
--- a/crates/calibration/src/compare.rs
+++ b/crates/calibration/src/compare.rs
@@ -67,7 +67,7 @@
     Second,
 }
 
-/// Why two sets cannot be compared.
+/// The reason why two sets cannot be compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CompareError {
     /// A run of one set is missing from the other set.
@@ -88,7 +88,7 @@
     },
     /// A measure of a run is missing from the second set, or is not finite in one of the sets.
     NotFinite {
-        /// The measure.
+        /// The name of the measure.
         measure: String,
         /// The run's scenario.
         scenario: String,
@@ -97,7 +97,7 @@
     },
     /// A measure has fewer than [`MIN_PAIRS`] pairs in a scenario.
     TooFewPairs {
-        /// The measure.
+        /// The name of the measure.
         measure: String,
     },
 }
@@ -169,7 +169,8 @@
     f64::INFINITY
 }
 
-/// Returns the mean and the sum of squared deviations from it.
+/// Returns the mean of the differences, and the sum of their squared deviations from the mean. NaN for no differences, which
+/// callers exclude by [`MIN_PAIRS`].
 fn mean_and_squares(differences: &[f64]) -> (f64, f64) {
     let mean = differences.iter().sum::<f64>() / differences.len() as f64;
     let squares = differences
--- a/crates/calibration/src/estimate.rs
+++ b/crates/calibration/src/estimate.rs
@@ -14,7 +14,7 @@
 pub const MIN_SAMPLES: usize = 40;
 /// The number of bootstrap resamples.
 const RESAMPLES: usize = 400;
-/// The share of resampled values below the interval, and likewise above it.
+/// The share of resampled values below a 90% interval, and likewise above the interval.
 const TAIL_SHARE: f64 = 0.05;
 /// Sizes with a lower relative variance count as equal, because no line can be fitted to them.
 const MIN_RELATIVE_VARIANCE: f64 = 1e-9;
@@ -44,7 +44,7 @@
         /// The number of samples.
         samples: usize,
     },
-    /// There are too few samples or blocks, all sizes are equal so that no line can be fitted, or an inverse may be infinite.
+    /// There are too few samples or blocks, no line can be fitted because all sizes are equal, or an inverse may be infinite.
     Unknown {
         /// The number of samples.
         samples: usize,
@@ -53,7 +53,7 @@
     },
 }
 
-/// What is estimated from the samples.
+/// The quantity that is estimated from the samples.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Estimator {
     /// The duration at size 0, from a line fitted by least squares.
@@ -65,7 +65,8 @@
 }
 
 impl Estimator {
-    /// Returns the value for the samples; `None` without samples, or if a line cannot be fitted because all sizes are equal.
+    /// Returns the value for the samples: seconds, or seconds per unit of size for [`Estimator::Slope`]. `None` without samples,
+    /// or if a line cannot be fitted because all sizes are equal.
     fn apply(self, samples: impl Iterator<Item = Sample> + Clone) -> Option<f64> {
         let count = samples.clone().count() as f64;
         if count == 0.0 {
--- a/crates/calibration/src/main.rs
+++ b/crates/calibration/src/main.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Calibrates from one recording and prints the result. Prints nothing if the recording is damaged.
+/// Calibrates from one recording and prints the result to standard output. A truncated last record is left out and the
+/// truncation is printed. Prints nothing if the recording is damaged.
 fn calibrate_recording(path: &Path, seed: u64) -> Result<(), CalibrationError> {
     let read_error = |source| CalibrationError::Read {
         path: path.to_owned(),
--- a/crates/calibration/tests/unit/estimate.rs
+++ b/crates/calibration/tests/unit/estimate.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Returns samples of a line with noise, part of which all samples of a block share, as requests that met the same queue do.
+/// Returns samples of a line with noise. All samples of a block share part of the noise, as requests that met the same queue do.
 fn noisy_samples(seed: u64, blocks: u64) -> Vec<Sample> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut samples = Vec::new();
--- a/crates/recording/src/file.rs
+++ b/crates/recording/src/file.rs
@@ -17,7 +17,7 @@
 /// The format version that [`Writer`] writes. [`Reader`] accepts versions 1 to this one.
 pub const VERSION: u16 = 1;
 
-/// The length of the header.
+/// The length of the header: magic bytes and version.
 const HEADER_BYTES: usize = MAGIC.len() + 2;
 /// The length of what precedes the body in a frame: the body's length and the checksum.
 const FRAME_HEADER_BYTES: usize = 2 + 4;
@@ -45,8 +45,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the output, or one of the kind [`io::ErrorKind::Other`] if the record cannot be encoded or is longer
-    /// than the format allows.
+    /// Returns the error of the output. Returns one of the kind [`io::ErrorKind::Other`] if the record cannot be encoded or is
+    /// longer than the format allows.
     pub fn write(&mut self, record: &Record) -> io::Result<()> {
         let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
         if body.len() > MAX_BODY_BYTES {
@@ -78,7 +78,7 @@
     hasher.finalize()
 }
 
-/// What made reading fail.
+/// The cause of a failed read. A truncated last record is not an error, see [`Reader::is_truncated`].
 #[derive(Debug)]
 pub enum ReadErrorKind {
     /// The input returned an error.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Where and why reading failed.
+/// The position and the cause of a failed read.
 #[derive(Debug)]
 pub struct ReadError {
     /// Bytes from the start of the file to the header field or the frame that could not be read.
@@ -178,7 +178,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the input cannot be read, is not a recording, or has an unsupported version.
+    /// Fails if the input cannot be read, is not a recording, or has an unsupported version. An input shorter than the header
+    /// is not a recording.
     pub fn new(mut input: R) -> Result<Reader<R>, ReadError> {
         let mut header = [0; HEADER_BYTES];
         let count = read_up_to(&mut input, &mut header).map_err(|error| ReadError {
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a digest identifies. The discriminant is an input of the digest, so it must not change.
+/// The kind of name that a digest stands for. Discriminants are inputs of the digest, so they must not change.
 #[derive(Clone, Copy, Debug)]
 #[repr(u8)]
 pub enum DigestKind {
@@ -63,7 +63,7 @@
     Endpoint,
 }
 
-/// Which stages of a request an endpoint serves.
+/// The stages of a request that an endpoint serves.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum RecordedRole {
     /// Prefill only.
@@ -220,8 +220,8 @@
         /// The outcome.
         outcome: RecordedOutcome,
     },
-    /// Records are missing, because the recorder's queue was full. The gap is after this record, by at most as many records as
-    /// the queue holds.
+    /// Records are missing, because the recorder's queue was full. Between this record and the gap are at most as many records
+    /// as the queue holds.
     Dropped {
         /// The number of missing records.
         records: u64,
--- a/crates/recording/src/recorder.rs
+++ b/crates/recording/src/recorder.rs
@@ -60,6 +60,8 @@
         self.join_thread()
     }
 
+    /// Closes the queue, waits until the thread has written what is queued, and returns the thread's result. A panic of the
+    /// thread becomes an error; further calls return `Ok`.
     fn join_thread(&mut self) -> io::Result<()> {
         self.queue = None;
         let Some(thread) = self.thread.take() else {
@@ -77,7 +79,8 @@
     }
 }
 
-/// Writes records until the sender is dropped and the queue is empty.
+/// Writes records until the sender is dropped and the queue is empty, or until the first error. Flushes after
+/// [`FLUSH_DELAY`] without a record. Writes the count in `dropped`, unless it is zero, before the next record and resets it.
 fn write_records<W: Write>(
     writer: &mut Writer<W>,
     records: &Receiver<Record>,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -19,7 +19,7 @@
 const NON_IDEMPOTENT_FRACTION: f64 = 0.3;
 /// Fraction of requests whose client disconnects if no response has arrived after a drawn time.
 const EARLY_DISCONNECT_FRACTION: f64 = 0.1;
-/// The shortest deadline that is drawn; with short deadlines in the settings, four fifths of the longest.
+/// The shortest deadline that is drawn, in milliseconds; four fifths of the longest deadline if that is shorter.
 const MIN_DEADLINE_MS: u64 = 900;
 /// The chunk at the end of a complete stream.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Asks for a drawn stream, which may still be open while its dispatcher is upgraded, and draws how the client reads
-    /// it.
+    /// Asks for a drawn stream, which may still be open while its dispatcher is upgraded. Also draws how the client reads
+    /// the stream.
     pub fn with_long_stream(mut self, rng: &mut Pcg32) -> ClientRequest {
         let plan = StreamPlan::draw(rng);
         self.body = plan.request_body();
@@ -137,7 +137,7 @@
     let _ = exchange(&target, &request, &mut stream).await;
 }
 
-/// A client that sends its requests one after the other on the same connection, and reconnects where it was closed.
+/// A client that sends its requests one after the other on the same connection, and reconnects after it was closed.
 pub struct PersistentConnection {
     target: Arc<Target>,
     stream: Option<TcpStream>,
@@ -231,7 +231,8 @@
     }
 }
 
-/// Reads a stream until it ends; returns whether its last chunk arrived.
+/// Reads a response stream until its last chunk, the end of the connection, or [`STREAM_IDLE_TIMEOUT`] without data. Records
+/// the end in the oracle and returns whether the last chunk arrived. `body` holds the bytes that arrived with the head.
 async fn read_stream(
     target: &Target,
     request: &ClientRequest,
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -2,11 +2,12 @@
 
 use std::time::Duration;
 
-/// Setting `release_within`: a reserved KV cache has to be consumed or released within this while no attempt is in flight.
+/// Setting `release_within`: the longest time that a reserved KV cache may be idle, with no attempt in flight. It has to be
+/// consumed or released by then.
 pub const KV_RESERVATION_TTL: Duration = Duration::from_millis(600);
 /// The protocol's tolerance on [`KV_RESERVATION_TTL`].
 pub const KV_RELEASE_SLACK: Duration = Duration::from_millis(300);
-/// Attempts may reach a replica for this long after the dispatcher was told that it is draining: the setting
+/// Attempts may reach a replica for this long after the dispatcher was told that the replica is draining: the setting
 /// `drain_grace`, plus 50 ms that the protocol allows.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// Setting `deadline` of ordinary runs: the longest that a client waits for its first token.
@@ -20,7 +21,9 @@
 /// Request class whose requests must be executed at most once.
 pub const NON_IDEMPOTENT_CLASS: &str = "order";
 
-/// Formats the configuration file of dispatcher `number` out of `processes`.
+/// Formats the JSON configuration file of dispatcher `number`, from 0, out of `processes`. `seed` starts the dispatcher's
+/// own random generator. `listen` is the host and port for clients, `discovery` that of the discovery agent. `max_deadline`
+/// is the setting `deadline` of both classes.
 pub fn config_text(
     number: usize,
     processes: usize,
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -52,7 +52,8 @@
     folder: PathBuf,
 }
 
-/// Prints a violation with the request's timeline and the dispatchers' log lines that contain its id.
+/// Prints a violation to standard output: the request's timeline, then lines that contain its id from the dispatchers' logs
+/// in `folder`, at most [`MAX_LOG_LINES_PER_FILE`] of each file.
 fn print_violation(seed: u64, violation: &Violation, folder: &Path) {
     let invariant = violation.invariant.name();
     println!("seed {seed}: BROKEN {invariant}, {}", violation.id);
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,9 +1,10 @@
 //! The test oracle: checks the protocol's rules, as invariants, against what clients and replicas observe.
 //!
-//! The [`Oracle`] owns the history of every request. Clients, replicas and fault injection call it at the moment of each
-//! event; it records the event with a monotonic timestamp and checks the invariants that the event may violate. Invariants
-//! about events that should have happened by now are checked periodically by [`Oracle::check_deadlines`]. A violation is
-//! reported with the request's timeline. Whatever the test bench itself delays or breaks is excused.
+//! The [`Oracle`] owns the history of every request. Clients, replicas and fault injection call the oracle at the
+//! moment of each event. It records the event with a monotonic timestamp and checks the invariants that the event may
+//! violate. Invariants about events that should have happened by now are checked periodically by
+//! [`Oracle::check_deadlines`]. A violation is reported with the request's timeline. Delays and failures that the test bench
+//! itself causes are excused.
 
 mod processes;
 mod streams;
@@ -17,11 +18,11 @@
 
 /// Tolerance for delays of the test bench itself, added to each time limit.
 pub const BENCH_SLACK: Duration = Duration::from_millis(80);
-/// A response has to arrive within this after the client's deadline.
+/// A response has to arrive within this time after the client's deadline.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
-/// The time left that an attempt announces to a replica may exceed the client's time left by this.
+/// The time left that an attempt announces to a replica may exceed the client's time left by this tolerance.
 const ANNOUNCED_TIME_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may still arrive within this after its client has disconnected.
+/// An attempt may still arrive within this time after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 
 /// A rule of the protocol that must hold in every run.
@@ -33,8 +34,8 @@
     RespondedInTime,
     /// A dispatcher does not close a connection before it has responded to the request on it.
     NotClosedUnanswered,
-    /// A request that must be executed at most once, and has a decode attempt that may have run, gets no second decode
-    /// attempt and is not shed (429 or 503, which tells the client that nothing ran).
+    /// Once a decode attempt may have run, a request that must be executed at most once gets no second decode
+    /// attempt. Nor is it shed, because status 429 or 503 tells the client that nothing ran.
     NotExecutedTwice,
     /// No attempt is sent to a replica after discovery has reported it as draining.
     NotSentToDraining,
@@ -84,7 +85,7 @@
     pub timeline: Vec<String>,
 }
 
-/// How an attempt ended at its replica.
+/// The outcome of an attempt at its replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// Prefill succeeded, whether or not the response reached the dispatcher.
@@ -100,7 +101,7 @@
 /// The arrival of an attempt: a replica that is not stalled has read its last byte.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptArrival {
-    /// The replica's number.
+    /// The replica's number in the run, from 0.
     pub replica: usize,
     /// The replica's role.
     pub role: Role,
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Records that a process was killed. No response is expected any more for the requests that were sent to it, and no
-    /// release of their KV caches.
+    /// Records that a process was killed. No response is expected any more for the requests that were sent to the
+    /// process, and no release of their KV caches.
     pub fn on_process_killed(&self, process: usize) {
         let mut state = self.state();
         state.killed_at.insert(process, Instant::now());
@@ -68,7 +68,9 @@
         }
     }
 
-    /// Reports that a process exited by itself, did not start, or did not exit cleanly.
+    /// Reports a violation of [`Invariant::ProcessRuns`] by dispatcher `process`: its process exited by itself, did not
+    /// start, or did not exit cleanly. Also used if the test bench cannot restart the dispatcher's discovery agent. `reason`
+    /// becomes the only line of the timeline; each call adds a violation.
     pub fn on_process_failed(&self, process: usize, reason: String) {
         let violation = Violation {
             invariant: Invariant::ProcessRuns,
--- a/crates/soak/src/oracle/streams.rs
+++ b/crates/soak/src/oracle/streams.rs
@@ -5,7 +5,7 @@
 
 /// The longest time from the replica's write of an event to its arrival at the client.
 const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
-/// Events that are written within this after a pause of the dispatcher may arrive late.
+/// Events that are written within this time after a pause of the dispatcher may arrive late.
 const PAUSE_RECOVERY_TIME: Duration = Duration::from_millis(1_000);
 
 impl Oracle {
@@ -54,8 +54,9 @@
         });
     }
 
-    /// Records that a client received an event, and checks its delay since `written_at`. Only for clients that read without
-    /// delay.
+    /// Records that a client received an event, and checks its delay since `written_at`, the replica's timestamp in the
+    /// event. Excuses events written before the end of the dispatcher's last pause, or up to [`PAUSE_RECOVERY_TIME`] after it.
+    /// Must be called only for clients that read without delay.
     pub fn on_event(&self, id: &str, written_at: Instant) {
         let delay = written_at.elapsed();
         let mut state = self.state();
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -76,11 +76,11 @@
     faults: Weak<ConnectionFaults>,
 }
 
-/// Why a connection ends.
+/// The reason for the end of a connection.
 enum ConnectionEnd {
-    /// The dispatcher has closed it, or it failed.
+    /// The dispatcher has closed the connection, or the connection failed.
     Closed,
-    /// The replica has to reset it, because of a fault.
+    /// The replica has to reset the connection, because of a fault.
     Reset,
 }
 
@@ -131,14 +131,15 @@
         })
     }
 
-    /// Makes the replica stop executing and sending on all open connections of a dispatcher, for the rest of their life.
+    /// Makes the replica stop executing and sending on the connections that dispatcher `process` has open now, until they
+    /// are closed. Later connections are not affected.
     pub fn silence_connections(&self, process: usize) {
         for faults in self.connection_faults(process) {
             faults.is_silent.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Makes the replica reset all open connections of a dispatcher.
+    /// Makes the replica reset the connections that dispatcher `process` has open now. Later connections are not affected.
     pub fn reset_connections(&self, process: usize) {
         for faults in self.connection_faults(process) {
             faults.is_reset.store(true, Ordering::Relaxed);
@@ -169,7 +170,8 @@
             });
     }
 
-    /// Serves a dispatcher at `address` until the task is aborted. `first_listener` is already bound to it. While the
+    /// Serves a dispatcher at `address` until the task is aborted. `first_listener` is already bound to this
+    /// address. While the
     /// replica is killed the address is not bound, so that connections are refused.
     pub async fn serve(
         self: Arc<Self>,
--- a/crates/soak/src/request_history.rs
+++ b/crates/soak/src/request_history.rs
@@ -14,7 +14,7 @@
     pub(crate) text: String,
 }
 
-/// What the invariants need to know of a request. The defaults stand for a request of which nothing is known.
+/// The state of a request that the invariants depend on. The defaults stand for a request without observations.
 #[derive(Default)]
 pub(crate) struct RequestHistory {
     /// The number of the dispatcher that the request was sent to.
@@ -44,8 +44,8 @@
     pub(crate) may_have_waited_in_accept_queue: bool,
     /// Whether the request was known when a fault killed its dispatcher process.
     pub(crate) was_process_killed: bool,
-    /// Whether a flood of idle connections used up the dispatcher's descriptors when the request was sent or while it was
-    /// waiting for its response.
+    /// Whether a flood of idle connections was active when the request was sent or while its response was outstanding.
+    /// A flood uses up the dispatcher's descriptors.
     pub(crate) is_affected_by_flood: bool,
     /// When the dispatcher was last resumed from a pause.
     pub(crate) resumed_at: Option<Instant>,
@@ -87,7 +87,8 @@
         self.update_kv_idle_clock();
     }
 
-    /// Takes back a possible execution: the replica states that the attempt never ran.
+    /// Takes back a possible execution: the replica states that the decode attempt never ran. Has no effect for prefill,
+    /// whose executions are not counted because they may be repeated.
     pub(crate) fn record_never_ran(&mut self, role: Role) {
         if role == Role::Decode {
             self.possible_decode_executions = self.possible_decode_executions.saturating_sub(1);
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -16,7 +16,8 @@
 
 /// How long clients still open connections after SIGTERM, before requests to the process stop.
 const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
-/// Time that a terminated process has to exit before it is killed: the longest deadline and a margin.
+/// Time that a terminated process has to exit before it is killed: the longest deadline and a margin. It counts from the
+/// second SIGTERM, [`CONNECT_TIME_AFTER_TERM`] after the first.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(MAX_DEADLINE.as_millis() as u64 + 1_500);
 
 /// Sends a signal to a process. Errors are ignored: a process that exited by itself is reported at the end of the run.
--- a/crates/soak/src/run/mod.rs
+++ b/crates/soak/src/run/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Simulated replicas, discovery agents and clients run as tasks of this process, the dispatchers under test as child
 //! processes. `SoakRun` owns all of them until the end of the run. It generates load and injects the faults of the schedule
-//! at the same time, then waits for outstanding responses and releases and returns the violations.
+//! at the same time. Then it waits for outstanding responses and releases, and returns the violations.
 
 mod faults;
 mod process;
@@ -32,7 +32,7 @@
 pub struct RunPlan {
     /// Seed of the fault schedule, the load and the replicas' response delays.
     pub seed: u64,
-    /// Numbers of dispatchers and replicas, duration, and the kinds of faults.
+    /// Numbers of dispatchers and replicas, the duration, and whether floods of idle connections are among the faults.
     pub size: RunSize,
     /// Requests per second to each dispatcher.
     pub rate: f64,
@@ -60,16 +60,16 @@
 
 /// Time between two checks for overdue responses and releases.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Wait after the end of load and faults, in which all outstanding responses have to arrive and all KV caches to be
+/// Wait after the end of load and faults. In this time, all outstanding responses have to arrive and all KV caches to be
 /// released.
 const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
 /// Clients with a persistent connection for each process that is upgraded.
 const PERSISTENT_CLIENTS_PER_PROCESS: u64 = 2;
-/// The longest pause between two requests on a persistent connection, in milliseconds.
+/// Exclusive upper bound of the pause between two requests on a persistent connection, in milliseconds.
 const MAX_PERSISTENT_CLIENT_PAUSE_MS: u64 = 200;
-/// Request numbers of persistent client `n` start at `(n + 1) << PERSISTENT_CLIENT_NUMBER_SHIFT`, so that they differ from
-/// those of other clients of the process.
+/// Request numbers of persistent client `n` start at `(n + 1) << PERSISTENT_CLIENT_NUMBER_SHIFT`. They differ from those of
+/// all other clients of the dispatcher.
 const PERSISTENT_CLIENT_NUMBER_SHIFT: u32 = 32;
 /// Fraction of requests to upgraded processes that ask for a long stream, which may still be open during an upgrade.
 const LONG_STREAM_FRACTION: f64 = 0.3;
@@ -99,15 +99,15 @@
     processes: Vec<Arc<DispatcherProcess>>,
 }
 
-/// Returns a loopback address for one dispatcher. The host part is derived from the id of this process, so that other
-/// programs do not take the ports while a dispatcher is down.
+/// Returns a loopback address for dispatcher `process`. The host part is derived from the operating system's id of the soak
+/// process. So no other program takes the ports while a dispatcher is down.
 fn process_address(seed: u64, process: usize, port: u16) -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     let port = port + PORTS_PER_RUN * (seed % PORT_RANGE_COUNT) as u16;
     SocketAddr::from(([127, 64 | (high & 63), low, process as u8 + 1], port))
 }
 
-/// Plays the run of one seed to its end.
+/// Executes the run of one seed, including the wait for outstanding responses and releases.
 ///
 /// # Errors
 ///
@@ -159,8 +159,9 @@
 }
 
 impl SoakRun {
-    /// Creates the replicas and the dispatchers, and starts the discovery agents. The dispatchers are not started yet.
-    /// `replica_tasks` runs the servers of the replicas.
+    /// Creates the replicas and the dispatchers, and starts the discovery agents. The servers of the replicas run in
+    /// `replica_tasks`. Dispatchers are not started yet; their inherited sockets are bound, and their configuration files
+    /// are written at each start. Fails if an address cannot be bound.
     fn set_up(plan: RunPlan, replica_tasks: &mut JoinSet<()>) -> Result<SoakRun, SoakError> {
         let oracle = Arc::new(Oracle::new());
         let delivery_logs: Vec<Arc<DeliveryLog>> =
--- a/crates/soak/src/run/process.rs
+++ b/crates/soak/src/run/process.rs
@@ -14,9 +14,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, Instant};
 
-/// How long binding a discovery agent's address is retried; the previous agent may still be using it.
+/// How long binding a discovery agent's address is retried; the previous agent may still be using the address.
 const AGENT_RESTART_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two attempts to bind it.
+/// Time between two attempts to bind a discovery agent's address.
 const AGENT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A dispatcher under test. It keeps its number and addresses while its process is replaced or restarted.
@@ -30,7 +30,7 @@
     agent_address: SocketAddr,
     delivery_log: Arc<DeliveryLog>,
     agent_task: Mutex<Option<AbortHandle>>,
-    /// The listening socket that its processes inherit; `None` where each binds its own.
+    /// The listening socket that the dispatcher's processes inherit; `None` where each process binds its own.
     inherited_socket: Option<TcpListener>,
     dispatcher: Mutex<Option<Dispatcher>>,
     accepts_requests: AtomicBool,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Stops the discovery agent, if it is running.
+    /// Stops the discovery agent, if one is running, from accepting connections. Open connections are still served.
     pub(super) fn stop_agent(&self) {
         let task = lock(&self.agent_task).take();
         if let Some(task) = task {
--- a/crates/soak/src/run/upgrades.rs
+++ b/crates/soak/src/run/upgrades.rs
@@ -36,7 +36,8 @@
 const FLOOD_REFILL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl SoakRun {
-    /// Replaces a process by a series of successors. Returns when all processes but the last have exited.
+    /// Replaces a process by a series of `upgrades` successors. Returns when all processes but the last have exited. A
+    /// successor that does not become ready is reported as a violation and ends the series.
     pub(super) async fn upgrade_in_series(
         self: &Arc<Self>,
         process: &Arc<DispatcherProcess>,
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,8 +1,8 @@
 //! The fault schedule of a run: which fault starts when, on which replica or process, and for how long.
 //!
-//! It depends only on the [`RunSize`] and the random generator, so a seed repeats it. Faults may overlap. Those that take a
-//! whole replica out of service leave two replicas of each role untouched. Every second dispatcher is upgraded, the others
-//! are killed or terminated and restarted.
+//! The schedule depends only on the [`RunSize`] and the random generator, so the same seed draws the same schedule. Faults
+//! may overlap. Those that take a whole replica out of service leave at least two replicas of each role untouched.
+//! Dispatchers with even numbers are upgraded; the others are killed or terminated, and restarted.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -20,7 +20,7 @@
     LoseResponses(usize),
     /// A replica responds with status 500.
     ReturnErrors(usize),
-    /// A replica rejects attempts with status 503 before it executes them.
+    /// A replica rejects attempts with status 503 without executing them.
     RejectOverloaded(usize),
     /// A decode replica resets its connections in the middle of a stream. No effect on a prefill replica.
     AbortStreams(usize),
@@ -28,16 +28,16 @@
     DrainReplica(usize),
     /// All open connections from a process to a replica stay open, but the replica never responds on them again.
     SilenceConnections {
-        /// The process.
+        /// The number of the dispatcher.
         process: usize,
-        /// The replica.
+        /// The number of the replica.
         replica: usize,
     },
     /// All open connections from a process to a replica are reset.
     ResetConnections {
-        /// The process.
+        /// The number of the dispatcher.
         process: usize,
-        /// The replica.
+        /// The number of the replica.
         replica: usize,
     },
     /// A process is stopped by SIGSTOP and resumed by SIGCONT.
@@ -50,16 +50,16 @@
     ReloadConfig(usize),
     /// A process is replaced by a successor on the same inherited socket, which is replaced by the next one, and so on.
     UpgradeSeries {
-        /// The process.
+        /// The number of the dispatcher.
         process: usize,
         /// Number of successors.
         upgrades: u32,
-        /// Seed for the time of each upgrade and the faults during it.
+        /// Seed for the time of each upgrade and the faults during the upgrade.
         seed: u64,
     },
     /// Idle connections use up the descriptors of a process.
     ConnectionFlood(usize),
-    /// The discovery agent of a process is down.
+    /// The discovery agent of a process refuses new connections. Open connections are still served.
     StopDiscovery(usize),
 }
 
@@ -83,15 +83,15 @@
     pub prefill_replicas: usize,
     /// Number of replicas of both roles.
     pub replicas: usize,
-    /// How long clients send requests.
+    /// Duration of the load: how long clients send requests.
     pub load_duration: Duration,
     /// Whether floods of idle connections are among the faults.
     pub has_connection_floods: bool,
 }
 
 impl RunSize {
-    /// Returns whether a process inherits its listening socket and is upgraded. The others bind their own, and are killed or
-    /// terminated and restarted.
+    /// Returns whether a dispatcher inherits its listening socket and is upgraded: those with even numbers. The others bind
+    /// their own sockets, and are killed or terminated, and restarted.
     pub fn is_upgraded(&self, process: usize) -> bool {
         process.is_multiple_of(2)
     }
@@ -107,30 +107,31 @@
 const MAX_UPGRADES_PER_SERIES: u32 = 4;
 /// Fraction of upgraded processes that get a connection flood, in runs that include floods.
 const CONNECTION_FLOOD_FRACTION: f64 = 0.5;
-/// Start of the first fault, by which all processes have connections to replicas.
+/// Start of the first fault. By then, all processes are ready and have connections to replicas.
 const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1_000);
 
 fn draw_duration(rng: &mut Pcg32, min_ms: u64, max_ms: u64) -> Duration {
     Duration::from_millis(rng.gen_range(min_ms..=max_ms))
 }
 
-/// Draws a fault and its duration. `fault_candidates` are the replicas that may be taken out of service.
+/// Draws a fault and its duration. `fault_candidates` are the replicas that may be taken out of service; without any, the
+/// fault affects replica 0.
 fn draw_fault(size: &RunSize, fault_candidates: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
     let process = rng.gen_range(0..size.processes);
     let replica = rng.gen_range(0..size.replicas);
-    let victim = fault_candidates.choose(rng).copied().unwrap_or(0);
+    let target = fault_candidates.choose(rng).copied().unwrap_or(0);
     match rng.gen_range(0..100) {
-        0..=15 => (Fault::StallReplica(victim), draw_duration(rng, 300, 4_000)),
-        16..=22 => (Fault::KillReplica(victim), draw_duration(rng, 200, 2_000)),
-        23..=30 => (Fault::LoseResponses(victim), draw_duration(rng, 200, 2_000)),
-        31..=35 => (Fault::ReturnErrors(victim), draw_duration(rng, 200, 1_000)),
+        0..=15 => (Fault::StallReplica(target), draw_duration(rng, 300, 4_000)),
+        16..=22 => (Fault::KillReplica(target), draw_duration(rng, 200, 2_000)),
+        23..=30 => (Fault::LoseResponses(target), draw_duration(rng, 200, 2_000)),
+        31..=35 => (Fault::ReturnErrors(target), draw_duration(rng, 200, 1_000)),
         36..=40 => (
-            Fault::RejectOverloaded(victim),
+            Fault::RejectOverloaded(target),
             draw_duration(rng, 200, 1_000),
         ),
-        41..=46 => (Fault::AbortStreams(victim), draw_duration(rng, 200, 1_000)),
+        41..=46 => (Fault::AbortStreams(target), draw_duration(rng, 200, 1_000)),
         47..=54 => (
-            Fault::DrainReplica(victim),
+            Fault::DrainReplica(target),
             draw_duration(rng, 1_000, 4_000),
         ),
         55..=66 => (
@@ -181,7 +182,8 @@
 }
 
 /// Draws the faults of a run, ordered by start time. Faults that take a replica out of service leave at least two replicas
-/// of each role untouched, so that every request can be served.
+/// of each role untouched, so that every request can be served. If no role has more than two replicas, these faults affect
+/// replica 0.
 pub fn draw_schedule(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
     let mut fault_candidates: Vec<usize> = (2..size.prefill_replicas)
         .chain(size.prefill_replicas + 2..size.replicas)
@@ -216,7 +218,7 @@
     schedule
 }
 
-/// Returns the total number of upgrades in all series of a schedule.
+/// Returns the total number of upgrades in all series of a schedule, whether or not the run carries them out.
 pub fn count_upgrades(schedule: &[ScheduledFault]) -> u32 {
     let upgrades_of = |scheduled: &ScheduledFault| match scheduled.fault {
         Fault::UpgradeSeries { upgrades, .. } => upgrades,
--- a/examples/recording_cost.rs
+++ b/examples/recording_cost.rs
@@ -3,7 +3,7 @@
 //!     cargo run --release --example recording_cost -- FILE [ROUNDS] [REQUESTS]
 //!
 //! Every request is served after one prefill and one decode attempt. Prints the microseconds per request for each round and
-//! mode, then the minimum, the median and the maximum of each mode and the difference of the medians. Each recording
+//! mode. Then prints the minimum, the median and the maximum of each mode, and the difference of the medians. Each recording
 //! overwrites FILE.
 
 use quartzhall::config::{Deployment, SettingsObject};
@@ -17,15 +17,16 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
-/// The settings of the fleet.
+/// The dispatcher's settings, in JSON.
 const SETTINGS: &str = r#"{"balancers":2,"classes":[{"name":"q","aim":1500.0,"deadline":7500.0,"repeat":"free","worth":3.0}],
  "family_info":{"role_by_kind":["read","write"],"tokens_by_kind":[200000,100000],"release_within":1000.0},
  "limits":{"most_tries":5,"cancel":true},"machine_types":["prefill","decode"],"reporting":{"via":"answers"},"tick":4.0}"#;
 
-/// The simulated time at the start.
+/// The simulated time at the start, in Unix microseconds.
 const START_TIME: Time = 1_700_000_000_000_000;
-/// The number of endpoints; the first [`PREFILL_ENDPOINTS`] of them prefill, the others decode.
+/// The number of endpoints of both roles.
 const ENDPOINTS: usize = 10;
+/// The number of prefill endpoints, which come first; the others decode.
 const PREFILL_ENDPOINTS: usize = 5;
 /// The capacity of the recorder's queue, in records. The same as that of a dispatcher.
 const QUEUE_CAPACITY: usize = 8192;
