--- a/src/bin/quartzhall-simhost/host.rs
+++ b/src/bin/quartzhall-simhost/host.rs
@@ -84,6 +84,8 @@
         }
     }
 
+    /// Converts the message of an ended attempt. Attempts are not tracked here: of an unknown one, the router uses only
+    /// the load report. An endpoint that was never listed gets the next number.
     fn attempt_ended(&mut self, message: &Message) -> Result<Event, HostError> {
         Ok(Event::AttemptEnded {
             id: message.request()?,
@@ -191,6 +193,8 @@
         Ok(())
     }
 
+    /// Starts the instance that the message names, and fires its timer once. A running instance of this name is
+    /// replaced.
     fn start_instance(&mut self, message: &Message) -> Result<(), HostError> {
         let settings = required(message.settings.as_ref(), "profile_data")?;
         let seed = required(message.seed, "init_seed")?;
--- a/src/bin/quartzhall-simhost/messages.rs
+++ b/src/bin/quartzhall-simhost/messages.rs
@@ -16,8 +16,10 @@
     /// The time of a batch, in milliseconds.
     #[serde(rename = "t")]
     pub time_ms: Option<f64>,
+    /// The number of a batch.
     #[serde(rename = "n")]
     pub batch: Option<u64>,
+    /// The seed of an instance's router.
     #[serde(rename = "init_seed")]
     pub seed: Option<u64>,
     #[serde(rename = "profile_data")]
@@ -25,6 +27,7 @@
     /// The number of an endpoint list.
     #[serde(rename = "sheet")]
     pub list_number: Option<u32>,
+    /// The entries of an endpoint list.
     #[serde(rename = "lines")]
     pub endpoints: Option<Vec<EndpointEntry>>,
     /// The form of an endpoint list update: `host` has the codes.
@@ -33,11 +36,15 @@
     request: Option<u64>,
     #[serde(rename = "kind")]
     pub class: Option<String>,
+    /// The tenant's name; any value other than a string means that the request has no tenant.
     #[serde(rename = "user_group")]
     pub tenant: Option<json::Value>,
+    /// The session's key, in hexadecimal digits.
     pub session: Option<String>,
+    /// The time left until the client's deadline, in milliseconds.
     #[serde(rename = "expires_in")]
     pub time_left_ms: Option<f64>,
+    /// The key of the shared prefix, in hexadecimal digits.
     #[serde(rename = "system_prompt")]
     pub prefix: Option<String>,
     #[serde(rename = "prompt_len")]
@@ -46,8 +53,10 @@
     pub prefix_tokens: Option<f64>,
     #[serde(rename = "max_out")]
     pub max_output_tokens: Option<f64>,
+    /// The estimated duration of the response, in milliseconds; absent or 0: unknown.
     #[serde(rename = "cost")]
     pub output_time_hint_ms: Option<f64>,
+    /// The index of the attempt within its request.
     #[serde(rename = "trial")]
     attempt: Option<u32>,
     #[serde(rename = "worker")]
@@ -74,6 +83,7 @@
     pub cell: Option<u32>,
     #[serde(rename = "sku")]
     pub machine_type: Option<String>,
+    /// The status code: 0 is ready, 1 is draining, 2 is removed.
     readiness: u32,
     #[serde(rename = "worker")]
     pub name: String,
@@ -175,7 +185,8 @@
         required(self.endpoint.as_deref(), "worker")
     }
 
-    /// Returns the status of an ended attempt.
+    /// Returns the status of an ended attempt. An overload with a positive number of cached tokens means that the KV
+    /// cache was missing.
     pub(crate) fn attempt_status(&self) -> Result<AttemptStatus, HostError> {
         let status = self.parse_status()?;
         let is_kv_missing = self.cached_tokens.unwrap_or(0.0) > 0.0;
--- a/src/config/deployment.rs
+++ b/src/config/deployment.rs
@@ -27,7 +27,7 @@
     pub connect_timeout: Time,
     /// The time after which an endpoint closes an idle connection.
     pub endpoint_idle_timeout: Time,
-    /// The maximum number of open requests.
+    /// The maximum number of open requests; `usize::MAX`: no limit.
     pub max_open_requests: usize,
     /// The longest deadline of any class, which bounds the drain at shutdown; `Time::MAX`: no class has one.
     pub max_deadline: Time,
@@ -101,7 +101,8 @@
 
     /// Returns this deployment adapted to replace the running one. A class whose settings are unchanged keeps its id;
     /// any other class gets an id that no class and no open request uses. Zones, machine types, roles and KV cache
-    /// capacities remain those of `running` until a restart.
+    /// capacities remain those of `running` until a restart. `has_open_requests` returns whether a class id has open
+    /// requests.
     ///
     /// # Errors
     ///
@@ -154,8 +155,9 @@
         Ok(self)
     }
 
-    /// Returns the record of an endpoint with this id and machine type; without a name it has the first type. The
-    /// caller assigns the number `endpoint`, and sets zone, cell, status and start time.
+    /// Returns the record of an endpoint with this id and machine type; without a name it has the first type. Its KV
+    /// cache capacity is 0 if the settings have none. The caller assigns the number `endpoint`, and sets zone, cell,
+    /// status and start time.
     ///
     /// # Errors
     ///
@@ -307,6 +309,8 @@
     }
 }
 
+/// Returns the scope that the class's `group` names. Without `group`, it is the narrowest one: the cell. `index` is the
+/// class's position in the settings, for the error.
 fn deduplication_scope(
     index: usize,
     class: &ClassSettings,
--- a/src/config/endpoint_list.rs
+++ b/src/config/endpoint_list.rs
@@ -10,17 +10,17 @@
 pub struct EndpointEntry {
     /// The endpoint's id, which is the same at all dispatchers.
     pub id: Option<String>,
-    /// The address on which it listens.
+    /// The IP address and port on which the endpoint listens.
     pub host_port: Option<String>,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub locality: Option<String>,
-    /// The name of its machine type.
+    /// The name of the endpoint's machine type; `None`: the first type of the settings.
     pub flavor: Option<String>,
-    /// The id of its cell.
+    /// The id of the endpoint's cell, less than `u32::MAX`.
     pub cell: Option<u32>,
-    /// Its lifecycle phase: `Ready`, `Terminating` or `Gone`.
+    /// The endpoint's lifecycle phase: `Ready`, `Terminating` or `Gone`.
     pub phase: Option<String>,
-    /// The time of its last start, in Unix milliseconds; 0: unknown, long ago.
+    /// The time of the endpoint's last start, in Unix milliseconds; `None` or 0: unknown, long ago.
     pub up_since_ms: Option<f64>,
 }
 
--- a/src/config/machine_limits.rs
+++ b/src/config/machine_limits.rs
@@ -31,7 +31,7 @@
 
 impl MachineLimits {
     /// Divides the file descriptors. Clients get five eighths: an open request needs one on each side, and some client
-    /// connections stay idle until their timeout.
+    /// connections are idle or silent until they may be evicted.
     pub fn socket_budgets(&self) -> SocketBudgets {
         let sockets = self
             .sockets
--- a/src/config/session_file.rs
+++ b/src/config/session_file.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use miniserde::{json, Deserialize};
 
-/// The largest valid count or size in the session file.
+/// The largest valid value of `most_sessions`, `most_requests` and `most_message`.
 const MAX_BOUND: usize = 1 << 24;
 
 /// The session file as deserialized; `deploy/websocket.json` has all its settings with their defaults.
@@ -40,11 +40,11 @@
     pub max_message_bytes: usize,
     /// The time between two pings.
     pub ping_interval_ms: u64,
-    /// The time without any message after which a session is closed.
+    /// The time without any message after which a session is closed. Checked when a ping is due.
     pub session_timeout_ms: u64,
     /// How long a request continues after its session's connection is lost, so that the client can reattach to it.
     pub reattach_window_ms: u64,
-    /// The maximum number of completed requests whose responses are cached.
+    /// The maximum number of requests in the idempotency cache. Requests in flight count too, but are not evicted.
     pub max_cached_responses: usize,
     /// The maximum size of a cached response, in bytes; longer responses aren't cached.
     pub max_cached_response_bytes: usize,
--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -28,6 +28,7 @@
 /// The backoff state of one caller.
 pub struct Backoff {
     caller_count: u32,
+    /// Failed calls since the last successful one.
     consecutive_failures: u32,
     rng: Pcg32,
 }
@@ -50,7 +51,8 @@
             .min(MAX_MEAN_DELAY)
     }
 
-    /// Returns the delay before the first call, which spreads out callers that start together. Zero for a sole caller.
+    /// Returns the delay before the first call, which spreads out callers that start together. It is drawn uniformly up
+    /// to this caller's mean interval between calls, but to at most [`MAX_RETRY_DELAY`]. Zero for a sole caller.
     pub fn initial_delay(&mut self) -> Duration {
         if self.caller_count <= 1 {
             return Duration::ZERO;
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -122,6 +122,8 @@
     }
 }
 
+/// Parses the parts of an entry that an endpoint must have to receive requests. The record has only the key, the role
+/// and the KV cache capacity; the caller sets the other fields. An unknown machine type is an error.
 fn parse_address_and_machine_type<'a>(
     deployment: &mut Deployment,
     id: &str,
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -24,7 +24,8 @@
 const AGENT_RESPONSE_GRACE: Duration = Duration::from_millis(100);
 /// The delay after a request without a response. Short, because the service has spent no work on an answer.
 const TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The delay after a failed request to the agent on this machine.
+/// The delay after a request without a response to the agent on this machine, and the longest delay after a rejected
+/// request or an invalid list. Before a request that gets [`RESPONSE_GRACE`], the delay is [`TIMEOUT_RETRY_DELAY`].
 const AGENT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The longest delay after a rejected request or an invalid list. The next request may be queued, and must still be
 /// answered before a change counts as delivered.
--- a/src/frontend/client_socket.rs
+++ b/src/frontend/client_socket.rs
@@ -125,8 +125,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Buffers bytes that the socket does not accept, if the stream is to migrate. hyper can then get as far as the
-    /// stream's offer to migrate although the client reads slowly.
+    /// Buffers bytes that the socket does not accept, if the stream is to migrate. hyper then reaches the stream's
+    /// offer to migrate even if the client reads slowly.
     fn buffer_for_migration(&mut self, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let has_room = self.unsent.len() + bytes.len() <= MAX_UNSENT_BYTES;
         if !has_room || !self.listener_state.is_migration_due() {
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -62,6 +62,7 @@
     /// Since when the socket has accepted no bytes of a response; `None` while it does.
     write_blocked_since: Mutex<Option<Instant>>,
     framing: Mutex<RequestFraming>,
+    /// Completed responses, to be compared with the completed requests of `framing`.
     completed_responses: AtomicU64,
     /// Wakes the reading task when the response in flight is complete.
     read_waker: Mutex<Option<Waker>>,
@@ -229,8 +230,9 @@
         }
     }
 
-    /// Waits until the process closes its connections and no request is arriving on this one. A new connection gets
-    /// some time to send its first request, and an incomplete head is either completed or times out.
+    /// Waits until [`ShutdownPhase::Closing`], and then until no request is arriving on this connection. A new
+    /// connection gets [`EVICTION_SILENT_TIME`] to send its first request. An incomplete head is either completed or
+    /// times out.
     pub(super) async fn wait_until_closable(&self, shutdown: &mut watch::Receiver<ShutdownPhase>) {
         let _ = shutdown
             .wait_for(|phase| *phase == ShutdownPhase::Closing)
--- a/src/frontend/health_check.rs
+++ b/src/frontend/health_check.rs
@@ -19,7 +19,8 @@
 /// Time for a load balancer to read the response to its agent check.
 const AGENT_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Handles `GET /ready`: responds with 200 only while the process accepts clients.
+/// Handles `GET /ready`: responds with 200 only while the process accepts clients. Otherwise responds with 503, and
+/// with the word `starting` also for [`Readiness::Standby`].
 pub async fn ready(State(dispatcher): State<DispatcherHandle>) -> (StatusCode, &'static str) {
     match dispatcher.readiness() {
         Readiness::Ready => (StatusCode::OK, "ready\n"),
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -192,7 +192,7 @@
     Incomplete,
     #[error("the body took too long")]
     TimedOut,
-    /// The request did not run, so the client may retry it.
+    /// No memory became free in time. The request did not run, so the client may retry it.
     #[error("no memory is free for the body")]
     NoMemory,
 }
@@ -343,7 +343,7 @@
 #[derive(PartialEq, Eq)]
 enum StreamState {
     Open,
-    /// The stream has broken. The error is returned at the next poll, when the chunks before it could be sent.
+    /// The stream has broken. The error is returned at the next poll, so that hyper can send the earlier chunks first.
     Broken,
     /// The response is complete.
     Ended,
@@ -354,7 +354,10 @@
 struct ResponseStream {
     chunks: mpsc::Receiver<StreamChunk>,
     state: StreamState,
+    /// The slot in which the stream is offered for migration; `None`: the stream stays in this process, because its
+    /// client does not use HTTP/1.1.
     migration_slot: Option<SharedMigrationSlot>,
+    /// The id that is passed on if the stream migrates; `None`: the process that sent this stream did not pass it on.
     client_request_id: Option<Arc<str>>,
     _pending_request: PendingRequest,
 }
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -29,7 +29,7 @@
     /// Receives streams from other processes. A sender that has reserved a slot in this queue may still use it after
     /// the queue is closed.
     pub received: mpsc::Receiver<ReceivedStream>,
-    /// Resumes received streams; `None` if there are none.
+    /// Resumes received streams; `None` in a process that runs alone, which receives no streams.
     pub resumer: Option<StreamResumer>,
     /// Whether new connections are accepted. Received streams are served even while this is false.
     pub accepts: watch::Receiver<bool>,
--- a/src/frontend/memory_budget.rs
+++ b/src/frontend/memory_budget.rs
@@ -12,7 +12,7 @@
 /// The smallest budget, which is enough for one body.
 const MIN_BUDGET_KILOBYTES: usize = MAX_BODY_BYTES / 1024 + 1;
 
-/// The memory budget for request bodies, in kilobytes. Clones share it.
+/// The memory budget for request bodies, in units of 1024 bytes. Clones share it.
 #[derive(Clone)]
 pub struct BodyMemoryBudget(AdjustableSemaphore);
 
@@ -33,6 +33,7 @@
     }
 }
 
+/// Returns the units reserved for a body of this length: at least 1, and at most those of the longest accepted body.
 fn kilobytes(bytes: usize) -> u32 {
     (bytes.min(MAX_BODY_BYTES) / 1024 + 1) as u32
 }
@@ -51,7 +52,8 @@
         self.0.set_share(share_units, MIN_BUDGET_KILOBYTES);
     }
 
-    /// Waits until memory for a body of this length is free, and reserves it.
+    /// Waits until memory for a body of this length is free, and reserves it. Always returns `Some`, because the budget
+    /// is never closed.
     pub async fn reserve(&self, body_bytes: usize) -> Option<MemoryReservation> {
         let permit = self.0.acquire(kilobytes(body_bytes)).await?;
         Some(MemoryReservation { permit })
--- a/src/frontend/request_service.rs
+++ b/src/frontend/request_service.rs
@@ -122,7 +122,9 @@
         response
     }
 
-    /// Serves a request from the client. An ambiguous body is rejected on every route.
+    /// Passes a request from the client to the routes, and records whether the connection closes after the response. An
+    /// ambiguous body is rejected with status 411 on every route. `declared_body` is what the request's head declares;
+    /// `None`: the head could not be followed.
     async fn route_request(
         mut self,
         mut request: Request<Incoming>,
--- a/src/frontend/websocket/idempotency_cache.rs
+++ b/src/frontend/websocket/idempotency_cache.rs
@@ -49,6 +49,7 @@
 }
 
 impl CachedRequest {
+    /// Returns the size of the cached response text; 0 if none is cached.
     fn text_bytes(&self) -> usize {
         match &self.state {
             RequestState::Finished(FinalOutcome::Served(Some(text))) => text.len(),
@@ -62,6 +63,7 @@
 pub(super) struct IdempotencyCache {
     requests: HashMap<RequestKey, CachedRequest>,
     insertion_order: VecDeque<RequestKey>,
+    /// The total size of all cached response texts.
     text_bytes: usize,
 }
 
--- a/src/frontend/websocket/messages.rs
+++ b/src/frontend/websocket/messages.rs
@@ -11,7 +11,7 @@
 use miniserde::{json, Deserialize};
 use std::time::Duration;
 
-/// The fields of all types of client messages.
+/// The fields of all types of client messages. `prompt_len`, `prefix_len` and `max_out` are in tokens.
 #[derive(Deserialize)]
 struct ClientMessageFields {
     #[serde(rename = "type")]
@@ -117,6 +117,8 @@
     field.ok_or(InvalidMessageReason::MissingField(name))
 }
 
+/// Parses the fields of a request into its metadata and body. Only `prefix` and `prefix_len` are optional; `tenant` is
+/// required if the deployment has tenants.
 fn parse_request(
     fields: ClientMessageFields,
     deployment: &Deployment,
--- a/src/frontend/websocket/mod.rs
+++ b/src/frontend/websocket/mod.rs
@@ -35,8 +35,8 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// At the session limit, a session without a request in flight that has submitted nothing for this long is evicted for
-/// a new one.
+/// At the session limit, a session without a request in flight may be evicted for a new one if its client has sent no
+/// text message for this long.
 const SESSION_EVICTION_IDLE_TIME: Duration = Duration::from_millis(2000);
 /// How long a new session waits for the evicted one to close.
 const SESSION_EVICTION_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Waits until all sessions are closed.
+    /// Waits until all sessions are closed, without asking them to close: [`ShutdownPhase::Closing`] does that.
+    /// Requests that outlive their session are not waited for.
     pub async fn wait_until_closed(&self) {
         let _ = self
             .session_slots
--- a/src/frontend/websocket/request_task.rs
+++ b/src/frontend/websocket/request_task.rs
@@ -25,13 +25,16 @@
     pub(super) key: RequestKey,
     /// The class as it was when the request was submitted.
     pub(super) class: RequestClass,
+    /// The metadata as submitted; its `time_left` is replaced by the time left until `deadline`.
     pub(super) metadata: RequestMetadata,
     pub(super) body: Bytes,
+    /// The deadline of the first submission of this client request id.
     pub(super) deadline: Instant,
     /// Queues messages for the socket that submitted the request last.
     pub(super) message_sender: MessageSender,
     /// Receives the sessions that submit the request again while it is in flight.
     pub(super) attachments: mpsc::Receiver<MessageSender>,
+    /// Receives the client's cancellation.
     pub(super) cancelled: mpsc::Receiver<()>,
     /// Set while no socket is attached: the time until which a session may attach.
     pub(super) reattach_until: Option<Instant>,
@@ -76,16 +79,24 @@
 
 /// An event during a submission to the dispatcher.
 enum SubmissionEvent {
+    /// The client has cancelled the request.
     Cancelled,
+    /// A session has submitted the request again.
     Attached(MessageSender),
+    /// The attached socket was closed.
     Detached,
+    /// No session has submitted the request again in time.
     ReattachWindowEnded,
+    /// The dispatcher's outcome; `None`: the dispatcher has stopped without one.
     Outcome(Option<Outcome>),
+    /// The next chunk of the stream; `None`: the stream has broken.
     Chunk(Option<StreamChunk>),
 }
 
 impl RequestTask {
-    /// Runs the request and reports its outcome. `slot` is the permit of the session for this request.
+    /// Runs the request and reports its outcome. If the client has disconnected and reconnected meanwhile, the request
+    /// is submitted to the dispatcher again. `slot` is the permit of the session that started this task, and is held
+    /// until the task ends.
     pub(super) async fn run(mut self, slot: OwnedSemaphorePermit) {
         let is_idempotent = self.class.idempotency == Idempotency::Idempotent;
         let outcome = loop {
@@ -237,6 +248,8 @@
             .await
     }
 
+    /// Waits for the next event. `chunks` is `None` until the stream begins. While no socket is attached, no chunk is
+    /// received, so that the stream waits for the client.
     async fn next_event(
         &mut self,
         outcome: &mut oneshot::Receiver<Outcome>,
--- a/src/frontend/websocket/session.rs
+++ b/src/frontend/websocket/session.rs
@@ -24,7 +24,7 @@
 const MAX_QUEUED_MESSAGES: usize = 32;
 /// The most repeated submissions of a request in flight that may wait for its task.
 const MAX_QUEUED_ATTACHMENTS: usize = 4;
-/// The retry delay for a request that exceeded a limit.
+/// The retry delay for a request beyond the session's limit of requests in flight, or beyond the memory for bodies.
 const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Time for the closing handshake.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -36,6 +36,7 @@
     last_message_at: Mutex<Instant>,
     /// One permit per request that may be in flight.
     request_slots: Arc<Semaphore>,
+    /// The total number of permits in `request_slots`.
     max_requests: usize,
     close_requested: Notify,
 }
@@ -93,10 +94,13 @@
     activity: Arc<SessionActivity>,
     socket: WebSocket,
     message_sender: MessageSender,
+    /// Messages from request tasks, to be sent on the socket.
     queued_messages: mpsc::Receiver<Message>,
     /// Cancels the requests that this socket submitted, by client request id.
     cancel_senders: HashMap<String, mpsc::Sender<()>>,
+    /// When the client last sent a message of any type; at first, when it connected.
     last_received_at: Instant,
+    /// Set in [`ShutdownPhase::Closing`]: new requests are shed, and the session closes as soon as it is idle.
     is_shutting_down: bool,
 }
 
@@ -181,6 +185,8 @@
         Duration::from_millis(self.frontend.config.session_timeout_ms)
     }
 
+    /// Returns a ping to send. If nothing was received for the session timeout, disconnects without a closing
+    /// handshake.
     fn on_ping_due(&self) -> SessionStep {
         if self.last_received_at.elapsed() > self.session_timeout() {
             debug!(self.frontend.log, "session timed out");
@@ -216,6 +222,8 @@
         matches!(sent, Ok(Ok(())))
     }
 
+    /// Closes the socket with a closing handshake, for at most [`CLOSE_TIMEOUT`]. Requests in flight continue in their
+    /// tasks.
     async fn close(mut self, (code, reason): CloseReason) {
         let close = Message::Close(Some(CloseFrame {
             code,
--- a/src/gossip/budget.rs
+++ b/src/gossip/budget.rs
@@ -12,13 +12,15 @@
 const LOAD_SHARE: f64 = 0.2;
 /// The limit of the accumulated budget, in requests' worth of bytes.
 const MAX_SAVED_REQUESTS: f64 = 4.0;
-/// The minimum price of a full message to one receiver, as a share of a request's value. It bounds the budget when the
-/// settings have a price of 0.
+/// The minimum price of a full message to one receiver, as a share of a request's value. It bounds the budget if the
+/// settings have no price, or 0.
 const MIN_PRICE: f64 = 1e-4;
 
 /// A byte budget with a separate limit for loads.
 pub(super) struct ByteBudget {
+    /// The bytes that one request earns.
     earned_per_request: f64,
+    /// The bytes that may be sent now.
     available: f64,
     /// The bytes that loads may use, within `available`. It may exceed `available` after failures were sent.
     available_for_loads: f64,
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -19,6 +19,7 @@
 const TICK_MICROS: Time = 10_000;
 /// Replaces the requests in flight in the record of a failed attempt.
 const FAILURE_CODE: u8 = u8::MAX;
+/// The most requests in flight that a record can report; more are reported as this many.
 const MAX_IN_FLIGHT: f64 = 254.0;
 /// The encoded value of a KV memory share of 1.
 const MEMORY_SHARE_SCALE: f64 = 250.0;
--- a/src/gossip/transport.rs
+++ b/src/gossip/transport.rs
@@ -60,8 +60,9 @@
         mpsc::channel(SEND_QUEUE_MESSAGES)
     }
 
-    /// Sends queued messages to all other dispatchers and forwards received messages to the dispatcher's core, until
-    /// the queue's sender is dropped.
+    /// Binds the socket, then sends each queued message as one datagram to the broadcast address. Forwards messages
+    /// from peers to the dispatcher's core. Ends when the queue's sender is dropped. A message that can't be sent is
+    /// logged and lost.
     pub async fn run(
         self,
         mut outgoing: mpsc::Receiver<Bytes>,
--- a/src/recording.rs
+++ b/src/recording.rs
@@ -64,7 +64,8 @@
         recorder
     }
 
-    /// Records the names of the class and tenant numbers in the records that follow.
+    /// Records the names of the class and tenant numbers in the records that follow. Called at the start and after each
+    /// change of the settings.
     pub fn record_names(&mut self, deployment: &Deployment) {
         for (table, names) in [
             (Table::Class, &deployment.classes),
