--- a/src/config/raw_settings.rs
+++ b/src/config/raw_settings.rs
@@ -40,7 +40,7 @@
 #[derive(Deserialize, Clone)]
 pub(super) struct ClassSettings {
     pub(super) name: String,
-    /// The TTFT objective.
+    /// The TTFT objective of a request without prompt tokens.
     pub(super) aim: Option<f64>,
     /// The longest deadline of a request. The longest one of all classes bounds the drain at shutdown.
     pub(super) deadline: Option<f64>,
@@ -50,7 +50,7 @@
     pub(super) key_ttl: Option<f64>,
     /// Whether a request may run twice: `free`, `guarded` (by its idempotency key) or `single_shot`.
     pub(super) repeat: Option<String>,
-    /// The priority weight.
+    /// The priority weight of a request; absent: 0.
     pub(super) worth: Option<f64>,
 }
 
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -70,8 +70,8 @@
     Ok(())
 }
 
-/// Checks that the new value has all settings of the running one, with the same types. Lists may differ in length, but
-/// each element of a new list must have the settings that all elements of the running list have in common.
+/// Checks that the new value has all settings of the running one, with the same types. Lists may differ in length. Each
+/// element of a new list must have the settings that all elements of the running list have in common.
 ///
 /// # Errors
 ///
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -26,6 +26,7 @@
 const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The maximum size of a response body.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+/// Time to connect to discovery. The timeout of the whole request also applies.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 type HttpClient = Client<HttpConnector, Empty<Bytes>>;
@@ -122,7 +123,7 @@
     }
 }
 
-/// The state of the client that outlasts a change of discovery's address.
+/// The state of the client that is kept when discovery's address changes.
 struct ListWatcher {
     deployment: Deployment,
     backoff: Backoff,
--- a/src/discovery/watch_state.rs
+++ b/src/discovery/watch_state.rs
@@ -2,10 +2,10 @@
 //! the [`WatchState`] and does the I/O.
 //!
 //! A request whose connection was lost silently looks like one that waits for a change. The deployment treats a missed
-//! change as delivered to this dispatcher 6 s after the connection was lost, or 2 s after the end of the request's hold
-//! time if that is later. The connection may be lost right after the request was sent. A change also counts as
-//! delivered 6 s after discovery received it, whatever failed meanwhile. So timeouts and retry delays are short enough
-//! for the next request to be answered by then.
+//! change as delivered to this dispatcher at the later of two times: 6 s after the connection was lost, and 2 s after
+//! the end of the request's hold time. The connection may be lost right after the request was sent. A change also
+//! counts as delivered 6 s after discovery received it, whatever failed meanwhile. So timeouts and retry delays are
+//! short enough for the next request to be answered by then.
 //!
 //! In deployments that push the lists, an agent on this machine serves them. It responds at once and at no cost, but
 //! not at all while discovery is down. When discovery recovers, the agent's list counts as delivered immediately, so
@@ -24,8 +24,9 @@
 const AGENT_RESPONSE_GRACE: Duration = Duration::from_millis(100);
 /// The delay after a request without a response. Short, because the service has spent no work on an answer.
 const TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The delay after a request without a response to the agent on this machine, and the longest delay after a rejected
-/// request or an invalid list. Before a request that gets [`RESPONSE_GRACE`], the delay is [`TIMEOUT_RETRY_DELAY`].
+/// The delay after a request to the agent on this machine that got no response. It is also the longest delay after a
+/// rejected request or an invalid list from the agent. Before a request that gets [`RESPONSE_GRACE`], the delay is
+/// [`TIMEOUT_RETRY_DELAY`].
 const AGENT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The longest delay after a rejected request or an invalid list. The next request may be queued, and must still be
 /// answered before a change counts as delivered.
@@ -33,8 +34,8 @@
 /// A rejection that took at least this long was queued before. Discovery is then overloaded, and the delay may exceed
 /// [`MAX_RETRY_DELAY`] to reduce its load.
 const QUEUEING_THRESHOLD: Duration = Duration::from_secs(1);
-/// Of consecutive requests without a response, one in this many to the agent on this machine gets [`RESPONSE_GRACE`],
-/// because the agent may be slow rather than down.
+/// While the agent on this machine does not respond, one request in this many gets [`RESPONSE_GRACE`]: the agent may be
+/// slow rather than down.
 const REQUESTS_PER_LONG_TIMEOUT: u32 = 100;
 
 /// A request for the endpoint list.
--- a/src/frontend/admission.rs
+++ b/src/frontend/admission.rs
@@ -44,10 +44,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether a new connection found neither a permit nor a connection to evict within the last
-    /// [`EVICTION_IDLE_TIME`], or more connections are open than the limit allows. Responses then close their
-    /// connections, as HTTP allows at any time. Otherwise many clients that send one request and stay connected would
-    /// hold all permits until the idle timeout.
+    /// Returns whether more connections are open than the limit allows, or a new one had to wait in the accept queue
+    /// within the last [`EVICTION_IDLE_TIME`]. Responses then close their connections, as HTTP allows at any time.
+    /// Otherwise many clients that send one request and stay connected would hold all permits until the idle timeout.
     pub(super) fn is_full(&self) -> bool {
         let was_full = self
             .last_full_at()
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -391,7 +391,7 @@
                 Poll::Ready(None)
             }
             // The stream has broken. An error makes hyper close the connection at once and discard what it has not sent
-            // yet. If the stream broke right after its first event, the client would get no response at all, so the
+            // yet. If the stream broke right after its first event, the client would get no response at all. So the
             // error is returned only at the next poll.
             Poll::Ready(None) if is_enabled(Variant::StreamEnd) => Poll::Ready(None),
             Poll::Ready(None) if self.state == StreamState::Open => {
--- a/src/frontend/websocket/idempotency_cache.rs
+++ b/src/frontend/websocket/idempotency_cache.rs
@@ -49,7 +49,7 @@
 }
 
 impl CachedRequest {
-    /// Returns the size of the cached response text; 0 if none is cached.
+    /// Returns the size of the cached response text, in bytes; 0 if none is cached.
     fn text_bytes(&self) -> usize {
         match &self.state {
             RequestState::Finished(FinalOutcome::Served(Some(text))) => text.len(),
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,8 +1,8 @@
 //! The format of a gossip message. Pure: converts between bytes and observations, without state.
 //!
-//! A message has a version byte, the time of sending in two bytes, and records of five bytes. A record has three bytes
-//! of the hash of the endpoint's id, one byte for its requests in flight or the failure code, and one for its share of
-//! used KV memory.
+//! A message has a version byte, the time of sending in two bytes, and records of five bytes. The first
+//! three bytes of a record are from the hash of the endpoint's id. The fourth has the endpoint's requests in flight or
+//! the failure code, and the fifth the share of its KV memory in use.
 
 use crate::routing::api::{LoadReport, Time};
 
@@ -10,6 +10,7 @@
 const FORMAT_VERSION: u8 = 0xA1;
 /// The size of the version and the time of sending.
 pub(super) const HEADER_BYTES: usize = 3;
+/// The size of a record: the endpoint's key, the requests in flight or the failure code, and the KV memory share.
 pub(super) const RECORD_BYTES: usize = 5;
 /// The maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
--- a/src/gossip/state.rs
+++ b/src/gossip/state.rs
@@ -1,8 +1,8 @@
 //! The gossip state: which observations this dispatcher sends to the others, and which messages it accepts. Pure: the
 //! dispatcher's core owns the [`Gossip`], and [`crate::gossip::transport`] carries the bytes.
 //!
-//! In a fleet of a hundred dispatchers, each one gets a load report from a given endpoint about every half minute,
-//! while all of them together get several per second. So each dispatcher sends only what the others don't expect:
+//! In a fleet of a hundred dispatchers, each one gets a load report from a given endpoint about every half minute. All
+//! of them together get several per second. So each dispatcher sends only what the others don't expect:
 //! failures, and loads far from the last one reported for the endpoint. A byte budget limits the cost. A message that
 //! is malformed, stale, or no newer than the last one of its sender is counted and dropped.
 
@@ -206,7 +206,8 @@
         Ok(message.observations())
     }
 
-    /// Records a received observation, from which the other dispatchers now expect this load of the endpoint, too.
+    /// Records a received load: the other dispatchers now expect it of the endpoint, too. A received failure changes
+    /// nothing here.
     pub fn accept(&mut self, now: Time, endpoint: EndpointId, observation: &Observation) {
         if let Some(in_flight) = observation.load.as_ref().and_then(|load| load.in_flight) {
             self.update_expectation(now, endpoint, in_flight);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! A dispatcher for fleets of language-model servers that process requests in two stages: prefill and decode.
 //!
-//! The [`dispatcher`] is a state machine that does no network I/O. [`frontend`] connects it with clients, [`backend`]
-//! with endpoints, [`discovery`] with the service that lists the endpoints, [`gossip`] with other dispatchers, and
-//! [`upgrade`] with the process that replaces this one. `docs/architecture.md` describes which module owns which state.
+//! The [`dispatcher`] is a state machine that does no network I/O. [`frontend`] connects it with clients, and
+//! [`backend`] with endpoints. [`discovery`] connects it with the service that lists the endpoints, [`gossip`] with
+//! other dispatchers, and [`upgrade`] with the process that replaces this one. `docs/architecture.md` describes which
+//! module owns which state.
 //!
 //! [`routing::Router`] makes the routing decisions. It is pure: its caller owns the clock, the network and the threads,
 //! passes it events, and executes the actions that it returns.
