--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -1,5 +1,6 @@
-//! An open-loop load on one dispatcher: requests are sent when they are due, whatever has become of earlier ones, and times
-//! count from when a request was due, so that a dispatcher that stalls cannot hide it.
+//! An open-loop load on one dispatcher: each request is sent when it is due, whether or not earlier ones have completed.
+//!
+//! Times count from when a request was due, not from when it was sent, so that stalls of the dispatcher show in them.
 
 use crate::results::ResponseCounts;
 use crate::scenario::LoadConfig;
@@ -14,49 +15,54 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// How long a client waits for the first token.
+/// Deadline of each request for its first token, as sent to the dispatcher.
 pub const CLIENT_DEADLINE: Duration = Duration::from_millis(4_000);
-/// A request is lost that has no first token this long after its deadline, or no event for this long in its stream.
-const LOST_AFTER: Duration = Duration::from_millis(5_000);
-/// Conversations of one dispatcher's clients.
-const CONVERSATIONS: u64 = 2_000;
-/// Shared prefixes of one dispatcher's clients.
-const SHARED_PREFIXES: u64 = 300;
-/// Bytes that are read of a response at once.
-const READ_CHUNK: usize = 16 * 1024;
+/// Time without any response after which a request counts as lost: from its deadline to the first token, and between two reads
+/// in its stream.
+const LOST_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Number of conversations of one dispatcher's clients.
+const CONVERSATIONS_PER_DISPATCHER: u64 = 2_000;
+/// Number of shared prompt prefixes.
+const SHARED_PREFIX_COUNT: u64 = 300;
+/// Buffer size of a read from a response, in bytes.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The responses of one dispatcher.
+/// The responses to the load on one or more dispatchers.
 pub struct LoadResult {
     /// Requests by the kind of their response.
     pub responses: ResponseCounts,
-    /// From when a request was due to its first token, in microseconds.
+    /// Time from when a request was due to its first token, in microseconds.
     pub time_to_first_token: Histogram<u64>,
-    /// How much later than due requests were sent, in microseconds: the bench's own delay.
+    /// Time from when a request was due until it was sent, in microseconds: a delay of the bench itself.
     pub send_delay: Histogram<u64>,
 }
 
+/// The outcome of a request for its client.
 enum ClientOutcome {
-    Served { time_to_first_token: Duration },
+    Served {
+        time_to_first_token: Duration,
+    },
     Shed,
     Failed,
+    /// No complete response came in time, or the connection failed.
     Lost,
 }
 
-/// One dispatcher, as its clients see it.
-struct Target {
+/// The dispatcher under load, with the clients' idle connections to it.
+struct LoadTarget {
     address: String,
     idle_connections: Mutex<Vec<TcpStream>>,
     metrics: Arc<ReplicaMetrics>,
 }
 
-/// A request as it is sent.
+/// A request with its text on the wire.
 struct ClientRequest {
     id: String,
     text: String,
     due: Instant,
 }
 
-impl Target {
+impl LoadTarget {
     fn idle_connections(&self) -> MutexGuard<'_, Vec<TcpStream>> {
         self.idle_connections
             .lock()
@@ -82,14 +88,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if the histograms do not fit together.
+    /// Fails if the histograms cannot be added.
     pub fn add(&mut self, other: &LoadResult) -> Result<(), hdrhistogram::AdditionError> {
         self.responses.add(other.responses);
         self.time_to_first_token.add(&other.time_to_first_token)?;
         self.send_delay.add(&other.send_delay)
     }
 
-    fn count(&mut self, outcome: Result<ClientOutcome, JoinError>) {
+    fn count_outcome(&mut self, outcome: Result<ClientOutcome, JoinError>) {
         let responses = &mut self.responses;
         responses.sent += 1;
         match outcome {
@@ -120,7 +126,7 @@
     end: Instant,
     metrics: Arc<ReplicaMetrics>,
 ) -> Result<LoadResult, hdrhistogram::CreationError> {
-    let target = Arc::new(Target {
+    let target = Arc::new(LoadTarget {
         address,
         idle_connections: Mutex::default(),
         metrics,
@@ -142,25 +148,26 @@
         let request = draw_request(number, count, due, &load, &mut rng);
         in_flight.spawn(send_request(target.clone(), request));
         while let Some(outcome) = in_flight.try_join_next() {
-            result.count(outcome);
+            result.count_outcome(outcome);
         }
     }
     while let Some(outcome) = in_flight.join_next().await {
-        result.count(outcome);
+        result.count_outcome(outcome);
     }
     Ok(result)
 }
 
-/// A request's id, which names its dispatcher.
+/// Returns a client request id that contains the dispatcher's number.
 pub fn client_request_id(dispatcher: usize, number: u64) -> String {
     format!("d{dispatcher}-{number:08x}")
 }
 
-/// The dispatcher that the request with this id was sent to.
+/// Returns the number of the dispatcher in a client request id.
 pub fn dispatcher_of(id: &str) -> Option<usize> {
     id.strip_prefix('d')?.split('-').next()?.parse().ok()
 }
 
+/// Draws a request: prompt and output lengths, conversation and prefix.
 fn draw_request(
     dispatcher: usize,
     number: u64,
@@ -173,8 +180,9 @@
     let (min_output, max_output) = load.output_tokens;
     let prompt_tokens = rng.gen_range(min_prompt..=max_prompt);
     let output_tokens = rng.gen_range(min_output..=max_output);
-    let conversation = rng.gen_range(0..CONVERSATIONS) + CONVERSATIONS * dispatcher as u64;
-    let prefix = rng.gen_range(0..SHARED_PREFIXES);
+    let conversation = rng.gen_range(0..CONVERSATIONS_PER_DISPATCHER)
+        + CONVERSATIONS_PER_DISPATCHER * dispatcher as u64;
+    let prefix = rng.gen_range(0..SHARED_PREFIX_COUNT);
     let prefix_tokens = prompt_tokens / 2;
     let filler = "x".repeat((f64::from(prompt_tokens) / TOKENS_PER_BYTE) as usize);
     let body = format!(
@@ -192,7 +200,8 @@
     }
 }
 
-async fn send_request(target: Arc<Target>, request: ClientRequest) -> ClientOutcome {
+/// Sends a request on an idle or a new connection, and returns its outcome.
+async fn send_request(target: Arc<LoadTarget>, request: ClientRequest) -> ClientOutcome {
     let mut has_retried = false;
     loop {
         let idle = target.idle_connections().pop();
@@ -209,7 +218,7 @@
         let exchange = exchange(&mut stream, &request).await;
         target.metrics.forget_request(&request.id);
         match exchange {
-            // The dispatcher may close a connection between requests: the client retries once on a new one.
+            // The dispatcher may close an idle connection between requests, so the client retries once on another connection.
             Err(ClosedWithoutResponse) if is_reused && !has_retried => has_retried = true,
             Err(ClosedWithoutResponse) => return ClientOutcome::Lost,
             Ok(Exchange {
@@ -225,17 +234,17 @@
     }
 }
 
-/// The connection ended before any byte of a response came.
+/// The connection was closed, or failed, before the first byte of the response.
 struct ClosedWithoutResponse;
 
-/// A request and its response.
+/// The outcome of a request, and the state of its connection.
 struct Exchange {
     outcome: ClientOutcome,
-    /// The connection may be used again.
+    /// Whether the connection can be used for another request.
     is_reusable: bool,
 }
 
-/// What was read of a response so far.
+/// The part of a response that has been read so far.
 #[derive(Default)]
 struct PartialResponse {
     bytes: Vec<u8>,
@@ -243,9 +252,9 @@
 }
 
 impl PartialResponse {
-    /// Evaluates the response after a read; `None` while it is incomplete.
+    /// Evaluates the response after a read; `None` if it is incomplete. Responses with status 200 are chunked streams.
     fn evaluate(&mut self, due: Instant) -> Option<Exchange> {
-        let head_end = find(&self.bytes, b"\r\n\r\n")?;
+        let head_end = find_bytes(&self.bytes, b"\r\n\r\n")?;
         let body_start = head_end + 4;
         let head = String::from_utf8_lossy(&self.bytes[..head_end]).to_ascii_lowercase();
         let is_reusable = !head.contains("connection: close");
@@ -284,6 +293,7 @@
     }
 }
 
+/// Sends a request on a connection, and reads its response.
 async fn exchange(
     stream: &mut TcpStream,
     request: &ClientRequest,
@@ -293,12 +303,12 @@
         .await
         .map_err(|_| ClosedWithoutResponse)?;
     let mut response = PartialResponse::default();
-    let mut chunk = vec![0; READ_CHUNK];
+    let mut chunk = vec![0; READ_BUFFER_BYTES];
     loop {
         let deadline = if response.time_to_first_token.is_some() {
-            Instant::now() + LOST_AFTER
+            Instant::now() + LOST_TIMEOUT
         } else {
-            request.due + CLIENT_DEADLINE + LOST_AFTER
+            request.due + CLIENT_DEADLINE + LOST_TIMEOUT
         };
         let count = match timeout_at(deadline, stream.read(&mut chunk)).await {
             Ok(Ok(count)) if count > 0 => count,
@@ -317,7 +327,8 @@
     }
 }
 
-fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+/// Returns the position of the first occurrence of `pattern`.
+fn find_bytes(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes
         .windows(pattern.len())
         .position(|window| window == pattern)
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,6 +1,7 @@
-//! Real dispatchers as child processes: start, sample, terminate.
+//! Real dispatchers as child processes: start, readiness, resource usage, exit.
 //!
-//! A [`Dispatcher`] owns its child process.
+//! A [`Dispatcher`] owns its child process and kills it on drop. The soak test starts several processes that share a listening
+//! socket, each with a [`LaunchEnvironment`].
 
 use std::error::Error;
 use std::fmt;
@@ -13,25 +14,25 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A dispatcher has to be ready within this after its start.
+/// Time within which a dispatcher has to become ready after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two readiness probes.
+/// Time between two readiness checks.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A dispatcher has to exit within this after SIGTERM.
+/// Time within which a dispatcher has to exit once its exit is awaited.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Units of processor time in `/proc` per second.
+/// Units per second of the processor times in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceSample {
-    /// Processor time since the process started, in seconds.
+    /// Processor time since the start of the process, in core seconds.
     pub cpu_s: f64,
     /// Resident memory, in MB.
     pub resident_mb: f64,
 }
 
-/// Reads the resource usage of a process from `/proc`; `None` if it does not exist.
+/// Reads the resource usage of a process from `/proc`; `None` if the process does not exist or has exited.
 pub fn sample_resources(process_id: u32) -> Option<ResourceSample> {
     let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -41,17 +42,17 @@
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let resident_kb: f64 = resident.split_whitespace().next()?.parse().ok()?;
-    // The 14th and 15th fields of the file are the times in user and kernel mode.
+    // Fields 14 and 15 of the file are the processor times in user and kernel mode; `fields` starts at field 3.
     Some(ResourceSample {
         cpu_s: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND,
         resident_mb: resident_kb / 1024.0,
     })
 }
 
-/// Why a dispatcher could not be started, did not become ready, or did not shut down cleanly.
+/// A dispatcher's process could not be started, did not become ready, or did not shut down cleanly.
 #[derive(Debug)]
 pub enum ProcessError {
-    /// Its configuration or log file could not be written.
+    /// The configuration or log file could not be written.
     File {
         /// The dispatcher's name.
         name: String,
@@ -60,7 +61,7 @@
     },
     /// The program could not be started.
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
         /// The system's error.
         source: std::io::Error,
@@ -70,28 +71,28 @@
         /// The dispatcher's name.
         name: String,
     },
-    /// It was not ready in time.
+    /// The dispatcher was not ready in time.
     NotReady {
         /// Its configuration file.
         config: PathBuf,
     },
-    /// SIGTERM could not be sent.
+    /// A signal could not be sent.
     Terminate(std::io::Error),
-    /// It exited with an error.
+    /// The process exited with an error.
     ExitStatus {
         /// Its configuration file.
         config: PathBuf,
-        /// What it exited with.
+        /// Its exit status.
         status: ExitStatus,
     },
-    /// Its exit could not be awaited.
+    /// Waiting for the exit failed.
     Wait {
         /// Its configuration file.
         config: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
-    /// It did not exit in time after SIGTERM.
+    /// The process did not exit in time.
     NotExited {
         /// Its configuration file.
         config: PathBuf,
@@ -105,7 +106,9 @@
             ProcessError::Spawn { program, source } => {
                 write!(formatter, "{}: {source}", program.display())
             }
-            ProcessError::ExitedAtStart { name } => write!(formatter, "{name} has ended at once"),
+            ProcessError::ExitedAtStart { name } => {
+                write!(formatter, "{name} exited right after its start")
+            }
             ProcessError::NotReady { config } => write!(
                 formatter,
                 "{}: not ready within {READY_TIMEOUT:?}",
@@ -113,14 +116,14 @@
             ),
             ProcessError::Terminate(source) => source.fmt(formatter),
             ProcessError::ExitStatus { config, status } => {
-                write!(formatter, "{}: ended with {status}", config.display())
+                write!(formatter, "{}: exited with {status}", config.display())
             }
             ProcessError::Wait { config, source } => {
                 write!(formatter, "{}: {source}", config.display())
             }
             ProcessError::NotExited { config } => write!(
                 formatter,
-                "{}: has not ended within {EXIT_TIMEOUT:?}",
+                "{}: did not exit within {EXIT_TIMEOUT:?}",
                 config.display()
             ),
         }
@@ -142,36 +145,36 @@
     }
 }
 
-/// What a process of a dispatcher has in common with those beside it during an upgrade.
+/// What the platform gives a process of a dispatcher that can have several processes side by side during an upgrade.
 pub struct LaunchEnvironment {
-    /// A duplicate of the platform's listening socket.
+    /// A duplicate of the listening socket that the processes share.
     pub socket: OwnedFd,
-    /// The folder through which the processes find each other.
+    /// The folder in which the processes find each other, as `TMPDIR`.
     pub shared_folder: PathBuf,
-    /// Where this process alone answers operators.
+    /// The management address, which is this process's own.
     pub management: String,
-    /// How many descriptors it may have.
+    /// The limit of open file descriptors.
     pub max_descriptors: u32,
 }
 
-/// The number that the inherited socket has in the process.
+/// Number of the inherited socket's file descriptor in the process.
 const INHERITED_DESCRIPTOR: &str = "5";
 
-/// A real dispatcher, killed on drop.
+/// A real dispatcher's process, killed on drop.
 pub struct Dispatcher {
     child: Child,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: String,
-    /// Where operators are answered, if this is one of several processes at the address.
+    /// The management address, if other processes may listen at `address` as well.
     management: Option<String>,
-    /// Its process id.
+    /// The operating system's id of the process.
     pub process_id: u32,
-    config: PathBuf,
+    config_path: PathBuf,
     started: Instant,
 }
 
 impl Dispatcher {
-    /// Starts the program with a configuration. The configuration and the log are files `name.json` and `name.log` in `folder`.
+    /// Starts the program with a configuration. The files `NAME.json` and `NAME.log` in `folder` take configuration and log.
     ///
     /// # Errors
     ///
@@ -215,12 +218,12 @@
             address,
             management,
             process_id,
-            config: path,
+            config_path: path,
             started: Instant::now(),
         })
     }
 
-    /// Waits until the dispatcher is ready, and returns the time from its start until then.
+    /// Waits until the dispatcher is ready, and returns the time since its start.
     ///
     /// # Errors
     ///
@@ -233,7 +236,7 @@
         };
         if timeout(READY_TIMEOUT, poll).await.is_err() {
             return Err(ProcessError::NotReady {
-                config: self.config.clone(),
+                config: self.config_path.clone(),
             });
         }
         Ok(self.started.elapsed())
@@ -246,6 +249,7 @@
         }
     }
 
+    /// Returns whether `/ready` at the client address responds with status 200.
     async fn serves_ready(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(&self.address).await else {
             return false;
@@ -259,7 +263,7 @@
             && response.starts_with("HTTP/1.1 200")
     }
 
-    /// Sends SIGTERM, as the platform does, and waits for the exit.
+    /// Sends SIGTERM, as the platform does to stop a process, and waits for the exit.
     ///
     /// # Errors
     ///
@@ -269,11 +273,11 @@
         self.wait_for_exit().await
     }
 
-    /// Sends a signal, named without its `SIG`.
+    /// Sends a signal, whose name is given without `SIG`.
     ///
     /// # Errors
     ///
-    /// Fails if it could not be sent.
+    /// Fails if the shell that sends it cannot be run.
     pub async fn signal(&self, name: &str) -> Result<(), ProcessError> {
         Command::new("sh")
             .args(["-c", &format!("kill -{name} {}", self.process_id)])
@@ -283,13 +287,13 @@
         Ok(())
     }
 
-    /// Waits for the exit.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
     /// Fails if the dispatcher exits with an error, or not within 15 s.
     pub async fn wait_for_exit(mut self) -> Result<(), ProcessError> {
-        let config = self.config.clone();
+        let config = self.config_path.clone();
         match timeout(EXIT_TIMEOUT, self.child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
             Ok(Ok(status)) => Err(ProcessError::ExitStatus { config, status }),
@@ -299,7 +303,8 @@
     }
 }
 
-/// The program, with what it inherits: a shell puts the socket where the platform does.
+/// Returns the command that runs the program. With an environment, a shell sets the descriptor limit and moves the socket from
+/// standard input to [`INHERITED_DESCRIPTOR`] before it becomes the program.
 fn command(program: &Path, environment: Option<LaunchEnvironment>) -> Command {
     let Some(environment) = environment else {
         let mut command = Command::new(program);
@@ -321,7 +326,7 @@
     command
 }
 
-/// Whether the process at this management address says that it accepts clients.
+/// Returns whether the process at this management address answers the `ready` command with `ACK`.
 async fn answers_ready(management: &str) -> bool {
     let Ok(mut stream) = TcpStream::connect(management).await else {
         return false;
--- a/crates/scale/src/run/bench.rs
+++ b/crates/scale/src/run/bench.rs
@@ -1,4 +1,6 @@
-//! The simulated side of a run: replicas, discovery and dispatchers in this process.
+//! The simulated side of a run: replicas, discovery and dispatchers in this process, and the scenario's events.
+//!
+//! [`Bench`] owns the tasks of all of them.
 
 use super::RunError;
 use crate::config;
@@ -18,20 +20,20 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, Instant};
 
-/// A replica that a rolling restart replaces drains for this long.
+/// Time for which a rolling restart drains replicas before it restarts them.
 const ROLLING_DRAIN_TIME: Duration = Duration::from_secs(1);
-/// The simulated time at which fleets are drawn.
-const FLEET_DRAW_TIME: u64 = 1;
-/// Distance between the seeds of the run and those of its simulated dispatchers.
+/// Start time of the replicas in slow start, as drawn with the fleet. Only its presence matters.
+const WARM_UP_START_TIME: u64 = 1;
+/// Offset from the run's seed to those of the simulated dispatchers.
 const PEER_SEED_OFFSET: u64 = 1_000;
 
-/// The simulated side of a run. It owns the tasks that serve it.
+/// The simulated side of a run, with the tasks that serve it.
 pub(super) struct Bench {
-    /// What all replicas observe.
+    /// Metrics of all replicas.
     pub(super) metrics: Arc<ReplicaMetrics>,
     /// The replicas, by number.
     pub(super) replicas: Arc<Vec<Arc<Replica>>>,
-    /// What discovery wrote to the real dispatchers, by number.
+    /// What discovery wrote to the real dispatchers, by dispatcher number.
     pub(super) delivery_logs: Arc<Vec<Arc<DeliveryLog>>>,
     discovery: Discovery,
     tasks: JoinSet<()>,
@@ -43,7 +45,7 @@
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// The loopback address of a replica's rack.
+/// Returns the loopback IP address of a replica's rack.
 fn rack_address(record: &EndpointRecord) -> Ipv4Addr {
     let [_, _, high, low] = (record.cell + 1).to_be_bytes();
     Ipv4Addr::new(127, 1, high, low)
@@ -61,11 +63,11 @@
 }
 
 impl Bench {
-    /// Binds and serves all replicas, each rack on a loopback address of its own.
+    /// Draws the fleet, and binds and serves all replicas, each rack on a loopback IP address of its own.
     pub(super) async fn start(scenario: &Scenario, seed: u64) -> Result<Bench, RunError> {
         let metrics = Arc::new(ReplicaMetrics::new()?);
         let mut rng = Pcg32::seed_from_u64(seed);
-        let records = fleet::draw(&scenario.fleet.shape(), FLEET_DRAW_TIME, &mut rng);
+        let records = fleet::draw(&scenario.fleet.shape(), WARM_UP_START_TIME, &mut rng);
         let delivery_logs: Vec<Arc<DeliveryLog>> = (0..scenario.dispatchers.real)
             .map(|_| Arc::default())
             .collect();
@@ -119,7 +121,7 @@
         Ok(address)
     }
 
-    /// Starts the simulated dispatchers, each on one of these sockets. What they send is counted in the result.
+    /// Starts a simulated dispatcher on each of the sockets, and returns the configuration and the counter that they share.
     pub(super) async fn start_peers(
         &mut self,
         scenario: &Scenario,
@@ -135,7 +137,7 @@
         let peers = SimulatedPeers {
             dispatchers: scenario.dispatchers.configured,
             gossip_cost: config::GOSSIP_COST,
-            rate: scenario.load.rate_per_dispatcher,
+            rate_per_dispatcher: scenario.load.rate_per_dispatcher,
             replica_keys: Arc::new(replica_keys.collect()),
             real_dispatchers: Arc::new(real_dispatchers.collect()),
             sent_bytes: Arc::default(),
@@ -177,6 +179,7 @@
         }
     }
 
+    /// Marks all matching endpoints as draining.
     fn drain(&self, matches: impl Fn(&EndpointEntry) -> bool) {
         let draining = self.discovery.find(matches);
         self.discovery.update(&draining, |endpoint| {
@@ -190,7 +193,7 @@
     }
 }
 
-/// Restarts replicas: they are ready, and warming up.
+/// Restarts replicas: they are ready, and in slow start.
 fn restart(discovery: &Discovery, replicas: &[Arc<Replica>], numbers: &[usize]) {
     for number in numbers {
         replicas[*number].restart();
@@ -202,7 +205,7 @@
     });
 }
 
-/// Drains random replicas each second, and restarts them a second later, until the task is aborted.
+/// Drains random replicas each second and restarts those of the second before, until the task is aborted.
 async fn restart_rolling(
     discovery: Discovery,
     replicas: Arc<Vec<Arc<Replica>>>,
--- a/crates/scale/src/run/error.rs
+++ b/crates/scale/src/run/error.rs
@@ -1,4 +1,4 @@
-//! Why a scale run could not be finished.
+//! Errors that end a scale run.
 
 use super::resources::Shortage;
 use crate::process::ProcessError;
@@ -7,19 +7,19 @@
 use std::fmt;
 use tokio::task::JoinError;
 
-/// A failure of the bench or of a real dispatcher.
+/// A reason for which a scale run cannot be started or completed.
 #[derive(Debug)]
 pub enum RunError {
-    /// The machine is too small for the scenario; nothing was started.
+    /// The machine lacks a resource that the scenario needs; nothing was started.
     Shortage {
         /// The scenario's name.
         scenario: String,
-        /// What is short.
+        /// The resource that is lacking.
         shortage: Shortage,
     },
     /// A socket of the bench could not be opened.
     Socket(std::io::Error),
-    /// A real dispatcher failed.
+    /// A real dispatcher could not be started, or did not shut down cleanly.
     Process(ProcessError),
     /// A real dispatcher exited right after it was ready.
     Exited {
@@ -28,9 +28,9 @@
     },
     /// A histogram could not be created.
     Histogram(CreationError),
-    /// Two histograms do not fit together.
+    /// Two histograms could not be added.
     HistogramAddition(AdditionError),
-    /// The load on a dispatcher panicked.
+    /// The task that sends the load to a dispatcher panicked.
     Load(JoinError),
     /// The operator interrupted the run.
     Interrupted,
@@ -44,7 +44,9 @@
             }
             RunError::Socket(error) => error.fmt(formatter),
             RunError::Process(error) => error.fmt(formatter),
-            RunError::Exited { name } => write!(formatter, "{name} has ended"),
+            RunError::Exited { name } => {
+                write!(formatter, "{name} exited right after it was ready")
+            }
             RunError::Histogram(error) => error.fmt(formatter),
             RunError::HistogramAddition(error) => error.fmt(formatter),
             RunError::Load(error) => error.fmt(formatter),
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -1,5 +1,8 @@
-//! One scale run: simulated replicas, discovery and dispatchers in this process, real dispatchers beside it, and an open-loop
-//! load.
+//! One scale run: simulated replicas, discovery and dispatchers in this process, real dispatchers as child processes, and an
+//! open-loop load.
+//!
+//! [`run`] starts all of them, measures before and after the load, and shuts them down. Whether the result is as the scenario
+//! expects is decided by [`find_unmet_expectations`].
 
 mod bench;
 mod error;
@@ -26,26 +29,26 @@
 pub use error::RunError;
 pub use resources::{find_shortage, Shortage};
 
-/// The bench was the bottleneck if it sent one request in a hundred later than this.
+/// Limit of the 99th percentile of the send delay. Above it, the bench itself limited the load.
 const MAX_SEND_DELAY: Duration = Duration::from_millis(20);
-/// Between two log lines during the load.
+/// Time between two log lines during the load.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// Distance between the seeds of two runs' loads.
+/// Factor of the run's seed in the seeds of the load, so that runs with consecutive seeds share none for up to 31 dispatchers.
 const LOAD_SEED_FACTOR: u64 = 31;
 
-/// What is run.
+/// A scenario with all that is needed to run it.
 pub struct RunPlan {
     /// The scenario.
     pub scenario: Scenario,
-    /// Draws the load, the fleet and the events.
+    /// Seed of the fleet, the load, the events and the dispatchers.
     pub seed: u64,
-    /// The dispatcher's program.
+    /// Path of the dispatcher's program.
     pub program: PathBuf,
-    /// Where configurations and logs go.
+    /// Existing folder for the configurations and logs of the real dispatchers.
     pub folder: PathBuf,
 }
 
-/// A loopback address with a free port, on an IP address of the dispatcher's own.
+/// Returns a loopback address whose port is free now. Each dispatcher has an IP address of its own.
 async fn find_free_address(dispatcher: usize) -> Result<String, RunError> {
     let [_, _, high, low] = (dispatcher as u32 + 1).to_be_bytes();
     let ip = std::net::Ipv4Addr::new(127, 2, high, low);
@@ -53,15 +56,15 @@
     Ok(listener.local_addr()?.to_string())
 }
 
-fn count_of(counter: &AtomicU64) -> u64 {
+fn read_counter(counter: &AtomicU64) -> u64 {
     counter.load(Ordering::Relaxed)
 }
 
-fn summarize(histogram: &Mutex<Histogram<u64>>) -> DurationSummary {
+fn summarize_durations(histogram: &Mutex<Histogram<u64>>) -> DurationSummary {
     DurationSummary::from_histogram(&histogram.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// The counters of the bench at one moment.
+/// The bench's counters at one moment.
 struct CounterSnapshot {
     list_bytes: Vec<u64>, // by real dispatcher
     gossip_bytes: u64,
@@ -76,17 +79,17 @@
             list_bytes: bench
                 .delivery_logs
                 .iter()
-                .map(|log| count_of(&log.bytes))
+                .map(|log| read_counter(&log.bytes))
                 .collect(),
-            gossip_bytes: count_of(&peers.sent_bytes),
-            probes: count_of(&bench.metrics.probes),
-            connections: count_of(&bench.metrics.connections),
-            probe_bytes: count_of(&bench.metrics.probe_bytes),
+            gossip_bytes: read_counter(&peers.sent_bytes),
+            probes: read_counter(&bench.metrics.probes),
+            connections: read_counter(&bench.metrics.connections),
+            probe_bytes: read_counter(&bench.metrics.probe_bytes),
         }
     }
 }
 
-/// All that is measured before and after the load.
+/// What is measured both before and after the load.
 struct Measurement {
     dispatchers: Vec<ResourceSample>,
     bench: ResourceSample,
@@ -108,8 +111,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the machine is too small, or something of the bench or a real dispatcher fails. Whether the expectations of the
-/// scenario hold is not checked here but by [`find_unmet_expectations`].
+/// Fails if the machine lacks the resources, or the bench or a real dispatcher fails. Unmet expectations of the scenario are not
+/// an error here; see [`find_unmet_expectations`].
 pub async fn run(plan: &RunPlan, log: &Logger) -> Result<ScaleRunResult, RunError> {
     if let Some(shortage) = find_shortage(&plan.scenario) {
         return Err(RunError::Shortage {
@@ -131,7 +134,8 @@
         gossip_addresses.push(socket.local_addr()?.to_string());
         peer_sockets.push(socket);
     }
-    // Gossip of the real dispatchers for all others is discarded: it cannot be forwarded from their own addresses.
+    // Gossip that real dispatchers send to the address for all others is discarded: it could not be forwarded from the sender's
+    // own address.
     let discarding_socket = UdpSocket::bind("127.0.0.1:0").await?;
     let real_addresses = real::GossipAddresses {
         own: &real_gossip_addresses,
@@ -160,7 +164,7 @@
     Ok(result)
 }
 
-/// Puts all real dispatchers under load, with the events of the scenario.
+/// Puts all real dispatchers under load and starts the scenario's events at their times, until all responses are complete.
 async fn generate_load(
     plan: &RunPlan,
     bench: &mut Bench,
@@ -215,6 +219,7 @@
     }
 }
 
+/// Returns what each real dispatcher used between two measurements, `seconds` apart.
 fn measure_usage(
     bench: &Bench,
     real: &RealDispatchers,
@@ -225,18 +230,18 @@
     let per_second = |after: u64, before: u64| (after - before) as f64 / seconds;
     let gossip_bytes_per_s = per_second(after.counters.gossip_bytes, before.counters.gossip_bytes);
     let mut usage = Vec::new();
-    for (number, readiness) in real.readiness().enumerate() {
+    for (number, startup) in real.startups().enumerate() {
         let sample = after.dispatchers[number];
         let delivery_log = &bench.delivery_logs[number];
         let list_bytes = after.counters.list_bytes[number];
         usage.push(DispatcherUsage {
             core_share: (sample.cpu_s - before.dispatchers[number].cpu_s) / seconds,
             resident_mb: sample.resident_mb,
-            ready_s: readiness.after.as_secs_f64(),
-            ready_core_s: readiness.sample.cpu_s,
+            ready_s: startup.duration.as_secs_f64(),
+            ready_core_s: startup.resources.cpu_s,
             list_bytes_per_s: per_second(list_bytes, before.counters.list_bytes[number]),
-            lists: count_of(&delivery_log.lists),
-            full_lists: count_of(&delivery_log.full_lists),
+            lists: read_counter(&delivery_log.lists),
+            full_lists: read_counter(&delivery_log.full_lists),
             gossip_bytes_per_s,
         });
     }
@@ -253,10 +258,10 @@
     seconds: f64,
 ) -> ScaleRunResult {
     let metrics = &bench.metrics;
-    // These counters are read again: connections and probes of the shutdown are counted, too.
-    let probes = count_of(&metrics.probes) - before.counters.probes;
-    let connections = count_of(&metrics.connections) - before.counters.connections;
-    let probe_bytes = count_of(&metrics.probe_bytes) - before.counters.probe_bytes;
+    // These counters are read here and not from `after`: connections and probes during the shutdown count as well.
+    let probes = read_counter(&metrics.probes) - before.counters.probes;
+    let connections = read_counter(&metrics.connections) - before.counters.connections;
+    let probe_bytes = read_counter(&metrics.probe_bytes) - before.counters.probe_bytes;
     let requests = load.responses.sent.max(1) as f64;
     let send_delay = DurationSummary::from_histogram(&load.send_delay);
     ScaleRunResult {
@@ -270,8 +275,8 @@
         rules: metrics.violations(),
         usage,
         time_to_first_token: DurationSummary::from_histogram(&load.time_to_first_token),
-        time_to_replica: summarize(&metrics.time_to_replica),
-        time_after_drain: summarize(&metrics.time_after_drain),
+        time_to_replica: summarize_durations(&metrics.time_to_replica),
+        time_after_drain: summarize_durations(&metrics.time_after_drain),
         probes_per_request: probes as f64 / requests,
         connections_per_request: connections as f64 / requests,
         probe_bytes_per_s: probe_bytes as f64 / seconds,
@@ -281,7 +286,7 @@
     }
 }
 
-/// The expectations of the scenario that a result does not meet: counts and rules only.
+/// Returns the expectations that a result does not meet, one text each. Only counts and rules are checked, never times.
 pub fn find_unmet_expectations(scenario: &Scenario, result: &ScaleRunResult) -> Vec<String> {
     let responses = &result.responses;
     let sent = responses.sent;
--- a/crates/scale/src/run/real.rs
+++ b/crates/scale/src/run/real.rs
@@ -1,4 +1,4 @@
-//! The real dispatchers of a run.
+//! The real dispatchers of a run: child processes, their addresses, and what their start cost.
 
 use super::bench::Bench;
 use super::{find_free_address, RunError, RunPlan};
@@ -7,34 +7,34 @@
 use slog::{info, Logger};
 use std::time::Duration;
 
-/// Addresses for gossip.
+/// Gossip addresses of a run.
 pub(super) struct GossipAddresses<'a> {
-    /// Where the real dispatchers receive it, by number.
+    /// Addresses of the real dispatchers, by number.
     pub(super) own: &'a [String],
-    /// Where all dispatchers receive it.
+    /// Addresses of all dispatchers, real and simulated, by number.
     pub(super) all: &'a [String],
-    /// Where gossip for all dispatchers is sent.
+    /// The address to which real dispatchers send gossip for all others.
     pub(super) broadcast: &'a str,
 }
 
-/// When a dispatcher was ready, and what it had used until then.
-pub(super) struct Readiness {
-    /// The time from its start.
-    pub(super) after: Duration,
-    /// Its resources.
-    pub(super) sample: ResourceSample,
+/// What a dispatcher's start took, up to its readiness.
+pub(super) struct Startup {
+    /// Time from the start of the process.
+    pub(super) duration: Duration,
+    /// Resource usage of the process when it was ready.
+    pub(super) resources: ResourceSample,
 }
 
 struct RealDispatcher {
     process: Dispatcher,
-    readiness: Readiness,
+    startup: Startup,
 }
 
 /// The real dispatchers of a run, by number.
 pub(super) struct RealDispatchers(Vec<RealDispatcher>);
 
 impl RealDispatchers {
-    /// Starts one dispatcher after the other, each when the one before is ready.
+    /// Starts the dispatchers one by one, and waits until each is ready before it starts the next.
     pub(super) async fn start(
         plan: &RunPlan,
         bench: &mut Bench,
@@ -61,15 +61,18 @@
                 &config,
                 None,
             )?;
-            let after = process.wait_until_ready().await?;
-            let Some(sample) = sample_resources(process.process_id) else {
+            let duration = process.wait_until_ready().await?;
+            let Some(resources) = sample_resources(process.process_id) else {
                 return Err(RunError::Exited { name });
             };
-            info!(log, "dispatcher ready"; "dispatcher" => name, "seconds" => after.as_secs_f64(),
-                "resident_mb" => sample.resident_mb);
+            info!(log, "dispatcher ready"; "dispatcher" => name, "seconds" => duration.as_secs_f64(),
+                "resident_mb" => resources.resident_mb);
             dispatchers.push(RealDispatcher {
                 process,
-                readiness: Readiness { after, sample },
+                startup: Startup {
+                    duration,
+                    resources,
+                },
             });
         }
         Ok(RealDispatchers(dispatchers))
@@ -82,19 +85,19 @@
             .collect()
     }
 
-    /// Where clients connect, by number.
+    /// Returns the addresses for clients, by number.
     pub(super) fn addresses(&self) -> impl Iterator<Item = &str> {
         self.0
             .iter()
             .map(|dispatcher| dispatcher.process.address.as_str())
     }
 
-    /// Readiness by number.
-    pub(super) fn readiness(&self) -> impl Iterator<Item = &Readiness> {
-        self.0.iter().map(|dispatcher| &dispatcher.readiness)
+    /// Returns the startups of the dispatchers, by number.
+    pub(super) fn startups(&self) -> impl Iterator<Item = &Startup> {
+        self.0.iter().map(|dispatcher| &dispatcher.startup)
     }
 
-    /// Terminates all dispatchers, one after the other.
+    /// Terminates all dispatchers one by one. Those after a failure are killed.
     pub(super) async fn terminate(self) -> Result<(), RunError> {
         for dispatcher in self.0 {
             dispatcher.process.terminate().await?;
--- a/crates/scale/src/run/resources.rs
+++ b/crates/scale/src/run/resources.rs
@@ -1,36 +1,36 @@
-//! Whether this machine has the file descriptors and the memory that a scenario needs.
+//! Checks, before a run starts, that the machine has the file descriptors and the memory that the scenario needs.
 
 use crate::scenario::Scenario;
 use std::fmt;
 
-/// File descriptors that the bench needs for each real dispatcher, beside its connections.
+/// File descriptors that the bench needs for each real dispatcher, beside that dispatcher's connections.
 const DESCRIPTORS_PER_REAL: u64 = 200;
-/// File descriptors of a simulated dispatcher: its gossip socket, and its connection to discovery.
+/// File descriptors of a simulated dispatcher: its gossip socket, and both ends of its connection to discovery.
 const DESCRIPTORS_PER_SIMULATED: u64 = 3;
-/// Memory that a replica may take, in KB.
+/// Estimated memory of a replica, in KB.
 const REPLICA_MEMORY_KB: u64 = 48;
-/// Memory that a simulated dispatcher may take, in KB.
+/// Estimated memory of a simulated dispatcher, in KB.
 const SIMULATED_MEMORY_KB: u64 = 128;
-/// Memory that a real dispatcher may take, in KB.
+/// Memory limit of a real dispatcher, in KB.
 const REAL_MEMORY_KB: u64 = 256 * 1024;
-/// The run may use the machine's memory divided by this.
+/// Divisor of the machine's memory: a run may use half of it.
 const MEMORY_DIVISOR: u64 = 2;
 
-/// What is short on this machine.
+/// A resource of which the machine has less than a scenario needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// File descriptors.
+    /// Too few file descriptors.
     Descriptors {
-        /// As many as the scenario needs.
+        /// Number that the scenario needs.
         needed: u64,
-        /// As many as a process may open.
+        /// Limit of open files of this process.
         available: u64,
     },
-    /// Memory.
+    /// Too little memory.
     Memory {
-        /// As much as the scenario needs.
+        /// Memory that the scenario needs, in KB.
         needed_kb: u64,
-        /// As much as it may use.
+        /// Memory that a run may use, in KB.
         available_kb: u64,
     },
 }
@@ -40,20 +40,20 @@
         match self {
             Shortage::Descriptors { needed, available } => write!(
                 formatter,
-                "descriptors: {needed} are needed, {available} may be open"
+                "file descriptors: {needed} needed, {available} allowed"
             ),
             Shortage::Memory {
                 needed_kb,
                 available_kb,
             } => write!(
                 formatter,
-                "memory: {needed_kb} KB are needed, {available_kb} KB may be used"
+                "memory: {needed_kb} KB needed, {available_kb} KB allowed"
             ),
         }
     }
 }
 
-/// Finds what is short on this machine for a scenario.
+/// Returns the first resource that the machine lacks for a scenario. Limits that cannot be read count as sufficient.
 pub fn find_shortage(scenario: &Scenario) -> Option<Shortage> {
     let replicas = scenario.fleet.replicas as u64;
     let simulated = scenario.dispatchers.simulated as u64;
@@ -78,7 +78,7 @@
     None
 }
 
-/// The first number of a line in a file of the system.
+/// Returns the first number after `label` at the start of a line, from a file below `/proc`.
 fn read_number(path: &str, label: &str) -> Option<u64> {
     let text = std::fs::read_to_string(path).ok()?;
     let values = text.lines().find_map(|line| line.strip_prefix(label))?;
--- a/crates/scale/src/simulated/discovery.rs
+++ b/crates/scale/src/simulated/discovery.rs
@@ -1,7 +1,7 @@
-//! Simulated discovery: the endpoint list and watches on it, served to all dispatchers from one process.
+//! Simulated discovery: serves the endpoint list and watches on it to all dispatchers from one process.
 //!
-//! [`Discovery`] owns the list. Each dispatcher polls an address of its own, and a [`DeliveryLog`] records what was written to
-//! it, and when.
+//! [`Discovery`] owns the list. Each real dispatcher polls an agent at an address of its own, whose [`DeliveryLog`] records what
+//! was written to that dispatcher, and when.
 
 use quartzhall::routing::api::{EndpointRecord, EndpointStatus, Role};
 use std::collections::HashMap;
@@ -14,25 +14,26 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-/// The revision of the list at the start.
+/// Revision of the list before its first change.
 pub const FIRST_REVISION: u64 = 1;
-/// Changes that are retained; a dispatcher with an older revision is sent the full list.
+/// Number of changes that are retained. A dispatcher with an older revision is sent the full list.
 const MAX_RETAINED_CHANGES: usize = 4096;
-/// The longest time for which a watch is held open.
+/// Longest time for which the response to a watch is delayed.
 const MAX_HOLD: Duration = Duration::from_secs(60);
 
-/// One replica, as discovery lists it.
+/// A replica's entry in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Its number, role, location and status.
+    /// Its endpoint number, role, location and status.
     pub record: EndpointRecord,
-    /// Where it listens.
+    /// The host and port at which it listens.
     pub address: String,
-    /// Its last start, in Unix milliseconds; 0: long ago.
+    /// Time of its last start, in Unix milliseconds; 0 if that is long ago.
     pub up_since_ms: u64,
 }
 
 impl EndpointEntry {
+    /// Formats the entry as a member of a list in the discovery protocol.
     fn to_json(&self) -> String {
         let record = &self.record;
         let flavor = if record.role == Role::Prefill {
@@ -52,14 +53,14 @@
     }
 }
 
-/// A serialized list: all endpoints, or those that changed since a revision.
+/// The text of a full list, or of the entries that changed since a revision.
 struct SerializedList {
     text: String,
     is_full: bool,
-    statuses: Vec<(usize, EndpointStatus)>, // the listed endpoints, by number
+    statuses: Vec<(usize, EndpointStatus)>, // of the listed endpoints, with their numbers
 }
 
-/// A change of the list.
+/// A change of one entry of the list.
 struct Change {
     revision: u64,
     endpoint: usize,
@@ -68,9 +69,9 @@
 struct EndpointTable {
     revision: u64,
     endpoints: Vec<EndpointEntry>,
-    serialized: HashMap<Option<u64>, Arc<SerializedList>>, // of this revision, by the revision that it starts from
+    serialized: HashMap<Option<u64>, Arc<SerializedList>>, // lists at `revision`, by the revision that they update
     changes: Vec<Change>,
-    oldest_diff_base: u64, // older revisions are sent the full list
+    oldest_diff_base: u64, // the oldest revision whose later changes are all retained
 }
 
 impl EndpointTable {
@@ -109,57 +110,59 @@
     }
 }
 
-/// What was written to one dispatcher.
+/// A record of the lists that were written to one dispatcher.
 #[derive(Default)]
 pub struct DeliveryLog {
-    /// Bytes of responses.
+    /// Bytes of all responses, heads included.
     pub bytes: AtomicU64,
-    /// Lists, full ones included.
+    /// Number of lists, full ones included.
     pub lists: AtomicU64,
-    /// Full lists.
+    /// Number of full lists.
     pub full_lists: AtomicU64,
-    drain_notified_at: Mutex<HashMap<usize, Instant>>, // by endpoint
+    drain_notified_at: Mutex<HashMap<usize, Instant>>, // when a drain was notified, by endpoint number
 }
 
 impl DeliveryLog {
-    fn drains(&self) -> MutexGuard<'_, HashMap<usize, Instant>> {
+    fn drain_times(&self) -> MutexGuard<'_, HashMap<usize, Instant>> {
         self.drain_notified_at
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When this dispatcher was notified that an endpoint is draining; `None` if it was not, or was notified that the
-    /// endpoint is ready again.
+    /// Returns when this dispatcher was notified that an endpoint is draining. `None` if it has not been notified, or a list in
+    /// which the endpoint is ready has since been sent to it.
     pub fn drain_notified_at(&self, endpoint: usize) -> Option<Instant> {
-        self.drains().get(&endpoint).copied()
+        self.drain_times().get(&endpoint).copied()
     }
 
-    /// Before a list is written: from then on the dispatcher may send to endpoints that are ready again.
+    /// Clears the drains of endpoints that a list shows as ready. This happens before the write, because the dispatcher may send
+    /// to these endpoints as soon as it has read the list.
     fn on_write_started(&self, list: &SerializedList) {
         for (endpoint, status) in &list.statuses {
             if *status == EndpointStatus::Ready {
-                self.drains().remove(endpoint);
+                self.drain_times().remove(endpoint);
             }
         }
     }
 
-    /// After a list was written: from then on the dispatcher knows which endpoints are draining.
+    /// Counts a list and records the drains in it. This happens after the write, because the dispatcher cannot know of them
+    /// before.
     fn on_written(&self, list: &SerializedList, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.lists.fetch_add(1, Ordering::Relaxed);
         self.full_lists
             .fetch_add(u64::from(list.is_full), Ordering::Relaxed);
         let now = Instant::now();
-        let mut drains = self.drains();
+        let mut drain_times = self.drain_times();
         for (endpoint, status) in &list.statuses {
             if *status != EndpointStatus::Ready {
-                drains.entry(*endpoint).or_insert(now);
+                drain_times.entry(*endpoint).or_insert(now);
             }
         }
     }
 }
 
-/// The endpoint list, shared by all agents.
+/// The endpoint list, shared by all discovery agents.
 #[derive(Clone)]
 pub struct Discovery {
     table: Arc<Mutex<EndpointTable>>,
@@ -167,7 +170,7 @@
 }
 
 impl Discovery {
-    /// Creates a discovery service with this list.
+    /// Creates the list at [`FIRST_REVISION`].
     pub fn new(endpoints: Vec<EndpointEntry>) -> Discovery {
         let table = EndpointTable {
             revision: FIRST_REVISION,
@@ -186,7 +189,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the endpoints with these numbers, and notifies all watches.
+    /// Applies `change` to the endpoints with these numbers, one revision each, and completes the open watches.
     pub fn update(&self, numbers: &[usize], change: impl Fn(&mut EndpointEntry)) {
         let mut table = self.table();
         table.serialized.clear();
@@ -207,7 +210,7 @@
         self.latest_revision.send_replace(table.revision);
     }
 
-    /// Sends the full list to all watches.
+    /// Completes the open watches with the full list, as if no change were retained.
     pub fn send_full_list(&self) {
         let mut table = self.table();
         table.serialized.clear();
@@ -217,7 +220,7 @@
         self.latest_revision.send_replace(table.revision);
     }
 
-    /// The numbers of the endpoints that match.
+    /// Returns the numbers of the endpoints that match.
     pub fn find(&self, matches: impl Fn(&EndpointEntry) -> bool) -> Vec<usize> {
         let table = self.table();
         let endpoints = table.endpoints.iter().enumerate();
@@ -227,7 +230,8 @@
             .collect()
     }
 
-    /// The list from a revision on. Many dispatchers ask for the same one, so it is serialized once.
+    /// Returns the changes since the revision `from`, or the full list. Many dispatchers ask for the same changes, so each list is
+    /// serialized once.
     fn list(&self, from: Option<u64>) -> Arc<SerializedList> {
         let mut table = self.table();
         if let Some(list) = table.serialized.get(&from) {
@@ -238,7 +242,7 @@
         list
     }
 
-    /// Serves one dispatcher until the task is aborted.
+    /// Runs the agent of one dispatcher until the task is aborted.
     pub async fn serve(self, listener: TcpListener, log: Arc<DeliveryLog>) {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(self.clone().serve_connection(stream, log.clone()));
@@ -264,6 +268,7 @@
         }
     }
 
+    /// Responds to a poll with the head `head`; a watch waits for a revision after the one that the dispatcher has.
     async fn respond(
         &self,
         stream: &mut TcpStream,
@@ -291,7 +296,7 @@
     }
 }
 
-/// A number in the query of a request's target.
+/// Returns the number of a parameter in the query of a request target.
 fn query_number(target: &str, name: &str) -> Option<u64> {
     let value = target
         .split(['?', '&'])
--- a/crates/scale/src/simulated/mod.rs
+++ b/crates/scale/src/simulated/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas, discovery and dispatchers that are simulated in this process, as real dispatchers meet them on loopback.
+//! Replicas, discovery and dispatchers that are simulated in this process. Real dispatchers reach them over loopback sockets.
 
 pub mod discovery;
 pub mod peers;
--- a/crates/scale/src/simulated/peers.rs
+++ b/crates/scale/src/simulated/peers.rs
@@ -1,5 +1,6 @@
-//! Simulated dispatchers, as the real ones meet them: each sends gossip from an address of its own, and polls discovery. They
-//! have no clients and select no endpoints.
+//! Simulated dispatchers: each sends gossip to the real dispatchers from an address of its own, and polls discovery.
+//!
+//! Gossip, watches and backoff are the program's own code. Simulated dispatchers have no clients and select no endpoints.
 
 use crate::simulated::discovery::FIRST_REVISION;
 use quartzhall::discovery::backoff::Backoff;
@@ -16,42 +17,44 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Between two batches of requests that a simulated dispatcher is taken to have served.
+/// Time between two batches of requests that a simulated dispatcher counts as served, and between its gossip messages.
 const BATCH_INTERVAL: Duration = Duration::from_millis(500);
-/// The largest number of requests in flight in a load report; a report that high differs from what the others expect.
+/// Upper bound of the random number of requests in flight in a load report. The range is wide enough for reports to differ from
+/// what the receivers expect.
 const MAX_IN_FLIGHT: f64 = 60.0;
-/// Bytes that are read from discovery at once.
-const READ_CHUNK: usize = 16 * 1024;
+/// Buffer size of a read from discovery, in bytes.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What all simulated dispatchers of a run share.
+/// The configuration and the counter that all simulated dispatchers of a run share.
 #[derive(Clone)]
 pub struct SimulatedPeers {
-    /// Dispatchers of the fleet, as configured.
+    /// Number of dispatchers in the fleet, as configured at each of them.
     pub dispatchers: u32,
-    /// The cost of a full gossip message for each receiver and request.
+    /// Cost of a full gossip message for each receiver and request.
     pub gossip_cost: f64,
-    /// Requests per second of each.
-    pub rate: f64,
-    /// Keys of the replicas, by number.
+    /// Requests per second of each simulated dispatcher.
+    pub rate_per_dispatcher: f64,
+    /// Keys of the replicas in gossip messages, by replica number.
     pub replica_keys: Arc<Vec<u64>>,
-    /// Where the real dispatchers receive gossip.
+    /// Gossip addresses of the real dispatchers.
     pub real_dispatchers: Arc<Vec<SocketAddr>>,
-    /// Bytes that were sent to each real dispatcher.
+    /// Bytes of gossip that were sent to each real dispatcher, by all simulated ones together.
     pub sent_bytes: Arc<AtomicU64>,
 }
 
+/// Returns the time in Unix microseconds.
 fn unix_time() -> Time {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_micros() as Time)
 }
 
-/// Sends gossip to the real dispatchers as one dispatcher of this rate would, until the task is aborted. The program's own
-/// gossip budget limits the messages; their load reports are random.
+/// Sends gossip to the real dispatchers at the rate of one dispatcher, until the task is aborted. The program's own gossip budget
+/// limits the messages; the load reports in them are random.
 pub async fn send_gossip(peers: SimulatedPeers, socket: UdpSocket, seed: u64) {
     let mut gossip = Gossip::new(peers.dispatchers as usize, peers.gossip_cost);
     let mut rng = Pcg32::seed_from_u64(seed);
-    let requests_per_batch = (peers.rate * BATCH_INTERVAL.as_secs_f64()) as usize;
+    let requests_per_batch = (peers.rate_per_dispatcher * BATCH_INTERVAL.as_secs_f64()) as usize;
     sleep(BATCH_INTERVAL.mul_f64(rng.gen())).await;
     loop {
         for _ in 0..requests_per_batch {
@@ -76,8 +79,8 @@
     }
 }
 
-/// Polls discovery with the program's own watch and backoff until the task is aborted, and discards the lists. The simulated
-/// dispatcher has been running for long and knows the first list.
+/// Polls discovery until the task is aborted, and discards the lists. The watch starts at [`FIRST_REVISION`], as that of a
+/// dispatcher that already has the first list.
 pub async fn poll_discovery(address: String, dispatchers: u32, seed: u64) {
     let mut watch = WatchState::starting_at(Some(FIRST_REVISION), false);
     let mut backoff = Backoff::new(dispatchers, seed);
@@ -96,7 +99,7 @@
     }
 }
 
-/// Sends one poll, and returns the revision of the list in the response.
+/// Sends one poll on a new connection, and returns the revision of the list in the response.
 async fn fetch_revision(address: &str, target: &str) -> Option<u64> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream
@@ -104,7 +107,7 @@
         .await
         .ok()?;
     let mut response = Vec::new();
-    let mut chunk = [0; READ_CHUNK];
+    let mut chunk = [0; READ_BUFFER_BYTES];
     loop {
         let count = stream.read(&mut chunk).await.ok()?;
         if count == 0 {
--- a/crates/scale/src/simulated/replica.rs
+++ b/crates/scale/src/simulated/replica.rs
@@ -1,6 +1,7 @@
-//! Simulated replicas: prefill, decode, releases, probes and load reports, by a model of time only.
+//! Simulated replicas: HTTP servers for prefill, decode, releases and probes that model time and load but compute nothing.
 //!
-//! Each [`Replica`] owns its load; what it observes for all replicas of a run is collected in [`ReplicaMetrics`].
+//! Each [`Replica`] owns its load. What the replicas of a run observe, violations of the protocol's rules included, is collected
+//! in one [`ReplicaMetrics`].
 
 use crate::results::RuleViolations;
 use bytes::Bytes;
@@ -21,29 +22,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Tokens per second that a prefill replica processes.
+/// Prompt tokens per second that a prefill replica processes.
 const PREFILL_TOKENS_PER_S: f64 = 40_000.0;
-/// Share of each prompt that is found in the prefix cache.
-const CACHED_SHARE: f64 = 0.5;
-/// From the start of a decode attempt to its first token.
+/// Share of each prompt that counts as found in the prefix cache.
+const CACHED_PROMPT_SHARE: f64 = 0.5;
+/// Time from the start of a decode attempt to its first token.
 const FIRST_TOKEN_TIME: Duration = Duration::from_millis(15);
-/// Between two events of a stream.
+/// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(200);
 const TOKENS_PER_EVENT: u32 = 8;
-/// Tokens that one byte of a body stands for: the bodies of the load are shorter than real ones.
+/// Tokens that one byte of a request body stands for. The bodies of the load are shorter than real ones.
 pub const TOKENS_PER_BYTE: f64 = 4.0;
-/// No attempt may arrive this long after the dispatcher was notified that the replica is draining.
+/// Time after a drain's notification within which attempts of the notified dispatcher may still arrive.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// A reserved KV cache has to be consumed or released within this.
+/// Time within which a reserved KV cache must be consumed or released.
 const RESERVATION_TTL: Duration = Duration::from_millis(1_300);
-/// Requests in flight at which a replica reports its KV memory as full.
+/// Number of requests in flight at which a replica reports its KV memory as full.
 const IN_FLIGHT_AT_FULL_MEMORY: f64 = 200.0;
-/// Approximate bytes of the heads of a probe and of its response.
-const PROBE_OVERHEAD_BYTES: u64 = 180;
-/// The header with the request's id.
+/// Approximate size of the heads of a probe and of its response, in bytes.
+const PROBE_HEADS_BYTES: u64 = 180;
+/// The header with the client request id.
 const TRACE_HEADER: &str = "x-trace-id";
-/// The path of reservations; the request's id follows.
-const LEASES_PATH: &str = "/kv/leases/";
+/// Path prefix of reservations; the client request id follows.
+const RESERVATIONS_PATH: &str = "/kv/leases/";
 
 type Body = BoxBody<Bytes, Infallible>;
 type EventStream = std::pin::Pin<
@@ -54,24 +55,24 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What all replicas of a run observe together.
+/// Metrics that all replicas of a run collect together.
 pub struct ReplicaMetrics {
-    /// When the requests that no replica has seen yet were due, by id.
+    /// Due times of the requests that no replica has received yet, by client request id.
     unseen_requests: Mutex<HashMap<String, Instant>>,
-    /// From when a request was due to its first arrival at a replica, in microseconds.
+    /// Time from when a request was due to its first arrival at a replica, in microseconds.
     pub time_to_replica: Mutex<Histogram<u64>>,
-    /// From the notification of a drain to an attempt that was sent against it, in microseconds.
+    /// Time from the notification of a drain to the arrival of an attempt of the notified dispatcher, in microseconds.
     pub time_after_drain: Mutex<Histogram<u64>>,
-    /// When KV caches were reserved, by the request's id.
+    /// Times at which KV caches were reserved, by client request id.
     reservations: Mutex<HashMap<String, Instant>>,
     sends_after_drain: AtomicU64,
     slow_start_overloads: AtomicU64,
     late_kv_releases: AtomicU64,
-    /// Bytes of probes and their responses.
+    /// Bytes of probes and their responses, with approximate heads.
     pub probe_bytes: AtomicU64,
-    /// Connections that dispatchers have opened.
+    /// Number of accepted connections.
     pub connections: AtomicU64,
-    /// Probes that were answered.
+    /// Number of answered probes.
     pub probes: AtomicU64,
 }
 
@@ -96,17 +97,17 @@
         })
     }
 
-    /// A client is about to send a request.
+    /// Registers a request that a client is about to send, and when it was due.
     pub fn expect_request(&self, id: &str, due: Instant) {
         lock(&self.unseen_requests).insert(id.to_owned(), due);
     }
 
-    /// A client is no longer waiting for the response to a request.
+    /// Removes a request whose client no longer waits for the response.
     pub fn forget_request(&self, id: &str) {
         lock(&self.unseen_requests).remove(id);
     }
 
-    /// All violations so far, KV caches that are still reserved too long included.
+    /// Returns all violations so far. KV caches that are still reserved after the time limit are included.
     pub fn violations(&self) -> RuleViolations {
         let now = Instant::now();
         let overdue = lock(&self.reservations)
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Ends a reservation; false if there is none.
+    /// Ends a reservation, and returns whether there was one.
     fn end_reservation(&self, id: &str) -> bool {
         let Some(reserved_at) = lock(&self.reservations).remove(id) else {
             return false;
@@ -132,21 +133,22 @@
     }
 }
 
-/// When the dispatcher that has sent a request (by its id) was notified that a replica is draining.
+/// Returns when a dispatcher was notified that a replica is draining, given the client request id of a request that the
+/// dispatcher sent, and the replica's number. `None`: it was not notified.
 pub type DrainNotifications = Arc<dyn Fn(&str, usize) -> Option<Instant> + Send + Sync>;
 
-/// What a replica in slow start can serve, by the settings of all dispatchers.
+/// The limit of requests to a replica in slow start, derived from the settings that all dispatchers share.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartRule {
-    /// In this time ...
+    /// Sliding window over which requests are counted.
     pub window: Duration,
-    /// ... the replica can take this many requests before it is overloaded.
+    /// Expected number of requests in the window above which the replica is overloaded.
     pub max_requests: f64,
-    /// It is warm after this.
+    /// Duration of the slow start.
     pub duration: Duration,
 }
 
-/// One simulated replica.
+/// A simulated replica.
 pub struct Replica {
     number: usize,
     role: Role,
@@ -156,12 +158,12 @@
     in_flight: AtomicU64,
     busy_until: Mutex<Instant>,
     started_at: Mutex<Option<Instant>>,
-    recent_arrivals: Mutex<VecDeque<Instant>>, // in slow start
+    recent_arrivals: Mutex<VecDeque<Instant>>, // in slow start, within the rule's window
     is_overloaded: AtomicBool,
 }
 
 impl Replica {
-    /// Creates a replica that serves. `started_at`: it is in slow start since then.
+    /// Creates a replica. `started_at` is the start of its slow start, `None` if it is warm.
     pub fn new(
         number: usize,
         role: Role,
@@ -184,14 +186,14 @@
         })
     }
 
-    /// Begins a new slow start.
+    /// Starts a new slow start, as after a restart of the process.
     pub fn restart(&self) {
         *lock(&self.started_at) = Some(Instant::now());
         lock(&self.recent_arrivals).clear();
         self.is_overloaded.store(false, Ordering::Relaxed);
     }
 
-    /// Accepts connections until the task is aborted.
+    /// Serves connections until the task is aborted.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             self.metrics.connections.fetch_add(1, Ordering::Relaxed);
@@ -212,9 +214,9 @@
     async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/v1/chat/completions") => self.execute(request).await,
-            (&Method::DELETE, path) if path.starts_with(LEASES_PATH) => {
+            (&Method::DELETE, path) if path.starts_with(RESERVATIONS_PATH) => {
                 self.metrics
-                    .end_reservation(path.trim_start_matches(LEASES_PATH));
+                    .end_reservation(path.trim_start_matches(RESERVATIONS_PATH));
                 text_response(StatusCode::NO_CONTENT, "")
             }
             (&Method::GET, "/status/load" | "/health") => self.respond_to_probe(),
@@ -225,13 +227,13 @@
     fn respond_to_probe(&self) -> Response<Body> {
         let report = self.load_report();
         self.metrics.probes.fetch_add(1, Ordering::Relaxed);
-        self.metrics.probe_bytes.fetch_add(
-            report.len() as u64 + PROBE_OVERHEAD_BYTES,
-            Ordering::Relaxed,
-        );
+        self.metrics
+            .probe_bytes
+            .fetch_add(report.len() as u64 + PROBE_HEADS_BYTES, Ordering::Relaxed);
         text_response(StatusCode::OK, &report)
     }
 
+    /// Formats the load report: requests in flight, share of KV memory (`x0`), and pending prefill kilotokens (`x1`).
     fn load_report(&self) -> String {
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         let wait = lock(&self.busy_until).saturating_duration_since(Instant::now());
@@ -240,6 +242,7 @@
         format!("TEXT inflight={in_flight}, x0={memory_share:.3}, x1={queued_kilotokens:.2}")
     }
 
+    /// Runs an attempt. Decode without a reservation is rejected with status 410 and the header that says it never ran.
     async fn execute(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let id = request
             .headers()
@@ -250,8 +253,8 @@
         if let Some(due) = lock(&self.metrics.unseen_requests).remove(&id) {
             let _ = lock(&self.metrics.time_to_replica).record(due.elapsed().as_micros() as u64);
         }
-        self.check_drain(&id);
-        self.check_slow_start();
+        self.record_send_after_drain(&id);
+        self.record_slow_start_overload();
         let Ok(body) = request.into_body().collect().await else {
             return text_response(StatusCode::BAD_REQUEST, "");
         };
@@ -270,8 +273,8 @@
         response
     }
 
-    /// Records an attempt that was sent although the replica is draining.
-    fn check_drain(&self, id: &str) {
+    /// Records an attempt whose dispatcher had been notified that the replica is draining.
+    fn record_send_after_drain(&self, id: &str) {
         let Some(notified_at) = (self.drain_notifications)(id, self.number) else {
             return;
         };
@@ -284,8 +287,8 @@
         }
     }
 
-    /// Records that all dispatchers together overload a replica in slow start.
-    fn check_slow_start(&self) {
+    /// Records, at most once for each slow start, that all dispatchers together overload the replica.
+    fn record_slow_start_overload(&self) {
         let rule = &self.slow_start;
         let is_warming_up =
             lock(&self.started_at).is_some_and(|started_at| started_at.elapsed() < rule.duration);
@@ -301,7 +304,7 @@
         {
             arrivals.pop_front();
         }
-        // Two standard deviations of the number of random arrivals are tolerated.
+        // Random arrivals may exceed the expected number by two standard deviations, and by two requests for small numbers.
         let max_arrivals = rule.max_requests + 2.0 * rule.max_requests.sqrt() + 2.0;
         if arrivals.len() as f64 > max_arrivals && !self.is_overloaded.swap(true, Ordering::Relaxed)
         {
@@ -311,6 +314,7 @@
         }
     }
 
+    /// Queues a prefill behind those of other requests, then reserves its KV cache.
     async fn prefill(
         &self,
         id: String,
@@ -318,7 +322,7 @@
         in_flight: InFlightGuard,
     ) -> Response<Body> {
         let tokens = body_bytes as f64 * TOKENS_PER_BYTE;
-        let cached_tokens = (tokens * CACHED_SHARE) as u64;
+        let cached_tokens = (tokens * CACHED_PROMPT_SHARE) as u64;
         let duration =
             Duration::from_secs_f64((tokens - cached_tokens as f64) / PREFILL_TOKENS_PER_S);
         let end = {
@@ -339,8 +343,9 @@
         response
     }
 
+    /// Streams token events at fixed intervals, then the final events.
     async fn decode(self: &Arc<Self>, body: &[u8], in_flight: InFlightGuard) -> Response<Body> {
-        let tokens = max_tokens_of(body);
+        let tokens = parse_max_tokens(body);
         sleep(FIRST_TOKEN_TIME).await;
         let events = tokens.div_ceil(TOKENS_PER_EVENT).max(1);
         let replica = self.clone();
@@ -371,7 +376,7 @@
         response
     }
 
-    /// The usage chunk, the load report and the end of a stream.
+    /// Formats the end of a stream: the usage chunk, the load report and the `[DONE]` event.
     fn final_events(&self, tokens: u32) -> Bytes {
         let usage = format!(
             r#"{{"choices":[],"usage":{{"prompt_tokens":1,"completion_tokens":{tokens},"prompt_tokens_details":{{"cached_tokens":0}}}}}}"#
@@ -388,8 +393,8 @@
     format!("data: {data}\n\n").into()
 }
 
-/// The number after `"max_tokens":` in a body.
-fn max_tokens_of(body: &[u8]) -> u32 {
+/// Returns the number after `"max_tokens":` in a request body, or 1 if there is none.
+fn parse_max_tokens(body: &[u8]) -> u32 {
     let text = String::from_utf8_lossy(body);
     let rest = text.split("\"max_tokens\":").nth(1).unwrap_or_default();
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
@@ -403,7 +408,7 @@
     response
 }
 
-/// Counts a request in flight at a replica until it is dropped.
+/// Counts a request as in flight at a replica until the guard is dropped.
 struct InFlightGuard(Arc<Replica>);
 
 impl InFlightGuard {
--- a/crates/scale/src/simulation/attempts.rs
+++ b/crates/scale/src/simulation/attempts.rs
@@ -1,7 +1,7 @@
-//! The attempts of simulated requests: what the routers' actions lead to.
+//! The attempts of simulated requests: applies the routers' actions and reports how attempts end.
 
-use super::replica::{BACKGROUND_STREAMS, BACKGROUND_WAIT, OUTPUT_SHARE};
-use super::{ScheduledEvent, Simulation, Step, PROBE_TIME};
+use super::replica::{MEAN_BACKGROUND_STREAMS, MEAN_BACKGROUND_WAIT, OUTPUT_SHARE};
+use super::{ScheduledEvent, Simulation, Step, PROBE_RESPONSE_TIME};
 use quartzhall::routing::api::{
     Action, AttemptStatus, EndpointId, Event, RequestId, RequestMetadata, Role, Time,
 };
@@ -14,7 +14,7 @@
     reserved_tokens: f64,
 }
 
-/// A request that a router has not finished with.
+/// A request from its arrival on, with its attempts in the order of their start.
 pub(super) struct SimulatedRequest {
     router: usize,
     metadata: RequestMetadata,
@@ -26,7 +26,7 @@
 }
 
 impl SimulatedRequest {
-    /// A request that has just arrived at a router.
+    /// Creates a request without attempts.
     pub(super) fn new(
         router: usize,
         metadata: RequestMetadata,
@@ -45,7 +45,7 @@
     }
 }
 
-/// How an attempt ends.
+/// The end of an attempt, and the step as which the router's call is measured.
 struct AttemptEnd {
     status: AttemptStatus,
     step: Step,
@@ -53,7 +53,7 @@
 }
 
 impl AttemptEnd {
-    /// An end other than that of a prefill.
+    /// Creates an end other than that of a completed prefill.
     fn with_status(status: AttemptStatus) -> AttemptEnd {
         AttemptEnd {
             status,
@@ -64,8 +64,8 @@
 }
 
 impl Simulation {
-    /// Carries out an action of a router.
-    pub(super) fn apply(&mut self, router: usize, action: Action) {
+    /// Applies an action of a router.
+    pub(super) fn apply_action(&mut self, router: usize, action: Action) {
         match action {
             Action::StartAttempt { id, endpoint, .. } => self.start_attempt(id, endpoint),
             Action::CancelAttempt { id, attempt } => {
@@ -84,7 +84,7 @@
             }
             Action::Probe { endpoint } => {
                 self.schedule(
-                    PROBE_TIME,
+                    PROBE_RESPONSE_TIME,
                     ScheduledEvent::ProbeResponse { router, endpoint },
                 );
             }
@@ -122,7 +122,7 @@
         capacity: f64,
     ) {
         let background_wait = if self.options.has_background_load {
-            (self.rng.gen_range(0.0..2.0) * BACKGROUND_WAIT as f64) as Time
+            (self.rng.gen_range(0.0..2.0) * MEAN_BACKGROUND_WAIT as f64) as Time
         } else {
             0
         };
@@ -164,7 +164,7 @@
         self.schedule(first_token_in, ScheduledEvent::FirstToken { id, attempt });
     }
 
-    /// A prefill attempt has ended.
+    /// Ends a prefill attempt and reports its cached tokens to the router.
     pub(super) fn on_prefill_done(&mut self, id: RequestId, attempt: u32, cached_tokens: f64) {
         let end = AttemptEnd {
             status: AttemptStatus::PrefillDone,
@@ -174,13 +174,13 @@
         self.end_attempt(id, attempt, end);
     }
 
-    /// A decode attempt has ended.
+    /// Ends a decode attempt whose output is complete.
     pub(super) fn on_decode_done(&mut self, id: RequestId, attempt: u32) {
         let end = AttemptEnd::with_status(AttemptStatus::Served);
         self.end_attempt(id, attempt, end);
     }
 
-    /// A decode attempt has sent its first token.
+    /// Counts the first token of a decode attempt, schedules the end of the stream and notifies the router.
     pub(super) fn on_first_token(&mut self, id: RequestId, attempt: u32) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -197,17 +197,17 @@
         let router = request.router;
         let output_tokens = request.metadata.max_output_tokens * OUTPUT_SHARE;
         let background_streams = if self.options.has_background_load {
-            BACKGROUND_STREAMS
+            MEAN_BACKGROUND_STREAMS
         } else {
             0.0
         };
         let replica = &self.replicas[current.endpoint as usize];
         let stream_time = replica.stream_time(output_tokens, background_streams);
         self.schedule(stream_time, ScheduledEvent::DecodeDone { id, attempt });
-        self.notify(router, Step::FirstToken, Event::FirstEvent { id, attempt });
+        self.call_router(router, Step::FirstToken, Event::FirstEvent { id, attempt });
     }
 
-    /// Ends an attempt that has not ended yet, and notifies its router.
+    /// Ends an attempt and notifies its router; does nothing if the attempt has already ended.
     fn end_attempt(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -239,6 +239,6 @@
             cached_tokens: end.cached_tokens,
             load: Some(self.load_report(endpoint)),
         };
-        self.notify(router, end.step, attempt_ended);
+        self.call_router(router, end.step, attempt_ended);
     }
 }
--- a/crates/scale/src/simulation/digest.rs
+++ b/crates/scale/src/simulation/digest.rs
@@ -1,12 +1,13 @@
-//! A digest of the routers' decisions, to compare them draw for draw.
+//! A digest of the routers' actions, by which the decisions of two simulations are compared.
 
 use quartzhall::routing::api::{Action, Time};
 
-/// The start value and the factor of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// A running FNV-1a hash over the text of all actions.
+/// A running FNV-1a hash of all actions as text, each with its router and its time.
 pub(super) struct DecisionDigest(u64);
 
 impl DecisionDigest {
@@ -27,7 +28,8 @@
     }
 }
 
-/// An action as text. The words are those with which the expected digests were made, whatever the types are called today.
+/// Formats an action for the digest. The text is fixed: `tests/decisions.rs` pins digests that were computed from it, so it
+/// does not follow renames of the action types.
 fn action_text(action: &Action) -> String {
     match action {
         Action::StartAttempt {
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -1,8 +1,10 @@
 //! A discrete-event simulation: routers in front of modelled replicas, on a simulated clock.
 //!
-//! Each router gets its own stream of requests and decides as it does in service; replicas take time by a simple model of
-//! prefill and decode. Every call of a router is timed on the real clock, by [`Step`]. The same seed gives the same
-//! decisions on every machine. [`Simulation`] owns the routers, the replicas and the event queue.
+//! The routers are those of the program. Each has a stream of requests of its own; a simple model of prefill and decode gives
+//! the time that replicas take. Every call of a router is also timed on the real clock, by [`Step`].
+//!
+//! The routers see simulated time only, so the same options give the same decisions on every machine, unless the limit of real
+//! time ends the simulation first. [`Simulation`] owns the routers, the replicas and the event queue.
 
 mod attempts;
 mod digest;
@@ -29,72 +31,72 @@
 
 const MS: Time = 1_000;
 const SECOND: Time = 1_000_000;
-/// The simulated time at the start.
+/// Simulated time at the start of a simulation.
 const START_TIME: Time = 1_000 * SECOND;
 
-/// Between a probe and its response.
-const PROBE_TIME: Time = 1_500;
-/// Time between two full lists, for each router.
+/// Time from a probe to its response.
+const PROBE_RESPONSE_TIME: Time = 1_500;
+/// Time between two full endpoint lists, for each router.
 const FULL_LIST_INTERVAL: Time = 4 * SECOND;
-/// Time between two changes of a replica.
-const CHANGE_INTERVAL: Time = SECOND / 2;
+/// Time between two changes of a replica's status.
+const ENDPOINT_CHANGE_INTERVAL: Time = SECOND / 2;
 /// Time between two load reports of other dispatchers, for each router.
-const REPORT_INTERVAL: Time = 20 * MS;
-/// Time between two changes of settings, for each router.
+const PEER_REPORT_INTERVAL: Time = 20 * MS;
+/// Time between two deliveries of the settings, for each router.
 const SETTINGS_INTERVAL: Time = 5 * SECOND;
 
-/// The unit of the histograms: tenths of microseconds.
+/// The histograms count tenths of microseconds.
 pub const UNITS_PER_MICROSECOND: f64 = 10.0;
-/// Digits that the histograms keep.
-const HISTOGRAM_DIGITS: u8 = 3;
+/// Significant decimal digits of the histograms.
+const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is simulated.
+/// The fleet, the traffic and the limits of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationOptions {
-    /// The fleet.
+    /// Shape of the fleet, which is drawn at random.
     pub shape: FleetShape,
-    /// Routers that are simulated.
+    /// Number of simulated routers.
     pub routers: usize,
-    /// Dispatchers of the fleet, as configured at each of them.
+    /// Number of dispatchers in the fleet, as configured at each router.
     pub dispatchers: u32,
-    /// Requests per second of each router.
+    /// Mean arrival rate at each router, in requests per second.
     pub rate_per_router: f64,
-    /// Replicas also carry the load of dispatchers that are not simulated.
+    /// Whether replicas also carry load of dispatchers that are not simulated.
     pub has_background_load: bool,
-    /// Tokens per second that a warm prefill replica processes.
+    /// Prompt tokens per second that a prefill replica processes after its slow start.
     pub prefill_tokens_per_s: f64,
-    /// Draws the fleet, the traffic and the routers' own draws.
+    /// Seed of the fleet, the traffic and the routers' random choices.
     pub seed: u64,
-    /// The simulation ends after this many arrivals, ...
+    /// Number of arrivals after which the simulation ends.
     pub max_arrivals: usize,
-    /// ... or after this much real time.
+    /// Real time after which the simulation ends, however many requests have arrived.
     pub max_duration: Duration,
 }
 
 /// The result of a simulation.
 pub struct SimulationResult {
-    /// Real time of the calls by step, in the unit of [`UNITS_PER_MICROSECOND`].
+    /// Real time of the routers' calls by step, in the unit of [`UNITS_PER_MICROSECOND`].
     pub steps: BTreeMap<Step, Histogram<u64>>,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrivals: usize,
-    /// Requests whose first token came in time.
+    /// Number of requests whose first token met the TTFT objective.
     pub served_in_time: usize,
-    /// Requests that were shed or failed.
+    /// Number of requests that were shed or failed.
     pub shed_or_failed: usize,
-    /// Priority weight served in time, as a share of all that arrived.
+    /// Priority weight of the requests that met the TTFT objective, as a share of the weight of all arrivals.
     pub served_weight_share: f64,
-    /// A digest of all actions of the routers, in order.
+    /// Digest of all actions of the routers in order; equal digests mean equal decisions.
     pub digest: u64,
 }
 
-/// What is to happen at a simulated time.
+/// An event that happens at a simulated time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
     /// A request arrives at a router.
     Arrival { router: usize },
     /// A router's timer fires.
     Timer { router: usize },
-    /// A prefill attempt ends.
+    /// A prefill attempt completes.
     PrefillDone {
         id: RequestId,
         attempt: u32,
@@ -102,24 +104,24 @@
     },
     /// A decode attempt sends its first token.
     FirstToken { id: RequestId, attempt: u32 },
-    /// A decode attempt ends.
+    /// A decode attempt has sent its whole output.
     DecodeDone { id: RequestId, attempt: u32 },
-    /// A probe's response reaches a router.
+    /// The response to a probe reaches a router.
     ProbeResponse { router: usize, endpoint: EndpointId },
-    /// Another dispatcher's load report reaches a router.
+    /// A load report from another dispatcher reaches a router.
     PeerReport { router: usize },
     /// A full endpoint list reaches a router.
     FullList { router: usize },
     /// A replica's status changes, and all routers are notified.
     EndpointChange,
-    /// New settings reach a router.
+    /// The settings reach a router again, unchanged.
     SettingsChange { router: usize },
 }
 
-/// An entry of the queue: events at the same time are handled in the order in which they were scheduled.
+/// An entry of the event queue: time, sequence number, event. Events at the same time are handled in scheduling order.
 type QueueEntry = Reverse<(Time, u64, ScheduledEvent)>;
 
-/// Routers, replicas, and the events that are to happen.
+/// The routers, the replicas, and the events that are still to happen.
 pub struct Simulation {
     options: SimulationOptions,
     settings: RoutingSettings,
@@ -131,14 +133,14 @@
     requests: HashMap<RequestId, SimulatedRequest>,
     queue: BinaryHeap<QueueEntry>,
     scheduled_events: u64,
-    draining: Option<EndpointId>,
+    draining_endpoint: Option<EndpointId>,
     arrived_weight: f64,
     served_weight: f64,
     digest: DecisionDigest,
     result: SimulationResult,
 }
 
-/// The settings of a dispatcher in a fleet of this many, with the objectives of the target.
+/// Returns the routing settings of a fleet of `dispatchers`, with two classes and the TTFT objectives of the target fleet.
 pub fn routing_settings(dispatchers: u32) -> RoutingSettings {
     let class = |priority_weight, ttft_objective| RequestClass {
         ttft_objective,
@@ -175,7 +177,7 @@
 }
 
 impl Simulation {
-    /// Draws the fleet and starts the routers with their first list. `prepare` may change a router before.
+    /// Draws the fleet and sends the routers their first list. `prepare` can configure each router before that.
     pub fn new(options: SimulationOptions, prepare: impl Fn(&mut Router)) -> Simulation {
         let mut rng = Pcg32::seed_from_u64(options.seed);
         let now = START_TIME;
@@ -204,7 +206,7 @@
             requests: HashMap::new(),
             queue: BinaryHeap::new(),
             scheduled_events: 0,
-            draining: None,
+            draining_endpoint: None,
             arrived_weight: 0.0,
             served_weight: 0.0,
             digest: DecisionDigest::new(),
@@ -224,22 +226,22 @@
 
     fn start_routers(&mut self, records: &[EndpointRecord]) {
         for router in 0..self.options.routers {
-            self.notify(router, Step::Timer, Event::TimerFired);
+            self.call_router(router, Step::Timer, Event::TimerFired);
             let first_list = Event::EndpointsChanged {
                 is_full: true,
                 endpoints: records.to_vec(),
             };
-            self.notify(router, Step::FirstList, first_list);
+            self.call_router(router, Step::FirstList, first_list);
             let gap = self.draw_arrival_gap();
             self.schedule(gap, ScheduledEvent::Arrival { router });
             self.schedule(FULL_LIST_INTERVAL, ScheduledEvent::FullList { router });
             self.schedule(SETTINGS_INTERVAL, ScheduledEvent::SettingsChange { router });
-            self.schedule(REPORT_INTERVAL, ScheduledEvent::PeerReport { router });
+            self.schedule(PEER_REPORT_INTERVAL, ScheduledEvent::PeerReport { router });
         }
-        self.schedule(CHANGE_INTERVAL, ScheduledEvent::EndpointChange);
+        self.schedule(ENDPOINT_CHANGE_INTERVAL, ScheduledEvent::EndpointChange);
     }
 
-    /// Simulates up to the limits in the options.
+    /// Simulates until one of the limits in the options is reached.
     pub fn run(mut self) -> SimulationResult {
         let started = Instant::now();
         while self.result.arrivals < self.options.max_arrivals
@@ -249,7 +251,7 @@
                 break;
             };
             self.now = time;
-            self.handle(event);
+            self.handle_event(event);
         }
         self.result.served_weight_share =
             self.served_weight / self.arrived_weight.max(f64::MIN_POSITIVE);
@@ -263,30 +265,32 @@
             .push(Reverse((self.now + after, self.scheduled_events, event)));
     }
 
-    /// Has a router handle an event, measures the call, and carries out the router's actions.
-    fn notify(&mut self, router: usize, step: Step, event: Event) {
+    /// Passes an event to a router, measures the call as `step`, and applies the router's actions.
+    fn call_router(&mut self, router: usize, step: Step, event: Event) {
         let mut actions = Vec::new();
         let started = Instant::now();
         self.routers[router].handle(self.now, event, &mut actions);
         let duration = started.elapsed().as_nanos() as f64 / 1e3 * UNITS_PER_MICROSECOND;
-        if let Ok(empty) = Histogram::new(HISTOGRAM_DIGITS) {
+        if let Ok(empty) = Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS) {
             let histogram = self.result.steps.entry(step).or_insert(empty);
-            let _ = histogram.record(duration as u64); // it grows as it needs to
+            let _ = histogram.record(duration as u64); // cannot fail: the histogram resizes itself
         }
         for action in actions {
             self.digest.update(router, self.now, &action);
-            self.apply(router, action);
+            self.apply_action(router, action);
         }
     }
 
-    fn handle(&mut self, event: ScheduledEvent) {
+    fn handle_event(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Arrival { router } => {
                 let gap = self.draw_arrival_gap();
                 self.schedule(gap, event);
                 self.on_arrival(router);
             }
-            ScheduledEvent::Timer { router } => self.notify(router, Step::Timer, Event::TimerFired),
+            ScheduledEvent::Timer { router } => {
+                self.call_router(router, Step::Timer, Event::TimerFired)
+            }
             ScheduledEvent::PrefillDone {
                 id,
                 attempt,
@@ -300,7 +304,7 @@
                     is_healthy: true,
                     load: Some(self.load_report(endpoint)),
                 };
-                self.notify(router, Step::ProbeResponse, probe_completed);
+                self.call_router(router, Step::ProbeResponse, probe_completed);
             }
             ScheduledEvent::PeerReport { router } => {
                 let endpoint = self.rng.gen_range(0..self.replicas.len()) as EndpointId;
@@ -308,8 +312,8 @@
                     endpoint,
                     load: Some(self.load_report(endpoint)),
                 };
-                self.notify(router, Step::PeerReport, report);
-                self.schedule(REPORT_INTERVAL, event);
+                self.call_router(router, Step::PeerReport, report);
+                self.schedule(PEER_REPORT_INTERVAL, event);
             }
             ScheduledEvent::FullList { router } => {
                 self.send_full_list(router);
@@ -317,14 +321,14 @@
             }
             ScheduledEvent::EndpointChange => {
                 self.change_endpoint();
-                self.schedule(CHANGE_INTERVAL, event);
+                self.schedule(ENDPOINT_CHANGE_INTERVAL, event);
             }
             ScheduledEvent::SettingsChange { router } => {
                 let settings = RoutingSettings {
                     zone: router_zone(&self.options, router),
                     ..self.settings.clone()
                 };
-                self.notify(
+                self.call_router(
                     router,
                     Step::SettingsChange,
                     Event::SettingsChanged(settings),
@@ -343,13 +347,13 @@
                 .map(|replica| replica.record.clone())
                 .collect(),
         };
-        self.notify(router, Step::FullList, full_list);
+        self.call_router(router, Step::FullList, full_list);
     }
 
-    /// One replica starts draining, and the one before is ready again.
+    /// Drains a random replica, makes the previously drained one ready again, and notifies all routers.
     fn change_endpoint(&mut self) {
         let next = self.rng.gen_range(0..self.replicas.len()) as EndpointId;
-        let previous = self.draining.replace(next);
+        let previous = self.draining_endpoint.replace(next);
         let mut changed = Vec::new();
         for (endpoint, status) in [
             (previous, EndpointStatus::Ready),
@@ -365,10 +369,11 @@
                 is_full: false,
                 endpoints: changed.clone(),
             };
-            self.notify(router, Step::EndpointChange, change);
+            self.call_router(router, Step::EndpointChange, change);
         }
     }
 
+    /// Returns a replica's load report, with a random share of background load if the options ask for it.
     fn load_report(&mut self, endpoint: EndpointId) -> LoadReport {
         let background = if self.options.has_background_load {
             self.rng.gen_range(0.0..2.0)
@@ -380,6 +385,7 @@
     }
 }
 
+/// Returns a router's zone: routers are assigned to the zones in turn.
 fn router_zone(options: &SimulationOptions, router: usize) -> u32 {
     router as u32 % options.shape.zones.max(1)
 }
--- a/crates/scale/src/simulation/replica.rs
+++ b/crates/scale/src/simulation/replica.rs
@@ -1,4 +1,4 @@
-//! The model of a replica: how long prefill and decode take, and the load that it reports.
+//! The model of a replica: the time that prefill and decode take, and the load that it reports.
 
 use super::{MS, SECOND};
 use quartzhall::routing::api::{
@@ -6,50 +6,50 @@
 };
 use std::collections::HashMap;
 
-/// Tokens per second that a warm prefill replica processes, if its load is not to matter.
+/// Default rate of a prefill replica, in tokens per second: fast enough for prefill queues to stay short.
 pub const PREFILL_TOKENS_PER_S: f64 = 40_000.0;
-/// Extra time of each prefill.
+/// Fixed time of each prefill attempt, beside that of its tokens.
 const PREFILL_OVERHEAD: Time = MS;
-/// From the start of a decode attempt to its first token at an idle replica.
+/// Time from the start of a decode attempt to its first token, at full capacity and without KV cache transfer.
 const FIRST_TOKEN_TIME: Time = 15 * MS;
-/// Transfer of a KV cache of 1,000 tokens to a decode replica of another rack.
+/// Time to transfer 1,000 tokens of KV cache to a decode replica in another cell.
 const KV_TRANSFER_PER_1000_TOKENS: Time = 12 * MS;
-/// Time per token of an idle decode replica, in microseconds.
-const TOKEN_TIME_US: f64 = 25_000.0;
-/// Streams at once that double the time per token.
+/// Time per output token at an idle decode replica, in microseconds.
+const IDLE_TOKEN_TIME_US: f64 = 25_000.0;
+/// Number of concurrent streams at which the time per token has doubled.
 const STREAMS_DOUBLING_TOKEN_TIME: f64 = 120.0;
-/// Mean number of streams at a decode replica for dispatchers that are not simulated.
-pub(super) const BACKGROUND_STREAMS: f64 = 45.0;
-/// Mean wait at a prefill replica for dispatchers that are not simulated.
-pub(super) const BACKGROUND_WAIT: Time = 25 * MS;
-/// Tokens of one stream in the reported KV memory.
+/// Mean number of streams at a decode replica that belong to dispatchers that are not simulated.
+pub(super) const MEAN_BACKGROUND_STREAMS: f64 = 45.0;
+/// Mean wait at a prefill replica for prefills of dispatchers that are not simulated.
+pub(super) const MEAN_BACKGROUND_WAIT: Time = 25 * MS;
+/// KV memory that a replica reports for each stream, in tokens.
 const REPORTED_TOKENS_PER_STREAM: f64 = 1_500.0;
-/// KV memory in use that prefill replicas report.
-const PREFILL_MEMORY_SHARE: f64 = 0.4;
-/// Requests in flight at a prefill replica for each unit of background load.
-const BACKGROUND_PREFILLS: f64 = 2.0;
-/// The output is this share of a request's maximum.
+/// Share of KV memory that prefill replicas report as used.
+const PREFILL_KV_MEMORY_SHARE: f64 = 0.4;
+/// Mean number of prefills in flight at a prefill replica for dispatchers that are not simulated.
+const MEAN_BACKGROUND_PREFILLS: f64 = 2.0;
+/// Length of each output, as a share of the request's maximum.
 pub(super) const OUTPUT_SHARE: f64 = 0.33;
 
 /// A modelled replica.
 pub(super) struct SimulatedReplica {
-    /// Its entry in the endpoint list.
+    /// Its record in the endpoint list.
     pub(super) record: EndpointRecord,
-    busy_until: Time,                 // prefill replicas
-    cached_tokens: HashMap<u64, f64>, // by session or shared prefix
+    busy_until: Time,                 // end of the last queued prefill
+    cached_tokens: HashMap<u64, f64>, // by session, and by shared prefix
     in_flight: f64,
-    reserved_tokens: f64, // decode replicas
+    reserved_tokens: f64, // KV memory of its decode attempts
 }
 
-/// A finished prefill, as it was planned at its start.
+/// The duration of a prefill attempt, computed at its start.
 pub(super) struct PrefillTiming {
-    /// Time until it ends.
+    /// Time from now to its end, including its wait in the queue.
     pub(super) ends_in: Time,
-    /// Tokens that were found in the prefix cache.
+    /// Prompt tokens found in the prefix cache.
     pub(super) cached_tokens: f64,
 }
 
-/// A decode replica has no room for the KV cache.
+/// A decode replica has no KV memory left for a request.
 pub(super) struct KvMemoryFull;
 
 impl SimulatedReplica {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The share of its full speed that it has reached in its slow start.
+    /// Returns the share of its full capacity that the replica has in its slow start; 1 after the slow start.
     pub(super) fn capacity_share(&self, now: Time, settings: &RoutingSettings) -> f64 {
         let age = match self.record.started_at {
             Some(started_at) => now - started_at,
@@ -73,13 +73,15 @@
         1.0 - (1.0 - settings.slow_start_initial_share) * (1.0 - progress)
     }
 
-    fn find_cached(&self, key: Option<u64>) -> f64 {
+    /// Returns the number of cached tokens of a session or a prefix.
+    fn cached_tokens_for(&self, key: Option<u64>) -> f64 {
         key.and_then(|key| self.cached_tokens.get(&key))
             .copied()
             .unwrap_or(0.0)
     }
 
-    /// Queues a prefill behind those that are queued and `background_wait`.
+    /// Queues a prefill attempt behind those already queued, or for `background_wait` if that is longer. Its prompt is in the
+    /// prefix cache at once.
     pub(super) fn start_prefill(
         &mut self,
         now: Time,
@@ -89,8 +91,11 @@
         background_wait: Time,
     ) -> PrefillTiming {
         let cached_tokens = self
-            .find_cached(request.session)
-            .max(self.find_cached(request.prefix).min(request.prefix_tokens))
+            .cached_tokens_for(request.session)
+            .max(
+                self.cached_tokens_for(request.prefix)
+                    .min(request.prefix_tokens),
+            )
             .min(request.prompt_tokens);
         let uncached_tokens = request.prompt_tokens - cached_tokens;
         let duration = (uncached_tokens / tokens_per_second / capacity * 1e6) as Time;
@@ -108,7 +113,8 @@
         }
     }
 
-    /// Starts a decode attempt whose KV cache comes from the cell `source_cell`, and returns the time to its first token.
+    /// Starts a decode attempt and returns the time to its first token. `source_cell` is the cell of the replica that holds its
+    /// KV cache; `None` if there is no previous attempt.
     pub(super) fn start_decode(
         &mut self,
         request: &RequestMetadata,
@@ -130,20 +136,21 @@
         Ok((FIRST_TOKEN_TIME as f64 / capacity) as Time + transfer)
     }
 
-    /// The time that a stream of this many tokens takes with the streams that are open now and `background_streams`.
+    /// Returns the duration of a stream of `tokens`, given the attempts now in flight and `background_streams`.
     pub(super) fn stream_time(&self, tokens: f64, background_streams: f64) -> Time {
         let streams = self.in_flight + background_streams;
-        let token_time = TOKEN_TIME_US * (1.0 + streams / STREAMS_DOUBLING_TOKEN_TIME);
+        let token_time = IDLE_TOKEN_TIME_US * (1.0 + streams / STREAMS_DOUBLING_TOKEN_TIME);
         (token_time * tokens) as Time
     }
 
-    /// Releases what an attempt has used.
+    /// Removes an attempt from the replica's load.
     pub(super) fn end_attempt(&mut self, reserved_tokens: f64) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         self.reserved_tokens = (self.reserved_tokens - reserved_tokens).max(0.0);
     }
 
-    /// The load that it reports. `background` is the load of other dispatchers, 1 on average.
+    /// Returns the load that the replica reports. `background` scales the load of dispatchers that are not simulated: 0 for
+    /// none, 1 for the mean.
     pub(super) fn load_report(
         &self,
         now: Time,
@@ -152,9 +159,9 @@
     ) -> LoadReport {
         let is_decode = self.record.role == Role::Decode;
         let background_in_flight = if is_decode {
-            background * BACKGROUND_STREAMS
+            background * MEAN_BACKGROUND_STREAMS
         } else {
-            background * BACKGROUND_PREFILLS
+            background * MEAN_BACKGROUND_PREFILLS
         };
         let in_flight = self.in_flight + background_in_flight;
         let wait_seconds = self.busy_until.saturating_sub(now) as f64 / SECOND as f64;
@@ -162,7 +169,7 @@
         let kv_memory_share = if is_decode {
             in_flight * REPORTED_TOKENS_PER_STREAM / self.record.kv_capacity_tokens
         } else {
-            PREFILL_MEMORY_SHARE
+            PREFILL_KV_MEMORY_SHARE
         };
         let pending_prefill_kilotokens = if is_decode {
             0.0
--- a/crates/scale/src/simulation/step.rs
+++ b/crates/scale/src/simulation/step.rs
@@ -1,34 +1,34 @@
-//! The kinds of router calls whose cost is measured.
+//! The kinds of router calls, by which the cost of calls is measured.
 
-/// A kind of call of a router.
+/// A kind of router call, named after the event that is passed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// A request arrives and is sent to a prefill replica.
+    /// A request has arrived; the router selects a prefill endpoint.
     Arrival,
-    /// Prefill has ended and the request is sent to a decode replica.
+    /// Prefill has completed; the router selects a decode endpoint.
     PrefillEnd,
-    /// The first token has come.
+    /// The first token of a response has arrived.
     FirstToken,
-    /// An attempt has ended in any other way.
+    /// An attempt has ended, other than by completing prefill.
     AttemptEnd,
-    /// A timer has fired.
+    /// The router's timer has fired.
     Timer,
-    /// Another dispatcher's load report.
+    /// A load report from another dispatcher has arrived.
     PeerReport,
-    /// A probe's response.
+    /// The response to a probe has arrived.
     ProbeResponse,
-    /// The full endpoint list, unchanged.
+    /// A full endpoint list has arrived in which nothing has changed.
     FullList,
-    /// The change of one endpoint.
+    /// A change of the status of one or two endpoints has arrived.
     EndpointChange,
-    /// New settings.
+    /// Settings have arrived, unchanged.
     SettingsChange,
-    /// The first full list of a new process.
+    /// The first full endpoint list after the router's start has arrived.
     FirstList,
 }
 
 impl Step {
-    /// Its name in the committed results, which the tables of `docs/CAPACITY.md` print.
+    /// Returns the step's name in the result files and in the tables of `docs/CAPACITY.md`.
     pub fn name(self) -> &'static str {
         match self {
             Step::Arrival => "arrival",
--- a/crates/scale/tests/decisions.rs
+++ b/crates/scale/tests/decisions.rs
@@ -1,4 +1,7 @@
-//! The routing module's decisions in fleets of the size in service today.
+//! Decisions of the routing module in simulated fleets of the sizes now in service.
+//!
+//! Fleets of these sizes are to be routed as if every endpoint were scored for every selection. A change that makes the module
+//! decide otherwise, by an order or by a random draw, changes a digest.
 
 use quartzhall_scale::fleet::FleetShape;
 use quartzhall_scale::simulation::{
@@ -35,7 +38,7 @@
     ]
 }
 
-/// The digests of these simulations when the module scored every endpoint for every selection.
+/// Digests of the simulations in the order of [`shapes`], computed when the module scored every endpoint for every selection.
 const DIGESTS: [u64; 4] = [
     8_361_958_994_946_791_718,
     11_216_637_254_983_268_111,
