--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Sends requests to the dispatcher `number` until `end`, and waits for their responses.
+/// Sends requests to the dispatcher `number` at the rate of `load` until `end`, and waits for their responses.
 ///
 /// # Errors
 ///
@@ -303,14 +303,14 @@
         .await
         .map_err(|_| ClosedWithoutResponse)?;
     let mut response = PartialResponse::default();
-    let mut chunk = vec![0; READ_BUFFER_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let deadline = if response.time_to_first_token.is_some() {
             Instant::now() + LOST_TIMEOUT
         } else {
             request.due + CLIENT_DEADLINE + LOST_TIMEOUT
         };
-        let count = match timeout_at(deadline, stream.read(&mut chunk)).await {
+        let count = match timeout_at(deadline, stream.read(&mut buffer)).await {
             Ok(Ok(count)) if count > 0 => count,
             Ok(_) if response.bytes.is_empty() => return Err(ClosedWithoutResponse),
             _ => {
@@ -320,7 +320,7 @@
                 })
             }
         };
-        response.bytes.extend_from_slice(&chunk[..count]);
+        response.bytes.extend_from_slice(&buffer[..count]);
         if let Some(exchange) = response.evaluate(request.due) {
             return Ok(exchange);
         }
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -20,7 +20,7 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time within which a dispatcher has to exit once its exit is awaited.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Units per second of the processor times in `/proc/PID/stat`.
+/// Clock ticks per second (`USER_HZ`) of the processor times in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Processor time and memory of a process.
@@ -77,7 +77,7 @@
         config: PathBuf,
     },
     /// A signal could not be sent.
-    Terminate(std::io::Error),
+    Signal(std::io::Error),
     /// The process exited with an error.
     ExitStatus {
         /// Its configuration file.
@@ -114,7 +114,7 @@
                 "{}: not ready within {READY_TIMEOUT:?}",
                 config.display()
             ),
-            ProcessError::Terminate(source) => source.fmt(formatter),
+            ProcessError::Signal(source) => source.fmt(formatter),
             ProcessError::ExitStatus { config, status } => {
                 write!(formatter, "{}: exited with {status}", config.display())
             }
@@ -135,7 +135,7 @@
         match self {
             ProcessError::File { source, .. }
             | ProcessError::Spawn { source, .. }
-            | ProcessError::Terminate(source)
+            | ProcessError::Signal(source)
             | ProcessError::Wait { source, .. } => Some(source),
             ProcessError::ExitedAtStart { .. }
             | ProcessError::NotReady { .. }
@@ -145,7 +145,7 @@
     }
 }
 
-/// What the platform gives a process of a dispatcher that can have several processes side by side during an upgrade.
+/// What the platform passes to a process when several processes serve the same address during an upgrade.
 pub struct LaunchEnvironment {
     /// A duplicate of the listening socket that the processes share.
     pub socket: OwnedFd,
@@ -283,7 +283,7 @@
             .args(["-c", &format!("kill -{name} {}", self.process_id)])
             .status()
             .await
-            .map_err(ProcessError::Terminate)?;
+            .map_err(ProcessError::Signal)?;
         Ok(())
     }
 
--- a/crates/scale/src/run/bench.rs
+++ b/crates/scale/src/run/bench.rs
@@ -20,8 +20,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, Instant};
 
-/// Time for which a rolling restart drains replicas before it restarts them.
-const ROLLING_DRAIN_TIME: Duration = Duration::from_secs(1);
+/// Interval of a rolling restart: random replicas drain for one interval and restart after it.
+const ROLLING_RESTART_INTERVAL: Duration = Duration::from_secs(1);
 /// Start time of the replicas in slow start, as drawn with the fleet. Only its presence matters.
 const WARM_UP_START_TIME: u64 = 1;
 /// Offset from the run's seed to those of the simulated dispatchers.
@@ -205,7 +205,7 @@
     });
 }
 
-/// Drains random replicas each second and restarts those of the second before, until the task is aborted.
+/// Drains random replicas in each interval and restarts those of the interval before, until the task is aborted.
 async fn restart_rolling(
     discovery: Discovery,
     replicas: Arc<Vec<Arc<Replica>>>,
@@ -213,7 +213,7 @@
     seed: u64,
 ) {
     let mut rng = Pcg32::seed_from_u64(seed);
-    let mut ticks = interval(ROLLING_DRAIN_TIME);
+    let mut ticks = interval(ROLLING_RESTART_INTERVAL);
     let mut draining: Vec<usize> = Vec::new();
     loop {
         ticks.tick().await;
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -128,21 +128,21 @@
         real_gossip_addresses.push(find_free_address(number).await?);
     }
     let mut peer_sockets = Vec::new();
-    let mut gossip_addresses = real_gossip_addresses.clone();
+    let mut all_gossip_addresses = real_gossip_addresses.clone();
     for _ in 0..config.simulated {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
-        gossip_addresses.push(socket.local_addr()?.to_string());
+        all_gossip_addresses.push(socket.local_addr()?.to_string());
         peer_sockets.push(socket);
     }
     // Gossip that real dispatchers send to the address for all others is discarded: it could not be forwarded from the sender's
     // own address.
     let discarding_socket = UdpSocket::bind("127.0.0.1:0").await?;
-    let real_addresses = real::GossipAddresses {
-        own: &real_gossip_addresses,
-        all: &gossip_addresses,
+    let gossip = real::GossipAddresses {
+        real: &real_gossip_addresses,
+        all: &all_gossip_addresses,
         broadcast: &discarding_socket.local_addr()?.to_string(),
     };
-    let real = RealDispatchers::start(plan, &mut bench, &real_addresses, log).await?;
+    let real = RealDispatchers::start(plan, &mut bench, &gossip, log).await?;
     let peers = bench
         .start_peers(
             &plan.scenario,
--- a/crates/scale/src/run/real.rs
+++ b/crates/scale/src/run/real.rs
@@ -1,4 +1,4 @@
-//! The real dispatchers of a run: child processes, their addresses, and what their start cost.
+//! The real dispatchers of a run: their processes, addresses and startup costs.
 
 use super::bench::Bench;
 use super::{find_free_address, RunError, RunPlan};
@@ -10,16 +10,16 @@
 /// Gossip addresses of a run.
 pub(super) struct GossipAddresses<'a> {
     /// Addresses of the real dispatchers, by number.
-    pub(super) own: &'a [String],
+    pub(super) real: &'a [String],
     /// Addresses of all dispatchers, real and simulated, by number.
     pub(super) all: &'a [String],
     /// The address to which real dispatchers send gossip for all others.
     pub(super) broadcast: &'a str,
 }
 
-/// What a dispatcher's start took, up to its readiness.
+/// The time and the resources that a dispatcher's process took to become ready.
 pub(super) struct Startup {
-    /// Time from the start of the process.
+    /// Time from the start of the process until it was ready.
     pub(super) duration: Duration,
     /// Resource usage of the process when it was ready.
     pub(super) resources: ResourceSample,
@@ -42,7 +42,7 @@
         log: &Logger,
     ) -> Result<RealDispatchers, RunError> {
         let mut dispatchers = Vec::new();
-        for (number, peer_listen) in gossip.own.iter().enumerate() {
+        for (number, peer_listen) in gossip.real.iter().enumerate() {
             let delivery_log = bench.delivery_logs[number].clone();
             let addresses = Addresses {
                 listen: find_free_address(number).await?,
@@ -92,7 +92,7 @@
             .map(|dispatcher| dispatcher.process.address.as_str())
     }
 
-    /// Returns the startups of the dispatchers, by number.
+    /// Returns what the start of each dispatcher took, by number.
     pub(super) fn startups(&self) -> impl Iterator<Item = &Startup> {
         self.0.iter().map(|dispatcher| &dispatcher.startup)
     }
--- a/crates/scale/src/simulated/discovery.rs
+++ b/crates/scale/src/simulated/discovery.rs
@@ -252,11 +252,11 @@
     async fn serve_connection(self, mut stream: TcpStream, log: Arc<DeliveryLog>) {
         let _ = stream.set_nodelay(true);
         let mut received = Vec::new();
-        let mut chunk = [0; 1024];
+        let mut buffer = [0; 1024];
         loop {
-            match stream.read(&mut chunk).await {
+            match stream.read(&mut buffer).await {
                 Ok(0) | Err(_) => return,
-                Ok(count) => received.extend_from_slice(&chunk[..count]),
+                Ok(count) => received.extend_from_slice(&buffer[..count]),
             }
             while let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 let head = String::from_utf8_lossy(&received[..end]).into_owned();
--- a/crates/scale/src/simulated/peers.rs
+++ b/crates/scale/src/simulated/peers.rs
@@ -107,13 +107,13 @@
         .await
         .ok()?;
     let mut response = Vec::new();
-    let mut chunk = [0; READ_BUFFER_BYTES];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        let count = stream.read(&mut chunk).await.ok()?;
+        let count = stream.read(&mut buffer).await.ok()?;
         if count == 0 {
             return None;
         }
-        response.extend_from_slice(&chunk[..count]);
+        response.extend_from_slice(&buffer[..count]);
         let text = String::from_utf8_lossy(&response);
         let Some((head, body)) = text.split_once("\r\n\r\n") else {
             continue;
--- a/crates/scale/src/simulated/replica.rs
+++ b/crates/scale/src/simulated/replica.rs
@@ -1,4 +1,4 @@
-//! Simulated replicas: HTTP servers for prefill, decode, releases and probes that model time and load but compute nothing.
+//! Simulated replicas: HTTP servers for prefill, decode, releases and probes. They model time and load, and generate no text.
 //!
 //! Each [`Replica`] owns its load. What the replicas of a run observe, violations of the protocol's rules included, is collected
 //! in one [`ReplicaMetrics`].
@@ -133,8 +133,8 @@
     }
 }
 
-/// Returns when a dispatcher was notified that a replica is draining, given the client request id of a request that the
-/// dispatcher sent, and the replica's number. `None`: it was not notified.
+/// Looks up when a dispatcher was notified that a replica is draining; `None` if it was not. The arguments are the client
+/// request id of one of the dispatcher's requests, and the replica's number.
 pub type DrainNotifications = Arc<dyn Fn(&str, usize) -> Option<Instant> + Send + Sync>;
 
 /// The limit of requests to a replica in slow start, derived from the settings that all dispatchers share.
@@ -142,7 +142,7 @@
 pub struct SlowStartRule {
     /// Sliding window over which requests are counted.
     pub window: Duration,
-    /// Expected number of requests in the window above which the replica is overloaded.
+    /// Number of requests in a window that the replica can take before it is overloaded.
     pub max_requests: f64,
     /// Duration of the slow start.
     pub duration: Duration,
@@ -213,7 +213,7 @@
 
     async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
-            (&Method::POST, "/v1/chat/completions") => self.execute(request).await,
+            (&Method::POST, "/v1/chat/completions") => self.run_attempt(request).await,
             (&Method::DELETE, path) if path.starts_with(RESERVATIONS_PATH) => {
                 self.metrics
                     .end_reservation(path.trim_start_matches(RESERVATIONS_PATH));
@@ -243,7 +243,7 @@
     }
 
     /// Runs an attempt. Decode without a reservation is rejected with status 410 and the header that says it never ran.
-    async fn execute(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    async fn run_attempt(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let id = request
             .headers()
             .get(TRACE_HEADER)
@@ -304,7 +304,7 @@
         {
             arrivals.pop_front();
         }
-        // Random arrivals may exceed the expected number by two standard deviations, and by two requests for small numbers.
+        // Arrivals are random: two standard deviations above the limit are tolerated, and two requests more for small limits.
         let max_arrivals = rule.max_requests + 2.0 * rule.max_requests.sqrt() + 2.0;
         if arrivals.len() as f64 > max_arrivals && !self.is_overloaded.swap(true, Ordering::Relaxed)
         {
--- a/crates/scale/src/simulation/attempts.rs
+++ b/crates/scale/src/simulation/attempts.rs
@@ -11,7 +11,7 @@
 struct Attempt {
     endpoint: EndpointId,
     has_ended: bool,
-    reserved_tokens: f64,
+    reserved_tokens: f64, // KV memory of a decode attempt; 0 for prefill
 }
 
 /// A request from its arrival on, with its attempts in the order of their start.
@@ -45,7 +45,7 @@
     }
 }
 
-/// The end of an attempt, and the step as which the router's call is measured.
+/// The end of an attempt, and the step under which the router call is measured.
 struct AttemptEnd {
     status: AttemptStatus,
     step: Step,
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -3,8 +3,8 @@
 //! The routers are those of the program. Each has a stream of requests of its own; a simple model of prefill and decode gives
 //! the time that replicas take. Every call of a router is also timed on the real clock, by [`Step`].
 //!
-//! The routers see simulated time only, so the same options give the same decisions on every machine, unless the limit of real
-//! time ends the simulation first. [`Simulation`] owns the routers, the replicas and the event queue.
+//! The routers see simulated time only. The same options give the same decisions on every machine, unless the limit of real time
+//! ends the simulation first. [`Simulation`] owns the routers, the replicas and the event queue.
 
 mod attempts;
 mod digest;
@@ -29,7 +29,9 @@
 pub use replica::PREFILL_TOKENS_PER_S;
 pub use step::Step;
 
+/// One millisecond in the unit of [`Time`], microseconds.
 const MS: Time = 1_000;
+/// One second in the unit of [`Time`].
 const SECOND: Time = 1_000_000;
 /// Simulated time at the start of a simulation.
 const START_TIME: Time = 1_000 * SECOND;
@@ -132,7 +134,7 @@
     replicas: Vec<SimulatedReplica>,
     requests: HashMap<RequestId, SimulatedRequest>,
     queue: BinaryHeap<QueueEntry>,
-    scheduled_events: u64,
+    scheduled_events: u64, // also the sequence number of the last one
     draining_endpoint: Option<EndpointId>,
     arrived_weight: f64,
     served_weight: f64,
@@ -373,7 +375,7 @@
         }
     }
 
-    /// Returns a replica's load report, with a random share of background load if the options ask for it.
+    /// Returns a replica's load report, with a random amount of background load if the options ask for it.
     fn load_report(&mut self, endpoint: EndpointId) -> LoadReport {
         let background = if self.options.has_background_load {
             self.rng.gen_range(0.0..2.0)
--- a/crates/scale/src/simulation/replica.rs
+++ b/crates/scale/src/simulation/replica.rs
@@ -16,22 +16,22 @@
 const KV_TRANSFER_PER_1000_TOKENS: Time = 12 * MS;
 /// Time per output token at an idle decode replica, in microseconds.
 const IDLE_TOKEN_TIME_US: f64 = 25_000.0;
-/// Number of concurrent streams at which the time per token has doubled.
+/// Number of concurrent streams at which the time per output token is twice that of an idle replica.
 const STREAMS_DOUBLING_TOKEN_TIME: f64 = 120.0;
-/// Mean number of streams at a decode replica that belong to dispatchers that are not simulated.
+/// Mean number of streams that dispatchers outside the simulation have at a decode replica.
 pub(super) const MEAN_BACKGROUND_STREAMS: f64 = 45.0;
-/// Mean wait at a prefill replica for prefills of dispatchers that are not simulated.
+/// Mean wait at a prefill replica behind prefills of dispatchers outside the simulation.
 pub(super) const MEAN_BACKGROUND_WAIT: Time = 25 * MS;
 /// KV memory that a replica reports for each stream, in tokens.
 const REPORTED_TOKENS_PER_STREAM: f64 = 1_500.0;
 /// Share of KV memory that prefill replicas report as used.
 const PREFILL_KV_MEMORY_SHARE: f64 = 0.4;
-/// Mean number of prefills in flight at a prefill replica for dispatchers that are not simulated.
+/// Mean number of prefills that dispatchers outside the simulation have in flight at a prefill replica.
 const MEAN_BACKGROUND_PREFILLS: f64 = 2.0;
 /// Length of each output, as a share of the request's maximum.
 pub(super) const OUTPUT_SHARE: f64 = 0.33;
 
-/// A modelled replica.
+/// A modelled replica: its queue of prefills, its prefix cache and its reserved KV memory.
 pub(super) struct SimulatedReplica {
     /// Its record in the endpoint list.
     pub(super) record: EndpointRecord,
@@ -149,8 +149,8 @@
         self.reserved_tokens = (self.reserved_tokens - reserved_tokens).max(0.0);
     }
 
-    /// Returns the load that the replica reports. `background` scales the load of dispatchers that are not simulated: 0 for
-    /// none, 1 for the mean.
+    /// Returns the load that the replica reports. `background` scales the load of dispatchers outside the simulation: 0 for none,
+    /// 1 for the mean.
     pub(super) fn load_report(
         &self,
         now: Time,
--- a/crates/scale/src/simulation/step.rs
+++ b/crates/scale/src/simulation/step.rs
@@ -1,4 +1,4 @@
-//! The kinds of router calls, by which the cost of calls is measured.
+//! The kinds of router calls whose costs are measured separately.
 
 /// A kind of router call, named after the event that is passed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/scale/tests/decisions.rs
+++ b/crates/scale/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! Decisions of the routing module in simulated fleets of the sizes now in service.
 //!
-//! Fleets of these sizes are to be routed as if every endpoint were scored for every selection. A change that makes the module
-//! decide otherwise, by an order or by a random draw, changes a digest.
+//! In fleets this small, selection among candidates must decide as if all endpoints were scored. Any other change of a decision,
+//! such as another order of the module's random draws, changes a digest as well.
 
 use quartzhall_scale::fleet::FleetShape;
 use quartzhall_scale::simulation::{
