--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,56 +1,60 @@
-//! The test oracle: the protocol's rules as invariants over what clients and replicas observe.
+//! The test oracle: checks the protocol's rules, as invariants, against what clients and replicas observe.
 //!
-//! The [`Oracle`] owns the history of every request. Each observation is recorded in the order in which it is made, with a
-//! monotonic time stamp; a violated invariant is reported with the request's whole history.
+//! The [`Oracle`] owns the history of every request. Clients, replicas and fault injection call it at the moment of each
+//! event; it records the event with a monotonic timestamp and checks the invariants that the event may violate. Invariants
+//! about events that should have happened by now are checked periodically by [`Oracle::check_deadlines`]. A violation is
+//! reported with the request's timeline. Whatever the test bench itself delays or breaks is excused.
 
 mod processes;
 mod streams;
 
-use crate::config::{DRAIN_GRACE, RELEASE_SLACK, RELEASE_WITHIN};
+use crate::config::{DRAIN_GRACE, KV_RELEASE_SLACK, KV_RESERVATION_TTL};
 use crate::request_history::{Observation, RequestHistory};
 use quartzhall::routing::api::Role;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Delay of the test bench itself, for which no dispatcher is blamed.
+/// Tolerance for delays of the test bench itself, added to each time limit.
 pub const BENCH_SLACK: Duration = Duration::from_millis(80);
-/// A final response comes this long after the client's deadline at the latest.
+/// A response has to arrive within this after the client's deadline.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
-/// The time left that is announced to a replica may exceed what the client has left by this.
+/// The time left that an attempt announces to a replica may exceed the client's time left by this.
 const ANNOUNCED_TIME_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may start this long after its client has disconnected.
+/// An attempt may still arrive within this after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 
-/// The invariants.
+/// A rule of the protocol that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A reserved KV cache is consumed or released in time.
+    /// A reserved KV cache is consumed by a decode attempt or released in time.
     KvReservationReleased,
-    /// Each request gets a final response in time.
+    /// Each request gets a response soon after its deadline at the latest.
     RespondedInTime,
-    /// A connection is not closed without a response to a request that was received.
+    /// A dispatcher does not close a connection before it has responded to the request on it.
     NotClosedUnanswered,
-    /// A request that must not run twice gets no second decode attempt, and is not shed, after an attempt that may have run.
+    /// A request that must be executed at most once, and has a decode attempt that may have run, gets no second decode
+    /// attempt and is not shed (429 or 503, which tells the client that nothing ran).
     NotExecutedTwice,
-    /// Nothing is sent to a replica that was reported as draining.
+    /// No attempt is sent to a replica after discovery has reported it as draining.
     NotSentToDraining,
-    /// No attempt starts after the client has disconnected.
+    /// No attempt is sent after the client has disconnected.
     NotSentAfterDisconnect,
-    /// A replica is not announced more time than the client has left.
+    /// An attempt announces no more time left to its replica than the client has.
     TimeLeftNotExceeded,
-    /// An aborted stream does not end as if it were complete.
+    /// A stream that its replica aborted does not look complete to the client.
     AbortedStreamIncomplete,
-    /// A stream that its replica goes on with, and whose client stays, is whole at the client.
-    StreamWhole,
-    /// An event reaches its client soon after the replica has written it.
-    EventInTime,
-    /// A process exits only when it is told to, and cleanly.
+    /// A stream that its replica neither aborts nor stalls reaches the client completely, unless the dispatcher is killed.
+    StreamComplete,
+    /// An event reaches the client soon after its replica has written it.
+    EventDeliveredInTime,
+    /// A dispatcher process starts, runs until it is told to exit, and then exits without error.
     ProcessRuns,
 }
 
 impl Invariant {
-    /// The name in the soak's output. It is the name of the program variant that breaks the rule, where there is one.
+    /// Returns the name in the soak's output. Where a variant of the program breaks the rule on purpose, it is the name of
+    /// that variant.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::KvReservationReleased => "HeldState",
@@ -61,8 +65,8 @@
             Invariant::NotSentAfterDisconnect => "ClientGone",
             Invariant::TimeLeftNotExceeded => "ToldTime",
             Invariant::AbortedStreamIncomplete => "StreamEnd",
-            Invariant::StreamWhole => "StreamCut",
-            Invariant::EventInTime => "LateEvent",
+            Invariant::StreamComplete => "StreamCut",
+            Invariant::EventDeliveredInTime => "LateEvent",
             Invariant::ProcessRuns => "Process",
         }
     }
@@ -71,43 +75,44 @@
 /// A violated invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// The request's id, or the process.
+    /// The request's id, or `p` and the number of the dispatcher.
     pub id: String,
-    /// What was observed of the request, oldest first, with seconds since the start of the run.
+    /// The observations of the request, oldest first, each with the seconds since the oracle was created; for a process,
+    /// the reason alone.
     pub timeline: Vec<String>,
 }
 
-/// How an attempt ended, as its replica saw it.
+/// How an attempt ended at its replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Prefill finished, whether or not the response arrived.
+    /// Prefill succeeded, whether or not the response reached the dispatcher.
     Prefilled,
-    /// The replica rejected it, with proof that it never ran.
+    /// The replica rejected it and stated that it never ran.
     NeverRan,
-    /// Its stream was completed.
+    /// The replica wrote its stream to the end.
     Streamed,
-    /// It ended in any other way.
+    /// An error response, or the connection ended first.
     Other,
 }
 
-/// An attempt whose last byte was read by a running replica.
+/// The arrival of an attempt: a replica that is not stalled has read its last byte.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptArrival {
     /// The replica's number.
     pub replica: usize,
     /// The replica's role.
     pub role: Role,
-    /// The bench had stalled the replica or the connection, so that the arrival says nothing about when the attempt was sent.
+    /// Whether a fault had stalled the replica or the connection, so that the attempt may have been sent much earlier.
     pub is_delayed_by_bench: bool,
-    /// The time left that the attempt announces, in milliseconds.
+    /// The time left that the attempt announces, in milliseconds; `None` if it announces none.
     pub time_left_ms: Option<u64>,
-    /// How long ago the dispatcher was notified that the replica is draining.
-    pub draining_for: Option<Duration>,
+    /// How long ago discovery told the dispatcher that the replica is draining; `None` if it is not.
+    pub time_since_drain_notice: Option<Duration>,
 }
 
-/// Requests by the kind of their response.
+/// Numbers of responses by status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
     /// Responses with status 200.
@@ -122,23 +127,23 @@
 struct OracleState {
     requests: HashMap<String, RequestHistory>,
     violations: Vec<Violation>,
-    killed_at: HashMap<usize, Instant>,  // by process
-    crowded: HashSet<usize>,             // processes
-    paused: HashSet<usize>,              // processes
-    resumed_at: HashMap<usize, Instant>, // by process
-    worst_event_delay: Duration,
+    killed_at: HashMap<usize, Instant>,  // last kill, by process
+    flooded: HashSet<usize>,             // processes in a flood of idle connections
+    paused: HashSet<usize>,              // processes that are stopped
+    resumed_at: HashMap<usize, Instant>, // last resume from a pause, by process
+    max_event_delay: Duration,
     counts: ResponseCounts,
 }
 
-/// Records what clients and replicas observe in one run, and checks it against the invariants.
+/// Records what clients and replicas observe in one run and checks it against the invariants.
 pub struct Oracle {
     started: Instant,
     state: Mutex<OracleState>,
 }
 
 impl OracleState {
-    /// Reports a violation, once for each invariant and request.
-    fn report(&mut self, started: Instant, invariant: Invariant, id: &str) {
+    /// Reports a violation with the request's timeline so far, at most once for each invariant and request.
+    fn report_violation(&mut self, started: Instant, invariant: Invariant, id: &str) {
         let is_reported = self
             .violations
             .iter()
@@ -172,7 +177,7 @@
 }
 
 impl Oracle {
-    /// Creates an oracle that has observed nothing.
+    /// Creates an oracle without observations. Timelines count from this moment.
     pub fn new() -> Oracle {
         Oracle {
             started: Instant::now(),
@@ -184,16 +189,20 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Updates a request's history, and reports the invariant that `update` finds violated.
-    fn update(&self, id: &str, update: impl FnOnce(&mut RequestHistory) -> Option<Invariant>) {
+    /// Applies `update` to the history of a request and reports the invariant that it returns as violated.
+    fn update_request(
+        &self,
+        id: &str,
+        update: impl FnOnce(&mut RequestHistory) -> Option<Invariant>,
+    ) {
         let mut state = self.state();
         let violated = update(state.requests.entry(id.to_owned()).or_default());
         if let Some(invariant) = violated {
-            state.report(self.started, invariant, id);
+            state.report_violation(self.started, invariant, id);
         }
     }
 
-    /// A client has sent the last byte of a request to a process; it waits for `deadline`.
+    /// Records that a client has sent the last byte of a request to a process, and waits for `deadline` from now on.
     pub fn on_request_sent(
         &self,
         id: &str,
@@ -201,38 +210,38 @@
         is_non_idempotent: bool,
         deadline: Duration,
     ) {
-        let is_crowded = self.state().crowded.contains(&process);
+        let is_flooded = self.state().flooded.contains(&process);
         let is_paused = self.state().paused.contains(&process);
-        self.update(id, |request| {
-            request.is_crowded_out = is_crowded;
-            request.may_have_queued = is_crowded || is_paused;
+        self.update_request(id, |request| {
+            request.is_affected_by_flood = is_flooded;
+            request.may_have_waited_in_accept_queue = is_flooded || is_paused;
             request.process = process;
             request.is_non_idempotent = is_non_idempotent;
             request.deadline = deadline;
             request.sent_at = Some(Instant::now());
-            request.observe(format!(
+            request.add_observation(format!(
                 "sent to p{process}, non-idempotent: {is_non_idempotent}, deadline {deadline:?}"
             ));
             None
         });
     }
 
-    /// The client has closed its connection.
+    /// Records that the client has disconnected before a response.
     pub fn on_client_disconnected(&self, id: &str) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.disconnected_at = Some(Instant::now());
-            request.observe("client disconnected".into());
+            request.add_observation("client disconnected".into());
             None
         });
     }
 
-    /// The client has received the head of a response with this status.
+    /// Records that the client has received the head of a response.
     pub fn on_response(&self, id: &str, status: u16) {
         let is_shed = is_shed(status);
-        self.update(id, |request| {
-            request.is_answered = true;
-            request.observe(format!("response {status}"));
-            let is_violated = is_shed && request.has_unproven_execution();
+        self.update_request(id, |request| {
+            request.is_response_settled = true;
+            request.add_observation(format!("response {status}"));
+            let is_violated = is_shed && request.is_unsafe_to_retry();
             is_violated.then_some(Invariant::NotExecutedTwice)
         });
         let counts = &mut self.state().counts;
@@ -245,19 +254,20 @@
         }
     }
 
-    /// The client's connection ended before any response. `is_excused`: its process was killed.
+    /// Records that the client's connection ended without response. `is_excused` states that the process was killed
+    /// meanwhile; a connection flood is an excuse as well.
     pub fn on_closed_without_response(&self, id: &str, is_excused: bool) {
-        self.update(id, |request| {
-            request.is_answered = true;
-            let is_excused = is_excused || request.is_crowded_out;
-            request.observe(format!("closed without response, excused: {is_excused}"));
+        self.update_request(id, |request| {
+            request.is_response_settled = true;
+            let is_excused = is_excused || request.is_affected_by_flood;
+            request.add_observation(format!("closed without response, excused: {is_excused}"));
             (!is_excused).then_some(Invariant::NotClosedUnanswered)
         });
     }
 
-    /// A running replica has read the last byte of an attempt.
+    /// Records that a running replica has read the last byte of an attempt, and checks whether it should have been sent.
     pub fn on_attempt_arrived(&self, id: &str, arrival: AttemptArrival) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             let now = Instant::now();
             let AttemptArrival {
                 replica,
@@ -265,10 +275,10 @@
                 time_left_ms,
                 ..
             } = arrival;
-            request.observe(format!(
-                "r{replica} received a {role:?} attempt, announced {time_left_ms:?} ms"
+            request.add_observation(format!(
+                "r{replica} received a {role:?} attempt, announced time left: {time_left_ms:?} ms"
             ));
-            let is_repeated = role == Role::Decode && request.has_unproven_execution();
+            let is_repeated = role == Role::Decode && request.is_unsafe_to_retry();
             request.start_attempt(role);
             if is_repeated {
                 return Some(Invariant::NotExecutedTwice);
@@ -276,81 +286,85 @@
             if arrival.is_delayed_by_bench {
                 return None;
             }
-            find_late_attempt(request, &arrival, now)
+            find_timing_violation(request, &arrival, now)
         });
     }
 
-    /// A replica is about to report that an attempt never ran: from now on its dispatcher may know.
+    /// Records that a replica rejects an attempt as never run. Must be called before the response is sent, since the
+    /// dispatcher may retry as soon as it arrives.
     pub fn on_attempt_rejected(&self, id: &str, replica: usize, role: Role) {
-        self.update(id, |request| {
-            request.observe(format!("r{replica} rejects it"));
-            request.prove_never_ran(role);
+        self.update_request(id, |request| {
+            request.add_observation(format!("r{replica}: attempt rejected as never run"));
+            request.record_never_ran(role);
             None
         });
     }
 
-    /// An attempt that had arrived has ended, by the replica's response or by the end of its connection.
+    /// Records that an attempt has ended, by the replica's response or by the end of its connection.
     pub fn on_attempt_ended(&self, id: &str, replica: usize, role: Role, outcome: AttemptOutcome) {
-        self.update(id, |request| {
-            request.observe(format!("r{replica}: attempt ended, {outcome:?}"));
+        self.update_request(id, |request| {
+            request.add_observation(format!("r{replica}: attempt ended, {outcome:?}"));
             request.end_attempt(role);
             None
         });
     }
 
-    /// A prefill replica has finished a prompt: from now on its KV cache is reserved, also before any dispatcher is notified.
+    /// Records that a prefill replica has processed a prompt. Its KV cache is reserved from now on, even if the response
+    /// never reaches the dispatcher.
     pub fn on_kv_reserved(&self, id: &str, replica: usize) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.is_kv_reserved = true;
             request.kv_replica = replica;
-            request.observe(format!("r{replica}: KV cache reserved"));
-            request.update_idle_since();
+            request.add_observation(format!("r{replica}: KV cache reserved"));
+            request.update_kv_idle_clock();
             None
         });
     }
 
-    /// A decode replica consumes the reserved KV cache; false if there is none.
+    /// Records that a decode replica consumes the reserved KV cache; returns false if there is none.
     pub fn consume_kv(&self, id: &str, replica: usize) -> bool {
         let mut is_consumed = false;
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             is_consumed = std::mem::take(&mut request.is_kv_reserved);
             request.is_stream_aborted = false;
-            request.observe(format!("r{replica}: KV cache consumed: {is_consumed}"));
-            request.update_idle_since();
+            request.add_observation(format!("r{replica}: KV cache consumed: {is_consumed}"));
+            request.update_kv_idle_clock();
             None
         });
         is_consumed
     }
 
-    /// Whether a KV cache is reserved for a decode attempt.
+    /// Returns whether a KV cache is reserved for this request.
     pub fn is_kv_reserved(&self, id: &str) -> bool {
         let state = self.state();
         let request = state.requests.get(id);
         request.is_some_and(|request| request.is_kv_reserved)
     }
 
-    /// A replica has crashed, and its KV caches are lost.
+    /// Records that a replica has crashed, which loses the KV caches that it holds.
     pub fn on_replica_killed(&self, replica: usize) {
         for request in self.state().requests.values_mut() {
             if request.is_kv_reserved && request.kv_replica == replica {
-                request.observe(format!("r{replica} crashed with the KV cache"));
+                request.add_observation(format!("r{replica} crashed, KV cache lost"));
                 request.is_kv_reserved = false;
-                request.update_idle_since();
+                request.update_kv_idle_clock();
             }
         }
     }
 
-    /// A running replica has read a release: the KV cache is freed unless a decode attempt is in flight.
+    /// Records that a running replica has read a release, which frees the KV cache unless a decode attempt is in flight. A
+    /// release that another replica receives counts as well.
     pub fn on_release(&self, id: &str, replica: usize) {
-        self.update(id, |request| {
+        self.update_request(id, |request| {
             request.is_kv_reserved &= request.decodes_in_flight > 0;
-            request.observe(format!("r{replica}: release received"));
-            request.update_idle_since();
+            request.add_observation(format!("r{replica}: release received"));
+            request.update_kv_idle_clock();
             None
         });
     }
 
-    /// Checks what should have happened by now. Requests of `paused` processes are not checked.
+    /// Reports KV caches that were not released and responses that did not arrive in time. Requests of `paused` processes
+    /// are skipped.
     pub fn check_deadlines(&self, paused: &[usize]) {
         let mut state = self.state();
         let now = Instant::now();
@@ -359,25 +373,25 @@
             if paused.contains(&request.process) {
                 continue;
             }
-            if request.kv_idle_time(now) > RELEASE_WITHIN + RELEASE_SLACK + BENCH_SLACK {
+            if request.kv_idle_time(now) > KV_RESERVATION_TTL + KV_RELEASE_SLACK + BENCH_SLACK {
                 violated.push((Invariant::KvReservationReleased, id.clone()));
             }
             let is_overdue = request.is_overdue(now, RESPONSE_SLACK + BENCH_SLACK);
-            if is_overdue && !request.is_crowded_out {
+            if is_overdue && !request.is_affected_by_flood {
                 violated.push((Invariant::RespondedInTime, id.clone()));
             }
         }
         for (invariant, id) in violated {
-            state.report(self.started, invariant, &id);
+            state.report_violation(self.started, invariant, &id);
         }
     }
 
-    /// All violations so far.
+    /// Returns all violations so far, in the order in which they were found.
     pub fn violations(&self) -> Vec<Violation> {
         self.state().violations.clone()
     }
 
-    /// Requests by the kind of their response.
+    /// Returns the numbers of responses so far.
     pub fn counts(&self) -> ResponseCounts {
         self.state().counts
     }
@@ -389,8 +403,9 @@
     }
 }
 
-/// The invariant that an attempt violates by arriving after it should no longer have been sent, or with too much time left.
-fn find_late_attempt(
+/// Returns the first time limit that an arrived attempt violates: it was sent too long after the client disconnected or the
+/// replica started to drain, or it announces too much time left.
+fn find_timing_violation(
     request: &RequestHistory,
     arrival: &AttemptArrival,
     now: Instant,
@@ -401,20 +416,20 @@
         }
     }
     if let (Some(announced_ms), Some(time_left)) = (arrival.time_left_ms, request.time_left(now)) {
-        // A crowded-out request lies in the accept queue for a time of which its dispatcher knows nothing.
-        let is_excused = request.is_crowded_out;
+        // In a connection flood the request waits in the accept queue, and the dispatcher does not know for how long.
+        let is_excused = request.is_affected_by_flood;
         if !is_excused
             && Duration::from_millis(announced_ms) > time_left + ANNOUNCED_TIME_SLACK + BENCH_SLACK
         {
             return Some(Invariant::TimeLeftNotExceeded);
         }
     }
-    // A process that was paused reads the notification of the drain only after it resumes.
+    // A process that was paused reads the list with the draining replica only after it has resumed.
     if let Some(resumed_at) = request.resumed_at {
         if now.duration_since(resumed_at) < DRAIN_GRACE {
             return None;
         }
     }
-    let draining_for = arrival.draining_for?;
-    (draining_for > DRAIN_GRACE + BENCH_SLACK).then_some(Invariant::NotSentToDraining)
+    let time_since_drain_notice = arrival.time_since_drain_notice?;
+    (time_since_drain_notice > DRAIN_GRACE + BENCH_SLACK).then_some(Invariant::NotSentToDraining)
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,92 +1,97 @@
-//! The seeded fault schedule of a run: which faults start when, and for how long. Faults overlap.
+//! The fault schedule of a run: which fault starts when, on which replica or process, and for how long.
+//!
+//! It depends only on the [`RunSize`] and the random generator, so a seed repeats it. Faults may overlap. Those that take a
+//! whole replica out of service leave two replicas of each role untouched. Every second dispatcher is upgraded, the others
+//! are killed or terminated and restarted.
 
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// A fault and its victim.
+/// A fault and the replica or process that it affects, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A replica accepts connections and bytes, and executes nothing.
+    /// A replica accepts connections and reads data, but executes nothing.
     StallReplica(usize),
-    /// A replica crashes: its connections are reset, and new ones refused until it restarts.
+    /// A replica crashes: its connections are reset, and new ones are refused until it restarts.
     KillReplica(usize),
-    /// A replica finishes its work, and its responses do not arrive.
+    /// A prefill replica executes attempts, but resets the connection instead of responding. No effect on a decode replica.
     LoseResponses(usize),
-    /// A replica responds with errors.
+    /// A replica responds with status 500.
     ReturnErrors(usize),
-    /// A replica is overloaded and rejects requests.
+    /// A replica rejects attempts with status 503 before it executes them.
     RejectOverloaded(usize),
-    /// The streams of a replica are aborted.
+    /// A decode replica resets its connections in the middle of a stream. No effect on a prefill replica.
     AbortStreams(usize),
-    /// Discovery reports a replica as draining, and later as ready again.
+    /// Discovery reports a replica as draining, and as ready again when the fault ends.
     DrainReplica(usize),
-    /// All open connections of a process to a replica fall silent, for good.
+    /// All open connections from a process to a replica stay open, but the replica never responds on them again.
     SilenceConnections {
         /// The process.
         process: usize,
         /// The replica.
         replica: usize,
     },
-    /// All open connections of a process to a replica are reset.
+    /// All open connections from a process to a replica are reset.
     ResetConnections {
         /// The process.
         process: usize,
         /// The replica.
         replica: usize,
     },
-    /// A process is paused (SIGSTOP, then SIGCONT).
+    /// A process is stopped by SIGSTOP and resumed by SIGCONT.
     PauseProcess(usize),
-    /// A process is killed (SIGKILL) and restarted.
+    /// A process is killed by SIGKILL and restarted.
     KillProcess(usize),
-    /// A process is terminated (SIGTERM) and restarted.
+    /// A process is terminated by SIGTERM and restarted.
     TerminateProcess(usize),
-    /// A process reloads its configuration (SIGHUP).
+    /// A process gets SIGHUP, on which it reloads its configuration.
     ReloadConfig(usize),
-    /// A process is replaced by a successor on its inherited socket, and that by the next one.
+    /// A process is replaced by a successor on the same inherited socket, which is replaced by the next one, and so on.
     UpgradeSeries {
         /// The process.
         process: usize,
-        /// How many successors follow each other.
+        /// Number of successors.
         upgrades: u32,
-        /// Draws their times and what happens beside them.
+        /// Seed for the time of each upgrade and the faults during it.
         seed: u64,
     },
-    /// Idle clients connect to a process until its descriptors are used up.
-    Crowd(usize),
-    /// The discovery agent of a process refuses connections.
+    /// Idle connections use up the descriptors of a process.
+    ConnectionFlood(usize),
+    /// The discovery agent of a process is down.
     StopDiscovery(usize),
 }
 
-/// A fault with its start and its duration.
+/// A fault with its start time and its duration.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledFault {
-    /// When it starts, from the start of the run.
+    /// Start time, from the start of the load.
     pub starts_after: Duration,
-    /// How long it lasts; zero for a momentary fault.
+    /// How long it lasts; zero for a momentary fault and for a series of upgrades, which ends by itself.
     pub duration: Duration,
     /// The fault.
     pub fault: Fault,
 }
 
-/// The size of a run.
+/// The size of a run: numbers of processes and replicas, and the duration.
 #[derive(Clone, Copy, Debug)]
-pub struct SoakShape {
-    /// Real dispatchers.
+pub struct RunSize {
+    /// Number of dispatchers.
     pub processes: usize,
-    /// Replicas for prefill; the others decode.
+    /// Number of prefill replicas, which have the lowest numbers; the others are decode replicas.
     pub prefill_replicas: usize,
-    /// All replicas.
+    /// Number of replicas of both roles.
     pub replicas: usize,
-    /// How long clients send.
+    /// How long clients send requests.
     pub load_duration: Duration,
-    /// Whether crowds of idle clients are among the faults.
-    pub has_crowds: bool,
+    /// Whether floods of idle connections are among the faults.
+    pub has_connection_floods: bool,
 }
 
-impl SoakShape {
-    /// Whether a process has an inherited socket and is upgraded; the others are killed and restarted.
+impl RunSize {
+    /// Returns whether a process inherits its listening socket and is upgraded. The others bind their own, and are killed or
+    /// terminated and restarted.
     pub fn is_upgraded(&self, process: usize) -> bool {
         process.is_multiple_of(2)
     }
@@ -96,24 +101,24 @@
     }
 }
 
-/// No upgrade starts before this, in milliseconds.
-const MIN_UPGRADE_MS: u64 = 1_500;
-/// The most upgrades in a series.
-const MAX_UPGRADES: u32 = 4;
-/// The fraction of upgraded processes that meet a crowd, in runs with crowds.
-const CROWD_FRACTION: f64 = 0.5;
-/// The first fault starts after this, when all processes are ready and have connections.
+/// The earliest start of a series of upgrades, in milliseconds.
+const MIN_UPGRADE_START_MS: u64 = 1_500;
+/// The most upgrades in one series.
+const MAX_UPGRADES_PER_SERIES: u32 = 4;
+/// Fraction of upgraded processes that get a connection flood, in runs that include floods.
+const CONNECTION_FLOOD_FRACTION: f64 = 0.5;
+/// Start of the first fault, by which all processes have connections to replicas.
 const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1_000);
 
 fn draw_duration(rng: &mut Pcg32, min_ms: u64, max_ms: u64) -> Duration {
     Duration::from_millis(rng.gen_range(min_ms..=max_ms))
 }
 
-/// Draws a fault and its duration. `victims` are the replicas that may be taken out of service.
-fn draw_fault(shape: &SoakShape, victims: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
-    let process = rng.gen_range(0..shape.processes);
-    let replica = rng.gen_range(0..shape.replicas);
-    let victim = victims.choose(rng).copied().unwrap_or(0);
+/// Draws a fault and its duration. `fault_candidates` are the replicas that may be taken out of service.
+fn draw_fault(size: &RunSize, fault_candidates: &[usize], rng: &mut Pcg32) -> (Fault, Duration) {
+    let process = rng.gen_range(0..size.processes);
+    let replica = rng.gen_range(0..size.replicas);
+    let victim = fault_candidates.choose(rng).copied().unwrap_or(0);
     match rng.gen_range(0..100) {
         0..=15 => (Fault::StallReplica(victim), draw_duration(rng, 300, 4_000)),
         16..=22 => (Fault::KillReplica(victim), draw_duration(rng, 200, 2_000)),
@@ -134,7 +139,7 @@
         ),
         67..=74 => (Fault::ResetConnections { process, replica }, Duration::ZERO),
         75..=81 => (Fault::PauseProcess(process), draw_duration(rng, 50, 700)),
-        82..=91 if shape.is_upgraded(process) => (Fault::ReloadConfig(process), Duration::ZERO),
+        82..=91 if size.is_upgraded(process) => (Fault::ReloadConfig(process), Duration::ZERO),
         82..=86 => (Fault::KillProcess(process), draw_duration(rng, 100, 500)),
         87..=91 => (
             Fault::TerminateProcess(process),
@@ -148,43 +153,44 @@
     }
 }
 
-/// Draws a series of upgrades for each process that has them, and crowds where these are among the faults.
-fn draw_upgrades(shape: &SoakShape, rng: &mut Pcg32) -> Vec<ScheduledFault> {
-    let latest_ms = (shape.load_duration.as_millis() as u64 / 2).max(MIN_UPGRADE_MS + 1);
+/// Draws a series of upgrades for each process that is upgraded. Where floods are among the faults, some of these processes
+/// get one from the start of their series on.
+fn draw_upgrades(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
+    let latest_start_ms = (size.load_duration.as_millis() as u64 / 2).max(MIN_UPGRADE_START_MS + 1);
     let mut upgrades = Vec::new();
-    for process in shape.upgraded_processes() {
-        let starts_after = draw_duration(rng, MIN_UPGRADE_MS, latest_ms);
+    for process in size.upgraded_processes() {
+        let starts_after = draw_duration(rng, MIN_UPGRADE_START_MS, latest_start_ms);
         upgrades.push(ScheduledFault {
             starts_after,
             duration: Duration::ZERO,
             fault: Fault::UpgradeSeries {
                 process,
-                upgrades: rng.gen_range(1..=MAX_UPGRADES),
+                upgrades: rng.gen_range(1..=MAX_UPGRADES_PER_SERIES),
                 seed: rng.gen(),
             },
         });
-        if shape.has_crowds && rng.gen_bool(CROWD_FRACTION) {
+        if size.has_connection_floods && rng.gen_bool(CONNECTION_FLOOD_FRACTION) {
             upgrades.push(ScheduledFault {
                 starts_after,
                 duration: draw_duration(rng, 2_000, 6_000),
-                fault: Fault::Crowd(process),
+                fault: Fault::ConnectionFlood(process),
             });
         }
     }
     upgrades
 }
 
-/// Draws the faults of a run, in the order in which they start. Faults that take a replica out of service leave at least two
-/// replicas of each role untouched, so that every request can be served.
-pub fn draw_schedule(shape: &SoakShape, rng: &mut Pcg32) -> Vec<ScheduledFault> {
-    let mut victims: Vec<usize> = (2..shape.prefill_replicas)
-        .chain(shape.prefill_replicas + 2..shape.replicas)
+/// Draws the faults of a run, ordered by start time. Faults that take a replica out of service leave at least two replicas
+/// of each role untouched, so that every request can be served.
+pub fn draw_schedule(size: &RunSize, rng: &mut Pcg32) -> Vec<ScheduledFault> {
+    let mut fault_candidates: Vec<usize> = (2..size.prefill_replicas)
+        .chain(size.prefill_replicas + 2..size.replicas)
         .collect();
-    victims.shuffle(rng);
+    fault_candidates.shuffle(rng);
     let mut schedule = Vec::new();
     let mut starts_after = FIRST_FAULT_AFTER;
-    while starts_after < shape.load_duration {
-        let (fault, duration) = draw_fault(shape, &victims, rng);
+    while starts_after < size.load_duration {
+        let (fault, duration) = draw_fault(size, &fault_candidates, rng);
         schedule.push(ScheduledFault {
             starts_after,
             duration,
@@ -192,25 +198,25 @@
         });
         starts_after += draw_duration(rng, 20, 400);
     }
-    // Most decode replicas fail together once, as if a rack lost power.
-    let rack_failure = draw_duration(
+    // Simulates the failure of a rack: all decode replicas but two stall at the same time.
+    let rack_failure_at = draw_duration(
         rng,
         2_000,
-        (shape.load_duration.as_millis() as u64).max(2_001),
+        (size.load_duration.as_millis() as u64).max(2_001),
     );
-    for replica in shape.prefill_replicas + 2..shape.replicas {
+    for replica in size.prefill_replicas + 2..size.replicas {
         schedule.push(ScheduledFault {
-            starts_after: rack_failure,
+            starts_after: rack_failure_at,
             duration: draw_duration(rng, 1_500, 4_000),
             fault: Fault::StallReplica(replica),
         });
     }
-    schedule.extend(draw_upgrades(shape, rng));
+    schedule.extend(draw_upgrades(size, rng));
     schedule.sort_by_key(|scheduled| scheduled.starts_after);
     schedule
 }
 
-/// How many processes of a schedule are replaced by a successor.
+/// Returns the total number of upgrades in all series of a schedule.
 pub fn count_upgrades(schedule: &[ScheduledFault]) -> u32 {
     let upgrades_of = |scheduled: &ScheduledFault| match scheduled.fault {
         Fault::UpgradeSeries { upgrades, .. } => upgrades,
