--- a/crates/scale/src/simulation/attempts.rs
+++ b/crates/scale/src/simulation/attempts.rs
@@ -204,7 +204,7 @@
         let replica = &self.replicas[current.endpoint as usize];
         let stream_time = replica.stream_time(output_tokens, background_streams);
         self.schedule(stream_time, ScheduledEvent::DecodeDone { id, attempt });
-        self.call_router(router, Step::FirstToken, Event::FirstEvent { id, attempt });
+        self.notify(router, Step::FirstToken, Event::FirstEvent { id, attempt });
     }
 
     /// Ends an attempt and notifies its router; does nothing if the attempt has already ended.
@@ -239,6 +239,6 @@
             cached_tokens: end.cached_tokens,
             load: Some(self.load_report(endpoint)),
         };
-        self.call_router(router, end.step, attempt_ended);
+        self.notify(router, end.step, attempt_ended);
     }
 }
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -228,12 +228,12 @@
 
     fn start_routers(&mut self, records: &[EndpointRecord]) {
         for router in 0..self.options.routers {
-            self.call_router(router, Step::Timer, Event::TimerFired);
+            self.notify(router, Step::Timer, Event::TimerFired);
             let first_list = Event::EndpointsChanged {
                 is_full: true,
                 endpoints: records.to_vec(),
             };
-            self.call_router(router, Step::FirstList, first_list);
+            self.notify(router, Step::FirstList, first_list);
             let gap = self.draw_arrival_gap();
             self.schedule(gap, ScheduledEvent::Arrival { router });
             self.schedule(FULL_LIST_INTERVAL, ScheduledEvent::FullList { router });
@@ -267,8 +267,8 @@
             .push(Reverse((self.now + after, self.scheduled_events, event)));
     }
 
-    /// Passes an event to a router, measures the call as `step`, and applies the router's actions.
-    fn call_router(&mut self, router: usize, step: Step, event: Event) {
+    /// Notifies a router of an event, measures the call as `step`, and applies the router's actions.
+    fn notify(&mut self, router: usize, step: Step, event: Event) {
         let mut actions = Vec::new();
         let started = Instant::now();
         self.routers[router].handle(self.now, event, &mut actions);
@@ -290,9 +290,7 @@
                 self.schedule(gap, event);
                 self.on_arrival(router);
             }
-            ScheduledEvent::Timer { router } => {
-                self.call_router(router, Step::Timer, Event::TimerFired)
-            }
+            ScheduledEvent::Timer { router } => self.notify(router, Step::Timer, Event::TimerFired),
             ScheduledEvent::PrefillDone {
                 id,
                 attempt,
@@ -306,7 +304,7 @@
                     is_healthy: true,
                     load: Some(self.load_report(endpoint)),
                 };
-                self.call_router(router, Step::ProbeResponse, probe_completed);
+                self.notify(router, Step::ProbeResponse, probe_completed);
             }
             ScheduledEvent::PeerReport { router } => {
                 let endpoint = self.rng.gen_range(0..self.replicas.len()) as EndpointId;
@@ -314,7 +312,7 @@
                     endpoint,
                     load: Some(self.load_report(endpoint)),
                 };
-                self.call_router(router, Step::PeerReport, report);
+                self.notify(router, Step::PeerReport, report);
                 self.schedule(PEER_REPORT_INTERVAL, event);
             }
             ScheduledEvent::FullList { router } => {
@@ -330,7 +328,7 @@
                     zone: router_zone(&self.options, router),
                     ..self.settings.clone()
                 };
-                self.call_router(
+                self.notify(
                     router,
                     Step::SettingsChange,
                     Event::SettingsChanged(settings),
@@ -349,7 +347,7 @@
                 .map(|replica| replica.record.clone())
                 .collect(),
         };
-        self.call_router(router, Step::FullList, full_list);
+        self.notify(router, Step::FullList, full_list);
     }
 
     /// Drains a random replica, makes the previously drained one ready again, and notifies all routers.
@@ -371,7 +369,7 @@
                 is_full: false,
                 endpoints: changed.clone(),
             };
-            self.call_router(router, Step::EndpointChange, change);
+            self.notify(router, Step::EndpointChange, change);
         }
     }
 
--- a/crates/scale/src/simulation/traffic.rs
+++ b/crates/scale/src/simulation/traffic.rs
@@ -85,6 +85,6 @@
         let request =
             SimulatedRequest::new(router, metadata.clone(), first_token_due, priority_weight);
         self.requests.insert(id, request);
-        self.call_router(router, Step::Arrival, Event::RequestArrived(metadata));
+        self.notify(router, Step::Arrival, Event::RequestArrived(metadata));
     }
 }
