--- a/crates/scale/tests/decisions.rs
+++ b/crates/scale/tests/decisions.rs
@@ -1,4 +1,7 @@
-//! The routing module's decisions in fleets of the size in service today.
+//! Decisions of the routing module in simulated fleets of the sizes now in service.
+//!
+//! In fleets this small, selection among candidates must decide as if all endpoints were scored. Any other change of a decision,
+//! such as another order of the module's random draws, changes a digest as well.
 
 use quartzhall_scale::fleet::FleetShape;
 use quartzhall_scale::simulation::{
@@ -35,7 +38,7 @@
     ]
 }
 
-/// The digests of these simulations when the module scored every endpoint for every selection.
+/// Digests of the simulations in the order of [`shapes`], computed when the module scored every endpoint for every selection.
 const DIGESTS: [u64; 4] = [
     8_361_958_994_946_791_718,
     11_216_637_254_983_268_111,
