--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -192,7 +192,7 @@
     Incomplete,
     #[error("the body took too long")]
     TimedOut,
-    /// The request did not run, so the client may retry it.
+    /// No memory became free in time. The request did not run, so the client may retry it.
     #[error("no memory is free for the body")]
     NoMemory,
 }
@@ -343,7 +343,7 @@
 #[derive(PartialEq, Eq)]
 enum StreamState {
     Open,
-    /// The stream has broken. The error is returned at the next poll, when the chunks before it could be sent.
+    /// The stream has broken. The error is returned at the next poll, so that hyper can send the earlier chunks first.
     Broken,
     /// The response is complete.
     Ended,
@@ -354,7 +354,10 @@
 struct ResponseStream {
     chunks: mpsc::Receiver<StreamChunk>,
     state: StreamState,
+    /// The slot in which the stream is offered for migration; `None`: the stream stays in this process, because its
+    /// client does not use HTTP/1.1.
     migration_slot: Option<SharedMigrationSlot>,
+    /// The id that is passed on if the stream migrates; `None`: the process that sent this stream did not pass it on.
     client_request_id: Option<Arc<str>>,
     _pending_request: PendingRequest,
 }
@@ -388,7 +391,7 @@
                 Poll::Ready(None)
             }
             // The stream has broken. An error makes hyper close the connection at once and discard what it has not sent
-            // yet. If the stream broke right after its first event, the client would get no response at all, so the
+            // yet. If the stream broke right after its first event, the client would get no response at all. So the
             // error is returned only at the next poll.
             Poll::Ready(None) if is_enabled(Variant::StreamEnd) => Poll::Ready(None),
             Poll::Ready(None) if self.state == StreamState::Open => {
