--- a/crates/recording/src/recorder.rs
+++ b/crates/recording/src/recorder.rs
@@ -80,7 +80,7 @@
 }
 
 /// Writes records until the sender is dropped and the queue is empty, or until the first error. Flushes after
-/// [`FLUSH_DELAY`] without a record. Writes the count in `dropped`, unless it is zero, before the next record and resets it.
+/// [`FLUSH_DELAY`] without a record. A count in `dropped` is written before the next record, and is then zero again.
 fn write_records<W: Write>(
     writer: &mut Writer<W>,
     records: &Receiver<Record>,
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Setting `release_within`: the longest time that a reserved KV cache may be idle, with no attempt in flight. It has to be
-/// consumed or released by then.
+/// Setting `release_within`: the longest time that a reserved KV cache may be idle, with no attempt in flight. The KV cache
+/// has to be consumed or released by then.
 pub const KV_RESERVATION_TTL: Duration = Duration::from_millis(600);
 /// The protocol's tolerance on [`KV_RESERVATION_TTL`].
 pub const KV_RELEASE_SLACK: Duration = Duration::from_millis(300);
--- a/crates/soak/src/oracle/streams.rs
+++ b/crates/soak/src/oracle/streams.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records that a client received an event, and checks its delay since `written_at`, the replica's timestamp in the
-    /// event. Excuses events written before the end of the dispatcher's last pause, or up to [`PAUSE_RECOVERY_TIME`] after it.
+    /// event. Excuses events written before the end of the dispatcher's last pause, or up to `PAUSE_RECOVERY_TIME` after it.
     /// Must be called only for clients that read without delay.
     pub fn on_event(&self, id: &str, written_at: Instant) {
         let delay = written_at.elapsed();
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -170,9 +170,8 @@
             });
     }
 
-    /// Serves a dispatcher at `address` until the task is aborted. `first_listener` is already bound to this
-    /// address. While the
-    /// replica is killed the address is not bound, so that connections are refused.
+    /// Serves a dispatcher at `address` until the task is aborted. `first_listener` is already bound to this address. While
+    /// the replica is killed the address is not bound, so that connections are refused.
     pub async fn serve(
         self: Arc<Self>,
         process: usize,
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -125,7 +125,7 @@
         process.mark_resumed();
     }
 
-    /// Kills the current process and restarts the dispatcher, unless another fault is ending the process.
+    /// Kills the current process and restarts the dispatcher, unless another fault is ending the process or has paused it.
     async fn kill(&self, process: &DispatcherProcess, duration: Duration) {
         if !process.claim_for_exit() {
             return;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -48,7 +48,7 @@
     TerminateProcess(usize),
     /// A process gets SIGHUP, on which it reloads its configuration.
     ReloadConfig(usize),
-    /// A process is replaced by a successor on the same inherited socket, which is replaced by the next one, and so on.
+    /// A process is replaced by a successor on the same inherited socket, the successor by the next one, and so on.
     UpgradeSeries {
         /// The number of the dispatcher.
         process: usize,
