--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 
 .PHONY: build check format lint test scale soak run clean
 
-# Seeds that make soak plays, from the first one on.
+# `make soak` runs SEEDS seeds, starting with SEED, with PROCESSES dispatchers each.
 SEED ?= 1
 SEEDS ?= 8
 PROCESSES ?= 12
