--- a/crates/scale/src/config.rs
+++ b/crates/scale/src/config.rs
@@ -31,6 +31,7 @@
     pub peers_all: String,
 }
 
+/// Formats the elements of a JSON array of strings, without its brackets.
 fn quoted_list(values: impl Iterator<Item = String>) -> String {
     let items: Vec<String> = values.map(|value| format!("\"{value}\"")).collect();
     items.join(",")
--- a/crates/scale/src/core_steps.rs
+++ b/crates/scale/src/core_steps.rs
@@ -43,7 +43,7 @@
 const PEAK_OPEN_STREAMS: u64 = 585;
 /// Requests that the sender counts before each gossip message, because they earn its gossip budget.
 const REQUESTS_PER_GOSSIP_MESSAGE: usize = 50;
-/// The core's limit of connections to endpoints, which also limits its open requests.
+/// The core's limit of connections to endpoints. It also limits the open requests, but `most_held` in the settings is lower: 2,000.
 const MAX_CONNECTIONS: usize = 4_096;
 
 type StepHistograms = BTreeMap<String, Histogram<u64>>;
@@ -86,7 +86,7 @@
     core: Core,
     now: Time,
     costs: StepHistograms,
-    records: Vec<EndpointRecord>,
+    records: Vec<EndpointRecord>, // by replica number, with the status last sent
     outcomes: Vec<oneshot::Receiver<Outcome>>, // kept: without a receiver the core would end the stream
 }
 
@@ -173,7 +173,8 @@
         }
     }
 
-    fn change_event(&self, number: usize) -> Event {
+    /// Creates a partial endpoint list of one replica, with its status in `records`.
+    fn endpoint_change_event(&self, number: usize) -> Event {
         Event::EndpointsChanged {
             is_full: false,
             endpoints: vec![discovered_endpoint(&self.records[number])],
@@ -199,7 +200,7 @@
             let number = rng.gen_range(0..self.records.len());
             for status in [EndpointStatus::Draining, EndpointStatus::Ready] {
                 self.records[number].status = status;
-                let change = self.change_event(number);
+                let change = self.endpoint_change_event(number);
                 self.measure_event("core: change of one replica", change);
             }
             self.now += repetition as Time;
@@ -282,7 +283,8 @@
         commands
     }
 
-    /// Measures requests whose client disconnects after prefill, so that the core releases the KV cache.
+    /// Measures `count` requests with ids from `first_id` whose client disconnects after prefill, so that the core releases the
+    /// KV cache.
     fn measure_releases(&mut self, first_id: u64, count: u64) {
         for id in first_id..first_id + count {
             self.now += MS;
@@ -311,7 +313,8 @@
         }
     }
 
-    /// Opens streams: sends requests with ids from `first_id`, and takes each to the first event of its decode.
+    /// Opens streams: sends `count` requests with ids from `first_id`, and takes each to the first event of its decode. Requests
+    /// that the core does not start are skipped.
     pub fn open_streams(&mut self, first_id: u64, count: u64) {
         for id in first_id..first_id + count {
             self.now += MS;
@@ -348,12 +351,14 @@
     }
 }
 
+/// Returns whether the commands start attempt `number` of a request; attempts count from 0.
 fn starts_attempt(commands: &[Command], request: RequestId, number: u32) -> bool {
     commands.iter().any(|command| {
         matches!(command, Command::StartAttempt { id, attempt, .. } if *id == request && *attempt == number)
     })
 }
 
+/// Returns the endpoint of a probe; `None` for other commands.
 fn probed_endpoint(command: &Command) -> Option<EndpointId> {
     match command {
         Command::Probe { endpoint, .. } => Some(*endpoint),
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -21,7 +21,7 @@
     pub rack_size: (usize, usize),
     /// Share of the replicas in each rack that prefill, from 0 to 1.
     pub prefill_share: f64,
-    /// Share of the replicas that are warming up at the start, from 0 to 1.
+    /// Probability with which each replica is warming up at the start, from 0 to 1.
     pub warming_up_share: f64,
 }
 
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -22,7 +22,7 @@
 const LOST_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Number of conversations of one dispatcher's clients.
 const CONVERSATIONS_PER_DISPATCHER: u64 = 2_000;
-/// Number of shared prompt prefixes.
+/// Number of prompt prefixes that the clients of all dispatchers share.
 const SHARED_PREFIX_COUNT: u64 = 300;
 /// Buffer size of a read from a response, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
@@ -48,7 +48,7 @@
     Lost,
 }
 
-/// The dispatcher under load, with the clients' idle connections to it.
+/// The dispatcher under load, with the clients' idle connections to it and the metrics of the replicas behind it.
 struct LoadTarget {
     address: String,
     idle_connections: Mutex<Vec<TcpStream>>,
@@ -113,7 +113,8 @@
     }
 }
 
-/// Sends requests to the dispatcher `number` at the rate of `load` until `end`, and waits for their responses.
+/// Sends requests to the dispatcher `number` at the mean rate of `load` until `end`, and waits for their responses. Each request
+/// is registered with `metrics`, which measure its time to a replica.
 ///
 /// # Errors
 ///
@@ -252,7 +253,10 @@
 }
 
 impl PartialResponse {
-    /// Evaluates the response after a read; `None` if it is incomplete. Responses with status 200 are chunked streams.
+    /// Evaluates the bytes read so far; `None` if the response is incomplete.
+    ///
+    /// A response with status 200 is a chunked stream. The first byte of its body counts as the first token, and its time
+    /// counts from `due`. Status 429 and 503 are load shedding, any other status is a failure.
     fn evaluate(&mut self, due: Instant) -> Option<Exchange> {
         let head_end = find_bytes(&self.bytes, b"\r\n\r\n")?;
         let body_start = head_end + 4;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -17,6 +17,8 @@
 /// the results.
 const EXIT_RUN_FAILED: u8 = 1;
 
+/// Creates a logger that writes lines of all levels to standard error, from a thread of its own. The guard waits for the last
+/// lines when it is dropped.
 fn create_logger() -> (Logger, slog_async::AsyncGuard) {
     let plain = slog_term::PlainDecorator::new(std::io::stderr());
     let format = slog_term::FullFormat::new(plain)
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -23,10 +23,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::runtime::Runtime;
 
-/// Why a subcommand failed.
+/// A reason for which a subcommand failed.
 #[derive(Debug)]
 pub(crate) enum CommandError {
-    /// The value of `--cold` is not a share from 0 to 1.
+    /// The value of `--cold` for `steps` is not a share from 0 to 1.
     WarmingUpShare(f64),
     /// The scenario is not valid.
     Scenario(ScenarioError),
@@ -40,7 +40,7 @@
     System(std::io::Error),
     /// The folder for configurations and logs could not be created.
     CreateFolder {
-        /// The folder.
+        /// Path of the folder.
         folder: PathBuf,
         /// The system's error.
         source: std::io::Error,
@@ -51,7 +51,7 @@
     UnmetExpectations(Vec<String>),
     /// The page with the tables could not be read.
     ReadPage {
-        /// The page.
+        /// Path of the page.
         page: PathBuf,
         /// The system's error.
         source: std::io::Error,
@@ -62,7 +62,7 @@
     Table(TableError),
     /// The page differs from the results in this line.
     LineDiffers {
-        /// The page.
+        /// Path of the page.
         page: PathBuf,
         /// The line, counted from 1.
         line: usize,
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns the commit of the current work tree, and whether the measured sources differ from it.
+/// Returns the commit of the current work tree, followed by "with changes" if the measured sources differ from it.
 fn describe_commit() -> String {
     let commit = command_output("git", &["rev-parse", "--short", "HEAD"]);
     let measured_paths = ["src", "crates/scale/src", "Cargo.lock"];
@@ -183,6 +183,7 @@
     }
 }
 
+/// Writes results to a file, with the command line, the commit, the time and the number of cores.
 fn store_results<T: Serialize>(path: &Path, results: T) -> Result<(), CommandError> {
     let arguments: Vec<String> = std::env::args().skip(1).map(shorten_path).collect();
     let ended_at = SystemTime::now()
@@ -198,6 +199,7 @@
     results::write(path, &run).map_err(CommandError::Results)
 }
 
+/// Runs `steps`: measures the routing module at each size with each seed, and stores the costs.
 pub(crate) fn measure_steps(options: &StepsOptions, log: &Logger) -> Result<(), CommandError> {
     if !(0.0..=1.0).contains(&options.warming_up_share) {
         return Err(CommandError::WarmingUpShare(options.warming_up_share));
@@ -225,6 +227,7 @@
     store_results(&options.out, all_costs)
 }
 
+/// Runs `core-steps`: measures the core at each size with each seed, and stores the costs.
 pub(crate) fn measure_core_steps(
     options: &CoreStepsOptions,
     log: &Logger,
@@ -241,12 +244,14 @@
     store_results(&options.out, all_costs)
 }
 
+/// Runs `memory`: measures one fleet, and stores the memory per replica and per open stream.
 pub(crate) fn measure_memory(options: &MemoryOptions) -> Result<(), CommandError> {
     let results = memory::measure(options.replicas, options.dispatchers, options.seed)
         .map_err(CommandError::Measure)?;
     store_results(&options.out, results)
 }
 
+/// Runs `choice`: compares both kinds of selection at each size with each seed, and stores the comparisons.
 pub(crate) fn compare_selections(
     options: &ChoiceOptions,
     log: &Logger,
@@ -268,11 +273,14 @@
     store_results(&options.out, comparisons)
 }
 
+/// Runs `run`: the scenario as it is in the file, once with each seed.
 pub(crate) fn run_scenario(options: &RunOptions, log: &Logger) -> Result<(), CommandError> {
     let scenario = Scenario::read(&options.scenario).map_err(CommandError::Scenario)?;
     run_all(&[scenario], &options.common, log)
 }
 
+/// Runs `sweep`: the scenario once for each number of replicas and each seed. All else, the number of dispatchers included, stays
+/// as in the file.
 pub(crate) fn run_sweep(options: &SweepOptions, log: &Logger) -> Result<(), CommandError> {
     let scenario = Scenario::read(&options.scenario).map_err(CommandError::Scenario)?;
     let mut scenarios = Vec::new();
@@ -367,6 +375,7 @@
     })
 }
 
+/// Logs the main counts of a run; `core_share` is the mean over the real dispatchers.
 fn log_result(result: &ScaleRunResult, log: &Logger) {
     let cores: f64 = result.usage.iter().map(|usage| usage.core_share).sum();
     info!(log, "run finished"; "scenario" => &result.scenario, "replicas" => result.replicas,
@@ -374,6 +383,7 @@
         "core_share" => cores / result.usage.len().max(1) as f64);
 }
 
+/// Runs `table`: writes the tables into the page. With `--check` it writes nothing, and fails at the first line that differs.
 pub(crate) fn write_tables(options: &TableOptions) -> Result<(), CommandError> {
     let page = std::fs::read_to_string(&options.page).map_err(|source| CommandError::ReadPage {
         page: options.page.clone(),
--- a/crates/scale/src/memory.rs
+++ b/crates/scale/src/memory.rs
@@ -11,6 +11,7 @@
 /// Request id of the first stream; the ids of the others count up from it.
 const FIRST_REQUEST_ID: u64 = 1_000_000;
 
+/// Returns the resident memory of this process in bytes; 0 if it cannot be read.
 fn resident_bytes() -> f64 {
     process::sample_resources(std::process::id())
         .map_or(0.0, |sample| sample.resident_mb * 1024.0 * 1024.0)
--- a/crates/scale/src/power_law.rs
+++ b/crates/scale/src/power_law.rs
@@ -12,7 +12,8 @@
 }
 
 impl PowerLaw {
-    /// Fits points of size and cost; points that are not positive are ignored. Returns `None` for fewer than two sizes.
+    /// Fits points of size and cost, in this order; points that are not positive are ignored. Returns `None` if the rest have
+    /// fewer than two different sizes.
     pub fn fit(points: &[(f64, f64)]) -> Option<PowerLaw> {
         let mut logs = Vec::with_capacity(points.len());
         for (size, cost) in points {
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -28,7 +28,7 @@
 pub struct ResourceSample {
     /// Processor time since the start of the process, in core seconds.
     pub cpu_s: f64,
-    /// Resident memory, in MB.
+    /// Resident memory, in MB of 1,024 KB.
     pub resident_mb: f64,
 }
 
@@ -73,28 +73,28 @@
     },
     /// The dispatcher was not ready in time.
     NotReady {
-        /// Its configuration file.
+        /// The dispatcher's configuration file.
         config: PathBuf,
     },
     /// A signal could not be sent.
     Signal(std::io::Error),
     /// The process exited with an error.
     ExitStatus {
-        /// Its configuration file.
+        /// The dispatcher's configuration file.
         config: PathBuf,
-        /// Its exit status.
+        /// The exit status of the process.
         status: ExitStatus,
     },
     /// Waiting for the exit failed.
     Wait {
-        /// Its configuration file.
+        /// The dispatcher's configuration file.
         config: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
     /// The process did not exit in time.
     NotExited {
-        /// Its configuration file.
+        /// The dispatcher's configuration file.
         config: PathBuf,
     },
 }
@@ -170,11 +170,12 @@
     /// The operating system's id of the process.
     pub process_id: u32,
     config_path: PathBuf,
-    started: Instant,
+    started: Instant, // when the process had been spawned
 }
 
 impl Dispatcher {
-    /// Starts the program with a configuration. The files `NAME.json` and `NAME.log` in `folder` take configuration and log.
+    /// Starts the program with a configuration. The configuration and the log are files
+    /// `NAME.json` and `NAME.log` in `folder`.
     ///
     /// # Errors
     ///
@@ -223,11 +224,12 @@
         })
     }
 
-    /// Waits until the dispatcher is ready, and returns the time since its start.
+    /// Polls the dispatcher until it is ready, and returns the time since its start. The check is the `ready` command at its
+    /// management address if it has one, otherwise `/ready` at its client address.
     ///
     /// # Errors
     ///
-    /// Fails if it is not ready within 30 s.
+    /// Fails if the dispatcher is not ready within 30 s. An exit of the process is not noticed before that.
     pub async fn wait_until_ready(&self) -> Result<Duration, ProcessError> {
         let poll = async {
             while !self.is_ready().await {
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -49,7 +49,7 @@
     pub warming_up_share: f64,
     /// The seed of the measurement.
     pub seed: u64,
-    /// Requests that arrived.
+    /// Requests that arrived. For steps of the core, the usual number of repetitions of a step.
     pub arrivals: usize,
     /// Whether all requested arrivals were simulated; false if the time limit was reached first.
     #[serde(rename = "finished")]
@@ -74,19 +74,19 @@
     pub results: T,
 }
 
-/// Why a file of results could not be read or written.
+/// A reason for which a file of results could not be read or written.
 #[derive(Debug)]
 pub enum ResultsError {
     /// The file cannot be read or written.
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
     /// The content of the file is not JSON of the expected type.
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The parser's error.
         source: serde_json::Error,
@@ -194,10 +194,10 @@
 pub struct RuleViolations {
     /// Requests that reached a draining replica more than 0.3 s after their dispatcher was notified of the drain.
     pub sends_after_drain: u64,
-    /// Replicas in slow start that received more requests from all dispatchers together than the rule allows.
+    /// Slow starts in which a replica received more requests from all dispatchers together than the rule allows.
     #[serde(rename = "cold_falls")]
     pub slow_start_overloads: u64,
-    /// KV caches whose reservation was released later than the settings allow.
+    /// KV caches that were neither consumed nor released within 1.3 s of their reservation.
     #[serde(rename = "states_held_too_long")]
     pub late_kv_releases: u64,
 }
@@ -236,16 +236,16 @@
     }
 }
 
-/// Quantiles of durations, in milliseconds.
+/// Quantiles of durations; all are 0 if there are none.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 pub struct DurationSummary {
-    /// Number of durations.
+    /// Number of durations that were measured.
     pub count: u64,
-    /// The median.
+    /// The median, in milliseconds.
     pub median_ms: f64,
-    /// The 99th percentile.
+    /// The 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// The longest.
+    /// The longest duration, in milliseconds.
     #[serde(rename = "longest_ms")]
     pub max_ms: f64,
 }
@@ -269,20 +269,20 @@
     /// Processor time under load, as a share of one core.
     #[serde(rename = "core")]
     pub core_share: f64,
-    /// Resident memory at the end of the load, in MB.
+    /// Resident memory at the end of the load, in MB of 1,024 KB.
     pub resident_mb: f64,
     /// Time from the start of the process until it was ready, in seconds.
     pub ready_s: f64,
     /// Processor time from the start of the process until it was ready, in seconds.
     pub ready_core_s: f64,
-    /// Endpoint lists sent to the dispatcher, in bytes per second.
+    /// Endpoint lists sent to the dispatcher during the load, in bytes per second.
     pub list_bytes_per_s: f64,
-    /// Number of endpoint lists sent to the dispatcher, including full ones.
+    /// Number of endpoint lists sent to the dispatcher since its start, including full ones.
     pub lists: u64,
-    /// Number of full endpoint lists sent to the dispatcher.
+    /// Number of full endpoint lists sent to the dispatcher since its start.
     #[serde(rename = "whole_lists")]
     pub full_lists: u64,
-    /// Gossip sent to the dispatcher by simulated ones, in bytes per second.
+    /// Gossip sent to the dispatcher by simulated ones during the load, in bytes per second.
     #[serde(rename = "heard_bytes_per_s")]
     pub gossip_bytes_per_s: f64,
 }
@@ -317,14 +317,14 @@
     /// From the time that a request was due to be sent until it reached the first replica.
     #[serde(rename = "to_replica")]
     pub time_to_replica: DurationSummary,
-    /// From the notification of a drain to requests that reached the draining replica after it.
+    /// From the notification of a drain to attempts of the notified dispatcher that reached the draining replica after it.
     #[serde(rename = "after_drain")]
     pub time_after_drain: DurationSummary,
-    /// Probes of all real dispatchers, per request.
+    /// Probes of all real dispatchers, per client request. Probes during the shutdown are included.
     pub probes_per_request: f64,
-    /// Connections to replicas, per request.
+    /// Connections that replicas accepted, per client request. Those during the shutdown are included.
     pub connections_per_request: f64,
-    /// Probes of all real dispatchers, in bytes per second.
+    /// Probes of all real dispatchers with their responses, in bytes per second of load. The heads are approximate.
     pub probe_bytes_per_s: f64,
     /// From the time that a request was due until the bench sent it.
     #[serde(rename = "sent_late")]
--- a/crates/scale/src/run/bench.rs
+++ b/crates/scale/src/run/bench.rs
@@ -155,7 +155,7 @@
         Ok(peers)
     }
 
-    /// Starts an event of the scenario.
+    /// Starts an event of the scenario. `seed` selects the replicas of a rolling restart.
     pub(super) fn start_event(&mut self, event: &ScenarioEvent, seed: u64) {
         let number = event.number;
         match event.kind {
@@ -193,7 +193,7 @@
     }
 }
 
-/// Restarts replicas: they are ready, and in slow start.
+/// Restarts the replicas with these numbers: they are in slow start, and listed as ready.
 fn restart(discovery: &Discovery, replicas: &[Arc<Replica>], numbers: &[usize]) {
     for number in numbers {
         replicas[*number].restart();
--- a/crates/scale/src/run/error.rs
+++ b/crates/scale/src/run/error.rs
@@ -17,7 +17,7 @@
         /// The resource that is lacking.
         shortage: Shortage,
     },
-    /// A socket of the bench could not be opened.
+    /// A socket of the bench could not be opened, or its address could not be read.
     Socket(std::io::Error),
     /// A real dispatcher could not be started, or did not shut down cleanly.
     Process(ProcessError),
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -38,7 +38,7 @@
 
 /// A scenario with all that is needed to run it.
 pub struct RunPlan {
-    /// The scenario.
+    /// The scenario to run; in a sweep, with another number of replicas than in the file.
     pub scenario: Scenario,
     /// Seed of the fleet, the load, the events and the dispatchers.
     pub seed: u64,
@@ -64,9 +64,11 @@
     DurationSummary::from_histogram(&histogram.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// The bench's counters at one moment.
+/// The bench's counters at one moment; all count from the start of the bench.
 struct CounterSnapshot {
-    list_bytes: Vec<u64>, // by real dispatcher
+    /// Bytes of endpoint lists, by real dispatcher.
+    list_bytes: Vec<u64>,
+    /// Bytes of gossip to each real dispatcher, from all simulated ones together.
     gossip_bytes: u64,
     probes: u64,
     connections: u64,
@@ -91,7 +93,7 @@
 
 /// What is measured both before and after the load.
 struct Measurement {
-    dispatchers: Vec<ResourceSample>,
+    dispatchers: Vec<ResourceSample>, // by number; zeros for a process that has exited
     bench: ResourceSample,
     counters: CounterSnapshot,
 }
@@ -107,7 +109,7 @@
     }
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario with one seed to its end.
 ///
 /// # Errors
 ///
@@ -219,7 +221,8 @@
     }
 }
 
-/// Returns what each real dispatcher used between two measurements, `seconds` apart.
+/// Returns what each real dispatcher used between two measurements, `seconds` apart. The numbers of lists count from the start
+/// of the dispatcher.
 fn measure_usage(
     bench: &Bench,
     real: &RealDispatchers,
@@ -248,6 +251,8 @@
     usage
 }
 
+/// Builds the result of a run, after the real dispatchers have exited. `before` and `after` are the measurements around the load,
+/// `seconds` apart.
 fn summarize_run(
     plan: &RunPlan,
     bench: &Bench,
--- a/crates/scale/src/run/real.rs
+++ b/crates/scale/src/run/real.rs
@@ -34,7 +34,12 @@
 pub(super) struct RealDispatchers(Vec<RealDispatcher>);
 
 impl RealDispatchers {
-    /// Starts the dispatchers one by one, and waits until each is ready before it starts the next.
+    /// Starts the dispatchers one by one, and waits until each is ready before it starts the next. The bench serves a discovery
+    /// agent for each of them.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a dispatcher cannot be started or is not ready in time; those already started are killed.
     pub(super) async fn start(
         plan: &RunPlan,
         bench: &mut Bench,
--- a/crates/scale/src/run/resources.rs
+++ b/crates/scale/src/run/resources.rs
@@ -3,7 +3,7 @@
 use crate::scenario::Scenario;
 use std::fmt;
 
-/// File descriptors that the bench needs for each real dispatcher, beside that dispatcher's connections.
+/// File descriptors that the bench needs for each real dispatcher, in addition to that dispatcher's connections.
 const DESCRIPTORS_PER_REAL: u64 = 200;
 /// File descriptors of a simulated dispatcher: its gossip socket, and both ends of its connection to discovery.
 const DESCRIPTORS_PER_SIMULATED: u64 = 3;
@@ -11,7 +11,7 @@
 const REPLICA_MEMORY_KB: u64 = 48;
 /// Estimated memory of a simulated dispatcher, in KB.
 const SIMULATED_MEMORY_KB: u64 = 128;
-/// Memory limit of a real dispatcher, in KB.
+/// Memory limit of a real dispatcher, in KB; the same as in its configuration.
 const REAL_MEMORY_KB: u64 = 256 * 1024;
 /// Divisor of the machine's memory: a run may use half of it.
 const MEMORY_DIVISOR: u64 = 2;
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The name of the scenario in log lines and results.
+    /// The name of the scenario in log lines, results and errors.
     pub name: String,
     /// Duration of the load, in seconds.
     pub seconds: u64,
@@ -23,7 +23,7 @@
     pub dispatchers: DispatcherConfig,
     /// The load on the real dispatchers.
     pub load: LoadConfig,
-    /// Events during the load.
+    /// Events during the load, in any order.
     #[serde(default, rename = "event")]
     pub events: Vec<ScenarioEvent>,
     /// Conditions that must hold at the end.
@@ -99,12 +99,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioEvent {
-    /// Time from the start of the load, in seconds.
+    /// Time from the start of the load, in seconds; a negative value counts as 0.
     #[serde(rename = "at")]
     pub at_seconds: f64,
     /// What happens.
     pub kind: EventKind,
-    /// The number of a rack or zone, or the replicas per second of a rolling restart; unused by a full list.
+    /// The number of a rack or zone, or the replicas per second of a rolling restart; required but unused for a full list.
     pub number: u32,
 }
 
@@ -137,19 +137,19 @@
     pub min_served_share: f64,
 }
 
-/// Why a scenario cannot be used.
+/// A reason for which a scenario cannot be used.
 #[derive(Debug)]
 pub enum ScenarioError {
     /// The file cannot be read.
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
     /// The file is not a valid scenario.
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Why the content of the file is not valid.
         source: Box<ScenarioError>,
@@ -165,9 +165,9 @@
     },
     /// A share is not from 0 to 1.
     Share {
-        /// The setting.
+        /// The section and key of the share.
         name: &'static str,
-        /// Its value.
+        /// The value in the file.
         value: f64,
     },
     /// Another setting is out of its range; the text names the setting and its range.
@@ -291,6 +291,7 @@
     }
 }
 
+/// Converts a parser's error; its position is that of the error's start, or 1:1 if the parser gives none.
 fn syntax_error(text: &str, source: toml::de::Error) -> ScenarioError {
     let start = source.span().map_or(0, |span| span.start).min(text.len());
     let before = &text[..start];
--- a/crates/scale/src/simulated/discovery.rs
+++ b/crates/scale/src/simulated/discovery.rs
@@ -1,7 +1,7 @@
 //! Simulated discovery: serves the endpoint list and watches on it to all dispatchers from one process.
 //!
 //! [`Discovery`] owns the list. Each real dispatcher polls an agent at an address of its own, whose [`DeliveryLog`] records what
-//! was written to that dispatcher, and when.
+//! was written to that dispatcher, and when. The simulated dispatchers share one agent.
 
 use quartzhall::routing::api::{EndpointRecord, EndpointStatus, Role};
 use std::collections::HashMap;
@@ -24,11 +24,11 @@
 /// A replica's entry in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// Its endpoint number, role, location and status.
+    /// Number, role, location and status of the replica.
     pub record: EndpointRecord,
-    /// The host and port at which it listens.
+    /// The host and port at which the replica listens.
     pub address: String,
-    /// Time of its last start, in Unix milliseconds; 0 if that is long ago.
+    /// Time of the replica's last start, in Unix milliseconds; 0 if the replica was warm at the start of the run.
     pub up_since_ms: u64,
 }
 
@@ -66,6 +66,7 @@
     endpoint: usize,
 }
 
+/// The endpoint list at its latest revision, with the changes that led to it.
 struct EndpointTable {
     revision: u64,
     endpoints: Vec<EndpointEntry>,
@@ -75,7 +76,7 @@
 }
 
 impl EndpointTable {
-    /// Serializes the changes since the revision `from`, or the full list where they are not retained.
+    /// Serializes the changes since the revision `from`. The list is full if `from` is `None` or its changes are not retained.
     fn serialize(&self, from: Option<u64>) -> SerializedList {
         let diff_base = from.filter(|from| (self.oldest_diff_base..=self.revision).contains(from));
         let is_full = diff_base.is_none();
@@ -230,7 +231,7 @@
             .collect()
     }
 
-    /// Returns the changes since the revision `from`, or the full list. Many dispatchers ask for the same changes, so each list is
+    /// Returns the same list as [`EndpointTable::serialize`]. Many dispatchers ask for the same changes, so each list is
     /// serialized once.
     fn list(&self, from: Option<u64>) -> Arc<SerializedList> {
         let mut table = self.table();
@@ -268,7 +269,8 @@
         }
     }
 
-    /// Responds to a poll with the head `head`; a watch waits for a revision after the one that the dispatcher has.
+    /// Responds to a poll, given the head of its request. A poll with a revision is a watch: its response is delayed until the list
+    /// has a later revision, or the hold time that it asks for is over.
     async fn respond(
         &self,
         stream: &mut TcpStream,
@@ -296,7 +298,7 @@
     }
 }
 
-/// Returns the number of a parameter in the query of a request target.
+/// Returns the number of a parameter in the query of a request target; `None` without a valid number.
 fn query_number(target: &str, name: &str) -> Option<u64> {
     let value = target
         .split(['?', '&'])
--- a/crates/scale/src/simulated/peers.rs
+++ b/crates/scale/src/simulated/peers.rs
@@ -30,7 +30,7 @@
 pub struct SimulatedPeers {
     /// Number of dispatchers in the fleet, as configured at each of them.
     pub dispatchers: u32,
-    /// Cost of a full gossip message for each receiver and request.
+    /// Cost of a full gossip message for each receiver, as a share of the value of one request.
     pub gossip_cost: f64,
     /// Requests per second of each simulated dispatcher.
     pub rate_per_dispatcher: f64,
@@ -50,7 +50,7 @@
 }
 
 /// Sends gossip to the real dispatchers at the rate of one dispatcher, until the task is aborted. The program's own gossip budget
-/// limits the messages; the load reports in them are random.
+/// limits the messages; the load reports in them are random. The requests of a batch are rounded down to a whole number.
 pub async fn send_gossip(peers: SimulatedPeers, socket: UdpSocket, seed: u64) {
     let mut gossip = Gossip::new(peers.dispatchers as usize, peers.gossip_cost);
     let mut rng = Pcg32::seed_from_u64(seed);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Sends one poll on a new connection, and returns the revision of the list in the response.
+/// Sends one poll on a new connection, and returns the revision of the list in the response; `None` if no valid response came.
 async fn fetch_revision(address: &str, target: &str) -> Option<u64> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream
--- a/crates/scale/src/simulated/replica.rs
+++ b/crates/scale/src/simulated/replica.rs
@@ -28,14 +28,17 @@
 const CACHED_PROMPT_SHARE: f64 = 0.5;
 /// Time from the start of a decode attempt to its first token.
 const FIRST_TOKEN_TIME: Duration = Duration::from_millis(15);
-/// Time between two events of a stream.
+/// Time between two events of a stream: 25 ms for each token.
 const EVENT_INTERVAL: Duration = Duration::from_millis(200);
+/// Output tokens in one event of a stream.
 const TOKENS_PER_EVENT: u32 = 8;
 /// Tokens that one byte of a request body stands for. The bodies of the load are shorter than real ones.
 pub const TOKENS_PER_BYTE: f64 = 4.0;
-/// Time after a drain's notification within which attempts of the notified dispatcher may still arrive.
+/// Time after a drain's notification within which attempts of the notified dispatcher may still arrive. It exceeds `drain_grace`
+/// in the dispatchers' settings by 50 ms.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// Time within which a reserved KV cache must be consumed or released.
+/// Time within which a reserved KV cache must be consumed or released. It exceeds `release_within` in the dispatchers' settings by
+/// 300 ms.
 const RESERVATION_TTL: Duration = Duration::from_millis(1_300);
 /// Number of requests in flight at which a replica reports its KV memory as full.
 const IN_FLIGHT_AT_FULL_MEMORY: f64 = 200.0;
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Ends a reservation, and returns whether there was one.
+    /// Ends the reservation of a client request, and returns whether there was one. Counts it as late after [`RESERVATION_TTL`].
     fn end_reservation(&self, id: &str) -> bool {
         let Some(reserved_at) = lock(&self.reservations).remove(id) else {
             return false;
@@ -142,9 +145,9 @@
 pub struct SlowStartRule {
     /// Sliding window over which requests are counted.
     pub window: Duration,
-    /// Number of requests in a window that the replica can take before it is overloaded.
+    /// Mean number of requests in a window that the replica can take. More are tolerated, because arrivals are random.
     pub max_requests: f64,
-    /// Duration of the slow start.
+    /// Duration of the slow start, after which the limit no longer applies.
     pub duration: Duration,
 }
 
@@ -155,10 +158,15 @@
     metrics: Arc<ReplicaMetrics>,
     drain_notifications: DrainNotifications,
     slow_start: SlowStartRule,
+    /// Number of attempts that run or wait.
     in_flight: AtomicU64,
+    /// End of the last queued prefill.
     busy_until: Mutex<Instant>,
+    /// Start of the last slow start; `None` if the replica was created warm.
     started_at: Mutex<Option<Instant>>,
-    recent_arrivals: Mutex<VecDeque<Instant>>, // in slow start, within the rule's window
+    /// Arrivals in slow start, within the rule's window.
+    recent_arrivals: Mutex<VecDeque<Instant>>,
+    /// Whether an overload was counted in this slow start.
     is_overloaded: AtomicBool,
 }
 
--- a/crates/scale/src/simulation/attempts.rs
+++ b/crates/scale/src/simulation/attempts.rs
@@ -64,7 +64,8 @@
 }
 
 impl Simulation {
-    /// Applies an action of a router.
+    /// Applies an action of a router. Releases and watches have no effect: the model reserves KV memory only during decode, and
+    /// sends endpoint lists unasked.
     pub(super) fn apply_action(&mut self, router: usize, action: Action) {
         match action {
             Action::StartAttempt { id, endpoint, .. } => self.start_attempt(id, endpoint),
@@ -180,7 +181,8 @@
         self.end_attempt(id, attempt, end);
     }
 
-    /// Counts the first token of a decode attempt, schedules the end of the stream and notifies the router.
+    /// Counts the first token of a decode attempt, schedules the end of the stream and notifies the router. Does nothing if the
+    /// attempt has ended, or the request was shed, has failed or has its first token already.
     pub(super) fn on_first_token(&mut self, id: RequestId, attempt: u32) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -207,7 +209,8 @@
         self.notify(router, Step::FirstToken, Event::FirstEvent { id, attempt });
     }
 
-    /// Ends an attempt and notifies its router; does nothing if the attempt has already ended.
+    /// Ends an attempt and notifies its router; does nothing if the attempt has already ended. Removes the request with its last
+    /// attempt if it was served, shed or failed.
     fn end_attempt(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/scale/src/simulation/mod.rs
+++ b/crates/scale/src/simulation/mod.rs
@@ -36,7 +36,7 @@
 /// Simulated time at the start of a simulation.
 const START_TIME: Time = 1_000 * SECOND;
 
-/// Time from a probe to its response.
+/// Time from a probe to its response, in microseconds.
 const PROBE_RESPONSE_TIME: Time = 1_500;
 /// Time between two full endpoint lists, for each router.
 const FULL_LIST_INTERVAL: Time = 4 * SECOND;
@@ -135,8 +135,11 @@
     requests: HashMap<RequestId, SimulatedRequest>,
     queue: BinaryHeap<QueueEntry>,
     scheduled_events: u64, // also the sequence number of the last one
+    /// The endpoint that the last endpoint change drained; `None` before the first.
     draining_endpoint: Option<EndpointId>,
+    /// Sum of the priority weights of all arrivals.
     arrived_weight: f64,
+    /// Sum of the priority weights of the requests whose first token met the TTFT objective.
     served_weight: f64,
     digest: DecisionDigest,
     result: SimulationResult,
@@ -226,6 +229,7 @@
         simulation
     }
 
+    /// Sends each router its first list, and schedules the first event of each recurring kind.
     fn start_routers(&mut self, records: &[EndpointRecord]) {
         for router in 0..self.options.routers {
             self.notify(router, Step::Timer, Event::TimerFired);
@@ -261,6 +265,7 @@
         self.result
     }
 
+    /// Schedules an event `after` microseconds from now.
     fn schedule(&mut self, after: Time, event: ScheduledEvent) {
         self.scheduled_events += 1;
         self.queue
--- a/crates/scale/src/simulation/replica.rs
+++ b/crates/scale/src/simulation/replica.rs
@@ -8,7 +8,7 @@
 
 /// Default rate of a prefill replica, in tokens per second: fast enough for prefill queues to stay short.
 pub const PREFILL_TOKENS_PER_S: f64 = 40_000.0;
-/// Fixed time of each prefill attempt, beside that of its tokens.
+/// Fixed time of each prefill attempt, in addition to the time for its tokens.
 const PREFILL_OVERHEAD: Time = MS;
 /// Time from the start of a decode attempt to its first token, at full capacity and without KV cache transfer.
 const FIRST_TOKEN_TIME: Time = 15 * MS;
@@ -33,12 +33,16 @@
 
 /// A modelled replica: its queue of prefills, its prefix cache and its reserved KV memory.
 pub(super) struct SimulatedReplica {
-    /// Its record in the endpoint list.
+    /// The replica's record in the endpoint list.
     pub(super) record: EndpointRecord,
-    busy_until: Time,                 // end of the last queued prefill
-    cached_tokens: HashMap<u64, f64>, // by session, and by shared prefix
+    /// End of the last queued prefill.
+    busy_until: Time,
+    /// Tokens in the prefix cache, by session and by shared prefix.
+    cached_tokens: HashMap<u64, f64>,
+    /// Number of attempts that run or wait.
     in_flight: f64,
-    reserved_tokens: f64, // KV memory of its decode attempts
+    /// KV memory of the decode attempts, in tokens.
+    reserved_tokens: f64,
 }
 
 /// The duration of a prefill attempt, computed at its start.
@@ -73,15 +77,15 @@
         1.0 - (1.0 - settings.slow_start_initial_share) * (1.0 - progress)
     }
 
-    /// Returns the number of cached tokens of a session or a prefix.
+    /// Returns the number of cached tokens of a session or a prefix; 0 without a key.
     fn cached_tokens_for(&self, key: Option<u64>) -> f64 {
         key.and_then(|key| self.cached_tokens.get(&key))
             .copied()
             .unwrap_or(0.0)
     }
 
-    /// Queues a prefill attempt behind those already queued, or for `background_wait` if that is longer. Its prompt is in the
-    /// prefix cache at once.
+    /// Queues a prefill attempt behind those already queued, or for `background_wait` if that is longer. `capacity` is a share of
+    /// the full capacity. The prompt is in the prefix cache at once.
     pub(super) fn start_prefill(
         &mut self,
         now: Time,
@@ -113,8 +117,9 @@
         }
     }
 
-    /// Starts a decode attempt and returns the time to its first token. `source_cell` is the cell of the replica that holds its
-    /// KV cache; `None` if there is no previous attempt.
+    /// Starts a decode attempt and returns the time to its first token. Fails if `reserved_tokens` exceed the free KV memory.
+    /// `capacity` is a share of the full capacity. `source_cell` is the cell of the replica that holds the KV
+    /// cache; `None` if there is no previous attempt.
     pub(super) fn start_decode(
         &mut self,
         request: &RequestMetadata,
--- a/crates/scale/src/simulation/traffic.rs
+++ b/crates/scale/src/simulation/traffic.rs
@@ -12,9 +12,9 @@
 const PREFIX_TOKENS: f64 = 1_000.0;
 /// Probability that a request continues a conversation of its router.
 const CONTINUATION_PROBABILITY: f64 = 0.6;
-/// Conversations that a router retains for later requests.
+/// Maximum number of conversations that are retained for later requests of a router.
 const MAX_RETAINED_CONVERSATIONS: usize = 200;
-/// Probability that a request is of the second class.
+/// Probability that a request is of the second class, which has the lower priority weight.
 const SECOND_CLASS_PROBABILITY: f64 = 0.3;
 /// Time that each request has left until its deadline when it arrives.
 const REQUEST_TIME_LEFT: Time = 6 * SECOND;
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -44,6 +44,7 @@
     summarize(measurement, &Simulation::new(options, |_| {}).run())
 }
 
+/// Summarizes a simulation: costs by step name, and whether all requested arrivals were simulated.
 fn summarize(measurement: &StepMeasurement, result: &SimulationResult) -> StepCosts {
     let steps = result
         .steps
--- a/crates/scale/src/table.rs
+++ b/crates/scale/src/table.rs
@@ -15,11 +15,14 @@
 use std::fmt;
 use std::path::Path;
 
+/// Start of the line before each table; the kind of table and the file of results follow.
 const MARKER_START: &str = "<!-- table: ";
+/// End of the line before each table.
 const MARKER_END: &str = " -->";
+/// The line after each table.
 const TABLE_END: &str = "<!-- end -->";
 
-/// Why the tables could not be written.
+/// A reason for which the tables could not be written.
 #[derive(Debug)]
 pub enum TableError {
     /// A marker does not name a results file.
@@ -100,6 +103,7 @@
     Ok(filled)
 }
 
+/// Returns the kind and the file of a marker line; `None` for any other line.
 fn parse_marker(line: &str) -> Option<&str> {
     line.strip_prefix(MARKER_START)?.strip_suffix(MARKER_END)
 }
@@ -129,6 +133,7 @@
     )
 }
 
+/// Returns the mean of values; 0 if there are none.
 fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
@@ -204,6 +209,7 @@
     text + &provenance_line(run)
 }
 
+/// Renders the row of one step: its costs at each size, and the exponent with its standard error.
 fn render_step(
     run: &MeasurementRun<Vec<StepCosts>>,
     name: &str,
@@ -345,7 +351,7 @@
     mean(&values)
 }
 
-/// Renders a dispatcher's mean usage at the largest fleet that was run, beside the target's budget for it.
+/// Renders a dispatcher's mean usage at the largest fleet that was run, next to the target's budget for it.
 fn render_budget(run: &MeasurementRun<Vec<ScaleRunResult>>) -> String {
     let max_size = max_replicas(run);
     let mean_usage =
