--- a/crates/scale/src/simulated/discovery.rs
+++ b/crates/scale/src/simulated/discovery.rs
@@ -28,7 +28,7 @@
     pub record: EndpointRecord,
     /// The host and port at which the replica listens.
     pub address: String,
-    /// Time of the replica's last start, in Unix milliseconds; 0 if the replica was warm at the start of the run.
+    /// Time of the replica's last start, in Unix milliseconds; 0 if the replica has been warm since the start of the run.
     pub up_since_ms: u64,
 }
 
