--- a/crates/scale/src/memory.rs
+++ b/crates/scale/src/memory.rs
@@ -6,7 +6,8 @@
 use crate::process;
 use crate::results::MemoryUse;
 
-/// Number of streams that are opened: enough for their memory to exceed the steps in which the allocator grows.
+/// Number of requests that are sent to open streams: enough for the streams' memory to exceed the steps in which the allocator
+/// grows. The core opens at most `most_held` of the settings at a time, and sheds the rest.
 const OPEN_STREAMS: u64 = 3_000;
 /// Request id of the first stream; the ids of the others count up from it.
 const FIRST_REQUEST_ID: u64 = 1_000_000;
