--- a/crates/scale/src/simulated/discovery.rs
+++ b/crates/scale/src/simulated/discovery.rs
@@ -269,8 +269,8 @@
         }
     }
 
-    /// Responds to a poll, given the head of its request. A poll with a revision is a watch: its response is delayed until the list
-    /// has a later revision, or the hold time that it asks for is over.
+    /// Responds to a poll, given the head of its request. A poll with a revision is a watch: its response waits for a later
+    /// revision, at most for the hold time in the request and [`MAX_HOLD`].
     async fn respond(
         &self,
         stream: &mut TcpStream,
