--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -24,8 +24,9 @@
 /// Microseconds in a millisecond.
 pub(crate) const MS: Time = 1000;
 
-/// The profile's text for the first class, and a replacement under which its requests must not run twice.
+/// The part of the profile that makes requests of the first class idempotent.
 pub(crate) const IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"free""#;
+/// A replacement for [`IDEMPOTENT_CLASS`], with which requests of the first class must not run twice.
 pub(crate) const NON_IDEMPOTENT_CLASS: &str = r#""aim":1500.0,"repeat":"single_shot""#;
 
 /// A core with its current time and the commands so far.
@@ -35,6 +36,8 @@
     pub commands: Vec<Command>,
 }
 
+/// Returns an endpoint with room for 200,000 tokens. Its key and its port, 7000 and up, follow from the length of `id`, so
+/// endpoints of one test need ids of different lengths.
 pub(crate) fn endpoint(id: &str, role: Role, status: EndpointStatus) -> DiscoveredEndpoint {
     let record = EndpointRecord {
         key: id.len() as u64,
@@ -56,7 +59,7 @@
     Deployment::new(&settings).unwrap()
 }
 
-/// A request of the first class with 2 s until its deadline.
+/// Returns a request of the first class with 2 s until its deadline.
 pub(crate) fn metadata(id: u64) -> RequestMetadata {
     RequestMetadata {
         id,
@@ -67,6 +70,7 @@
     }
 }
 
+/// Returns the event of a client's request with the body `{}`, and the receiver of the outcome.
 pub(crate) fn request_arrived(
     metadata: RequestMetadata,
     client_request_id: &str,
@@ -86,11 +90,13 @@
 }
 
 impl CoreHarness {
-    /// A core with one prefill endpoint, `r`, and one decode endpoint, `ww`.
+    /// Creates a core that holds up to `max_requests` open requests, with one prefill endpoint, `r`, and one decode
+    /// endpoint, `ww`.
     pub(crate) fn new(max_requests: usize) -> CoreHarness {
         CoreHarness::with_deployment(deployment(profile::SETTINGS), max_requests)
     }
 
+    /// Does the same as [`CoreHarness::new`] with other settings.
     pub(crate) fn with_deployment(deployment: Deployment, max_requests: usize) -> CoreHarness {
         let log = Logger::root(Discard, o!());
         let mut harness = CoreHarness {
@@ -112,9 +118,9 @@
         self.commands.extend(self.core.take_commands());
     }
 
-    /// Advances the time by `time` microseconds and runs the core's timers as they become due.
-    pub(crate) fn advance(&mut self, time: Time) {
-        let until = self.now + time;
+    /// Advances the time by `duration` microseconds and runs the core's timers as they become due.
+    pub(crate) fn advance(&mut self, duration: Time) {
+        let until = self.now + duration;
         while let Some(due) = self.core.next_wakeup().filter(|due| *due <= until) {
             self.now = due.max(self.now + 1);
             self.core.on_timer(self.now);
@@ -126,6 +132,7 @@
 
 /// Requests and their attempts.
 impl CoreHarness {
+    /// Submits a request with at most 100 output tokens and 2 s until its deadline.
     pub(crate) fn submit(
         &mut self,
         id: u64,
@@ -150,7 +157,7 @@
         outcome
     }
 
-    /// Disconnects the client, without waiting for whether the request may have run.
+    /// Disconnects the client without asking whether its request may have run.
     pub(crate) fn disconnect(&mut self, id: u64) {
         self.handle(Event::ClientDisconnected {
             id,
@@ -169,6 +176,7 @@
         chunks
     }
 
+    /// Delivers the end of an attempt, without token counts and without a load report.
     pub(crate) fn end_attempt(&mut self, id: u64, attempt: u32, status: AttemptStatus) {
         self.handle(Event::AttemptEnded {
             id,
@@ -180,7 +188,7 @@
         });
     }
 
-    /// The number of attempts started so far.
+    /// Returns the number of attempts started so far.
     pub(crate) fn attempt_count(&self) -> usize {
         self.commands
             .iter()
@@ -188,6 +196,7 @@
             .count()
     }
 
+    /// Returns the request id and the attempt number of all attempts that the core has cancelled so far.
     pub(crate) fn cancelled_attempts(&self) -> Vec<(u64, u32)> {
         let cancelled = |command: &Command| match command {
             Command::CancelAttempt { id, attempt } => Some((*id, *attempt)),
@@ -196,7 +205,7 @@
         self.commands.iter().filter_map(cancelled).collect()
     }
 
-    /// The number of releases commanded so far.
+    /// Returns the number of releases commanded so far.
     pub(crate) fn release_count(&self) -> usize {
         self.commands
             .iter()
@@ -204,7 +213,7 @@
             .count()
     }
 
-    /// Delivers an endpoint's confirmation of a release.
+    /// Delivers an endpoint's confirmation that it has released the reservation of the request with this request id.
     pub(crate) fn complete_release(&mut self, id: u64) {
         self.handle(Event::ReleaseCompleted {
             id,
@@ -217,9 +226,13 @@
     pub(crate) fn complete_repeated_release(&mut self, id: u64) {
         let before = self.release_count();
         self.complete_release(id);
-        assert_eq!(self.release_count(), before, "the repeat comes later");
+        assert_eq!(
+            self.release_count(),
+            before,
+            "the release is not repeated at once"
+        );
         self.advance(120 * MS);
-        assert!(self.release_count() > before, "it is repeated");
+        assert!(self.release_count() > before, "the release is repeated");
         self.complete_release(id);
     }
 }
@@ -242,6 +255,8 @@
         });
     }
 
+    /// Delivers an operator's command to ban an endpoint, or to end its ban, and returns the core's answer. `endpoint_id` is
+    /// the id from discovery.
     pub(crate) fn set_ban(&mut self, endpoint_id: &str, banned: bool) -> Result<(), BanError> {
         let (reply, mut result) = oneshot::channel();
         self.handle(Event::BanRequested {
@@ -252,7 +267,7 @@
         result.try_recv().unwrap()
     }
 
-    /// All commands so far that blocked (`true`) or unblocked (`false`) an address, in order.
+    /// Returns the addresses that were blocked (`true`) or unblocked (`false`) so far, in the order of the commands.
     pub(crate) fn block_commands(&self) -> Vec<(&str, bool)> {
         let block = |command| match command {
             &Command::BlockAddress {
@@ -264,7 +279,7 @@
         self.commands.iter().filter_map(block).collect()
     }
 
-    /// The addresses that are blocked after all commands so far, sorted.
+    /// Returns the addresses that are blocked after all commands so far, sorted.
     pub(crate) fn blocked_addresses(&self) -> Vec<&str> {
         let mut blocked = BTreeSet::new();
         for (address, is_blocked) in self.block_commands() {
@@ -277,6 +292,7 @@
         blocked.into_iter().collect()
     }
 
+    /// Delivers a change of the settings and returns the core's answer.
     pub(crate) fn apply_settings(&mut self, profile: &str) -> Result<(), SettingsError> {
         let (reply, mut result) = oneshot::channel();
         self.handle(Event::SettingsChanged {
--- a/tests/http_frontend.rs
+++ b/tests/http_frontend.rs
@@ -207,7 +207,7 @@
             activity
                 .attempts
                 .iter()
-                .filter(|(node, _)| *node == 2)
+                .filter(|(replica, _)| *replica == 2)
                 .count()
                 == 2
         })
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -5,9 +5,12 @@
 use quartzhall::routing::api::*;
 use quartzhall::routing::Router;
 
+/// Microseconds in a millisecond.
 pub(crate) const MS: Time = 1_000;
+/// Microseconds in a second.
 pub(crate) const SECOND: Time = 1_000_000;
 
+/// Returns a class whose time to first token (TTFT) objective is 1 s, plus 40 ms for each 1,000 prompt tokens.
 pub(crate) fn class(weight: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         ttft_objective: SECOND,
@@ -19,6 +22,8 @@
     }
 }
 
+/// Returns the settings of one of two routers in zone 0. Requests may be hedged and cancelled, and have up to five
+/// attempts. A reservation lasts 500 ms, slow start 10 s.
 pub(crate) fn settings(classes: Vec<RequestClass>) -> RoutingSettings {
     RoutingSettings {
         dispatchers: 2,
@@ -46,6 +51,7 @@
     }
 }
 
+/// Returns a ready endpoint in zone 0 and cell 0 that is past its slow start and has room for 200,000 tokens.
 pub(crate) fn endpoint(endpoint_id: EndpointId, role: Role) -> EndpointRecord {
     EndpointRecord {
         endpoint: endpoint_id,
@@ -59,6 +65,7 @@
     }
 }
 
+/// Returns a request of the first class with a prompt of 2,000 tokens and 4 s until its deadline.
 pub(crate) fn request(id: RequestId, session: u64) -> RequestMetadata {
     RequestMetadata {
         id,
@@ -77,6 +84,7 @@
 }
 
 impl RouterHarness {
+    /// Creates a router with seed 7 at time 0.
     pub(crate) fn new(settings: RoutingSettings, endpoints: Vec<EndpointRecord>) -> Self {
         RouterHarness::seeded(settings, endpoints, 7)
     }
@@ -111,7 +119,8 @@
         self.handle(Event::RequestArrived(request))
     }
 
-    /// Advances the clock in steps of 2 ms, fires the timer after each, and returns all actions except timers.
+    /// Advances the clock by `duration` microseconds in steps of 2 ms, of which the last may be shorter. Fires the
+    /// timer after each step, due or not, and returns all actions except timers.
     pub(crate) fn advance(&mut self, duration: Time) -> Vec<Action> {
         let end = self.now + duration;
         let mut actions = Vec::new();
@@ -122,6 +131,7 @@
         actions
     }
 
+    /// Does the same as [`Self::end_attempt_with_cached_tokens`] with no cached tokens.
     pub(crate) fn end_attempt(
         &mut self,
         id: RequestId,
@@ -132,6 +142,7 @@
         self.end_attempt_with_cached_tokens(id, attempt, endpoint_id, status, 0.0)
     }
 
+    /// Delivers the end of an attempt, without a load report. The status `Served` also closes the request.
     pub(crate) fn end_attempt_with_cached_tokens(
         &mut self,
         id: RequestId,
@@ -152,8 +163,10 @@
         })
     }
 
-    /// Serves a request on the endpoints that the router selects, with the given durations, and returns those
-    /// endpoints: prefill, then decode.
+    /// Serves a request on the endpoints that the router selects and returns those endpoints: prefill, then decode.
+    /// The list is shorter if the router starts no attempt. `prefill_time` is the length of the prefill attempt,
+    /// `first_token_delay` the time from the start of the decode attempt to its first event, and `stream_time` the
+    /// time from there to its end.
     pub(crate) fn serve(
         &mut self,
         request: RequestMetadata,
@@ -170,8 +183,8 @@
         )
     }
 
-    /// Like [`Self::serve`], with a prefill time for each endpoint, and with `cached_tokens` of the prompt found
-    /// in the prefix cache.
+    /// Does the same as [`Self::serve`], with a prefill time that depends on the prefill endpoint, and with
+    /// `cached_tokens` of the prompt found in its prefix cache.
     pub(crate) fn serve_with(
         &mut self,
         request: RequestMetadata,
@@ -209,7 +222,7 @@
     }
 }
 
-/// Returns the endpoint of the first attempt that `actions` start for a request.
+/// Returns the endpoint of the first attempt that `actions` start for a request; `None` if they start none.
 pub(crate) fn started_endpoint(actions: &[Action], id: RequestId) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
@@ -222,15 +235,15 @@
 }
 
 /// Counts the final responses to a request in `actions`.
-pub(crate) fn count_final_responses(actions: &[Action], of: RequestId) -> usize {
+pub(crate) fn count_final_responses(actions: &[Action], request_id: RequestId) -> usize {
     let is_final_response = |action: &&Action| match action {
-        Action::Shed { id, .. } | Action::Fail { id, .. } => *id == of,
+        Action::Shed { id, .. } | Action::Fail { id, .. } => *id == request_id,
         _ => false,
     };
     actions.iter().filter(is_final_response).count()
 }
 
-/// Returns four prefill and three decode endpoints.
+/// Returns four prefill endpoints, 1 to 4, and three decode endpoints, 11 to 13.
 pub(crate) fn fleet() -> Vec<EndpointRecord> {
     let prefill_endpoints = (1..=4).map(|id| endpoint(id, Role::Prefill));
     prefill_endpoints
@@ -238,6 +251,7 @@
         .collect()
 }
 
+/// Returns a new router with the endpoints of [`fleet`] and two classes of idempotent requests, of weight 3 and 1.
 pub(crate) fn harness() -> RouterHarness {
     RouterHarness::new(
         settings(vec![
@@ -248,7 +262,8 @@
     )
 }
 
-/// Returns a router that has served 80 requests one after another, each with a stream of the given duration.
+/// Returns a router that has served 80 requests one after another, each with a stream of `stream_time`
+/// microseconds.
 pub(crate) fn harness_after_serving(
     settings: RoutingSettings,
     endpoints: Vec<EndpointRecord>,
@@ -261,7 +276,8 @@
     harness
 }
 
-/// Returns an idle router that has learned from 80 requests.
+/// Returns the router of [`harness`] after it has served 80 requests one after another, each on a prefill and a
+/// decode endpoint, and has then been idle for 2 s.
 pub(crate) fn trained_harness() -> RouterHarness {
     let mut harness = harness();
     for id in 0..80 {
@@ -276,11 +292,12 @@
     harness
 }
 
-/// Returns a prefill and a decode endpoint.
+/// Returns one prefill endpoint, 1, and one decode endpoint, 2.
 pub(crate) fn prefill_and_decode() -> Vec<EndpointRecord> {
     vec![endpoint(1, Role::Prefill), endpoint(2, Role::Decode)]
 }
 
+/// Returns a new router with these endpoints and a single class.
 pub(crate) fn harness_with(
     idempotency: Idempotency,
     endpoints: Vec<EndpointRecord>,
--- a/tests/testbed/mod.rs
+++ b/tests/testbed/mod.rs
@@ -235,7 +235,7 @@
             .unwrap()
             .attempts
             .iter()
-            .filter(|(node, _)| *node == number)
+            .filter(|(replica, _)| *replica == number)
             .count()
     }
 
@@ -278,7 +278,7 @@
             .unwrap_or_else(|_| panic!("not released within 1 s: {}", remaining()));
     }
 
-    /// Drains the dispatcher and tells its listeners to close.
+    /// Drains the dispatcher, with 3 s until every request needs its outcome, and tells its listeners to close.
     pub(crate) async fn drain(&self) {
         self.dispatcher
             .send(Event::Drain(std::time::Duration::from_secs(3)))
--- a/tests/testbed/replicas.rs
+++ b/tests/testbed/replicas.rs
@@ -78,11 +78,17 @@
 
 /// A part of a response. If the channel closes before a final part, the connection is aborted.
 enum ResponsePart {
+    /// The prefill is done, and the KV cache is reserved.
     Prefilled,
+    /// One event of the stream. No other part is followed by more parts.
     Event(&'static str),
+    /// The end of a complete stream.
     End,
+    /// The attempt never ran: the KV cache is missing, or the replica takes no requests.
     Rejected { is_kv_missing: bool },
+    /// An error of an attempt that may have run.
     Failed,
+    /// Bytes that are no response of the protocol.
     Malformed,
 }
 
@@ -103,12 +109,12 @@
         })
     }
 
-    /// Changes how it behaves from the next attempt on.
+    /// Changes how the replica behaves from its next attempt on.
     pub(super) fn set_behavior(&self, behavior: Behavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// Returns its HTTP and WebSocket routes.
+    /// Returns the replica's HTTP and WebSocket routes.
     pub(super) fn routes(self: Arc<Self>) -> Router {
         let release = |State(replica): State<Arc<Self>>, Path(id): Path<String>| async move {
             replica.release(&id);
--- a/tests/testbed/session_client.rs
+++ b/tests/testbed/session_client.rs
@@ -21,12 +21,12 @@
         SessionClient(tokio_tungstenite::connect_async(url).await.unwrap().0)
     }
 
-    /// Sends a message.
+    /// Sends a text message as it is.
     pub(crate) async fn send(&mut self, text: &str) {
         self.0.send(Frame::Text(text.into())).await.unwrap();
     }
 
-    /// Sends a request.
+    /// Sends a request; see [`request_message`].
     pub(crate) async fn send_request(&mut self, id: &str, class: &str, expires_in_ms: u32) {
         self.send(&request_message(id, class, expires_in_ms)).await;
     }
@@ -76,7 +76,8 @@
     }
 }
 
-/// Formats a request message.
+/// Formats a request message with the deadline `expires_in_ms` milliseconds from its arrival. The tenant is `acme`, the
+/// prompt has 500 tokens, and at most 100 tokens are generated.
 pub(crate) fn request_message(id: &str, class: &str, expires_in_ms: u32) -> String {
     format!(
         r#"{{"type":"request","id":"{id}","class":"{class}","tenant":"acme","session":"7f3a","expires_in_ms":{expires_in_ms},"prompt_len":500,"max_out":100,"body":"{{}}"}}"#
