--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -179,7 +179,7 @@
     assert_eq!(names, ["n1", "n3"]);
 }
 
-/// A request may have run if its connection breaks after it was written. The attempt is a reset and is not sent again.
+/// A request may have run if its connection breaks after it was written. The attempt ends as a reset and is not sent again.
 #[tokio::test]
 async fn a_connection_that_breaks_after_the_request_is_a_reset_and_is_not_retried() {
     let (listener, address) = bind_endpoint().await;
@@ -192,7 +192,10 @@
     let second_connection = std::future::poll_fn(|context| {
         std::task::Poll::Ready(listener.poll_accept(context).is_ready())
     });
-    assert!(!second_connection.await, "no library resends it");
+    assert!(
+        !second_connection.await,
+        "the request is sent again on a second connection"
+    );
 }
 
 /// A request whose last byte was never written to the socket has certainly not run.
--- a/tests/backend/connections.rs
+++ b/tests/backend/connections.rs
@@ -58,7 +58,7 @@
     assert_eq!(
         unpooled.read(&mut [0; 8]).await.unwrap(),
         0,
-        "it is not pooled either"
+        "the new connection is not pooled either"
     );
     commands.send(start_attempt(3, &address)).await.unwrap();
     serve_prefill(&mut pooled).await;
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -20,6 +20,7 @@
 /// More bytes than the buffers of a connection hold.
 const LONG_RESPONSE_BYTES: usize = 16 << 20;
 const GET: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+/// The head of a valid request, up to the header for its body. Its deadline, 4,000,000 s, is beyond all timeouts.
 const HEAD: &str = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: c\r\nX-Qos: status-query\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: 4000000000\r\nX-Props: prompt_len=500,max_out=100\r\n";
 
 async fn send(address: &str, text: &str) -> TcpStream {
@@ -57,6 +58,7 @@
     task: JoinHandle<()>,
 }
 
+/// Starts a listener with `max_connections` connection permits.
 async fn listen_with(routes: Router, max_connections: usize) -> TestListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -264,8 +266,8 @@
         "Transfer-Encoding: chunked\r\nContent-Length: 3",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ];
-    for heads in ambiguous_headers {
-        let text = format!("POST /post HTTP/1.1\r\nHost: x\r\n{heads}\r\n\r\n0\r\n\r\n{GET}");
+    for headers in ambiguous_headers {
+        let text = format!("POST /post HTTP/1.1\r\nHost: x\r\n{headers}\r\n\r\n0\r\n\r\n{GET}");
         // As the first request of its connection or after another one, and split at several positions.
         for before in ["", GET] {
             for cut in [0, 20, before.len() + 40, before.len() + 70] {
@@ -276,7 +278,7 @@
                 let response = read_until(&mut client, "").await;
                 assert!(
                     response.contains("HTTP/1.1 411") && response.contains("connection: close"),
-                    "{heads}: {response}"
+                    "{headers}: {response}"
                 );
                 assert_eq!(
                     response.matches("ready.").count(),
@@ -302,7 +304,7 @@
 }
 
 /// A response that the client never reads would occupy its endpoint forever, so the client is disconnected. A response
-/// that is read late, but before the timeout, continues.
+/// that is read late, but within the timeout of 30 s, continues.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_reads_nothing_of_its_response_is_disconnected() {
     const FLOOD_BYTES: usize = 64 << 20;
@@ -349,7 +351,7 @@
         assert_eq!(
             fleet.attempts_at(0) + fleet.attempts_at(1),
             1,
-            "{} bytes behind",
+            "{} bytes after the request",
             behind.len()
         );
     }
@@ -379,9 +381,9 @@
     }
 }
 
-/// A request whose last byte arrives at the very moment at which its head times out is answered, as is one that arrives
-/// when its idle connection is evicted. When this was decided by the state before the wait, half of these requests were
-/// dropped.
+/// A request whose last byte arrives at the very moment at which its head times out is answered, on a new connection and
+/// on a reused one. When the state before the wait decided this, half of these requests were dropped, as were half of
+/// those that arrived when their idle connection was evicted.
 #[tokio::test(start_paused = true)]
 async fn a_request_completed_as_its_head_times_out_is_answered() {
     let (address, _shutdown) = listen(90).await;
@@ -425,7 +427,7 @@
         let response = read_until(&mut client, "").await;
         assert!(
             response.len() > RESPONSE_BYTES && response.ends_with("xxx"),
-            "{} bytes, {behind} behind",
+            "{} bytes, with {behind} bytes after the request",
             response.len()
         );
     }
@@ -450,12 +452,12 @@
 /// At shutdown, a request that has partly arrived is answered, and connections in the accept queue are accepted.
 #[tokio::test(start_paused = true)]
 async fn at_shutdown_requests_that_have_begun_to_arrive_are_answered() {
-    for read_before in [false, true] {
+    for has_partial_second_request in [false, true] {
         let (address, shutdown) = listen(9).await;
         let mut half = send(&address, &GET[..20]).await;
         let mut idle = send(&address, GET).await;
         assert!(read_until(&mut idle, "ready.").await.ends_with("ready."));
-        if read_before {
+        if has_partial_second_request {
             idle.write_all(&GET.as_bytes()[..9]).await.unwrap();
             sleep(Duration::from_millis(1)).await; // the listener has read it, and nothing else is pending
         }
@@ -464,19 +466,19 @@
         queued.write_all(GET.as_bytes()).await.unwrap();
         assert!(
             read_until(&mut queued, "").await.ends_with("ready."),
-            "it waited in the queue"
+            "a request on a connection from the accept queue is answered"
         );
         half.write_all(&GET.as_bytes()[20..]).await.unwrap();
         assert!(
             read_until(&mut half, "").await.ends_with("ready."),
-            "half of it had arrived"
+            "a request of which the first part had arrived is answered"
         );
-        if read_before {
+        if has_partial_second_request {
             idle.write_all(&GET.as_bytes()[9..]).await.unwrap();
             let response = read_until(&mut idle, "").await;
             assert!(
                 response.ends_with("ready."),
-                "half of a later one had arrived: {response}"
+                "a later request of which the first part had arrived is answered: {response}"
             );
         }
     }
--- a/tests/dispatcher_endpoints.rs
+++ b/tests/dispatcher_endpoints.rs
@@ -32,9 +32,9 @@
     assert_eq!(harness.core.readiness(), Readiness::Starting);
 }
 
-/// Endpoints are replaced under new ids and addresses all the time, so the tables must not keep removed ones, except for
-/// one that still has an attempt in flight. The block of an address ends with its endpoint, but not while another
-/// endpoint at that address drains.
+/// Endpoints are replaced under new ids and addresses all the time, so the tables must not keep removed ones. Only an
+/// endpoint that still has an attempt in flight is kept. The block of an address ends with its endpoint, but not while
+/// another endpoint at that address drains.
 #[test]
 fn tables_are_bounded_while_endpoints_are_replaced() {
     let mut harness = CoreHarness::new(10);
@@ -280,6 +280,8 @@
     );
 }
 
+/// Creates a core that gossips in a fleet of 100 dispatchers. A full message to one of them costs 0.0028 of a request's
+/// value.
 fn gossiping_core() -> CoreHarness {
     let mut harness = CoreHarness::new(1_000);
     harness.core.set_gossip(Gossip::new(100, 0.0028));
@@ -329,7 +331,7 @@
     });
     assert!(
         share_load(&mut second, 40.0).is_some(),
-        "the messages were dropped, so the load is still news"
+        "the invalid messages change nothing, so the load is still worth a message"
     );
     let mut third = gossiping_core();
     third.handle(Event::GossipReceived {
--- a/tests/dispatcher_harness/mod.rs
+++ b/tests/dispatcher_harness/mod.rs
@@ -36,8 +36,8 @@
     pub commands: Vec<Command>,
 }
 
-/// Returns an endpoint with room for 200,000 tokens. Its key and its port, 7000 and up, follow from the length of `id`, so
-/// endpoints of one test need ids of different lengths.
+/// Returns an endpoint with KV cache for 200,000 tokens. Its key is the length of `id`, and its port is 7000 plus that length,
+/// so the endpoints of a test need ids of different lengths.
 pub(crate) fn endpoint(id: &str, role: Role, status: EndpointStatus) -> DiscoveredEndpoint {
     let record = EndpointRecord {
         key: id.len() as u64,
--- a/tests/dispatcher_lifecycle.rs
+++ b/tests/dispatcher_lifecycle.rs
@@ -37,8 +37,8 @@
     handle.wait_for_readiness(Readiness::Draining).await;
 }
 
-/// The shutdown deadline overrides later deadlines of clients. Half a second before the process is killed, every request
-/// without a stream has its final outcome and the release of its KV cache has started.
+/// The shutdown deadline, half a second before the process may be killed, overrides later deadlines of clients. By then
+/// every request without a stream has its final outcome, and the release of its KV cache has started.
 #[test]
 fn every_request_but_streams_is_closed_when_the_process_ends() {
     let mut harness = CoreHarness::new(10);
--- a/tests/dispatcher_recording.rs
+++ b/tests/dispatcher_recording.rs
@@ -10,8 +10,8 @@
 
 const SECRET_SESSION: u64 = 0x7f3a_9c21_e0b4_d655;
 
-/// Returns the records of four requests: one is served, one's stream breaks after its client has disconnected, one's client
-/// disconnects while it waits, and one is shed.
+/// Returns the records of four requests. Request 1 is served. The client of request 2 disconnects, then its stream breaks.
+/// The client of request 3 disconnects before a stream has started. Request 4 is shed.
 fn record_four_requests() -> Vec<Record> {
     let mut harness = CoreHarness::new(10);
     harness.core.set_trace_recorder(TraceRecorder::new(
--- a/tests/dispatcher_requests.rs
+++ b/tests/dispatcher_requests.rs
@@ -172,7 +172,7 @@
     assert!(matches!(outcome.try_recv(), Ok(Outcome::Failed)));
     let chunks = harness.start_stream(1, 1);
     assert!(chunks.is_closed(), "the endpoint's stream is dropped");
-    // The end of an unknown attempt or of an unknown request changes nothing.
+    // The end of an attempt that never started, or of an unknown request, changes nothing.
     harness.end_attempt(1, 7, AttemptStatus::Served);
     harness.end_attempt(9, 0, AttemptStatus::Served);
     assert_eq!(harness.attempt_count(), 2);
@@ -198,9 +198,9 @@
     assert_eq!((harness.attempt_count(), harness.release_count()), (19, 0));
 }
 
-/// A non-idempotent request that is submitted again after it may have run is rejected as a duplicate, also while the table
-/// is full: shedding it would tell the client that retrying is harmless. An idempotent one may be shed. Ids are remembered
-/// for 30 s.
+/// A non-idempotent request that may have run is rejected as a duplicate when it is submitted again, even while the table
+/// is full. Shedding it would tell the client that retrying is harmless. An idempotent request may be shed. Client request
+/// ids are remembered for 30 s.
 #[test]
 fn a_client_request_id_that_may_have_run_is_not_shed_when_submitted_again() {
     for (class, is_non_idempotent) in [(0, false), (1, true)] {
--- a/tests/dispatcher_reservations.rs
+++ b/tests/dispatcher_reservations.rs
@@ -88,7 +88,7 @@
     );
 }
 
-/// In a large fleet too, a release names a bounded number of addresses, among them the endpoint that holds the KV cache.
+/// Even in a large fleet, a release names a bounded number of addresses, among them the endpoint that holds the KV cache.
 #[test]
 fn a_release_names_a_bounded_number_of_addresses() {
     let mut harness = CoreHarness::new(10);
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -18,8 +18,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout, Instant};
 
-fn deployment(is_pushed: bool, dispatcher_count: u32) -> Deployment {
-    let mode = if is_pushed { "automatic" } else { "subscribe" };
+/// Returns the test settings with this number of dispatchers. Discovery is an agent on this machine if `has_local_agent`,
+/// otherwise a remote service.
+fn deployment(has_local_agent: bool, dispatcher_count: u32) -> Deployment {
+    let mode = if has_local_agent {
+        "automatic"
+    } else {
+        "subscribe"
+    };
     let settings = format!(r#""membership_mode":"{mode}","balancers":{dispatcher_count}"#);
     let profile = testbed::SETTINGS.replacen(r#""balancers":1"#, &settings, 1);
     let profile: SettingsObject = miniserde::json::from_str(&profile).unwrap();
@@ -120,17 +126,17 @@
 impl Watch {
     fn start(
         discovery: &FakeDiscovery,
-        is_pushed: bool,
+        has_local_agent: bool,
         dispatcher_count: u32,
         known_revision: Option<u64>,
     ) -> Watch {
         let (dispatcher, events) =
-            dispatcher::channel(Arc::new(deployment(is_pushed, dispatcher_count)));
+            dispatcher::channel(Arc::new(deployment(has_local_agent, dispatcher_count)));
         let (address_sender, address) = watch::channel(discovery.address.clone());
         let mut task = JoinSet::new();
         task.spawn(discovery::run(
             address,
-            deployment(is_pushed, dispatcher_count),
+            deployment(has_local_agent, dispatcher_count),
             7,
             known_revision,
             dispatcher.clone(),
@@ -267,7 +273,7 @@
             FakeResponse::Nothing,
         ],
     ];
-    for (is_pushed, known_revision, max_ms_per_failure) in [
+    for (has_local_agent, known_revision, max_ms_per_failure) in [
         (true, None, 150),
         (true, Some(7), 1_150),
         (false, None, 6_000),
@@ -276,8 +282,12 @@
         for (index, responses) in sequences.iter().enumerate() {
             for dispatcher_count in [1, 300] {
                 let discovery = FakeDiscovery::start(responses).await;
-                let mut watch =
-                    Watch::start(&discovery, is_pushed, dispatcher_count, known_revision);
+                let mut watch = Watch::start(
+                    &discovery,
+                    has_local_agent,
+                    dispatcher_count,
+                    known_revision,
+                );
                 let elapsed = watch.wait_for_list().await;
                 // The bound holds for each failed request, because any of them may be the last one before discovery
                 // recovers.
@@ -285,7 +295,7 @@
                 let max_elapsed = Duration::from_millis(max_ms_per_failure) * failures;
                 assert!(
                     elapsed <= max_elapsed,
-                    "{elapsed:?} of {max_elapsed:?}: sequence {index}, pushed: {is_pushed}, \
+                    "{elapsed:?} of {max_elapsed:?}: sequence {index}, local agent: {has_local_agent}, \
                      {dispatcher_count} dispatchers"
                 );
                 assert!(discovery.request_count() + 1 >= responses.len());
--- a/tests/migrated_streams.rs
+++ b/tests/migrated_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that have migrated once must survive the next upgrade as well.
+//! Streams that have migrated once must survive the next upgrade as well (incident of 3 December).
 //!
 //! Guards against a process that exits while streams that it has received are still open. A received stream used to be
 //! forwarded by a detached task, which neither the shutdown nor the migration of streams knew of. In a second upgrade
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// Returns a ready endpoint in zone 0 and cell 0 that is past its slow start and has room for 200,000 tokens.
+/// Returns a ready endpoint in zone 0 and cell 0 that is past its slow start and has KV cache for 200,000
+/// tokens.
 pub(crate) fn endpoint(endpoint_id: EndpointId, role: Role) -> EndpointRecord {
     EndpointRecord {
         endpoint: endpoint_id,
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -5,10 +5,10 @@
 use quartzhall::routing::api::*;
 use router_harness::*;
 
+/// Guards against a transfer cost that kept KV caches at decode endpoints with full memory until all of
+/// them were late.
 #[test]
 fn a_kv_cache_leaves_its_cell_before_a_stalled_decode_endpoint_there_is_hopeless() {
-    // Guards against a transfer cost that kept KV caches at decode endpoints with full memory until all of
-    // them were late.
     let in_cell = |id, role, cell| EndpointRecord {
         cell,
         ..endpoint(id, role)
@@ -133,10 +133,10 @@
     actions
 }
 
+/// Guards against a silent connection that held its request until the client's deadline: no hedge was
+/// allowed, and nothing ended the first attempt.
 #[test]
 fn a_prefill_whose_response_is_lost_is_cancelled_where_hedging_is_not_allowed() {
-    // Guards against a silent connection that held its request until the client's deadline: no hedge was
-    // allowed, and nothing ended the first attempt.
     let lost = actions_after_silence(false, true);
     assert!(
         matches!(
--- a/tests/routing_affinity.rs
+++ b/tests/routing_affinity.rs
@@ -53,10 +53,10 @@
     );
 }
 
+/// Guards against overload after prefix caches are flushed: no endpoint's match reached the threshold, and
+/// all prefill endpoints were treated alike.
 #[test]
 fn partly_cached_sessions_keep_to_their_affinity_endpoint() {
-    // Guards against overload after prefix caches are flushed: no endpoint's match reached the threshold, and
-    // all prefill endpoints were treated alike.
     let mut harness = harness();
     for id in 0..80 {
         harness.serve_with(request(id, id), |_| 40 * MS, 1_000.0, 30 * MS, 50 * MS);
@@ -123,7 +123,7 @@
     assert!(returned.count() <= 12);
 }
 
-/// Returns how many of 60 requests go to one of four prefill endpoints after its prefix cache was flushed and
+/// Returns how many of 60 requests go to prefill endpoint 1, one of four, after its prefix cache was flushed and
 /// has filled again.
 fn sends_to_flushed_endpoint(seed: u64) -> usize {
     let classes = vec![
@@ -313,8 +313,8 @@
     );
 }
 
-/// A hedged prefill must go to an affinity endpoint: at any other it evicts prefixes that other requests return
-/// to.
+/// A hedged prefill must go to an affinity endpoint. At any other endpoint it evicts prefixes that other requests
+/// reuse.
 #[test]
 fn a_hedge_goes_to_an_affinity_endpoint() {
     let endpoints = (1..=8)
--- a/tests/routing_fleet_sizes.rs
+++ b/tests/routing_fleet_sizes.rs
@@ -52,6 +52,8 @@
     }
 }
 
+/// Each router determines affinity endpoints on its own. If routers disagreed, many endpoints would cache the same
+/// prefix.
 #[test]
 fn independent_routers_agree_on_the_affinity_endpoints_of_a_prefix() {
     let mut used = std::collections::BTreeMap::new();
@@ -199,6 +201,8 @@
     );
 }
 
+/// The same load is acceptable for a request with 4 s left and an objective of 1 s, and not for one with 250 ms
+/// left.
 #[test]
 fn a_deadline_before_the_objective_counts_as_the_objective() {
     let mut harness = harness(&settings_of_routers(1), fleet(2), 9);
@@ -236,6 +240,8 @@
     );
 }
 
+/// A prompt of 80,000 tokens takes longer than its objective even at an idle endpoint. Load shedding would not help
+/// such a request.
 #[test]
 fn a_long_prompt_alone_is_not_shed() {
     let class = RequestClass {
--- a/tests/routing_outlier_detection.rs
+++ b/tests/routing_outlier_detection.rs
@@ -69,6 +69,8 @@
     );
 }
 
+/// An endpoint that refuses requests at once has few in flight. Judged by those alone, it would look idle and be
+/// sent even more.
 #[test]
 fn a_prefill_endpoint_that_refuses_requests_at_once_is_not_taken_for_idle() {
     let mut harness = trained_harness();
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -51,9 +51,9 @@
     let text = replies(&format!(
         "{INSTANCE_STARTED}{REQUEST_ARRIVED}{PREFILL_DONE}"
     ));
-    let batches: Vec<&str> = text.split_inclusive("}\n").collect();
+    let reply_lines: Vec<&str> = text.split_inclusive("}\n").collect();
     let line_of = |needle: &str| {
-        batches
+        reply_lines
             .iter()
             .position(|line| line.contains(needle))
             .unwrap_or_else(|| panic!("{needle} in {text}"))
@@ -61,7 +61,7 @@
     let prefill = line_of(r#""worker":"10.0.0.1:9000""#);
     let decode = line_of(r#""worker":"10.0.0.2:9000""#);
     assert!(
-        batches[prefill].starts_with(r#"{"type":"relay","who":"router_0","rid":41,"limit":"#),
+        reply_lines[prefill].starts_with(r#"{"type":"relay","who":"router_0","rid":41,"limit":"#),
         "{text}"
     );
     assert!(
--- a/tests/stream_migration.rs
+++ b/tests/stream_migration.rs
@@ -17,6 +17,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
+/// The byte with which the receiver accepts a stream.
 const ACCEPTED: u8 = b'Y';
 /// Length of the frame of an [`Offer`]: header, extension and client request id.
 const FRAME_BYTES: usize = 18 + 17 + "moves".len();
--- a/tests/testbed/replicas.rs
+++ b/tests/testbed/replicas.rs
@@ -80,11 +80,11 @@
 enum ResponsePart {
     /// The prefill is done, and the KV cache is reserved.
     Prefilled,
-    /// One event of the stream. No other part is followed by more parts.
+    /// One event of the stream; the only part after which more parts follow.
     Event(&'static str),
     /// The end of a complete stream.
     End,
-    /// The attempt never ran: the KV cache is missing, or the replica takes no requests.
+    /// The attempt never ran, either because its KV cache is missing or by [`Behavior::Reject`].
     Rejected { is_kv_missing: bool },
     /// An error of an attempt that may have run.
     Failed,
--- a/tests/unit/backend/connector.rs
+++ b/tests/unit/backend/connector.rs
@@ -26,6 +26,8 @@
     (connected, tries.get())
 }
 
+/// A shortage on this machine, such as of ports or file descriptors, often passes within the connect timeout. It is no
+/// failure of the endpoint.
 #[tokio::test(start_paused = true)]
 async fn a_local_shortage_is_retried_and_is_not_reported_as_an_endpoint_failure() {
     for errno in [
--- a/tests/unit/dispatcher/bans.rs
+++ b/tests/unit/dispatcher/bans.rs
@@ -56,7 +56,7 @@
     assert_eq!(
         bans.set(BAN_END_RETENTION * 9, &id("b1"), false, false),
         Ok(true),
-        "no ban is ever forgotten"
+        "a ban is never forgotten"
     );
 }
 
--- a/tests/unit/dispatcher/endpoint_table.rs
+++ b/tests/unit/dispatcher/endpoint_table.rs
@@ -4,6 +4,7 @@
 use crate::dispatcher::DiscoveredEndpoint;
 use slog::{o, Discard, Logger};
 
+/// Returns an endpoint whose port follows from the length of `name`.
 fn discovered(name: &str, key: u64, status: EndpointStatus) -> DiscoveredEndpoint {
     let record = EndpointRecord {
         key,
@@ -64,7 +65,7 @@
     replace_list(&mut endpoints, &[]);
     assert!(
         endpoints.by_gossip_hash.is_empty(),
-        "nothing is left behind"
+        "the hash of a removed endpoint is still in the table"
     );
 }
 
--- a/tests/unit/gossip/state.rs
+++ b/tests/unit/gossip/state.rs
@@ -10,6 +10,7 @@
     }
 }
 
+/// Creates the state of one of 100 dispatchers. A full message to one receiver costs 0.0028 of a request's value.
 fn gossip() -> Gossip {
     Gossip::new(100, 0.0028)
 }
@@ -117,6 +118,7 @@
                 .next_message(START + request)
                 .map_or(0, |message| message.len());
         }
+        // Each message goes to 99 receivers, and a full one has 256 bytes.
         let cost = bytes as f64 * 99.0 / 256.0 * 0.0028 / 1000.0;
         assert!(
             (min_cost..=max_cost).contains(&cost),
@@ -146,7 +148,7 @@
     );
     assert!(
         receiver.receive(START + 1_100_000, 2, &message).is_ok(),
-        "another sender has the same time"
+        "two senders may use the same time"
     );
     assert_eq!(
         receiver.receive(START, 100, &message),
--- a/tests/unit/net/message_framing/request.rs
+++ b/tests/unit/net/message_framing/request.rs
@@ -70,6 +70,7 @@
         .quickcheck(property as fn(_) -> _);
 }
 
+/// After invalid framing it is unknown where the next request begins.
 #[test]
 fn requests_behind_invalid_framing_are_not_reported() {
     let next_request = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -95,6 +96,7 @@
     assert!(declared_bodies(&[b'x'; 3 * MAX_HEAD_LINE_BYTES], &[]).is_empty());
 }
 
+/// Random bytes are consumed completely, and the declarations found in them don't depend on where the bytes are split.
 #[test]
 fn garbage_is_read_to_its_end() {
     let property = |bytes: Vec<u8>, splits: Vec<usize>| {
--- a/tests/unit/net/system_errors.rs
+++ b/tests/unit/net/system_errors.rs
@@ -4,6 +4,7 @@
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
+/// An accept error of one connection says nothing about the next connection.
 #[test]
 fn broken_connection_delays_no_other() {
     let mut backoff = AcceptBackoff::default();
@@ -27,6 +28,7 @@
     assert!(delayed >= 100, "{delayed}");
 }
 
+/// While file descriptors or memory are short, accepting fails at once. Without growing delays the listener would spin.
 #[test]
 fn delays_grow_during_a_local_shortage() {
     let mut backoff = AcceptBackoff::default();
--- a/tests/unit/upgrade/announcements.rs
+++ b/tests/unit/upgrade/announcements.rs
@@ -38,7 +38,8 @@
     assert_eq!(fs::read_dir(&folder.path).unwrap().count(), 1);
 }
 
-/// The wall clock is set back by an hour between two starts.
+/// The wall clock is set back by an hour between two starts. The process that starts second is the successor although the
+/// clock shows an earlier time.
 #[test]
 fn process_that_starts_after_the_clock_was_set_back_is_the_successor() {
     let folder = TemporaryFolder::new("clock");
@@ -95,7 +96,11 @@
         process.scan().unwrap();
         process.peer_processes().stream_receiver()
     };
-    assert_eq!(receiver(&mut first), Some(3), "none serves: the fallback");
+    assert_eq!(
+        receiver(&mut first),
+        Some(3),
+        "none serves, so the youngest one receives"
+    );
     assert_eq!(receiver(&mut third), None);
     set_state(&mut second, ProcessState::Serving);
     assert_eq!(receiver(&mut first), Some(2));
--- a/tests/unit/upgrade/coordinator.rs
+++ b/tests/unit/upgrade/coordinator.rs
@@ -6,6 +6,7 @@
 use miniserde::json;
 use std::sync::Arc;
 
+/// Limits on which no test depends.
 struct UnusedLimits;
 
 impl ResourceLimits for UnusedLimits {
--- a/tests/unit/upgrade/resource_shares.rs
+++ b/tests/unit/upgrade/resource_shares.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::upgrade::test_support::announcement;
 
-/// The process at this index announces its target share, given what the others announce.
+/// Lets the process at this index announce its target share, given what the others announce.
 fn update_share(processes: &mut Vec<ProcessAnnouncement>, index: usize) {
     let own = processes.remove(index);
     let share = target_share(&own, processes);
@@ -69,6 +69,7 @@
     }
 }
 
+/// Shares are in sixteenths of the dispatcher's limits.
 #[test]
 fn successor_gets_about_half_beside_a_serving_predecessor_and_more_beside_a_leaving_one() {
     let own = announcement(2, ProcessState::Starting, STARTING_SHARE);
--- a/tests/upgrade_versions.rs
+++ b/tests/upgrade_versions.rs
@@ -18,6 +18,7 @@
 const SETTINGS: &str = include_str!("golden/settings.json");
 const PREFILL_DONE: &str =
     "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":7}";
+/// The head of a stream's response and its first event.
 const FIRST_EVENT: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
     transfer-encoding: chunked\r\n\r\nf\r\ndata: {\"n\":1}\n\n\r\n";
 const NEXT_EVENT: &str = "f\r\ndata: {\"n\":2}\n\n\r\n";
--- a/tests/websocket_sessions.rs
+++ b/tests/websocket_sessions.rs
@@ -275,7 +275,7 @@
     assert_eq!(
         fleet.attempts_at(3),
         0,
-        "it may have run at the first endpoint"
+        "the request may have run at the first endpoint, so it is not repeated"
     );
     fleet.assert_all_released().await;
 }
@@ -332,6 +332,7 @@
         .await
         .unwrap()
         .unwrap();
+    // The first byte of a close frame.
     let close: &[u8] = &[0x88];
     let body_start = received
         .windows(4)
@@ -418,7 +419,7 @@
     assert_eq!(
         client.receive_response("over").await.0,
         "served",
-        "nothing was done before"
+        "a shed request may be submitted again"
     );
     drop(client);
     fleet.assert_all_released().await;
@@ -478,6 +479,6 @@
     assert_eq!(
         busy.receive_response("b1").await.0,
         "failed",
-        "it was in flight all the time"
+        "the session with a request in flight is not evicted"
     );
 }
