--- a/crates/calibration/src/compare.rs
+++ b/crates/calibration/src/compare.rs
@@ -43,7 +43,7 @@
     pub scenario: Option<String>,
     /// The number of pairs.
     pub pairs: usize,
-    /// The mean difference.
+    /// The mean difference, in the measure's unit. Over all scenarios, each scenario has the same weight.
     pub mean: f64,
     /// The lower end of the 95% interval.
     pub low: f64,
--- a/crates/calibration/src/estimate.rs
+++ b/crates/calibration/src/estimate.rs
@@ -33,7 +33,7 @@
 /// The result of an estimate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Estimate {
-    /// The samples suffice.
+    /// There are at least [`MIN_SAMPLES`] samples in at least [`MIN_BLOCKS`] blocks, and they determine the value.
     Known {
         /// The value for all samples.
         value: f64,
@@ -60,7 +60,7 @@
     Intercept,
     /// The duration per unit of size, from a line fitted by least squares.
     Slope,
-    /// The mean duration.
+    /// The mean duration, whatever the sizes.
     Mean,
 }
 
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -70,7 +70,7 @@
     pub ended_at: u64,
     /// Number of cores available to the command.
     pub cores: usize,
-    /// The measured values.
+    /// The measured values; each command has its own type for them.
     pub results: T,
 }
 
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// A scenario file.
+/// A scenario file: the simulated fleet, the dispatchers and their load, and the conditions that must hold at the end.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
--- a/crates/scale/src/simulated/replica.rs
+++ b/crates/scale/src/simulated/replica.rs
@@ -151,7 +151,7 @@
     pub duration: Duration,
 }
 
-/// A simulated replica.
+/// A simulated replica, which serves attempts, releases and probes.
 pub struct Replica {
     number: usize,
     role: Role,
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -7,7 +7,7 @@
 pub const KV_RESERVATION_TTL: Duration = Duration::from_millis(600);
 /// The protocol's tolerance on [`KV_RESERVATION_TTL`].
 pub const KV_RELEASE_SLACK: Duration = Duration::from_millis(300);
-/// Attempts may reach a replica for this long after the dispatcher was told that the replica is draining: the setting
+/// Attempts may reach a replica for this long after the dispatcher was notified that the replica is draining: the setting
 /// `drain_grace`, plus 50 ms that the protocol allows.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// Setting `deadline` of ordinary runs: the longest that a client waits for its first token.
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -49,7 +49,7 @@
     StreamComplete,
     /// An event reaches the client soon after its replica has written it.
     EventDeliveredInTime,
-    /// A dispatcher process starts, runs until it is told to exit, and then exits without error.
+    /// A dispatcher process starts, runs until it receives a signal to exit, and then exits without error.
     ProcessRuns,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// A violated invariant.
+/// A violated invariant, with the request or the process that violated it.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The invariant that was violated.
--- a/crates/soak/src/request_history.rs
+++ b/crates/soak/src/request_history.rs
@@ -25,7 +25,7 @@
     pub(crate) sent_at: Option<Instant>,
     /// How long the client waits for its response from `sent_at` on; extended by pauses of the dispatcher.
     pub(crate) deadline: Duration,
-    /// When the client disconnected before a response; set anew after a pause of the dispatcher.
+    /// When the client disconnected before a response; moved to the end of a pause of the dispatcher.
     pub(crate) disconnected_at: Option<Instant>,
     /// Whether no response is expected any more: the client received one, its connection was closed, or the dispatcher
     /// process was killed.
--- a/crates/soak/src/run/faults.rs
+++ b/crates/soak/src/run/faults.rs
@@ -1,7 +1,7 @@
 //! Injection of scheduled faults into replicas, discovery agents and dispatcher processes.
 //!
-//! The oracle is told of scheduled crashes, kills, pauses and floods before they take effect, so that it excuses what they
-//! cause. Faults overlap: one that another fault rules out, such as the kill of a paused process, is skipped.
+//! The oracle is notified of scheduled crashes, kills, pauses and floods before they take effect, so that it excuses what
+//! they cause. Faults overlap: one that another fault rules out, such as the kill of a paused process, is skipped.
 
 use super::process::DispatcherProcess;
 use super::SoakRun;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -70,7 +70,7 @@
     pub starts_after: Duration,
     /// How long it lasts; zero for a momentary fault and for a series of upgrades, which ends by itself.
     pub duration: Duration,
-    /// The fault.
+    /// What fails, and at which replica or process.
     pub fault: Fault,
 }
 
--- a/src/bin/quartzhall-simhost/error.rs
+++ b/src/bin/quartzhall-simhost/error.rs
@@ -8,7 +8,7 @@
 pub(crate) struct LineError {
     /// The line's number, from 1.
     pub number: usize,
-    /// The error.
+    /// What failed: reading or handling the line, or writing its replies.
     pub source: HostError,
 }
 
@@ -32,7 +32,7 @@
     InvalidKey {
         /// The field's name on the wire.
         field: &'static str,
-        /// The invalid key.
+        /// The field's value, which is not a hexadecimal number of at most 64 bits.
         text: String,
         /// The parse error.
         source: std::num::ParseIntError,
--- a/src/bin/quartzhall-simhost/messages.rs
+++ b/src/bin/quartzhall-simhost/messages.rs
@@ -89,7 +89,7 @@
     pub name: String,
 }
 
-/// A load report.
+/// An endpoint's load; each value may be missing.
 #[derive(Deserialize)]
 struct Metrics {
     #[serde(rename = "inflight")]
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -10,7 +10,7 @@
     /// A file can't be read.
     #[error("{}: {source}", path.display())]
     ReadFile {
-        /// The file.
+        /// The configuration file or the session file.
         path: PathBuf,
         /// The I/O error.
         source: std::io::Error,
@@ -33,7 +33,7 @@
     /// `discovery` isn't an IP address with a port.
     #[error("discovery is no address: {address:?}")]
     InvalidDiscoveryAddress {
-        /// The invalid value.
+        /// The value of `discovery`.
         address: String,
         /// The parse error.
         source: AddrParseError,
@@ -43,7 +43,7 @@
     UnknownRole {
         /// The path of the setting.
         setting: String,
-        /// The invalid value.
+        /// The value, which is none of `read`, `write` and `both`.
         value: String,
     },
     /// A class's deduplication scope is unknown.
@@ -51,7 +51,7 @@
     UnknownDeduplicationScope {
         /// The path of the setting.
         setting: String,
-        /// The invalid value.
+        /// The value, which is none of `all`, `zone` and `cell`.
         value: String,
     },
     /// A class's idempotency is unknown.
@@ -59,13 +59,13 @@
     UnknownIdempotency {
         /// The path of the setting.
         setting: String,
-        /// The invalid value.
+        /// The value, which is none of `free`, `guarded` and `single_shot`.
         value: String,
     },
     /// `settings.reporting.via` is unknown.
     #[error("unknown way of reporting {value:?}")]
     UnknownLoadReporting {
-        /// The invalid value.
+        /// The value, which is none of `answers`, `probe` and `none`.
         value: String,
     },
     /// An endpoint's machine type isn't one of `settings.machine_types`.
--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -17,11 +17,11 @@
 /// The client's request as it is forwarded to endpoints. Cloning shares the body.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// The id that the client chose. Endpoints identify the request by it.
+    /// The id by which endpoints identify the request. The client chose it, or the WebSocket frontend assigned it.
     pub client_request_id: Arc<str>,
-    /// The request target: path and query as the client sent them.
+    /// The request target: path and query as the client sent them, or a fixed path for a WebSocket session.
     pub target: Arc<str>,
-    /// The request body.
+    /// The request body, which endpoints receive unchanged. Emptied once the response stream starts, to free memory.
     pub body: Bytes,
 }
 
@@ -110,14 +110,14 @@
     StreamReceived(ReceivedRequest),
     /// The client has disconnected, or its [`PendingRequest`](super::PendingRequest) was dropped after the request ended.
     ClientDisconnected {
-        /// The request id.
+        /// The request id. Ignored if the request has left the table.
         id: RequestId,
         /// Receives whether the request may have run, once it has left the table; `None` if nobody waits for it.
         may_have_run: Option<oneshot::Sender<bool>>,
     },
     /// The first event of an attempt's response stream has arrived.
     FirstEvent {
-        /// The request id.
+        /// The request id. If the request already has its outcome, the core drops the stream.
         id: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
@@ -126,13 +126,13 @@
     },
     /// An attempt has ended. This is sent exactly once per attempt.
     AttemptEnded {
-        /// The request id.
+        /// The request id. A request stays in the table until all its attempts have ended.
         id: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
         /// Why the attempt ended.
         reason: EndReason,
-        /// Prompt tokens that the endpoint found in its prefix cache.
+        /// Prompt tokens that the endpoint found in its prefix cache; 0 if not reported.
         cached_tokens: f64,
         /// Tokens of the response; 0 if not reported.
         completion_tokens: f64,
@@ -141,14 +141,14 @@
     },
     /// A [`Command::ReleaseReservation`] has completed.
     ReleaseCompleted {
-        /// The request id.
+        /// The request id, as in the command.
         id: RequestId,
         /// Whether an endpoint confirmed the release in time.
         confirmed: bool,
     },
     /// A probe has completed.
     ProbeCompleted {
-        /// The probed endpoint.
+        /// The endpoint, as in the [`Command::Probe`]. It may have been removed since.
         endpoint: EndpointId,
         /// Whether the endpoint responded.
         is_healthy: bool,
@@ -166,7 +166,8 @@
     EndpointsChanged {
         /// Whether the list is complete: endpoints that it lacks have been removed. Otherwise it holds only changes.
         is_full: bool,
-        /// The listed endpoints.
+        /// The complete list, or only the changed endpoints. Among changes, a removed endpoint has the status
+        /// [`Removed`](crate::routing::api::EndpointStatus::Removed).
         endpoints: Vec<DiscoveredEndpoint>,
     },
     /// A call to discovery for the list of endpoints has failed.
@@ -208,7 +209,7 @@
 pub enum Command {
     /// Send a request to an endpoint.
     StartAttempt {
-        /// The request id.
+        /// The request id. Events about the attempt carry it together with the attempt's number.
         id: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
@@ -225,14 +226,14 @@
     },
     /// Cancel an attempt in flight whose stream doesn't go to the client.
     CancelAttempt {
-        /// The request id.
+        /// The request id. The command has no effect on an attempt that has ended.
         id: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
     },
     /// Release a request's reservation, by a call to the first endpoint that can be reached.
     ReleaseReservation {
-        /// The request id.
+        /// The request id, which [`Event::ReleaseCompleted`] carries back to the core.
         id: RequestId,
         /// The client request id, by which endpoints know the reservation.
         client_request_id: Arc<str>,
@@ -257,8 +258,8 @@
 }
 
 impl Command {
-    /// Sorts address blocks before all other commands and otherwise keeps the order. An attempt that was commanded before
-    /// its endpoint began to drain is then not sent there.
+    /// Moves address blocks before all other commands and otherwise keeps the order. So an attempt is not sent if a later
+    /// command of the same batch blocks its endpoint's address, as when the endpoint begins to drain.
     pub fn sort_blocks_first(commands: &mut [Command]) {
         commands.sort_by_key(|command| !matches!(command, Command::BlockAddress { .. }));
     }
--- a/src/dispatcher/reasons.rs
+++ b/src/dispatcher/reasons.rs
@@ -158,7 +158,7 @@
 /// Why a request was closed other than by the end of its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The router shed it, and the client was told that it can safely retry.
+    /// The router shed it, with a response that tells the client that a retry is safe.
     Shed(FailureReason),
     /// The router failed it, or shed it although it may have run or may still run.
     Failed(FailureReason),
@@ -172,11 +172,11 @@
     DuplicateId,
     /// It was rejected on arrival, because a request with the same client request id finished recently and may have run.
     MayHaveRun,
-    /// Its client disconnected.
+    /// Its client disconnected while it was open.
     ClientDisconnected,
 }
 
-/// Why endpoints are told to release what they reserve for a request.
+/// Why endpoints are requested to release what they reserve for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReleaseReason {
     /// The request is closed, or its stream has begun.
--- a/src/dispatcher/report.rs
+++ b/src/dispatcher/report.rs
@@ -23,7 +23,7 @@
 /// A counter. Its log lines share one rate limit, and the summary prints its `Debug` form as its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Counter {
-    /// An attempt ended.
+    /// An attempt ended for this reason, successfully or not.
     End(EndReason),
     /// An attempt was started after one that ended for this reason.
     Retry(EndReason),
@@ -31,7 +31,7 @@
     Close(CloseReason),
     /// A stream was received from another process of this dispatcher.
     StreamReceived,
-    /// Endpoints were told to release what they reserve for a request.
+    /// Endpoints were requested to release what they reserve for a request.
     Release(ReleaseReason),
     /// No endpoint confirmed a release in time.
     ReleaseFailed,
--- a/src/frontend/websocket/mod.rs
+++ b/src/frontend/websocket/mod.rs
@@ -1,7 +1,7 @@
 //! WebSocket sessions (RFC 6455): each carries many requests, and each request gets one final message.
 //!
-//! A request outlives the socket that submitted it for a short time, so that a reconnect does not start it anew. If the
-//! same id is submitted again, the first deadline stays in force and the response comes from the `idempotency_cache`.
+//! A request outlives the socket that submitted it for a short time, so that a reconnect does not start it again. If
+//! the same id is submitted again, the first deadline stays in force and the response comes from the `idempotency_cache`.
 //! That cache is bounded, and each dispatcher has its own. `docs/websocket.md` describes the messages.
 //!
 //! [`SessionFrontend`] owns the state that sessions share; `session` runs one socket, and `request_task` one request.
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// An encoded observation.
+/// An [`Observation`] in the format of the message, ready to send.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Record([u8; RECORD_BYTES]);
 
--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -244,17 +244,17 @@
 /// Why a router sheds or fails a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// No endpoint is likely to meet its objective, and load is above normal.
+    /// No endpoint is likely to meet the request's objective, and load is above normal.
     Overload,
-    /// The reservation of its KV cache has reached its time limit.
+    /// The reservation of the request's KV cache has reached its time limit.
     KvStateExpired,
     /// The maximum number of attempts is reached.
     AttemptsExhausted,
-    /// Its deadline or the router's shutdown deadline has passed.
+    /// The request's deadline or the router's shutdown deadline has passed.
     DeadlineExceeded,
     /// An attempt may have run, and the request must not run twice.
     NotRepeatable,
-    /// Its class is not in the settings.
+    /// The request's class is not in the settings.
     UnknownClass,
 }
 
@@ -300,7 +300,7 @@
         /// The endpoint's load; `None`: not reported.
         load: Option<LoadReport>,
     },
-    /// The client has disconnected.
+    /// The client has disconnected, or the caller has closed the request itself, as after its deadline.
     ClientDisconnected {
         /// The request. Unknown ids are ignored.
         id: RequestId,
@@ -309,14 +309,14 @@
     TimerFired,
     /// Another dispatcher's report about an endpoint.
     PeerLoadReport {
-        /// The endpoint.
+        /// The endpoint. Unknown ids are ignored.
         endpoint: EndpointId,
         /// The endpoint's load; `None`: an attempt there has failed.
         load: Option<LoadReport>,
     },
     /// A probe was answered or has failed.
     ProbeCompleted {
-        /// The endpoint.
+        /// The probed endpoint. Unknown ids are ignored.
         endpoint: EndpointId,
         /// Whether the endpoint answered.
         is_healthy: bool,
@@ -339,14 +339,14 @@
     },
     /// Cancels an attempt. [`Event::AttemptEnded`] follows as for any other attempt.
     CancelAttempt {
-        /// The request.
+        /// The request. It may already have its final response.
         id: RequestId,
         /// Index of the attempt.
         attempt: u32,
     },
     /// Ends a request with a final response that tells the client that a retry is safe.
     Shed {
-        /// The request.
+        /// The request, which has neither a final response nor a first event yet.
         id: RequestId,
         /// When the client should retry, in microseconds from now; 0: no advice.
         retry_after: Time,
@@ -356,14 +356,14 @@
     /// Ends a request with a final response that promises nothing: the request may have run, and a retry may
     /// be unsafe.
     Fail {
-        /// The request.
+        /// The request, which has neither a final response nor a first event yet.
         id: RequestId,
         /// Why the request was not served.
         reason: FailureReason,
     },
     /// Releases every KV cache that is reserved for the request.
     ReleaseReservation {
-        /// The request.
+        /// The request, which has its first event, or a final response and no attempt in flight.
         id: RequestId,
     },
     /// Requests [`Event::TimerFired`] at a given time. Replaces the previous timer.
@@ -373,7 +373,7 @@
     },
     /// Queries an endpoint for its load. [`Event::ProbeCompleted`] follows.
     Probe {
-        /// The endpoint.
+        /// The endpoint, whose last load report is missing or too old.
         endpoint: EndpointId,
     },
     /// Subscribes to changes of the endpoint list.
--- a/src/upgrade/stream_migration/frame.rs
+++ b/src/upgrade/stream_migration/frame.rs
@@ -80,7 +80,7 @@
     pub unsent: Bytes,
     /// Bytes that were read from the client's socket after the request.
     pub pipelined: Bytes,
-    /// True if the client was told, or may have been told, that the connection is closed after this response.
+    /// True if the client was notified, or may have been, that the connection is closed after this response.
     pub closes_after_response: bool,
 }
 
--- a/src/upgrade/stream_migration/mod.rs
+++ b/src/upgrade/stream_migration/mod.rs
@@ -1,12 +1,12 @@
 //! Migrates live streams, with their client and upstream sockets, to another process of the dispatcher.
 //!
 //! The backend offers the [`UpstreamHalf`] of a stream through the stream's own channel, after the last event that it
-//! has forwarded. The client's connection adds the [`ClientHalf`] in its [`MigrationSlot`]. It does so once everything
-//! before the offer is written to the socket or buffered as part of the connection's state. [`send_streams`] sends both
+//! has forwarded. The client's connection adds the [`ClientHalf`] in its [`MigrationSlot`], once everything before the
+//! offer is written to the socket or buffered as part of the connection's state. [`send_streams`] sends both
 //! halves to the receiving process in one frame, and reports to both sides whether that process has accepted the
 //! stream. If it has not, the stream continues here and tries again later. In the receiving process [`receive_streams`]
-//! queues each stream for the frontend and the backend. They continue it like one of their own, so it can migrate
-//! again.
+//! queues each stream. The frontend and the backend there continue it like a stream that the process has started, so
+//! it can migrate again.
 //!
 //! Invariant: exactly one process owns a stream at any time, the sender until the acceptance and the receiver after it.
 
@@ -35,7 +35,7 @@
     /// A part of the state, such as the partial event or the unsent bytes, exceeds the limits of a frame.
     #[error("too long for a frame")]
     FrameTooLong,
-    /// The receiver did not accept the stream.
+    /// The receiver did not accept the stream, or knows only a frame version that can't carry all of its state.
     #[error("not accepted by the receiver")]
     NotAccepted,
     /// The receiver did not answer in time, and the sender has withdrawn the stream.
--- a/src/upgrade/stream_migration/receiver.rs
+++ b/src/upgrade/stream_migration/receiver.rs
@@ -32,7 +32,7 @@
     pub client: TcpStream,
     /// The state of the client's connection.
     pub client_state: ClientState,
-    /// The upstream side.
+    /// The upstream side, from which the backend continues to read.
     pub upstream: ReceivedUpstream,
 }
 
--- a/src/upgrade/stream_migration/sender.rs
+++ b/src/upgrade/stream_migration/sender.rs
@@ -138,7 +138,7 @@
         }
         Err(error) => state.warn_of_failure(client_request_id, receiver_started_at, error),
     }
-    // The upstream side is told first, so that the end of the attempt is reported before the client's side has ended.
+    // The upstream side is notified first, so that the end of the attempt is reported before the client's side ends.
     let _ = upstream_half.migrated.send(result.is_ok());
     let _ = migrated.send(result.is_ok());
 }
