--- a/src/dispatcher/messages.rs
+++ b/src/dispatcher/messages.rs
@@ -42,7 +42,7 @@
 /// The request of a received stream, which another process of this dispatcher started.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The request id that the handle assigned.
+    /// The request id, assigned by the [`DispatcherHandle`](super::DispatcherHandle).
     pub id: RequestId,
     /// The client request id; `None` if the other process did not pass it on.
     pub client_request_id: Option<Arc<str>>,
@@ -98,7 +98,8 @@
 pub enum Event {
     /// A client has submitted a request.
     RequestArrived {
-        /// The metadata for the router, with the request id that the handle assigned.
+        /// The metadata for the router. Its request id is assigned by the
+        /// [`DispatcherHandle`](super::DispatcherHandle).
         metadata: RequestMetadata,
         /// The request as endpoints receive it.
         upstream: UpstreamRequest,
@@ -188,7 +189,7 @@
         /// Receives the result. On an error, the settings in force stay.
         reply: oneshot::Sender<Result<(), SettingsError>>,
     },
-    /// The process has begun to accept clients. Ends the standby.
+    /// The process has begun to accept clients. Ends [`Readiness::Standby`].
     AcceptClients,
     /// This process's share of the limits or the number of processes has changed.
     ResourceShareChanged {
@@ -200,14 +201,14 @@
     /// Another process of this dispatcher has published its ban records.
     BanRecordsReceived(BanRecords),
     /// The process shuts down. It reports [`Readiness::Draining`] to load balancers and serves requests that still arrive.
-    /// Every request without a stream gets its final outcome within this time.
+    /// Every request without a stream gets its final outcome within the given duration.
     Drain(Duration),
 }
 
 /// A command of the core to the backend.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Send a request to an endpoint.
+    /// Sends a request to an endpoint.
     StartAttempt {
         /// The request id. Events about the attempt carry it together with the attempt's number.
         id: RequestId,
@@ -224,14 +225,14 @@
         /// except for their prefill.
         needs_new_connection: bool,
     },
-    /// Cancel an attempt in flight whose stream doesn't go to the client.
+    /// Cancels an attempt in flight whose stream doesn't go to the client.
     CancelAttempt {
         /// The request id. The command has no effect on an attempt that has ended.
         id: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
     },
-    /// Release a request's reservation, by a call to the first endpoint that can be reached.
+    /// Releases a request's reservation, by a call to the first endpoint that can be reached.
     ReleaseReservation {
         /// The request id, which [`Event::ReleaseCompleted`] carries back to the core.
         id: RequestId,
@@ -240,14 +241,14 @@
         /// Addresses of endpoints that accept the call, in order of preference.
         addresses: Vec<Arc<str>>,
     },
-    /// Probe an endpoint's health and load.
+    /// Probes an endpoint's health and load.
     Probe {
         /// The endpoint to probe.
         endpoint: EndpointId,
         /// The endpoint's address.
         address: Arc<str>,
     },
-    /// Block or unblock an address. Nothing new is sent to a blocked address, including attempts that already wait for a
+    /// Blocks or unblocks an address. Nothing new is sent to a blocked address, including attempts that already wait for a
     /// connection.
     BlockAddress {
         /// The address of an endpoint.
--- a/src/routing/api.rs
+++ b/src/routing/api.rs
@@ -376,6 +376,7 @@
         /// The endpoint, whose last load report is missing or too old.
         endpoint: EndpointId,
     },
-    /// Subscribes to changes of the endpoint list.
+    /// Subscribes to changes of the endpoint list. Emitted only if
+    /// [`RoutingSettings::must_poll_endpoints`] is set.
     WatchEndpoints,
 }
